--- a/flaxtally/actor.py
+++ b/flaxtally/actor.py
@@ -22,7 +22,7 @@
         self.runtime.soon(getattr(self, "on_" + message), *args)
 
     def every(self, period: float, fn: Callable[[], None]) -> None:
-        """Calls `fn` now and then every `period` seconds; a fault in one call stops no later one."""
+        """Calls `fn` at once and every `period` seconds; a fault in one call stops no later one."""
 
         def turn() -> None:
             self.runtime.after(period, turn)
--- a/flaxtally/cli.py
+++ b/flaxtally/cli.py
@@ -23,7 +23,9 @@
 
 def _logging() -> None:
     level = LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
-    logging.basicConfig(stream=sys.stderr, level=level, format="%(asctime)s %(levelname)s %(name)s %(message)s")
+    logging.basicConfig(
+        stream=sys.stderr, level=level, format="%(asctime)s %(levelname)s %(name)s %(message)s"
+    )
 
 
 def _settings(arguments: argparse.Namespace) -> Settings:
@@ -70,7 +72,8 @@
 def _policy_show(arguments: argparse.Namespace) -> int:
     for setting in _policy(arguments, _settings(arguments)):
         unit = f" {setting.unit}" if any(setting.unit) else ""
-        print(f"{setting.name} = {setting.value:g}{unit}  # {setting.text}  ({setting.source}:{setting.line})")
+        origin = f"({setting.source}:{setting.line})"
+        print(f"{setting.name} = {setting.value:g}{unit}  # {setting.text}  {origin}")
     return DONE
 
 
@@ -149,7 +152,9 @@
 
 
 def _parser() -> argparse.ArgumentParser:
-    parser = argparse.ArgumentParser(prog="flaxtally", description="A scheduler for fleets that serve language models.")
+    parser = argparse.ArgumentParser(
+        prog="flaxtally", description="A scheduler for fleets that serve language models."
+    )
     parser.add_argument("--version", action="version", version=f"flaxtally {__version__}")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
 
@@ -158,27 +163,47 @@
         command.set_defaults(run=run)
         return command
 
-    shown = commands.add_parser("policy", help="the operators' settings", description="the operators' settings")
+    shown = commands.add_parser(
+        "policy", help="the operators' settings", description="the operators' settings"
+    )
     inner = shown.add_subparsers(dest="what", required=True, metavar="COMMAND")
     for command in (
         add(commands, "serve", _serve, "run a controller"),
         add(commands, "check", _check, "check a settings file, and a policy file"),
         add(inner, "show", _policy_show, "show each setting, its value and where it came from"),
     ):
-        command.add_argument("--config", required=True, metavar="FILE", help="the platform's settings (TOML)")
-        command.add_argument("--policy", metavar="FILE", help="the operators' settings (docs/policy.md)")
+        command.add_argument(
+            "--config", required=True, metavar="FILE", help="the platform's settings (TOML)"
+        )
+        command.add_argument(
+            "--policy", metavar="FILE", help="the operators' settings (docs/policy.md)"
+        )
     submit = add(commands, "submit", _submit, "submit a job")
-    submit.add_argument("job", metavar="FILE", help='the job as JSON, in the protocol\'s words; "-": standard input')
+    submit.add_argument(
+        "job", metavar="FILE", help='the job as JSON, in the protocol\'s words; "-": standard input'
+    )
     status = add(commands, "status", _status, "ask for a job's state")
     cancel = add(commands, "cancel", _cancel, "cancel a job")
     for command in (status, cancel):
         command.add_argument("ref", metavar="ID", help="the job's id")
     for command in (submit, status, cancel):
         command.add_argument("--to", required=True, metavar="HOST:PORT", help="a controller")
-        command.add_argument("--timeout", type=float, default=5.0, metavar="SECONDS", help="default: 5")
-    demo = add(commands, "demo", _demo, "run stand-ins of state service, cloud and workers on loopback")
-    demo.add_argument("folder", metavar="FOLDER", help="where the settings of three controllers are written to")
-    demo.add_argument("--port", type=int, default=21000, metavar="N", help="the first of the ports; default: 21000")
+        command.add_argument(
+            "--timeout", type=float, default=5.0, metavar="SECONDS", help="default: 5"
+        )
+    demo = add(
+        commands, "demo", _demo, "run stand-ins of state service, cloud and workers on loopback"
+    )
+    demo.add_argument(
+        "folder", metavar="FOLDER", help="where the settings of three controllers are written to"
+    )
+    demo.add_argument(
+        "--port",
+        type=int,
+        default=21000,
+        metavar="N",
+        help="the first of the ports; default: 21000",
+    )
     return parser
 
 
--- a/flaxtally/cloud.py
+++ b/flaxtally/cloud.py
@@ -6,6 +6,7 @@
 import itertools
 import logging
 from collections.abc import Callable
+from functools import partial
 from typing import Any, TypeVar
 
 import msgspec
@@ -65,14 +66,26 @@
         self.contact = float("-inf")
 
     def catalog(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
-        self._call(ROUTINE, "GET", wire.CATALOG, None, lambda reply: done(self._read(reply, _catalog, "types")))
+        self._call(
+            ROUTINE,
+            "GET",
+            wire.CATALOG,
+            None,
+            lambda reply: done(self._read(reply, _catalog, "types")),
+        )
 
     def rent(
-        self, request: str, kind: str, zone: str, spot: bool, count: int,
+        self,
+        request: str,
+        kind: str,
+        zone: str,
+        spot: bool,
+        count: int,
         done: Callable[[str, list[str]], None],
-    ) -> None:  # fmt: skip
-        """`done(outcome, machines)` with outcome `rented`, `none` (no capacity), `trouble` (not executed) or
-        `unknown` (no answer: it may have been, or may still be)."""
+    ) -> None:
+        """`done(outcome, machines)` with outcome `rented`, `none` (no capacity), `trouble` (not
+        executed) or `unknown` (no answer: it may have been, or may still be).
+        """
 
         def told(reply: Reply) -> None:
             machines = self._read(reply, _rented, "machines")
@@ -137,7 +150,9 @@
             return None
         return message if field is None else getattr(message, field)
 
-    def _call(self, urgency: int, method: str, path: str, body: Any, told: Callable[[Reply], None]) -> None:
+    def _call(
+        self, urgency: int, method: str, path: str, body: Any, told: Callable[[Reply], None]
+    ) -> None:
         heapq.heappush(self._waiting, (urgency, next(self._order), (method, path, body, told)))
         self._pump()
 
@@ -151,7 +166,8 @@
                 return
             self._bucket.take(1.0)
             method, path, body, told = heapq.heappop(self._waiting)[2]
-            self._client.request(method, path, body, self._timeout, lambda reply, t=told: self._told(reply, t))  # type: ignore[misc]
+            done = partial(self._told, told=told)
+            self._client.request(method, path, body, self._timeout, done)
 
     def _again(self) -> None:
         if self._armed:
--- a/flaxtally/consolidate.py
+++ b/flaxtally/consolidate.py
@@ -1,7 +1,7 @@
 """Which thinly used machine to empty, by moving its replicas to room that is paid for anyway. Pure.
 
-The design returns machines that fall idle; replicas that stay for long keep thinly used ones from ever
-falling idle. A replica whose image the other machine holds is away for a fraction of a second.
+The design returns machines that fall idle; replicas that stay for long keep thinly used ones from
+ever falling idle. A replica whose image the other machine holds is away for a fraction of a second.
 """
 
 from __future__ import annotations
@@ -16,17 +16,25 @@
 
 
 def pick(
-    machines: Sequence[Machine], kinds: dict[str, wire.MachineType], needs: GpuNeeds, sample: int,
-    rng: random.Random, zones_without: Callable[[Job, Placement], dict[str, bool]],
-    settled: Callable[[Placement], bool], beside_arrays: bool, moving: Collection[Machine] = (),
-    firm: Collection[str] = (), least: float = 0.0,
-) -> tuple[Machine | None, list[str]]:  # fmt: skip
-    """The machine whose return saves most a replica moved, if all on it fit on other used machines, or on
-    idle ones that cost less than half; and the names of those that were looked at and can't be emptied.
+    machines: Sequence[Machine],
+    kinds: dict[str, wire.MachineType],
+    needs: GpuNeeds,
+    sample: int,
+    rng: random.Random,
+    zones_without: Callable[[Job, Placement], dict[str, bool]],
+    settled: Callable[[Placement], bool],
+    beside_arrays: bool,
+    moving: Collection[Machine] = (),
+    firm: Collection[str] = (),
+    least: float = 0.0,
+) -> tuple[Machine | None, list[str]]:
+    """The machine whose return saves most a replica moved, if all on it fit on other used machines,
+    or on idle ones that cost less than half; and the names of those that were looked at and can't
+    be emptied.
 
     `beside_arrays`: also one where array tasks still run, which will take none while it is emptied.
-    `moving`: machines being emptied, whose replicas find their room first. `firm`: machines to pass over.
-    `least`: the price an hour from which a machine's return is worth its replicas' moves.
+    `moving`: machines being emptied, whose replicas find their room first. `firm`: machines to pass
+    over. `least`: the price an hour from which a machine's return is worth its replicas' moves.
     """
     candidates: list[tuple[float, Machine]] = []
     for machine in machines:
@@ -71,21 +79,36 @@
 
 
 def target(
-    placed: Placement, machine: Machine, stock: Stock, needs: GpuNeeds, sample: int,
+    placed: Placement,
+    machine: Machine,
+    stock: Stock,
+    needs: GpuNeeds,
+    sample: int,
     zones_without: Callable[[Job, Placement], dict[str, bool]],
-) -> Machine | None:  # fmt: skip
+) -> Machine | None:
     """Where a replica of the machine can move to now."""
     job = placed.job
     return choose(
-        job.spec, job.no, stock, needs, sample, zones_without(job, placed),
+        job.spec,
+        job.no,
+        stock,
+        needs,
+        sample,
+        zones_without(job, placed),
         lambda other: takes(machine, other, job.spec, stock.kinds),
-    )  # fmt: skip
+    )
 
 
-def takes(machine: Machine, other: Machine, spec: wire.Spec, kinds: dict[str, wire.MachineType]) -> bool:
-    """Whether a replica may move from the one to the other: to a used machine, or an idle one that costs less than
-    half; to one that holds its image, or off GPUs that it doesn't need to a machine without them."""
-    if other is machine or not (other.placements or 2 * hourly(other, kinds) < hourly(machine, kinds)):
+def takes(
+    machine: Machine, other: Machine, spec: wire.Spec, kinds: dict[str, wire.MachineType]
+) -> bool:
+    """Whether a replica may move from the one to the other: to a used machine, or an idle one that
+    costs less than half; to one that holds its image, or off GPUs that it doesn't need to a machine
+    without them.
+    """
+    if other is machine or not (
+        other.placements or 2 * hourly(other, kinds) < hourly(machine, kinds)
+    ):
         return False
     freed = kinds[machine.kind].gpus and not spec.gpus and not kinds[other.kind].gpus
     return spec.image in other.images or bool(freed)
@@ -93,7 +116,9 @@
 
 def replicas(machine: Machine) -> list[Placement]:
     """What must move; tasks of arrays are left to end."""
-    return [placed for placed in machine.placements.values() if placed.job.spec.kind == wire.SERVICE]
+    return [
+        placed for placed in machine.placements.values() if placed.job.spec.kind == wire.SERVICE
+    ]
 
 
 def hourly(machine: Machine, kinds: dict[str, wire.MachineType]) -> float:
--- a/flaxtally/dispatch.py
+++ b/flaxtally/dispatch.py
@@ -1,4 +1,4 @@
-"""The part: answers the reports of the machines that the live view gives this node, carries orders."""
+"""Answers the reports of the machines assigned to this node, and carries orders to machines."""
 
 from __future__ import annotations
 
@@ -44,9 +44,14 @@
     """Owns what this node hears from machines and the orders that it carries."""
 
     def __init__(
-        self, runtime: Runtime, settings: Settings, policy: Policy, election: Election, peers: Peers,
+        self,
+        runtime: Runtime,
+        settings: Settings,
+        policy: Policy,
+        election: Election,
+        peers: Peers,
         workers: Workers,
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(runtime)
         self._settings, self._policy = settings, policy
         self._election, self._peers, self._workers = election, peers, workers
@@ -55,7 +60,10 @@
         self._heard: dict[str, tuple[float, wire.Report]] = {}
         self._sent_on: dict[str, float] = {}
         self._returned: dict[str, float] = {}
-        self._zones = {settings.node: settings.zone, **{name: zone for name, (zone, _) in settings.peers.items()}}
+        self._zones = {
+            settings.node: settings.zone,
+            **{name: zone for name, (zone, _) in settings.peers.items()},
+        }
         self._owners: dict[str, str | None] = {}
         self._owners_of: list[str] = []
         self._ids = itertools.count(election.life)
@@ -77,7 +85,8 @@
             return
         election, now, name = self._election, self.runtime.now(), report.machine
         if election.term == 0 and report.token and now - self._started < self._policy.unattended:
-            # Begun anew where nothing can be reached: it keeps the tasks of those who ask it, and orders nothing.
+            # Begun anew where nothing can be reached: it keeps the tasks of those who ask it, and
+            # orders nothing.
             request.reply(200, wire.beat_answer(report.token))
             return
         if report.token > election.term:
@@ -102,7 +111,9 @@
         if election.leading:
             self._deliver(self._settings.node, report)
         elif election.leader is not None:
-            self._peers.send(election.leader, {"k": "rep", "t": election.term, "m": name, "b": request.body})
+            self._peers.send(
+                election.leader, {"k": "rep", "t": election.term, "m": name, "b": request.body}
+            )
 
     def _owner(self, name: str, zone: str) -> str | None:
         view = self._election.view
@@ -124,7 +135,9 @@
             self._deliver(sender, report)
 
     def _note(self, report: wire.Report) -> None:
-        """Keeps a machine's newest report for a term that begins here; copies of older ones come later."""
+        """Keeps a machine's newest report for a term that begins here; copies of older ones come
+        later.
+        """
         _, last = self._heard.get(report.machine, (0.0, None))
         if last is None or report.order > last.order:
             self._heard[report.machine] = (self.runtime.now(), report)
@@ -142,8 +155,13 @@
     # Orders
 
     def carry(
-        self, server: str | None, machine: str, address: str, body: dict[str, Any] | None, done: Told
-    ) -> None:  # fmt: skip
+        self,
+        server: str | None,
+        machine: str,
+        address: str,
+        body: dict[str, Any] | None,
+        done: Told,
+    ) -> None:
         if server is None or server == self._settings.node or not self._peers.fresh(server):
             self._send(address, body, done)
             return
@@ -164,7 +182,9 @@
             entry[1](0, b"")
 
     def order(self, sender: str, frame: Frame) -> None:
-        """The leader asks this part to carry orders. Late ones are harmless: they name term and session."""
+        """The leader asks this part to carry orders. Late ones are harmless: they name term and
+        session.
+        """
         address, body, number = frame.get("a"), frame.get("o"), frame.get("i")
         if not isinstance(address, str) or not isinstance(body, dict):
             log.warning("orders of %s are none", sender)
--- a/flaxtally/election.py
+++ b/flaxtally/election.py
@@ -1,9 +1,9 @@
 """Who leads: the leader key, the term, and when a lost leader is replaced.
 
-The key `lead` holds `{term, node, boot}`. A takeover is a transaction guarded by the version that was
-read, with a term one higher; every ledger transaction guards that version too, so a deposed leader's
-writes fail whatever the timing, and taking over early costs work but never safety. What follows is
-therefore only about *when* it is worth it.
+The key `lead` holds `{term, node, boot}`. A takeover is a transaction guarded by the version that
+was read, with a term one higher; every ledger transaction guards that version too, so a deposed
+leader's writes fail whatever the timing, and taking over early costs work but never safety. What
+follows is therefore only about *when* it is worth it.
 """
 
 from __future__ import annotations
@@ -30,21 +30,37 @@
     """Owns the node's belief about term, leader and live view."""
 
     def __init__(
-        self, runtime: Runtime, node: str, policy: Policy, store: Store, peers: Peers, rng: random.Random,
-        lead: Callable[[int, int], None], follow: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        node: str,
+        policy: Policy,
+        store: Store,
+        peers: Peers,
+        rng: random.Random,
+        lead: Callable[[int, int], None],
+        follow: Callable[[], None],
+    ) -> None:
         super().__init__(runtime)
-        self._node, self._policy, self._store, self._peers, self._rng = node, policy, store, peers, rng
+        self._node, self._policy, self._store, self._peers, self._rng = (
+            node,
+            policy,
+            store,
+            peers,
+            rng,
+        )
         self._lead, self._follow = lead, follow
         self._boot = f"{rng.getrandbits(64):016x}"
         self._started = runtime.now()
         self.life = int(self._boot, 16) >> 2
-        """A number of this life of the process alone: what it numbers begins there, so that no answer to a former
-        life is taken for one to this."""
+        """A number of this life of the process alone: what it numbers begins there, so that no
+        answer to a former life is taken for one to this.
+        """
         self.term = 0
         self._led = 0
-        """The last term that this life has led. One that it gave up it never takes up again: launches of it may still
-        be on their way under the same token, so a report that lacks one would prove nothing."""
+        """The last term that this life has led. One that it gave up it never takes up again:
+        launches of it may still be on their way under the same token, so a report that lacks one
+        would prove nothing.
+        """
         self.leader: str | None = None
         self.leading = False
         self.ready = False
@@ -76,10 +92,14 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether others may well lead by now: the state service doesn't answer, and some other controller is neither
-        heard nor dead. (In an outage of the state service the others are heard, and nobody can take over.)"""
+        """Whether others may well lead by now: the state service doesn't answer, and some other
+        controller is neither heard nor dead. (In an outage of the state service the others are
+        heard, and nobody can take over.)
+        """
         peers = self._peers
-        return not self.store_answers and not all(peers.fresh(peer) or peers.refuses(peer) for peer in peers.heard)
+        return not self.store_answers and not all(
+            peers.fresh(peer) or peers.refuses(peer) for peer in peers.heard
+        )
 
     @property
     def leader_in_touch(self) -> float:
@@ -90,7 +110,7 @@
 
     @property
     def served_term(self) -> int:
-        """The term whose leader is ready to take questions, as far as this node knows; 0 for none."""
+        """The term whose leader is ready for requests, as far as this node knows; 0 for none."""
         ready = self.ready if self.leading else self._leader_ready and self._sees_leader()
         return self.term if ready else 0
 
@@ -102,7 +122,9 @@
         if self.leading:
             able = self.ready and self.store_answers
         else:
-            able = self._peers.direct(self.leader or "") and self._leader_able and self._leader_ready
+            able = (
+                self._peers.direct(self.leader or "") and self._leader_able and self._leader_ready
+            )
         if able:
             self._able_at = now
         return now - self._able_at < 3 * self._policy.probe
@@ -111,11 +133,20 @@
 
     def _beat(self) -> None:
         if self.leading:
-            self.view = sorted([self._node, *(peer for peer in self._peers.heard if self._peers.fresh(peer))])
-        self._peers.broadcast({
-            "k": "hb", "term": self.term, "leader": self.leader, "able": self.leading and self.store_answers,
-            "ready": self.ready, "sees": self._sees_leader(), "view": self.view if self.leading else [],
-        })  # fmt: skip
+            self.view = sorted(
+                [self._node, *(peer for peer in self._peers.heard if self._peers.fresh(peer))]
+            )
+        self._peers.broadcast(
+            {
+                "k": "hb",
+                "term": self.term,
+                "leader": self.leader,
+                "able": self.leading and self.store_answers,
+                "ready": self.ready,
+                "sees": self._sees_leader(),
+                "view": self.view if self.leading else [],
+            }
+        )
         self._consider()
 
     def heartbeat(self, sender: str, frame: Frame) -> None:
@@ -137,9 +168,11 @@
         if self.leading:
             return True
         return (
-            self.leader is not None and self._peers.fresh(self.leader) and self._leader_able
+            self.leader is not None
+            and self._peers.fresh(self.leader)
+            and self._leader_able
             and not self._peers.refuses(self.leader)
-        )  # fmt: skip
+        )
 
     def _adopt(self, term: int, leader: str) -> None:
         log.info("event=follow node=%s term=%d leader=%s", self._node, term, leader)
@@ -231,9 +264,10 @@
         if self._lost_since is None:
             self._lost_since = now
         others = [
-            peer for peer in self._peers.heard
+            peer
+            for peer in self._peers.heard
             if peer != self.leader and self._peers.fresh(peer) and not self._peers.refuses(peer)
-        ]  # fmt: skip
+        ]
         rank = sorted([self._node, *others]).index(self._node)
         pause = policy.heartbeat * (0.25 + rank)
         if now - self._lost_since < pause:
@@ -242,7 +276,8 @@
         refused = self.leader is not None and self._peers.refuses(self.leader)
         alone = not others
         if alone and refused and now - self._lost_since < policy.refused_patience:
-            # All refuse us: they died together, or a filter stands between us. A live leader's mail will tell.
+            # All refuse us: they died together, or a filter stands between us. A live leader's mail
+            # will tell.
             self.later(policy.heartbeat, self._consider)
             return
         if (refused or not alone) and not any(self._sees.get(peer) for peer in others):
@@ -313,7 +348,9 @@
             self._lease = lease
             self._lease_turn += 1
             key = f"{ALIVE}{term}-{self._lease_turn}"
-            self._store.transact({LEAD: self.version, key: 0}, {key: term}, [], self._noted, lease=lease)
+            self._store.transact(
+                {LEAD: self.version, key: 0}, {key: term}, [], self._noted, lease=lease
+            )
 
         self._store.hold(self._policy.leader_hold, held)
 
--- a/flaxtally/fill.py
+++ b/flaxtally/fill.py
@@ -1,9 +1,9 @@
 """What to rent for the gaps of the forecast: cheapest per unit of work first. Pure.
 
-For each step of the horizon the demand is packed into the rooms that will be there by then (machines
-up, and machines asked for until twice their boot time has passed). Packing into the rooms themselves,
-not into their sum, is the exception that DESIGN's "room in pieces" asks for. What finds no room at
-some step is a gap; from its first step to the last one of its run each type is scored by
+For each step of the horizon the demand is packed into the rooms that will be there by then
+(machines up, and machines asked for until twice their boot time has passed). Packing into the rooms
+themselves, not into their sum, is the exception that DESIGN's "room in pieces" asks for. What finds
+no room at some step is a gap; from its first step to the last one of its run each type is scored by
 (launch overhead + (e - t) x price) / work served, and the cheapest joins until no gap remains.
 """
 
@@ -83,10 +83,12 @@
 
 
 def merged(demands: Iterable[Demand]) -> list[Demand]:
-    """Demands that differ by no more than `ALIKE` in cores and in nothing else count as one of the largest size;
-    those given are used up.
+    """Demands that differ by no more than `ALIKE` in cores and in nothing else count as one of the
+    largest size; those given are used up.
 
-    Jobs of a class vary; a plan that packs each of their sizes by itself grows with sizes times machines."""
+    Jobs of a class vary; a plan that packs each of their sizes by itself grows with sizes times
+    machines.
+    """
     found: dict[Hashable, Demand] = {}
     for demand in demands:
         shape = demand.shape
@@ -143,12 +145,19 @@
 
 
 def cheapest(
-    demand: Demand, count: int, first: float, kinds: dict[str, wire.MachineType], pools: list[Pool],
-    needs: GpuNeeds, spot_worth: float, by: float,
-) -> tuple[float, Pool] | None:  # fmt: skip
-    """The pool with the lowest price per unit of work for this gap, of the types that boot by then. Among
-    equal ones, the zone that the shape's machines use least. None also if being there in time costs
-    `HASTE` times as much as the cheapest type: a later step's gap will take that one."""
+    demand: Demand,
+    count: int,
+    first: float,
+    kinds: dict[str, wire.MachineType],
+    pools: list[Pool],
+    needs: GpuNeeds,
+    spot_worth: float,
+    by: float,
+) -> tuple[float, Pool] | None:
+    """The pool with the lowest price per unit of work for this gap, of the types that boot by then.
+    Among equal ones, the zone that the shape's machines use least. None also if being there in time
+    costs `HASTE` times as much as the cheapest type: a later step's gap will take that one.
+    """
     best: tuple[float, int, Pool] | None = None
     lowest = float("inf")
     shape = demand.shape
@@ -171,19 +180,26 @@
 
 
 def plan(
-    steps: list[tuple[float, list[Demand], list[Bin]]], kinds: dict[str, wire.MachineType], pools: list[Pool],
-    needs: GpuNeeds, spot_worth: float, most: int,
-) -> list[Rent]:  # fmt: skip
-    """What to rent now. `steps`: (time from now, demand, rooms) in order of time; what is rented for one
-    step is room at the later ones. Before the last step, only types that boot in time serve a gap."""
+    steps: list[tuple[float, list[Demand], list[Bin]]],
+    kinds: dict[str, wire.MachineType],
+    pools: list[Pool],
+    needs: GpuNeeds,
+    spot_worth: float,
+    most: int,
+) -> list[Rent]:
+    """What to rent now. `steps`: (time from now, demand, rooms) in order of time; what is rented
+    for one step is room at the later ones. Before the last step, only types that boot in time serve
+    a gap.
+    """
     rents: list[Rent] = []
     joined: list[tuple[Pool, wire.MachineType]] = []
     open_pools = list(pools)
     for number, (at, demands, rooms) in enumerate(steps, 1):
         by = at if number < len(steps) else float("inf")
         bins = rooms + [
-            Bin(kind, pool.zone, pool.spot, kind.cores, kind.gpus, kind.ram) for pool, kind in joined
-        ]  # fmt: skip
+            Bin(kind, pool.zone, pool.spot, kind.cores, kind.gpus, kind.ram)
+            for pool, kind in joined
+        ]
         for demand in demands:
             left = pack(demand, bins, needs)
             while left > 0 and len(rents) < most:
--- a/flaxtally/fleet.py
+++ b/flaxtally/fleet.py
@@ -15,11 +15,37 @@
     """A machine that the leader knows. `baseline`: it has reported under the present token."""
 
     __slots__ = (
-        "address", "baseline", "booting", "cores", "draining", "errors", "failed_probes", "faults", "faulty_until",
-        "glimpsed", "gpus", "heard_at", "idle_since", "images", "kind", "name", "notice_until", "orders_failed",
-        "placements", "probing", "ram", "release_tried", "releasing", "rented_at", "sequence", "server", "session",
-        "slow", "spot", "zone",
-    )  # fmt: skip
+        "address",
+        "baseline",
+        "booting",
+        "cores",
+        "draining",
+        "errors",
+        "failed_probes",
+        "faults",
+        "faulty_until",
+        "glimpsed",
+        "gpus",
+        "heard_at",
+        "idle_since",
+        "images",
+        "kind",
+        "name",
+        "notice_until",
+        "orders_failed",
+        "placements",
+        "probing",
+        "ram",
+        "release_tried",
+        "releasing",
+        "rented_at",
+        "sequence",
+        "server",
+        "session",
+        "slow",
+        "spot",
+        "zone",
+    )
 
     def __init__(self, name: str, kind: str, zone: str, spot: bool, now: float) -> None:
         self.name, self.kind, self.zone, self.spot = name, kind, zone, spot
@@ -42,7 +68,9 @@
         self.failed_probes = 0
         self.orders_failed = 0
         self.errors: set[str] = set()
-        """Jobs whose tasks failed here since one last ended with its result; not those that fail everywhere."""
+        """Jobs whose tasks failed here since one last ended with its result; not those that fail
+        everywhere.
+        """
         self.faulty_until: float | None = None
         """Until when it drains for such failures."""
         self.faults = 0
@@ -97,4 +125,4 @@
             placement.job.spec.cores + 4 * placement.job.spec.gpus
             for placement in self.placements.values()
             if placement.job.spec.kind == wire.SERVICE
-        )  # fmt: skip
+        )
--- a/flaxtally/forecast.py
+++ b/flaxtally/forecast.py
@@ -26,9 +26,16 @@
     @classmethod
     def of(cls, spec: wire.Spec) -> Shape:
         return cls(
-            spec.lane, round(spec.cores, 1), spec.gpus, spec.ram, spec.types, spec.zone, spec.spot,
-            spec.kind == wire.SERVICE, wire.RANKS[spec.rank],
-        )  # fmt: skip
+            spec.lane,
+            round(spec.cores, 1),
+            spec.gpus,
+            spec.ram,
+            spec.types,
+            spec.zone,
+            spec.spot,
+            spec.kind == wire.SERVICE,
+            wire.RANKS[spec.rank],
+        )
 
 
 class Arrivals:
@@ -55,9 +62,13 @@
         return max((tasks for tasks, _ in self._recent(lane, now)), default=0)
 
     def length(self, lane: str, now: float) -> float:
-        """How long a task of the lane is estimated to run, on average over the window's tasks; 0: none came."""
+        """How long a task of the lane is estimated to run, on average over the window's tasks; 0:
+        none came.
+        """
         recent = self._recent(lane, now)
-        return sum(tasks * length for tasks, length in recent) / max(1, sum(tasks for tasks, _ in recent))
+        return sum(tasks * length for tasks, length in recent) / max(
+            1, sum(tasks for tasks, _ in recent)
+        )
 
     def note(self, lane: str, tasks: int, length: float, now: float) -> None:
         if self._first is None:
--- a/flaxtally/http.py
+++ b/flaxtally/http.py
@@ -5,6 +5,7 @@
 import logging
 from collections import deque
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 import msgspec
@@ -17,10 +18,19 @@
 BODY_LIMIT = 64 * 1024
 CROWDED = 0.8
 REASONS = {
-    200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    409: "Conflict", 413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-    429: "Too Many Requests", 500: "Internal Server Error", 503: "Service Unavailable",
-}  # fmt: skip
+    200: "OK",
+    201: "Created",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    409: "Conflict",
+    413: "Content Too Large",
+    421: "Misdirected Request",
+    422: "Unprocessable Content",
+    429: "Too Many Requests",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 pack = msgspec.msgpack.Encoder().encode
 
 
@@ -171,7 +181,8 @@
 
     def answer(self, status: int, body: Any, retry_after: int | None) -> None:
         payload = b"" if body is None else pack(body)
-        head = f"HTTP/1.1 {status} {REASONS.get(status, 'Status')}\r\nContent-Length: {len(payload)}\r\n"
+        reason = REASONS.get(status, "Status")
+        head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(payload)}\r\n"
         if payload:
             head += "Content-Type: application/msgpack\r\n"
         if retry_after is not None:
@@ -206,15 +217,22 @@
 
 
 class Server:
-    """Keeps up to `most` connections, so that the sockets kept for peers, state service and cloud can't be
-    taken by others. When there are nearly as many, each ends with its next answer; for one beyond them the
-    one that is idle for longest is closed. A controller that is alone has more workers than connections to
-    keep: were it to refuse the last ones, these would lose their leases."""
+    """Keeps up to `most` connections, so that the sockets kept for peers, state service and cloud
+    can't be taken by others. When there are nearly as many, each ends with its next answer; for one
+    beyond them the one that is idle for longest is closed. A controller that is alone has more
+    workers than connections to keep: were it to refuse the last ones, these would lose their
+    leases.
+    """
 
     def __init__(
-        self, runtime: Runtime, address: Address, handler: Callable[[Request], None],
-        most: int, patience: float, linger: float,
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        address: Address,
+        handler: Callable[[Request], None],
+        most: int,
+        patience: float,
+        linger: float,
+    ) -> None:
         self.runtime, self.handler, self.most = runtime, handler, most
         self.patience, self.linger = patience, linger
         self.open: set[ServerConn] = set()
@@ -237,7 +255,7 @@
 
 
 class Reply:
-    """What came back. Status 0: no response, so the request may have been executed or may yet be."""
+    """A response. Status 0: none came, so the request may have been executed or may yet be."""
 
     __slots__ = ("body", "status")
 
@@ -268,7 +286,9 @@
 
     def request(self, method: str, path: str, body: Any, timeout: float, done: Done) -> None:
         payload = b"" if body is None else pack(body)
-        head = f"{method} {path} HTTP/1.1\r\nHost: {self._host}\r\nContent-Length: {len(payload)}\r\n"
+        head = (
+            f"{method} {path} HTTP/1.1\r\nHost: {self._host}\r\nContent-Length: {len(payload)}\r\n"
+        )
         if payload:
             head += "Content-Type: application/msgpack\r\n"
         call = _Call(head.encode("latin-1") + b"\r\n" + payload, done)
@@ -299,8 +319,8 @@
             stream = self._idle.pop() if self._idle else self._runtime.connect(self._address)
             self._busy[stream] = call
             parser = Parser(True, None)
-            stream.on_data = lambda data, s=stream, p=parser: self._data(s, p, data)  # type: ignore[misc]
-            stream.on_close = lambda s=stream: self._lost(s)  # type: ignore[misc]
+            stream.on_data = partial(self._data, stream, parser)
+            stream.on_close = partial(self._lost, stream)
             stream.send(call.data)
 
     def _data(self, stream: Stream, parser: Parser, data: bytes) -> None:
--- a/flaxtally/intake.py
+++ b/flaxtally/intake.py
@@ -27,7 +27,9 @@
 class _Question:
     """A question passed to the leader of a term, until it is answered or its time is over.
 
-    Each time it is passed it gets a new number: an answer counts only if it is the asked leader's to that."""
+    Each time it is passed it gets a new number: an answer counts only if it is the asked leader's
+    to that.
+    """
 
     __slots__ = ("answer", "asked", "number", "subject", "term", "timer", "what")
 
@@ -42,13 +44,25 @@
     """Owns the questions under way between this node and the leader."""
 
     def __init__(
-        self, runtime: Runtime, policy: Policy, election: Election, peers: Peers, leader: Leader,
-        beat: Callable[[Request], None], most: int,
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        policy: Policy,
+        election: Election,
+        peers: Peers,
+        leader: Leader,
+        beat: Callable[[Request], None],
+        most: int,
+    ) -> None:
         """`most`: questions under way at a time."""
         super().__init__(runtime)
         self._most = most
-        self._policy, self._election, self._peers, self._leader, self._beat = policy, election, peers, leader, beat
+        self._policy, self._election, self._peers, self._leader, self._beat = (
+            policy,
+            election,
+            peers,
+            leader,
+            beat,
+        )
         self._ids = itertools.count(election.life)
         self._asked: dict[int, _Question] = {}
         self.every(policy.heartbeat / 2, self._renew)
@@ -58,17 +72,23 @@
         if path == wire.BEAT:
             self._only("POST", request, self._beat)
         elif path == wire.UP:
-            self._only("GET", request, lambda request: request.reply(200 if self._election.able else 503))
+            self._only(
+                "GET", request, lambda request: request.reply(200 if self._election.able else 503)
+            )
         elif path == wire.WORK:
             self._only("POST", request, self._submit)
         elif path.startswith(wire.WORK + "/"):
             ref, _, verb = path[len(wire.WORK) + 1 :].partition("/")
             if verb == "cancel":
-                self._only("POST", request, lambda request: self._ask("cancel", ref, self._answer(request)))
+                self._only(
+                    "POST", request, lambda request: self._ask("cancel", ref, self._answer(request))
+                )
             elif verb:
                 request.reply(404, {"error": "no such path"})
             else:
-                self._only("GET", request, lambda request: self._ask("poll", ref, self._answer(request)))
+                self._only(
+                    "GET", request, lambda request: self._ask("poll", ref, self._answer(request))
+                )
         else:
             request.reply(404, {"error": "no such path"})
 
@@ -121,7 +141,12 @@
     def _ask(self, what: str, subject: str | bytes, answer: Answer) -> None:
         election = self._election
         leader = election.leader
-        if leader is None or not self._peers.direct(leader) or not election.able or len(self._asked) >= self._most:
+        if (
+            leader is None
+            or not self._peers.direct(leader)
+            or not election.able
+            or len(self._asked) >= self._most
+        ):
             answer(503, None)
             return
         question = _Question(what, subject, answer)
@@ -135,7 +160,11 @@
         self._asked[number] = question
         question.term, question.asked = election.term, election.leader
         if election.leading:
-            self._serve(question.what, question.subject, lambda status, body: self._told(number, status, body))
+            self._serve(
+                question.what,
+                question.subject,
+                lambda status, body: self._told(number, status, body),
+            )
         elif election.leader is not None:
             frame = {"k": "ask", "i": number, "w": question.what, "s": question.subject}
             self._peers.send(election.leader, frame)
@@ -144,7 +173,9 @@
         """Questions that went to a leader that is none any more are passed to its successor."""
         served = self._election.served_term
         if served:
-            for question in [question for question in self._asked.values() if question.term < served]:
+            for question in [
+                question for question in self._asked.values() if question.term < served
+            ]:
                 self._pass(question)
 
     def _unanswered(self, question: _Question) -> None:
--- a/flaxtally/lead/emptier.py
+++ b/flaxtally/lead/emptier.py
@@ -19,12 +19,17 @@
 
 
 class Emptier(Duty):
-    """Owns the emptying under way: one machine at a time in a small fleet, several in a large one."""
+    """Owns the machines being emptied: one at a time in a small fleet, several in a large one."""
 
     def __init__(
-        self, term: Term, jobs: Jobs, tracker: Tracker, orders: Orders, planner: Planner,
+        self,
+        term: Term,
+        jobs: Jobs,
+        tracker: Tracker,
+        orders: Orders,
+        planner: Planner,
         hints: dict[tuple[int, int], str],
-    ) -> None:  # fmt: skip
+    ) -> None:
         super().__init__(term)
         self.jobs, self.tracker, self.orders, self.planner = jobs, tracker, orders, planner
         self._moving: dict[str, float] = {}
@@ -37,7 +42,7 @@
         """Moved replicas that fetch their image, and since when."""
 
     def consolidate(self, now: float, demands: list[Demand]) -> None:
-        """Begins to empty machines, when all is calm; `move_on` moves their replicas one at a time."""
+        """Begins to empty machines when all is calm; `move_on` moves replicas one at a time."""
         most = max(1, self._few())
         calm = (
             len(self._moving) < most
@@ -52,8 +57,11 @@
 
         def settled(placed: Placement) -> bool:
             # Who has just begun is left in peace: its start counts for what users see.
-            return placed.state == wire.RUNNING and placed.ran_at is not None and (
-                now - placed.ran_at > self.policy.move_after)  # fmt: skip
+            return (
+                placed.state == wire.RUNNING
+                and placed.ran_at is not None
+                and (now - placed.ran_at > self.policy.move_after)
+            )
 
         self._firm = {name: until for name, until in self._firm.items() if until > now}
         beside_arrays = not self.jobs.waiting()
@@ -63,12 +71,24 @@
         spare: Callable[[set[str]], bool] | None = None
         going: set[str] = set()
         while len(self._moving) < most:
-            moving = [machine for name in self._moving if (machine := self.fleet.machines.get(name)) is not None]
+            moving = [
+                machine
+                for name in self._moving
+                if (machine := self.fleet.machines.get(name)) is not None
+            ]
             machine, failed = consolidate.pick(
-                self.tracker.usable(), kinds, self.jobs.needs, self.policy.sample, self.rng,
-                self.jobs.zones_open, settled, beside_arrays, moving, self._firm,
+                self.tracker.usable(),
+                kinds,
+                self.jobs.needs,
+                self.policy.sample,
+                self.rng,
+                self.jobs.zones_open,
+                settled,
+                beside_arrays,
+                moving,
+                self._firm,
                 mean * (self.policy.move_worth if not moving else 1.0),
-            )  # fmt: skip
+            )
             self._firm.update(dict.fromkeys(failed, now + self.policy.settle))
             if machine is None:
                 return
@@ -77,8 +97,14 @@
             if not spare(going):
                 self._firm[machine.name] = now + self.policy.settle
                 return
-            log.info("event=empty term=%d machine=%s type=%s zone=%s replicas=%d", self.term.number, machine.name,
-                     machine.kind, machine.zone, len(machine.placements))  # fmt: skip
+            log.info(
+                "event=empty term=%d machine=%s type=%s zone=%s replicas=%d",
+                self.term.number,
+                machine.name,
+                machine.kind,
+                machine.zone,
+                len(machine.placements),
+            )
             self._moving[machine.name] = now
             machine.draining = True
 
@@ -89,16 +115,19 @@
     def _in_touch(self, now: float) -> bool:
         silent = sum(
             now - machine.heard_at >= self.policy.machine_suspect
-            for machine in self.fleet.machines.values() if not machine.booting
-        )  # fmt: skip
+            for machine in self.fleet.machines.values()
+            if not machine.booting
+        )
         return silent <= self._few()
 
     def move_on(self, now: float) -> None:
-        """Moves the next replica of each machine, once the last one is placed and while all is in touch."""
+        """Moves the next replica of each machine, once the last one is placed and while all is in
+        touch.
+        """
         stock: placement.Stock | None = None
         waiting = not self._in_touch(now) or any(
             job.spec.kind == wire.SERVICE for job in self.jobs.waiting()
-        )  # fmt: skip
+        )
         for name, since in list(self._moving.items()):
             machine = self.fleet.machines.get(name)
             if machine is None or machine.releasing or not machine.placements:
@@ -119,16 +148,21 @@
 
         Few fetch their image at a time: each of them is away for seconds."""
         self._cold = {
-            old: since for old, since in self._cold.items()
-            if now - since < self.policy.move_patience and not (
-                (new := old.job.placed.get(old.task)) is not None and new is not old and new.state == wire.RUNNING)
-        }  # fmt: skip
+            old: since
+            for old, since in self._cold.items()
+            if now - since < self.policy.move_patience
+            and not (
+                (new := old.job.placed.get(old.task)) is not None
+                and new is not old
+                and new.state == wire.RUNNING
+            )
+        }
         placed = next((placed for placed in consolidate.replicas(machine) if placed.seen), None)
         if placed is None:
             return
         target = consolidate.target(
             placed, machine, stock, self.jobs.needs, self.policy.sample, self.jobs.zones_open
-        )  # fmt: skip
+        )
         if target is None:
             return
         if placed.job.spec.image not in target.images:
--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -36,15 +36,21 @@
         self.beyond: set[int] = set()
         """Jobs that reach beyond their team's guarantee, as of the last count."""
         self._waiting: dict[int, Job] = {}
-        """Jobs that may have waiting tasks. A pass over all live jobs cost more than what it was for."""
+        """Jobs that may have waiting tasks. A pass over all live jobs cost more than what it was
+        for.
+        """
         self._claims: dict[str, tuple[float, float]] = {}
         """What each team's unfinished jobs take together, as of the last count."""
         self._counted_at = float("-inf")
         self.backoff: dict[int, float] = {}
         self._cancelling: dict[int, list[Answer]] = {}
-        """Who waits to hear that a job is cancelled. Those who wait for too long were answered 503 by their node."""
+        """Who waits to hear that a job is cancelled. Those who wait for too long were answered 503
+        by their node.
+        """
         self._levels: dict[int, int] = {}
-        """For which of its due times a waiting job is to be in time, where there is not room for all."""
+        """For which of its due times a waiting job is to be in time, where there is not room for
+        all.
+        """
         self._begin_within: dict[str, float] = {}
         self._finish_within: dict[str, list[float]] = {}
         self._late_times: dict[str, list[float]] = {}
@@ -52,7 +58,9 @@
             if aim.kind == "deadline" and aim.lane is not None and aim.times != 1.0:
                 self._late_times.setdefault(aim.lane, []).append(aim.times)
             if aim.kind == "wait" and aim.lane is not None and aim.within:
-                self._begin_within[aim.lane] = min(aim.within * BEGIN_SHARE, self.policy.begin_latest)
+                self._begin_within[aim.lane] = min(
+                    aim.within * BEGIN_SHARE, self.policy.begin_latest
+                )
             if aim.kind == "finished" and aim.lane is not None and aim.within:
                 self._finish_within.setdefault(aim.lane, []).append(aim.within)
 
@@ -104,7 +112,9 @@
         if team is None:
             return "unknown team"
         if not any(
-            placement.allowed(spec, kind, zone, False) for kind in self.term.kinds.values() for zone in kind.zones
+            placement.allowed(spec, kind, zone, False)
+            for kind in self.term.kinds.values()
+            for zone in kind.zones
         ):
             return "no allowed machine type holds a task"
         count = 1 if spec.kind == wire.ARRAY else spec.tasks
@@ -153,10 +163,12 @@
         self.ledger.confirm(told)
 
     def cancel(self, ref: str, answer: Answer) -> None:
-        """Stops the job, and says so once every placement of it is proven over and that is committed.
+        """Stops the job, and says so once every placement of it is proven over and that is
+        committed.
 
-        A promise that hung on leases or on the cloud could be broken by a cut together with an outage. Who asks
-        while a machine of the job is silent is told at once to ask again."""
+        A promise that hung on leases or on the cloud could be broken by a cut together with an
+        outage. Who asks while a machine of the job is silent is told at once to ask again.
+        """
         job = self.ledger.book.by_ref.get(ref)
         if job is None or job.told or not job.committed:
             self.poll(ref, answer)
@@ -203,7 +215,9 @@
 
     def run_length(self, spec: wire.Spec) -> float:
         """How long a task is expected to take room."""
-        return spec.estimate if spec.kind == wire.ARRAY and spec.estimate else self.policy.plan_horizon
+        return (
+            spec.estimate if spec.kind == wire.ARRAY and spec.estimate else self.policy.plan_horizon
+        )
 
     def _note_spec(self, job: Job) -> None:
         self.specs[job.shape] = job.spec
@@ -224,8 +238,9 @@
         return list(self._waiting.values())
 
     def queue(self) -> list[Job]:
-        """Jobs with waiting tasks: by rank, those within their team's guarantee first, then those that
-        can still be in time, the most pressing of them first, then by age."""
+        """Jobs with waiting tasks: by rank, those within their team's guarantee first, then those
+        that can still be in time, the most pressing of them first, then by age.
+        """
         waiting = self.waiting()
         if not waiting:
             return waiting
@@ -234,7 +249,15 @@
             self._choose_levels(waiting)
         wall = self.runtime.wall()
         keyed = [
-            ((wire.RANKS[job.spec.rank], job.no in self.beyond, *self.urgency(job, wall), job.no), job)
+            (
+                (
+                    wire.RANKS[job.spec.rank],
+                    job.no in self.beyond,
+                    *self.urgency(job, wall),
+                    job.no,
+                ),
+                job,
+            )
             for job in waiting
         ]
         keyed.sort(key=lambda entry: entry[0])
@@ -258,9 +281,11 @@
             self.beyond.add(job.no)
 
     def urgency(self, job: Job, wall: float) -> tuple[int, float]:
-        """For which of its due times the job is to be in time, and by when it must start for that."""
+        """The due time that the job is to meet, and when it must start for that."""
         spec = job.spec
-        if spec.kind != wire.SERVICE and wall - job.at > self._begin_within.get(spec.lane, self.policy.begin_latest):
+        if spec.kind != wire.SERVICE and wall - job.at > self._begin_within.get(
+            spec.lane, self.policy.begin_latest
+        ):
             # Those left out for being large must begin all the same.
             return -1, job.at
         latest = self._latest(job)
@@ -278,7 +303,9 @@
         return tuple(job.at + due - spec.estimate for due in sorted(dues))
 
     def _choose_levels(self, waiting: list[Job]) -> None:
-        """Chooses which waiting jobs are to be in time; each class by what its running tasks can work off."""
+        """Chooses which waiting jobs are to be in time; each class by what its running tasks can
+        work off.
+        """
         lanes: dict[str, list[Due]] = {}
         for job in waiting:
             if job.spec.kind != wire.SERVICE:
@@ -292,7 +319,9 @@
             self._levels |= levels(dues, self.runtime.wall(), max(1, running.get(lane, 0)))
 
     def zones_open(self, job: Job, leaving: Placement | None = None) -> dict[str, bool]:
-        """Zones that the job's placements, but for one that leaves, keep open; those not named are open."""
+        """Zones that the job's placements, but for one that leaves, keep open; those not named are
+        open.
+        """
         spec = job.spec
         if spec.one_zone and job.placed:
             taken = {placed.zone for placed in job.placed.values()}
@@ -300,7 +329,9 @@
         if spec.spread:
             left = leaving.zone if leaving else None
             return {
-                zone: False for zone in self.fleet.zones if job.zone_count(zone) - (zone == left) >= spec.zone_share
+                zone: False
+                for zone in self.fleet.zones
+                if job.zone_count(zone) - (zone == left) >= spec.zone_share
             }
         return {}
 
--- a/flaxtally/lead/orders.py
+++ b/flaxtally/lead/orders.py
@@ -22,9 +22,13 @@
     """How the leader's orders and questions reach machines; the dispatch actor implements it."""
 
     def carry(
-        self, server: str | None, machine: str, address: str, body: dict[str, Any] | None,
+        self,
+        server: str | None,
+        machine: str,
+        address: str,
+        body: dict[str, Any] | None,
         done: Callable[[int, bytes], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Orders (or, with no body, a status question); `done(0, b"")` when no answer came."""
         raise NotImplementedError
 
@@ -70,7 +74,8 @@
         for name, entries in outbox.items():
             machine = self.fleet.machines.get(name)
             if machine is None or not machine.address:
-                # Of an earlier term, not heard in this yet: its first report has the stops sent again.
+                # Of an earlier term, not heard in this yet: its first report has the stops sent
+                # again.
                 continue
             # A placement may have been proven over while its launch waited here.
             entries = [
@@ -80,12 +85,17 @@
             ]
             for start in range(0, len(entries), MOST_ORDERS):
                 part = entries[start : start + MOST_ORDERS]
-                self._carry(machine, [order for order, _ in part], [placed for _, placed in part if placed])
+                self._carry(
+                    machine, [order for order, _ in part], [placed for _, placed in part if placed]
+                )
 
-    def _carry(self, machine: Machine, orders: list[dict[str, Any]], launched: list[Placement]) -> None:
+    def _carry(
+        self, machine: Machine, orders: list[dict[str, Any]], launched: list[Placement]
+    ) -> None:
         server = machine.server
         for placed in launched:
-            # Set as the order leaves: this session is the last in which a copy of it can be executed.
+            # Set as the order leaves: this session is the last in which a copy of it can be
+            # executed.
             placed.launch_session = max(placed.launch_session, machine.session)
             placed.open += 1
 
@@ -99,8 +109,12 @@
                 machine.orders_failed += 1
 
         self.carrier.carry(
-            server, machine.name, machine.address, wire.orders_body(self.term.number, machine.session, orders), told
-        )  # fmt: skip
+            server,
+            machine.name,
+            machine.address,
+            wire.orders_body(self.term.number, machine.session, orders),
+            told,
+        )
 
     def answered(self, server: str | None, body: bytes) -> None:
         if not self.term.active:
@@ -111,14 +125,23 @@
             log.warning("a worker's answer: %s", fault)
             return
         if report.token > self.term.number:
-            log.info("event=higher_token term=%d token=%d machine=%s", self.term.number, report.token, report.machine)
+            log.info(
+                "event=higher_token term=%d token=%d machine=%s",
+                self.term.number,
+                report.token,
+                report.machine,
+            )
             return
         self.deliver(server or "", report)
 
     def knock(self, machine: Machine) -> None:
         """An empty order, one at a time: does the machine answer again?"""
         now = self.runtime.now()
-        self._knocked = {name: at for name, at in self._knocked.items() if now - at < 1.5 * self.policy.order_call}
+        self._knocked = {
+            name: at
+            for name, at in self._knocked.items()
+            if now - at < 1.5 * self.policy.order_call
+        }
         if machine.name not in self._knocked:
             self._knocked[machine.name] = now
             self.push_token(machine)
--- a/flaxtally/lead/pace.py
+++ b/flaxtally/lead/pace.py
@@ -1,4 +1,4 @@
-"""Machines that run their tasks slower than others: found by the lengths of tasks of the same job."""
+"""Finds slow machines by comparing the run times of tasks of the same job."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 class Pace(Duty):
     """Owns the lengths of ended tasks by job, and which tasks of a machine took, or take, too long.
 
-    Tasks of one job differ by half among themselves, and sound machines by a tenth. So one task that takes
-    a little too long proves nothing; two on one machine, or one that takes very long, do. Such a machine
-    gets no batch tasks for a while and is not counted as room; what can be saved there goes on elsewhere.
+    Tasks of one job differ by half among themselves, and sound machines by a tenth. So one task
+    that takes a little too long proves nothing; two on one machine, or one that takes very long,
+    do. Such a machine gets no batch tasks for a while and is not counted as room; what can be saved
+    there goes on elsewhere.
     """
 
     def __init__(self, term: Term, jobs: Jobs, orders: Orders) -> None:
@@ -65,19 +66,28 @@
             if not usual:
                 continue
             for placed in list(job.placed.values()):
-                if placed.ran_at is None or placed.state != wire.RUNNING or placed.stopping_at is not None:
+                if (
+                    placed.ran_at is None
+                    or placed.state != wire.RUNNING
+                    or placed.stopping_at is not None
+                ):
                     continue
                 ratio = (now - placed.ran_at) / usual
                 machine = self.fleet.machines.get(placed.machine)
                 if ratio > self.policy.late and machine is not None:
                     self._note(machine, placed, ratio)
-        self._lengths = {no: lengths for no, lengths in self._lengths.items() if no in self.jobs.live}
-        self._late = {name: tasks for name, tasks in self._late.items() if name in self.fleet.machines}
+        self._lengths = {
+            no: lengths for no, lengths in self._lengths.items() if no in self.jobs.live
+        }
+        self._late = {
+            name: tasks for name, tasks in self._late.items() if name in self.fleet.machines
+        }
 
     def _usual(self, job: Job) -> float:
         """The middle length of the job's tasks; 0 while too few have ended to tell.
 
-        Those that ended first are the short ones: tasks that still run count as longer than these."""
+        Those that ended first are the short ones: tasks that still run count as longer than these.
+        """
         lengths = self._lengths.get(job.no, ())
         if len(lengths) < LEAST_ENDED:
             return 0.0
@@ -90,8 +100,14 @@
         late.add((placed.job.no, placed.task, placed.attempt))
         if machine.name in self._slow or (len(late) < 2 and ratio < self.policy.very_late):
             return
-        log.info("event=machine_slow term=%d machine=%s type=%s late=%d ratio=%.1f", self.term.number, machine.name,
-                 machine.kind, len(late), ratio)  # fmt: skip
+        log.info(
+            "event=machine_slow term=%d machine=%s type=%s late=%d ratio=%.1f",
+            self.term.number,
+            machine.name,
+            machine.kind,
+            len(late),
+            ratio,
+        )
         self._slow[machine.name] = self.runtime.now() + self.policy.slow_rest
         machine.slow = True
         for other in machine.placements.values():
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -35,11 +35,13 @@
     def __init__(self, term: Term, jobs: Jobs, tracker: Tracker) -> None:
         super().__init__(term)
         self.jobs, self.tracker = jobs, tracker
-        # Lanes whose wait aim no new machine can meet: room for their next job must be there before it.
+        # Lanes whose wait aim no new machine can meet: room for their next job must be there before
+        # it.
         self._reserve = {
-            aim.lane for aim in self.settings.objectives
+            aim.lane
+            for aim in self.settings.objectives
             if aim.kind == "wait" and aim.lane is not None and aim.within < self.settings.lease_s
-        }  # fmt: skip
+        }
         self._hires = 0
         self._turns = 0
         self._pending_hires: dict[str, tuple[Pool, int, float]] = {}
@@ -72,7 +74,11 @@
         if not self.term.kinds:
             return None
         now, policy = self.runtime.now(), self.policy
-        if now - self.term.began < policy.settle / 4 and self.ledger.book.jobs and self.fleet.machines:
+        if (
+            now - self.term.began < policy.settle / 4
+            and self.ledger.book.jobs
+            and self.fleet.machines
+        ):
             return None
         self._turns += 1
         if self._turns % 10 == 0:
@@ -82,13 +88,19 @@
         demands = self._demands(now)
         steps = []
         for at in self._steps():
-            steps.append((at, [self._at(demand, at, now) for demand in demands], self._rooms(now, at)))
+            steps.append(
+                (at, [self._at(demand, at, now) for demand in demands], self._rooms(now, at))
+            )
         pools = [
             Pool(kind.name, zone, spot)
-            for kind in self.term.kinds.values() for zone in kind.zones for spot in (False, True)
+            for kind in self.term.kinds.values()
+            for zone in kind.zones
+            for spot in (False, True)
             if Pool(kind.name, zone, spot) not in self._resting
-        ]  # fmt: skip
-        calls = 1 if self.cloud.troubled else max(1, int(self.settings.cloud_rps * policy.plan_step))
+        ]
+        calls = (
+            1 if self.cloud.troubled else max(1, int(self.settings.cloud_rps * policy.plan_step))
+        )
         rents = fill.plan(steps, self.term.kinds, pools, self.jobs.needs, 1.1, calls * MOST_RENTED)
         wanted: dict[Pool, list[fill.Rent]] = {}
         for rent in rents:
@@ -105,16 +117,20 @@
             kind = self.term.kinds.get(machine.kind)
             if kind is None:
                 continue
-            group = groups.setdefault(f"{kind.name}{'*' if machine.spot else ''}", [0, 0, 0, 0.0, 0.0])
+            group = groups.setdefault(
+                f"{kind.name}{'*' if machine.spot else ''}", [0, 0, 0, 0.0, 0.0]
+            )
             group[0] += 1
             group[1] += machine.booting
             group[2] += not machine.booting and not machine.placements
             group[3] += machine.gpus / kind.gpus if kind.gpus else machine.cores / kind.cores
-            group[4] += any(placed.job.spec.kind == wire.SERVICE for placed in machine.placements.values())
+            group[4] += any(
+                placed.job.spec.kind == wire.SERVICE for placed in machine.placements.values()
+            )
         text = " ".join(
             f"{name}={int(n)}(boot:{int(boot)},idle:{int(idle)},used:{used:.1f},pinned:{int(pinned)})"
             for name, (n, boot, idle, used, pinned) in sorted(groups.items())
-        )  # fmt: skip
+        )
         waiting: dict[str, int] = {}
         for job in self.jobs.waiting():
             waiting[job.spec.lane] = waiting.get(job.spec.lane, 0) + job.waiting
@@ -137,8 +153,9 @@
                 usage = self.ledger.book.usage.get(spec.team)
                 cores, gpus = (usage.cores, usage.gpus) if usage else (0.0, 0.0)
                 headroom[spec.team] = (
-                    team.cores_max - cores if team.cores_max else 1e9, team.gpus_max - gpus if team.gpus_max else 1e9,
-                )  # fmt: skip
+                    team.cores_max - cores if team.cores_max else 1e9,
+                    team.gpus_max - gpus if team.gpus_max else 1e9,
+                )
             cores, gpus = headroom[spec.team]
             count = job.waiting
             if spec.cores:
@@ -150,16 +167,20 @@
             shape = job.shape
             demand = counts.get(shape)
             if demand is None:
-                demand = counts[shape] = Demand(shape, 0.0, self.jobs.run_length(spec), typical=self._typical(shape))
+                demand = counts[shape] = Demand(
+                    shape, 0.0, self.jobs.run_length(spec), typical=self._typical(shape)
+                )
             demand.add(count, self.jobs.run_length(spec))
             if spec.spread:
                 caps = demand.caps = demand.caps or {}
                 for zone in self.settings.zones:
                     caps[zone] = caps.get(zone, 0) + max(0, spec.zone_share - job.zone_count(zone))
         for shape, spec in self.jobs.specs.items():
-            if shape not in counts and self._typical(shape) and (
-                self.jobs.arrivals.rate(shape.lane, now) > 0 or shape.lane in self._reserve
-            ):  # fmt: skip
+            if (
+                shape not in counts
+                and self._typical(shape)
+                and (self.jobs.arrivals.rate(shape.lane, now) > 0 or shape.lane in self._reserve)
+            ):
                 length = self.jobs.arrivals.length(shape.lane, now) or self.jobs.run_length(spec)
                 counts[shape] = Demand(shape, 0.0, length, typical=True)
                 if spec.spread:
@@ -175,7 +196,9 @@
 
     def _typical(self, shape: Shape) -> bool:
         """One shape stands for its lane in the forecast of arrivals: the one last seen."""
-        last = next((other for other in reversed(self.jobs.specs) if other.lane == shape.lane), None)
+        last = next(
+            (other for other in reversed(self.jobs.specs) if other.lane == shape.lane), None
+        )
         return last == shape
 
     def _at(self, demand: Demand, at: float, now: float) -> Demand:
@@ -183,13 +206,17 @@
         caps = dict(demand.caps) if demand.caps is not None else None
         if not demand.shape.service:
             # By then the machines that run such tasks now will have worked off a part of the queue.
-            count = max(0.0, count - self._running.get(demand.shape.lane, 0) * at / max(demand.until, 1.0))
+            count = max(
+                0.0, count - self._running.get(demand.shape.lane, 0) * at / max(demand.until, 1.0)
+            )
         if demand.typical:
-            # Not by the last job's own length: one long job made the plan rent for a hundred machines' work.
+            # Not by the last job's own length: one long job made the plan rent for a hundred
+            # machines' work.
             length = self.jobs.arrivals.length(demand.shape.lane, now) or demand.until
             more = self.jobs.arrivals.rate(demand.shape.lane, now) * min(at, length)
             if demand.shape.lane in self._reserve:
-                # Room for the next job, and for what the loss of a few machines would leave without.
+                # Room for the next job, and for what the loss of a few machines would leave
+                # without.
                 more += self.jobs.arrivals.largest(demand.shape.lane, now)
                 more += math.ceil(self.policy.slack * self._running.get(demand.shape.lane, 0))
             count += more
@@ -198,13 +225,20 @@
         return Demand(demand.shape, count, at + demand.until, demand.zones, caps, demand.typical)
 
     def _rooms(self, now: float, at: float) -> list[Bin]:
-        """The room of machines that serve by then: free now, or freed by tasks estimated to end. Those that
-        can't be up by then count at the last step only."""
+        """The room of machines that serve by then: free now, or freed by tasks estimated to end.
+        Those that can't be up by then count at the last step only.
+        """
         bins: list[Bin] = []
         last = at >= self._steps()[-1]
         for machine in self.fleet.machines.values():
             kind = self.term.kinds.get(machine.kind)
-            if kind is None or machine.draining or machine.releasing or machine.slow or machine.deaf:
+            if (
+                kind is None
+                or machine.draining
+                or machine.releasing
+                or machine.slow
+                or machine.deaf
+            ):
                 continue
             asked = now - machine.rented_at
             if machine.booting and (asked > 2 * kind.boot or not (last or kind.boot - asked <= at)):
@@ -212,7 +246,9 @@
             if not machine.booting and now - machine.heard_at > self.policy.machine_suspect:
                 continue
             room = placement.room(machine, kind)
-            space = Bin(kind, machine.zone, machine.spot, room.cores, room.gpus, room.ram, machine.name)
+            space = Bin(
+                kind, machine.zone, machine.spot, room.cores, room.gpus, room.ram, machine.name
+            )
             if at:
                 for placed in machine.placements.values():
                     spec = placed.job.spec
@@ -226,15 +262,29 @@
         for pool, count, _ in self._pending_hires.values():
             kind = self.term.kinds[pool.kind]
             if last or kind.boot <= at:
-                bins += [Bin(kind, pool.zone, pool.spot, kind.cores, kind.gpus, kind.ram) for _ in range(count)]
+                bins += [
+                    Bin(kind, pool.zone, pool.spot, kind.cores, kind.gpus, kind.ram)
+                    for _ in range(count)
+                ]
         return bins
 
     def _rent(self, pool: Pool, count: int, why: fill.Rent) -> None:
         self._hires += 1
         request = f"{self.settings.node}-{self.term.number}-{self._hires}"
-        log.info("event=rent term=%d request=%s type=%s zone=%s spot=%s count=%d lane=%s score=%.3f gap=%.0f-%.0f",
-                 self.term.number, request, pool.kind, pool.zone, pool.spot, count, why.lane, why.score, why.first,
-                 why.last)  # fmt: skip
+        log.info(
+            "event=rent term=%d request=%s type=%s zone=%s spot=%s count=%d lane=%s score=%.3f "
+            "gap=%.0f-%.0f",
+            self.term.number,
+            request,
+            pool.kind,
+            pool.zone,
+            pool.spot,
+            count,
+            why.lane,
+            why.score,
+            why.first,
+            why.last,
+        )
         self._pending_hires[request] = (pool, count, self.runtime.now())
         self._hire(request)
 
@@ -259,13 +309,21 @@
                         machine.rented_at = asked[2]
             refusals = self._refusals[pool] = 0 if machines else self._refusals.get(pool, 0) + 1
             if len(machines) < count:
-                # Longer each time in a row; and the gap is planned anew at once, not at the next step.
+                # Longer each time in a row; and the gap is planned anew at once, not at the next
+                # step.
                 self._resting[pool] = now + self.policy.pool_rest * min(2**refusals, 8) / 2
                 if not self._replanning:
                     self._replanning = True
                     self.later(self.policy.retry / 8, self._replan)
-                log.info("event=refused_pool term=%d type=%s zone=%s spot=%s got=%d of=%d", self.term.number, pool.kind,
-                         pool.zone, pool.spot, len(machines), count)  # fmt: skip
+                log.info(
+                    "event=refused_pool term=%d type=%s zone=%s spot=%s got=%d of=%d",
+                    self.term.number,
+                    pool.kind,
+                    pool.zone,
+                    pool.spot,
+                    len(machines),
+                    count,
+                )
 
         self.cloud.rent(request, pool.kind, pool.zone, pool.spot, count, told)
 
@@ -275,7 +333,9 @@
             self.plan()
 
     def _retry_hires(self, now: float) -> None:
-        """A lost reply is asked for again under the same name; after an outage the gap is planned anew."""
+        """A lost reply is asked for again under the same name; after an outage the gap is planned
+        anew.
+        """
         for request, (_, _, asked) in list(self._pending_hires.items()):
             if now - asked > self.policy.plan_lead:
                 del self._pending_hires[request]
@@ -283,17 +343,22 @@
                 self._hire(request)
 
     def _give_back(self, now: float, demands: list[Demand]) -> None:
-        """Returns machines proven empty, idle through the cool-down, that no step's demand needs."""
+        """Returns machines proven empty, idle for the cool-down, that no step's demand needs."""
         idle = [
             machine
             for machine in self.fleet.machines.values()
-            if machine.baseline and not machine.placements and not machine.draining and not machine.releasing
-            and machine.kind in self.term.kinds and now - machine.idle_since > self.policy.cool_down
-        ]  # fmt: skip
+            if machine.baseline
+            and not machine.placements
+            and not machine.draining
+            and not machine.releasing
+            and machine.kind in self.term.kinds
+            and now - machine.idle_since > self.policy.cool_down
+        ]
         if not idle:
             return
         idle.sort(key=lambda machine: -self.term.kinds[machine.kind].price)
-        # All at once, or else a half, and so on. One by one, fifty idle machines kept the loop busy for seconds.
+        # All at once, or else a half, and so on. One by one, fifty idle machines kept the loop busy
+        # for seconds.
         spare, going, size = self.spare(demands, now), list[Machine](), len(idle)
         for _ in range(MOST_CHECKS):
             some = idle[:size]
@@ -305,7 +370,9 @@
             else:
                 size = len(some) // 2
         for machine in going:
-            self.tracker.release(machine, f"idle for {now - machine.idle_since:.0f}s, no step needs it")
+            self.tracker.release(
+                machine, f"idle for {now - machine.idle_since:.0f}s, no step needs it"
+            )
         self.tracker.flush_releases()
 
     def _steps(self) -> tuple[float, float]:
@@ -313,8 +380,9 @@
         return self.policy.plan_lead / 2, self.policy.plan_lead
 
     def spare(self, demands: list[Demand], now: float) -> Callable[[set[str]], bool]:
-        """A check whether the demand that the rooms can hold, at each step, is held just as well without the
-        named machines."""
+        """A check whether the demand that the rooms can hold, at each step, is held just as well
+        without the named machines.
+        """
         steps = []
         for at in self._steps():
             rooms, then = self._rooms(now, at), [self._at(demand, at, now) for demand in demands]
@@ -332,6 +400,10 @@
         """What of each demand finds no room. Packing uses rooms and caps up: it gets copies."""
         rooms = [replace(room) for room in rooms]
         return [
-            fill.pack(replace(demand, caps=None if demand.caps is None else dict(demand.caps)), rooms, self.jobs.needs)
+            fill.pack(
+                replace(demand, caps=None if demand.caps is None else dict(demand.caps)),
+                rooms,
+                self.jobs.needs,
+            )
             for demand in demands
         ]
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -36,7 +36,8 @@
         self.hints: dict[tuple[int, int], str] = {}
         """Where moved tasks are to go."""
         self._full = placement.Exhausted()
-        """Who found no room in the passes up to now; only where there is more now they look again."""
+        """Who found no room in the passes up to now; only where there is more now they look again.
+        """
         self._last_room: dict[str, tuple[float, float, float, bool]] = {}
         self._rules: Hashable = None
         self._nobody = placement.Exhausted()
@@ -61,10 +62,14 @@
         if queue:
             self._pass(queue, now)
         ended = self.runtime.now()
-        self._next_pass = ended + max(self.policy.pass_rest * (ended - now), self.policy.heartbeat / 8)
+        self._next_pass = ended + max(
+            self.policy.pass_rest * (ended - now), self.policy.heartbeat / 8
+        )
 
     def _pass(self, queue: list[Job], now: float) -> None:
-        """One look at all that waits. Who found no room in an earlier pass looks only where there is more now."""
+        """One look at all that waits. Who found no room in an earlier pass looks only where there
+        is more now.
+        """
         usable = self.tracker.usable()
         stock = placement.Stock(usable, self.term.kinds, self.rng)
         more = self._grown(usable, self._expire_claims(now))
@@ -88,8 +93,13 @@
                 if self.hints and (hinted := self._hinted(job, zones, keep)) is not None:
                     self._place(job, hinted)
                     continue
-                shut = frozenset(zone for zone, is_open in zones.items() if not is_open) if zones else NO_ZONES
-                # Who has waited for long takes any room: that of slow machines, and what is kept for GPU tasks.
+                shut = (
+                    frozenset(zone for zone, is_open in zones.items() if not is_open)
+                    if zones
+                    else NO_ZONES
+                )
+                # Who has waited for long takes any room: that of slow machines, and what is kept
+                # for GPU tasks.
                 overdue = now - job.waits_since > self.policy.keep_patience
                 needs = None if overdue else self.jobs.needs
                 like = spec.types, spec.zone, spec.spot, spec.kind, rank, bool(spec.gpus), shut
@@ -97,15 +107,17 @@
                 if not unfit.covers(room, spec):
                     known = self._full.covers(room, spec)
                     where = grown if known else stock
-                    chosen = placement.choose(spec, job.no, where, needs, self.policy.sample, zones, keep)
+                    chosen = placement.choose(
+                        spec, job.no, where, needs, self.policy.sample, zones, keep
+                    )
                     if chosen is not None:
                         self._place(job, chosen)
                         continue
                     unfit.add(room, spec)
                     if not (known or more):
                         self._full.add(room, spec)
-                # Batch work stops others for one task of a shape at a time. For services, who may be stopped
-                # depends on the team too, while they are within its guarantee.
+                # Batch work stops others for one task of a shape at a time. For services, who may
+                # be stopped depends on the team too, while they are within its guarantee.
                 kin = like, spec.team if job.no not in self.jobs.beyond else None
                 if self._nobody.covers(kin, spec) or (job.shape, kin) in asked:
                     break
@@ -122,7 +134,9 @@
     def _grown(self, usable: list[Machine], freed: set[str]) -> list[Machine]:
         """The machines that have more room than in the last pass, or are new to it.
 
-        What else decides about room (types, what GPU tasks need beside their GPUs) makes all look everywhere."""
+        What else decides about room (types, what GPU tasks need beside their GPUs) makes all look
+        everywhere.
+        """
         rules = self.jobs.needs, tuple(self.term.kinds)
         if rules != self._rules:
             self._rules, self._full, self._last_room = rules, placement.Exhausted(), {}
@@ -134,25 +148,37 @@
             had = last.get(name)
             if had == took and name not in freed:
                 continue
-            # A GPU that is taken needs no cores kept for it: then there is more room for what needs no GPU.
-            if had is None or name in freed or took[1] != had[1] or any(map(operator.lt, took, had)):
+            # A GPU that is taken needs no cores kept for it: then there is more room for what needs
+            # no GPU.
+            if (
+                had is None
+                or name in freed
+                or took[1] != had[1]
+                or any(map(operator.lt, took, had))
+            ):
                 grown.append(machine)
         self._last_room = room
         return grown
 
     def _hinted(
         self, job: Job, zones: dict[str, bool], keep: Callable[[Machine], bool] | None
-    ) -> Machine | None:  # fmt: skip
+    ) -> Machine | None:
         """Where the job's next task was moved to, if it can still go there."""
         machine = self.fleet.machines.get(self.hints.pop((job.no, job.next_task()), ""))
-        if machine is None or not self.tracker.is_usable(machine) or not zones.get(machine.zone, True):
+        if (
+            machine is None
+            or not self.tracker.is_usable(machine)
+            or not zones.get(machine.zone, True)
+        ):
             return None
         kind, spec = self.term.kinds[machine.kind], job.spec
         left = placement.room(machine, kind)
         fits = (
-            left.holds(spec) and placement.allowed(spec, kind, machine.zone, machine.spot)
-            and placement.leaves_gpus_usable(spec, left, kind, self.jobs.needs) and (keep is None or keep(machine))
-        )  # fmt: skip
+            left.holds(spec)
+            and placement.allowed(spec, kind, machine.zone, machine.spot)
+            and placement.leaves_gpus_usable(spec, left, kind, self.jobs.needs)
+            and (keep is None or keep(machine))
+        )
         return machine if fits else None
 
     def _unclaimed_by(self, rank: int) -> Callable[[Machine], bool]:
@@ -164,15 +190,19 @@
         return keep
 
     def _expire_claims(self, now: float) -> set[str]:
-        """Drops the claims on room that were made good, or have waited too long; gives the machines."""
+        """Drops the claims on room that were made good, or have waited too long; gives the
+        machines.
+        """
         kept, freed = {}, self._freed
         self._freed = set()
         for name, claims in self._reserved.items():
             live = {
-                key: claim for key, claim in claims.items()
+                key: claim
+                for key, claim in claims.items()
                 if claim[1] > now
-                and (job := self.ledger.book.jobs.get(key[0])) is not None and key[1] not in job.placed
-            }  # fmt: skip
+                and (job := self.ledger.book.jobs.get(key[0])) is not None
+                and key[1] not in job.placed
+            }
             if live:
                 kept[name] = live
             if len(live) < len(claims):
@@ -181,7 +211,8 @@
         return freed
 
     def _preempt(self, job: Job, stock: placement.Stock, zones: dict[str, bool]) -> bool:
-        """Makes room for a task by stopping tasks of lower rank where, of a sample, the least work is lost.
+        """Makes room for a task by stopping tasks of lower rank where, of a sample, the least work
+        is lost.
 
         The machine is kept for that rank until the stopped tasks are proven gone. False: there is
         nobody to stop, for this job and its like."""
@@ -214,8 +245,14 @@
         self._preempted[key] = until
         self._preempted = {key: until for key, until in self._preempted.items() if until > now}
         self._reserved.setdefault(machine.name, {})[key] = (rank, until, spec)
-        log.info("event=preempt term=%d job=%s machine=%s stopped=%d loss=%.0f", self.term.number, spec.ref,
-                 machine.name, len(victims), loss)  # fmt: skip
+        log.info(
+            "event=preempt term=%d job=%s machine=%s stopped=%d loss=%.0f",
+            self.term.number,
+            spec.ref,
+            machine.name,
+            len(victims),
+            loss,
+        )
         for placed in victims:
             if placed.stopping_at is None:
                 self.orders.stop(placed, placed.job.spec.save)
@@ -223,25 +260,37 @@
 
     def _victims(
         self, job: Job, machine: Machine, kind: wire.MachineType, entitled: bool, now: float
-    ) -> list[Placement]:  # fmt: skip
-        """The tasks whose stop makes room for one of the job, those that lose least first; none: it can't."""
+    ) -> list[Placement]:
+        """The tasks whose stop makes room for one of the job, those that lose least first; none: it
+        can't.
+        """
         spec, rank = job.spec, wire.RANKS[job.spec.rank]
         lower = [
-            placed for placed in machine.placements.values()
-            if placed.seen and (
+            placed
+            for placed in machine.placements.values()
+            if placed.seen
+            and (
                 wire.RANKS[placed.job.spec.rank] > rank
-                # A team's guarantee goes before what another team runs beyond its own; little may be lost.
-                or (entitled and placed.job.no in self.jobs.beyond and placed.job.spec.team != spec.team
-                    and placed.job.spec.kind != wire.SERVICE and self._loss(placed, now) < self.policy.settle)
+                # A team's guarantee goes before what another team runs beyond its own; little may
+                # be lost.
+                or (
+                    entitled
+                    and placed.job.no in self.jobs.beyond
+                    and placed.job.spec.team != spec.team
+                    and placed.job.spec.kind != wire.SERVICE
+                    and self._loss(placed, now) < self.policy.settle
+                )
             )
-        ]  # fmt: skip
+        ]
         if not lower:
             return []
         lower.sort(key=lambda placed: self._loss(placed, now))
         left, victims = placement.room(machine, kind), list[Placement]()
         for _, _, claim in self._reserved.get(machine.name, {}).values():
             # What is being stopped there makes room for another task; it can't make it twice.
-            left = placement.Room(left.cores - claim.cores, left.gpus - claim.gpus, left.ram - claim.ram)
+            left = placement.Room(
+                left.cores - claim.cores, left.gpus - claim.gpus, left.ram - claim.ram
+            )
         for placed in lower:
             if left.holds(spec):
                 break
@@ -259,17 +308,23 @@
         return placed.job.spec.save if placed.job.spec.checkpoint else now - placed.ran_at
 
     def _place_gang(self, job: Job, stock: placement.Stock) -> None:
-        """A gang starts only when all its tasks have room at once; a lost one is replaced singly."""
+        """A gang starts when all its tasks have room at once; a lost task is replaced singly."""
         spec, count = job.spec, job.waiting
         if not self.jobs.within_limit(spec, count):
             return
-        for zones in [{zone} for zone in sorted(self.fleet.zones)] if spec.one_zone else [self.fleet.zones]:
+        for zones in (
+            [{zone} for zone in sorted(self.fleet.zones)] if spec.one_zone else [self.fleet.zones]
+        ):
             chosen: list[Machine] = []
             for _ in range(count):
                 counts = [machine.zone for machine in chosen]
                 most = spec.zone_share if spec.spread else count
-                opens = {zone: zone in zones and counts.count(zone) < most for zone in self.fleet.zones}
-                machine = placement.choose(spec, job.no, stock, self.jobs.needs, self.policy.sample, opens)
+                opens = {
+                    zone: zone in zones and counts.count(zone) < most for zone in self.fleet.zones
+                }
+                machine = placement.choose(
+                    spec, job.no, stock, self.jobs.needs, self.policy.sample, opens
+                )
                 if machine is None:
                     break
                 machine.claim(spec, 1)
@@ -290,7 +345,9 @@
         held = self.jobs.backoff
         if any(now < until < now + 2 * self.policy.retry for until in held.values()):
             self._kick_later()
-        self.jobs.backoff = {no: until for no, until in held.items() if until > now - self.policy.settle}
+        self.jobs.backoff = {
+            no: until for no, until in held.items() if until > now - self.policy.settle
+        }
 
     def _place(self, job: Job, machine: Machine) -> None:
         task = job.next_task()
@@ -313,7 +370,8 @@
         placed.proposed_at = job.waits_since = now
         machine.use(placed)
         for name, claims in self._reserved.items():
-            # Made good: who comes later in this pass must not count it beside the placement, and stop twice as many.
+            # Made good: who comes later in this pass must not count it beside the placement, and
+            # stop twice as many.
             if claims.pop((job.no, task), None) is not None:
                 self._freed.add(name)
         if job.spec.gpus:
--- a/flaxtally/lead/term.py
+++ b/flaxtally/lead/term.py
@@ -35,12 +35,19 @@
 
 
 class Term:
-    """One term of leading. Once it is over, `active` is false for ever, and late answers end there."""
+    """One term of leading. Once over, `active` stays false, and late answers end there."""
 
     def __init__(
-        self, number: int, runtime: Runtime, settings: Settings, policy: Policy, ledger: Ledger, cloud: Cloud,
-        rng: random.Random, kinds: dict[str, wire.MachineType],
-    ) -> None:  # fmt: skip
+        self,
+        number: int,
+        runtime: Runtime,
+        settings: Settings,
+        policy: Policy,
+        ledger: Ledger,
+        cloud: Cloud,
+        rng: random.Random,
+        kinds: dict[str, wire.MachineType],
+    ) -> None:
         self.number, self.runtime, self.settings, self.policy = number, runtime, settings, policy
         self.ledger, self.cloud, self.rng, self.kinds = ledger, cloud, rng, kinds
         self.active = False
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -52,8 +52,15 @@
         if machine.booting:
             machine.booting = False
             machine.idle_since = now
-            log.info("event=machine_up term=%d machine=%s type=%s zone=%s spot=%s after=%.1f", self.term.number,
-                     machine.name, machine.kind, machine.zone, machine.spot, now - machine.rented_at)  # fmt: skip
+            log.info(
+                "event=machine_up term=%d machine=%s type=%s zone=%s spot=%s after=%.1f",
+                self.term.number,
+                machine.name,
+                machine.kind,
+                machine.zone,
+                machine.spot,
+                now - machine.rented_at,
+            )
             self.term.kick()
         machine.address, machine.server = report.address, server
         if not (machine.baseline and report.token < self.term.number):
@@ -84,7 +91,11 @@
             if placed.launch_session:
                 if placed.launch_session < machine.session:
                     self.over(placed, False, "session")
-                elif not placed.seen and now - placed.sent_at > self.policy.order_call and not placed.job.cancelled:
+                elif (
+                    not placed.seen
+                    and now - placed.sent_at > self.policy.order_call
+                    and not placed.job.cancelled
+                ):
                     self.orders.launch(placed)
                 elif not placed.seen and placed.job.cancelled and placed.open == 0:
                     self.over(placed, False, "never launched")
@@ -99,14 +110,24 @@
             placed.state = task.state
             if task.state == wire.RUNNING and placed.ran_at is None:
                 placed.ran_at = now
-                log.debug("event=running term=%d task=%s lane=%s attempt=%d machine=%s type=%s spot=%s queued=%.2f "
-                          "starting=%.2f cached=%s",
-                          self.term.number, placed.name, placed.job.spec.lane, placed.attempt, machine.name,
-                          machine.kind, machine.spot,
-                          placed.proposed_at - placed.job.known_at, now - placed.proposed_at,
-                          placed.job.spec.image in machine.images)  # fmt: skip
+                log.debug(
+                    "event=running term=%d task=%s lane=%s attempt=%d machine=%s type=%s spot=%s "
+                    "queued=%.2f starting=%.2f cached=%s",
+                    self.term.number,
+                    placed.name,
+                    placed.job.spec.lane,
+                    placed.attempt,
+                    machine.name,
+                    machine.kind,
+                    machine.spot,
+                    placed.proposed_at - placed.job.known_at,
+                    now - placed.proposed_at,
+                    placed.job.spec.image in machine.images,
+                )
                 kind = self.term.kinds.get(machine.kind)
-                machine.note_image(placed.job.spec.image, placed.job.spec.image_gb, kind.cache if kind else 0.0)
+                machine.note_image(
+                    placed.job.spec.image, placed.job.spec.image_gb, kind.cache if kind else 0.0
+                )
         if placed.job.ending and now - placed.sent_at > self.policy.retry:
             self.orders.stop(placed, 0.0)
 
@@ -119,18 +140,32 @@
             tried = self._errors.setdefault(ref, set())
             tried.add(machine.name)
             self._blame(placed.job, machine, tried)
-            self.jobs.backoff[placed.job.no] = self.runtime.now() + self.policy.retry * min(2 ** len(tried), 64)
-            log.info("event=task_error term=%d task=%s machine=%s", self.term.number, placed.name, machine.name)
+            self.jobs.backoff[placed.job.no] = self.runtime.now() + self.policy.retry * min(
+                2 ** len(tried), 64
+            )
+            log.info(
+                "event=task_error term=%d task=%s machine=%s",
+                self.term.number,
+                placed.name,
+                machine.name,
+            )
         elif cause in (wire.CAUSE_FULL, wire.CAUSE_IN_USE, wire.CAUSE_UNKNOWN):
             self.jobs.backoff[placed.job.no] = self.runtime.now() + self.policy.retry * 2
-            log.info("event=refused term=%d task=%s machine=%s cause=%s", self.term.number, placed.name, machine.name,
-                     cause)  # fmt: skip
+            log.info(
+                "event=refused term=%d task=%s machine=%s cause=%s",
+                self.term.number,
+                placed.name,
+                machine.name,
+                cause,
+            )
         self._exits[machine.name, placed.name, placed.attempt] = placed
         self.over(placed, cause == wire.CAUSE_DONE, cause or "exited")
 
     def _blame(self, job: Job, machine: Machine, tried: set[str]) -> None:
-        """Whose fault is it that a task failed? A job that fails on several machines and has nothing done was likely
-        submitted with a mistake: the machines are cleared of it. One on which several other jobs fail is faulty."""
+        """Whose fault is it that a task failed? A job that fails on several machines and has
+        nothing done was likely submitted with a mistake: the machines are cleared of it. One on
+        which several other jobs fail is faulty.
+        """
         if len(tried) >= 2 and not job.done_tasks:
             for name in tried:
                 other = self.fleet.machines.get(name)
@@ -142,7 +177,8 @@
         machine.errors.add(job.spec.ref)
         if len(machine.errors) >= FAULTY_AFTER and not machine.draining:
             log.info("event=machine_faulty term=%d machine=%s", self.term.number, machine.name)
-            # Some are for a spell only: looked at again soon, then less often; no job may wait 90 s beside it.
+            # Some are for a spell only: looked at again soon, then less often; no job may wait 90 s
+            # beside it.
             rest = min(self.policy.faulty_rest * 2**machine.faults, self.policy.keep_patience)
             machine.draining, machine.faulty_until = True, self.runtime.now() + rest
             machine.faults += 1
@@ -157,8 +193,13 @@
     def _unplaced(self, machine: Machine, task: wire.TaskReport) -> None:
         """A task on the machine that the ledger does not place there."""
         if task.state != wire.EXITED:
-            log.warning("event=stray term=%d task=%s attempt=%d machine=%s", self.term.number, task.task, task.attempt,
-                        machine.name)  # fmt: skip
+            log.warning(
+                "event=stray term=%d task=%s attempt=%d machine=%s",
+                self.term.number,
+                task.task,
+                task.attempt,
+                machine.name,
+            )
             self.orders.order(machine, wire.stop(task.task, task.attempt, 0.0), None)
             return
         # Forget it only when no copy of its launch can still arrive: one would start it again.
@@ -173,8 +214,14 @@
         """The placement is proven over: the record, and then whatever waits for it."""
         job, now = placed.job, self.runtime.now()
         machine = self.fleet.machines.get(placed.machine)
-        log.debug("event=over term=%d task=%s attempt=%d machine=%s why=%s", self.term.number, placed.name,
-                  placed.attempt, placed.machine, why)  # fmt: skip
+        log.debug(
+            "event=over term=%d task=%s attempt=%d machine=%s why=%s",
+            self.term.number,
+            placed.name,
+            placed.attempt,
+            placed.machine,
+            why,
+        )
 
         def committed() -> None:
             placed.committed = False
@@ -200,15 +247,25 @@
         now = self.runtime.now()
         machine.notice_until = now + notice
         machine.draining = True
-        log.info("event=notice term=%d machine=%s in=%.1f tasks=%d", self.term.number, machine.name, notice,
-                 len(machine.placements))  # fmt: skip
+        log.info(
+            "event=notice term=%d machine=%s in=%.1f tasks=%d",
+            self.term.number,
+            machine.name,
+            notice,
+            len(machine.placements),
+        )
         for placed in machine.placements.values():
             spec = placed.job.spec
             if spec.checkpoint and placed.state == wire.RUNNING and spec.save < notice:
                 self.orders.stop(placed, spec.save)
             elif spec.kind != wire.SERVICE and not spec.checkpoint:
-                # What can't end before the machine is taken is lost either way: better begun elsewhere now.
-                left = spec.estimate - (now - placed.ran_at) if placed.ran_at is not None else spec.estimate
+                # What can't end before the machine is taken is lost either way: better begun
+                # elsewhere now.
+                left = (
+                    spec.estimate - (now - placed.ran_at)
+                    if placed.ran_at is not None
+                    else spec.estimate
+                )
                 if left > 1.5 * notice:
                     self.orders.stop(placed, 0.0)
         self.term.kick()
@@ -219,12 +276,16 @@
     def is_usable(self, machine: Machine) -> bool:
         """Whether something may be placed there now."""
         return (
-            machine.baseline and not machine.draining and not machine.releasing and machine.kind in self.term.kinds
-            and self.runtime.now() - machine.heard_at < self.policy.machine_suspect and not machine.deaf
-        )  # fmt: skip
+            machine.baseline
+            and not machine.draining
+            and not machine.releasing
+            and machine.kind in self.term.kinds
+            and self.runtime.now() - machine.heard_at < self.policy.machine_suspect
+            and not machine.deaf
+        )
 
     def watch(self) -> None:
-        """Silent machines, late boots, unkept cancellations: probe, and release what stays silent."""
+        """Probes silent machines; releases what stays silent, never boots or defies a stop."""
         now, policy = self.runtime.now(), self.policy
         dark = self._dark_zones(now)
         for job in list(self.jobs.live.values()):
@@ -239,7 +300,9 @@
             age = now - machine.heard_at
             if machine.booting:
                 kind = self.term.kinds.get(machine.kind)
-                if kind is not None and now - machine.rented_at > policy.boot_patience * max(kind.boot, policy.settle):
+                if kind is not None and now - machine.rented_at > policy.boot_patience * max(
+                    kind.boot, policy.settle
+                ):
                     self.release(machine, "never came up")
             elif age > policy.machine_suspect:
                 if not machine.probing and machine.address:
@@ -266,8 +329,9 @@
             machine.heard_at = max(machine.heard_at, now - self.policy.machine_suspect)
 
     def _dark_zones(self, now: float) -> set[str]:
-        """Zones in which most machines fell silent together: that is the network or a controller, and the
-        machines are likely well."""
+        """Zones in which most machines fell silent together: that is the network or a controller,
+        and the machines are likely well.
+        """
         counts: dict[str, list[int]] = {}
         for machine in self.fleet.machines.values():
             if not machine.booting and not machine.releasing:
@@ -295,8 +359,16 @@
         self.orders.carrier.carry(server, machine.name, machine.address, None, told)
 
     def release(self, machine: Machine, why: str) -> None:
-        log.info("event=release term=%d machine=%s type=%s zone=%s spot=%s tasks=%d why=%r", self.term.number,
-                 machine.name, machine.kind, machine.zone, machine.spot, len(machine.placements), why)  # fmt: skip
+        log.info(
+            "event=release term=%d machine=%s type=%s zone=%s spot=%s tasks=%d why=%r",
+            self.term.number,
+            machine.name,
+            machine.kind,
+            machine.zone,
+            machine.spot,
+            len(machine.placements),
+            why,
+        )
         machine.releasing = True
 
     def flush_releases(self) -> None:
@@ -304,7 +376,9 @@
         names = [machine.name for machine in self.fleet.machines.values() if machine.releasing]
         if not names or self._releasing_now:
             return
-        names = sorted(names, key=lambda name: self.fleet.machines[name].release_tried)[:MOST_RELEASED]
+        names = sorted(names, key=lambda name: self.fleet.machines[name].release_tried)[
+            :MOST_RELEASED
+        ]
         for name in names:
             self.fleet.machines[name].release_tried = now
         self._releasing_now = True
@@ -332,10 +406,12 @@
         self.term.kick()
 
     def _unlisted(self, listed: set[str], asked_at: float) -> None:
-        """Machines that the ledger places tasks on, that no report of this term came from, and that the cloud no
-        longer lists: an earlier leader released them and could not commit it. The list proves nothing; the
-        release's answer will. One that is newer than the list is old works, and is not listed yet: names are in the
-        order of creation, and after twice the lag all of the earlier leader's are listed."""
+        """Machines that the ledger places tasks on, that no report of this term came from, and that
+        the cloud no longer lists: an earlier leader released them and could not commit it. The list
+        proves nothing; the release's answer will. One that is newer than the list is old works, and
+        is not listed yet: names are in the order of creation, and after twice the lag all of the
+        earlier leader's are listed.
+        """
         late_enough = asked_at - self.term.began > 2 * self.settings.list_lag_s
         newest = max(listed, default="")
         for machine in self.fleet.machines.values():
@@ -358,7 +434,12 @@
                     continue
                 machine = self.fleet.machines.get(entry.machine)
                 if machine is None:
-                    log.info("event=found term=%d machine=%s stage=%s", self.term.number, entry.machine, entry.state)
+                    log.info(
+                        "event=found term=%d machine=%s stage=%s",
+                        self.term.number,
+                        entry.machine,
+                        entry.state,
+                    )
                     machine = self.fleet.adopt(entry.machine, entry.type, entry.zone, entry.spot)
                     machine.rented_at = now - entry.age
                 if not machine.kind:
--- a/flaxtally/leader.py
+++ b/flaxtally/leader.py
@@ -1,8 +1,8 @@
 """The leader: decides, by the ledger and by what is proven about the machines.
 
 It alone proposes records. What it decides goes out through the parts (the controllers that the live
-view's hashing gives each machine to): they answer the machines' reports and carry its orders. Here its
-duties (`lead/`) are wired, anew for each term.
+view's hashing gives each machine to): they answer the machines' reports and carry its orders. Here
+its duties (`lead/`) are wired, anew for each term.
 """
 
 from __future__ import annotations
@@ -37,9 +37,16 @@
     """Begins and ends terms. Does nothing while this node doesn't lead."""
 
     def __init__(
-        self, runtime: Runtime, settings: Settings, policy: Policy, ledger: Ledger, cloud: Cloud,
-        election: Election, carrier: Carrier, rng: random.Random,
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        settings: Settings,
+        policy: Policy,
+        ledger: Ledger,
+        cloud: Cloud,
+        election: Election,
+        carrier: Carrier,
+        rng: random.Random,
+    ) -> None:
         super().__init__(runtime)
         self._settings, self._policy, self._ledger, self._cloud = settings, policy, ledger, cloud
         self._election, self._carrier, self._rng = election, carrier, rng
@@ -50,7 +57,14 @@
 
     def _wire(self, number: int, kinds: dict[str, wire.MachineType] | None = None) -> None:
         self.term = term = Term(
-            number, self.runtime, self._settings, self._policy, self._ledger, self._cloud, self._rng, kinds or {}
+            number,
+            self.runtime,
+            self._settings,
+            self._policy,
+            self._ledger,
+            self._cloud,
+            self._rng,
+            kinds or {},
         )
         self.orders = Orders(term, self._carrier)
         self.jobs = Jobs(term, self.orders)
@@ -58,7 +72,9 @@
         self.tracker = Tracker(term, self.jobs, self.orders, self.pace)
         self.scheduler = Scheduler(term, self.jobs, self.tracker, self.orders)
         self.planner = Planner(term, self.jobs, self.tracker)
-        self.emptier = Emptier(term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler.hints)
+        self.emptier = Emptier(
+            term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler.hints
+        )
 
     @property
     def book(self) -> Book:
@@ -129,8 +145,10 @@
     # What comes again and again
 
     def _may_act(self) -> bool:
-        """An isolated leader answers reports and stops what it cancelled. It doesn't rent, release, move or preempt:
-        the machines that are silent, idle or slow to it may be at work for its successor."""
+        """An isolated leader answers reports and stops what it cancelled. It doesn't rent, release,
+        move or preempt: the machines that are silent, idle or slow to it may be at work for its
+        successor.
+        """
         if not self.term.active:
             return False
         isolated = self._election.isolated
--- a/flaxtally/ledger/book.py
+++ b/flaxtally/ledger/book.py
@@ -8,7 +8,7 @@
     C  no                         the user cancelled the job
     T  no, runs                   snapshot: [first, count, attempt, done] of tasks not placed
     F  no, ref, stage             a final job, all that is kept of it
-    K  types                      the cloud's machine types: a leader that begins in an outage needs them
+    K  types                      the cloud's machine types, for leaders that begin in an outage
 """
 
 from __future__ import annotations
@@ -32,12 +32,31 @@
     """
 
     __slots__ = (
-        "attempt", "committed", "inherited", "job", "launch_session", "machine", "open", "proposed_at",
-        "ran_at", "seen", "sent_at", "state", "stopping_at", "task", "zone",
-    )  # fmt: skip
+        "attempt",
+        "committed",
+        "inherited",
+        "job",
+        "launch_session",
+        "machine",
+        "open",
+        "proposed_at",
+        "ran_at",
+        "seen",
+        "sent_at",
+        "state",
+        "stopping_at",
+        "task",
+        "zone",
+    )
 
     def __init__(self, job: Job, task: int, attempt: int, machine: str, zone: str) -> None:
-        self.job, self.task, self.attempt, self.machine, self.zone = job, task, attempt, machine, zone
+        self.job, self.task, self.attempt, self.machine, self.zone = (
+            job,
+            task,
+            attempt,
+            machine,
+            zone,
+        )
         self.committed = False
         self.inherited = False
         self.launch_session = 0
@@ -58,9 +77,26 @@
     """A job and the states of its tasks. Tasks from `fresh` on were never touched."""
 
     __slots__ = (
-        "at", "attempts", "cancelled", "cancelled_at", "committed", "done", "done_tasks", "ending", "fresh",
-        "home", "known_at", "leaving", "no", "placed", "requeued", "shape", "spec", "told", "waits_since",
-    )  # fmt: skip
+        "at",
+        "attempts",
+        "cancelled",
+        "cancelled_at",
+        "committed",
+        "done",
+        "done_tasks",
+        "ending",
+        "fresh",
+        "home",
+        "known_at",
+        "leaving",
+        "no",
+        "placed",
+        "requeued",
+        "shape",
+        "spec",
+        "told",
+        "waits_since",
+    )
 
     def __init__(self, no: int, at: float, spec: wire.Spec) -> None:
         self.no, self.at, self.spec = no, at, spec
@@ -110,7 +146,7 @@
 
 
 class BookError(Exception):
-    """A record breaks an invariant; it must not be committed, and on replay the ledger is damaged."""
+    """A record breaks an invariant; it must not be committed. On replay: a damaged ledger."""
 
 
 class Book:
@@ -133,8 +169,9 @@
         getattr(self, "_apply_" + record[0])(page, *record[1:])
 
     def replay(self, record: Record, page: int) -> None:
-        """Applies a record that was read back. Records of a job whose own record is not there yet belong
-        to a page that was cleaned: a later snapshot says what they meant."""
+        """Applies a record that was read back. Records of a job whose own record is not there yet
+        belong to a page that was cleaned: a later snapshot says what they meant.
+        """
         if record[0] in "TPEC" and record[1] not in self.jobs:
             return
         self.apply(record, page)
@@ -170,9 +207,16 @@
                 job.fresh = max(job.fresh, task + 1)
         self._settle(job)
 
-    def _apply_P(self, page: int, no: int, task: int, attempt: int, machine: str, zone: str) -> None:
+    def _apply_P(
+        self, page: int, no: int, task: int, attempt: int, machine: str, zone: str
+    ) -> None:
         job = self.jobs[no]
-        if task in job.placed or task in job.done_tasks or job.cancelled or attempt <= job.attempts.get(task, 0):
+        if (
+            task in job.placed
+            or task in job.done_tasks
+            or job.cancelled
+            or attempt <= job.attempts.get(task, 0)
+        ):
             raise BookError(f"task {job.spec.ref}/{task} can't be placed as attempt {attempt}")
         if job.requeued and job.requeued[0] == task:
             heapq.heappop(job.requeued)
@@ -233,25 +277,42 @@
 
     @staticmethod
     def _settle(job: Job) -> None:
-        if job.spec.kind != wire.SERVICE and len(job.done_tasks) == job.spec.tasks and not job.cancelled:
+        if (
+            job.spec.kind != wire.SERVICE
+            and len(job.done_tasks) == job.spec.tasks
+            and not job.cancelled
+        ):
             job.done = True
 
     # Snapshots, for pages that are cleaned
 
     def snapshot(self, home: int) -> list[Record]:
         """Records that say anew all that the records of page `home` still mean."""
-        records: list[Record] = [["K", self.catalog]] if self.catalog and self.catalog_home == home else []
+        records: list[Record] = (
+            [["K", self.catalog]] if self.catalog and self.catalog_home == home else []
+        )
         for job in [job for job in self.jobs.values() if job.home == home]:
             if job.final and not job.placed:
-                records.append(["F", job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE])
+                records.append(
+                    ["F", job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE]
+                )
                 continue
             records.append(["J", job.no, job.at, *msgspec.to_builtins(job.spec)])
             runs = self._runs(job)
-            records += [["T", job.no, runs[start : start + 100]] for start in range(0, len(runs), 100)]
+            records += [
+                ["T", job.no, runs[start : start + 100]] for start in range(0, len(runs), 100)
+            ]
             for placement in job.placed.values():
-                records.append([
-                    "P", job.no, placement.task, placement.attempt, placement.machine, placement.zone,
-                ])  # fmt: skip
+                records.append(
+                    [
+                        "P",
+                        job.no,
+                        placement.task,
+                        placement.attempt,
+                        placement.machine,
+                        placement.zone,
+                    ]
+                )
             if job.cancelled:
                 records.append(["C", job.no])
         for ref in self.final_home.get(home, ()):
@@ -261,8 +322,9 @@
     def weight(self) -> int:
         """About how many bytes the records of a snapshot of everything would take."""
         return 24 * len(self.finals) + sum(
-            24 if job.final and not job.placed else 260 + 30 * len(job.placed) for job in self.jobs.values()
-        )  # fmt: skip
+            24 if job.final and not job.placed else 260 + 30 * len(job.placed)
+            for job in self.jobs.values()
+        )
 
     @staticmethod
     def _runs(job: Job) -> list[list[Any]]:
--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/commit.py
@@ -1,10 +1,11 @@
 """Group commit of the ledger's records to pages at the state service.
 
-Records are appended to pages `p/00000001`, `p/00000002`, … in order; a transaction rewrites the page
-that is being filled and creates those that follow. One transaction is under way at a time, each guards
-the leader key's version and the versions of the pages it writes, so a late or repeated copy, or one of
-a deposed leader, fails. Memory (the `Book`) takes a record when it is proposed; whatever may be *seen*
-of it (answers, launches) waits for its `then`, which is called after the commit only.
+Records are appended to pages `p/00000001`, `p/00000002`, … in order; a transaction rewrites the
+page that is being filled and creates those that follow. One transaction is under way at a time,
+each guards the leader key's version and the versions of the pages it writes, so a late or repeated
+copy, or one of a deposed leader, fails. Memory (the `Book`) takes a record when it is proposed;
+whatever may be *seen* of it (answers, launches) waits for its `then`, which is called after the
+commit only.
 """
 
 from __future__ import annotations
@@ -32,7 +33,9 @@
 FEW_PAGES = 8
 """Not worth cleaning."""
 ORIGIN = 0
-"""An empty page, created with the first records and never dropped: its guard "does not exist" holds just once."""
+"""An empty page, created with the first records and never dropped: its guard "does not exist" holds
+just once.
+"""
 Then = Callable[[], None]
 
 
@@ -58,11 +61,25 @@
     """Owns the pages. `lost` is called when somebody else leads."""
 
     def __init__(
-        self, runtime: Runtime, store: Store, write_rps: float, value_bytes: int, txn_ops: int, retry: float,
-        first: float, gather: float, lost: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        store: Store,
+        write_rps: float,
+        value_bytes: int,
+        txn_ops: int,
+        retry: float,
+        first: float,
+        gather: float,
+        lost: Callable[[], None],
+    ) -> None:
         super().__init__(runtime)
-        self._store, self._retry, self._first, self._gather, self._lost = store, retry, first, gather, lost
+        self._store, self._retry, self._first, self._gather, self._lost = (
+            store,
+            retry,
+            first,
+            gather,
+            lost,
+        )
         self._page_bytes = value_bytes * 7 // 8
         self._most_pages = max(1, min(txn_ops - 2, TXN_BYTES // value_bytes))
         self._bucket = Bucket(runtime, write_rps * 0.85, max(self._most_pages, write_rps * 0.5))
@@ -115,7 +132,8 @@
                     for record in row.value["r"]:
                         self.book.replay(record, number)
             except Exception as fault:
-                # To serve without a part of it could start a task twice: nothing is served until it is mended.
+                # To serve without a part of it could start a task twice: nothing is served until it
+                # is mended.
                 log.error("event=ledger_damaged page=%s why=%r", row.key, fault)
                 self._reset(version)
                 self.later(10 * self._retry, self._open_again, self.generation, version, ready)
@@ -124,7 +142,13 @@
                 job.committed = True
                 job.ending = job.cancelled
                 # A cancelled job is told as such when nothing of it is left; see `Jobs.settle`.
-                job.told = wire.DONE if job.done else wire.ABORTED if job.cancelled and not job.placed else ""
+                job.told = (
+                    wire.DONE
+                    if job.done
+                    else wire.ABORTED
+                    if job.cancelled and not job.placed
+                    else ""
+                )
                 for placement in job.placed.values():
                     placement.committed = placement.inherited = True
             self._filling = max(self._pages, default=ORIGIN) + 1
@@ -144,7 +168,7 @@
         self._add(record, size, then)
 
     def _room(self, record: Record) -> int:
-        """Makes sure that the page being filled has room for the record; gives the record's size."""
+        """Makes room for the record in the page being filled; returns the record's size."""
         size = len(msgspec.json.encode(record)) + 1
         if self._size and self._size + size > self._page_bytes:
             self._filling += 1
@@ -165,11 +189,15 @@
         if self._cleaning or self._queue or self._busy or len(self._pages) <= FEW_PAGES:
             return
         oldest = min(page for page in self._pages if page != ORIGIN)
-        if oldest >= self._filling - 1 or len(self._pages) <= FEW_PAGES + 2 * self.book.weight() // self._page_bytes:
+        if (
+            oldest >= self._filling - 1
+            or len(self._pages) <= FEW_PAGES + 2 * self.book.weight() // self._page_bytes
+        ):
             return
         at_home = [job for job in self.book.jobs.values() if job.home == oldest]
         if any(job.final and not job.placed and not job.told for job in at_home):
-            # Its end is about to be told. (A cancelled job that still has placements is said anew like any other.)
+            # Its end is about to be told. (A cancelled job that still has placements is said anew
+            # like any other.)
             return
         self._cleaning = True
         log.info("event=clean page=%d of=%d jobs=%d", oldest, len(self._pages), len(at_home))
@@ -241,8 +269,9 @@
             puts[page_key(ORIGIN)] = {"r": []}
             created.append(ORIGIN)
         elif created:
-            # "Does not exist" would hold again once the new page was cleaned away, and a late copy of this transaction
-            # would bring its records back. The page before it, which is final and goes first, tells the two apart.
+            # "Does not exist" would hold again once the new page was cleaned away, and a late copy
+            # of this transaction would bring its records back. The page before it, which is final
+            # and goes first, tells the two apart.
             before = max(page for page in self._pages if page < min(created))
             guards.setdefault(page_key(before), self._pages[before])
         drops = [page_key(page) for page in self._drops]
@@ -260,9 +289,14 @@
     _content_page = 0
 
     def _send(
-        self, generation: int, guards: dict[str, int], puts: dict[str, Any], drops: list[str],
-        pages: list[int], unsure: bool,
-    ) -> None:  # fmt: skip
+        self,
+        generation: int,
+        guards: dict[str, int],
+        puts: dict[str, Any],
+        drops: list[str],
+        pages: list[int],
+        unsure: bool,
+    ) -> None:
         def again(unsure: bool) -> None:
             if generation == self.generation:
                 self._send(generation, guards, puts, drops, pages, unsure)
@@ -286,7 +320,12 @@
         self._store.transact(guards, puts, drops, told, commit=True, first=not unsure)
 
     def _read_back(
-        self, generation: int, guards: dict[str, int], puts: dict[str, Any], drops: list[str], pages: list[int]
+        self,
+        generation: int,
+        guards: dict[str, int],
+        puts: dict[str, Any],
+        drops: list[str],
+        pages: list[int],
     ) -> None:
         key = page_key(pages[-1]) if pages else drops[-1]
 
@@ -295,8 +334,13 @@
                 return
             if not known:
                 self.later(self._retry, self._read_back, generation, guards, puts, drops, pages)
-            elif row is not None and row.version != guards[key] and pack(row.value) == pack(puts.get(key)):
-                # A transaction is atomic, and each puts a record that no earlier one did: one page tells for all.
+            elif (
+                row is not None
+                and row.version != guards[key]
+                and pack(row.value) == pack(puts.get(key))
+            ):
+                # A transaction is atomic, and each puts a record that no earlier one did: one page
+                # tells for all.
                 self._committed(pages, row.version)
             elif row is None and not pages:
                 self._committed(pages, 0)
@@ -322,7 +366,7 @@
     # Leadership confirmed after a question
 
     def confirm(self, done: Callable[[bool], None]) -> None:
-        """`done(True)` once a compare-only transaction, sent after this call, shows that we lead."""
+        """`done(True)` once a compare-only transaction sent after this call shows that we lead."""
         self._askers.append(_Asker(done))
         if not self._confirming:
             self._confirming = True
@@ -345,7 +389,8 @@
                 self._next_round(generation, number)
 
         def unanswered() -> None:
-            # The answer may be lost: they are asked for again with whoever came since. An answer still counts.
+            # The answer may be lost: they are asked for again with whoever came since. An answer
+            # still counts.
             if generation == self.generation and number == self._round:
                 self._askers = [asker for asker in asked if asker.done is not None] + self._askers
                 self._next_round(generation, number)
--- a/flaxtally/loop.py
+++ b/flaxtally/loop.py
@@ -1,7 +1,8 @@
 """The selector loop: timers, streams, listeners.
 
 Everything above this module sees time and sockets only through a `Loop` (or the tests' simulated
-one, which has the same methods), so the same controllers run on a real clock and on an injected one.
+one, which has the same methods), so the same controllers run on a real clock and on an injected
+one.
 """
 
 from __future__ import annotations
@@ -97,7 +98,11 @@
             data = data[sent:]
         if data:
             self._out += data
-            self._watch(selectors.EVENT_READ | selectors.EVENT_WRITE if self._open else selectors.EVENT_WRITE)
+            self._watch(
+                selectors.EVENT_READ | selectors.EVENT_WRITE
+                if self._open
+                else selectors.EVENT_WRITE
+            )
 
     def close(self) -> None:
         """Closes at once; the owner asked for it, so `on_close` does not come."""
@@ -149,7 +154,9 @@
             self._finish()
             return
         del self._out[:sent]
-        self._watch(selectors.EVENT_READ | selectors.EVENT_WRITE if self._out else selectors.EVENT_READ)
+        self._watch(
+            selectors.EVENT_READ | selectors.EVENT_WRITE if self._out else selectors.EVENT_READ
+        )
 
 
 class Loop:
@@ -180,7 +187,8 @@
         sock.setblocking(False)
 
         def ready(_: int) -> None:
-            # Many at a time: when all workers come back at once, one a turn lets the rest wait for too long.
+            # Many at a time: when all workers come back at once, one a turn lets the rest wait for
+            # too long.
             for _ in range(ACCEPTS):
                 try:
                     peer, (far, *_) = sock.accept()
@@ -216,7 +224,8 @@
 
     def _turn(self) -> None:
         wait: float | None = None
-        # Most timers are time limits that are kept: to wake for each of them cost more than most messages.
+        # Most timers are time limits that are kept: to wake for each of them cost more than most
+        # messages.
         while self._timers and not self._timers[0][2].live:
             heapq.heappop(self._timers)
         if self._soon:
--- a/flaxtally/mail.py
+++ b/flaxtally/mail.py
@@ -1,9 +1,10 @@
 """Frames between controllers through the state service, while their direct link is silent.
 
-When two zones can't reach each other both still reach the state service. Each node then puts what it has
-for a peer into a key of its own, a batch at a time, and reads the peer's key. It is slow (about a second) and
-may lose frames like the links do; those who send and receive are safe under both. It keeps a far part in
-touch with its leader: its workers' reports arrive, stops and launches reach them.
+When two zones can't reach each other both still reach the state service. Each node then puts what
+it has for a peer into a key of its own, a batch at a time, and reads the peer's key. It is slow
+(about a second) and may lose frames like the links do; those who send and receive are safe under
+both. It keeps a far part in touch with its leader: its workers' reports arrive, stops and launches
+reach them.
 """
 
 from __future__ import annotations
@@ -44,7 +45,9 @@
         frames = cbor2.loads(inflater.decompress(base64.b85decode(text), MOST_INFLATED))
     except (zlib.error, cbor2.CBORDecodeError, TypeError) as fault:
         raise ValueError(str(fault)) from None
-    if not isinstance(frames, list) or not all(isinstance(frame, dict) and "k" in frame for frame in frames):
+    if not isinstance(frames, list) or not all(
+        isinstance(frame, dict) and "k" in frame for frame in frames
+    ):
         raise ValueError("not a batch")
     return frames
 
@@ -66,9 +69,17 @@
     """Owns this node's boxes. `silent(peer)` tells whether the direct link is."""
 
     def __init__(
-        self, runtime: Runtime, node: str, peers: list[str], store: Store, period: float, most: int,
-        silent: Callable[[str], bool], wanted: Callable[[str], bool], receive: Callable[[str, Frame], None],
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        node: str,
+        peers: list[str],
+        store: Store,
+        period: float,
+        most: int,
+        silent: Callable[[str], bool],
+        wanted: Callable[[str], bool],
+        receive: Callable[[str, Frame], None],
+    ) -> None:
         super().__init__(runtime)
         self._node, self._store, self._period, self._most = node, store, period, most
         self._silent, self._wanted, self._receive = silent, wanted, receive
@@ -80,7 +91,9 @@
         return box is not None and self.runtime.now() - box.heard < 5 * self._period
 
     def post(self, peer: str, frame: Frame) -> None:
-        """Keeps the frame for the next batch. Of heartbeats, and of one machine's reports, the last is enough."""
+        """Keeps the frame for the next batch. Of heartbeats, and of one machine's reports, the last
+        is enough.
+        """
         box = self._boxes[peer]
         box.count += 1
         key = {"hb": "hb", "rep": ("rep", frame.get("m"))}.get(frame["k"], box.count)
--- a/flaxtally/node.py
+++ b/flaxtally/node.py
@@ -22,8 +22,8 @@
 
 log = logging.getLogger(__name__)
 
-# Of the sockets: these shares may be taken by users and workers, and by calls to workers; the rest is for peers,
-# state service and cloud.
+# Of the sockets: these shares may be taken by users and workers, and by calls to workers; the rest
+# is for peers, state service and cloud.
 ACCEPTED_SHARE = 0.55
 CALLED_SHARE = 0.3
 
@@ -31,48 +31,97 @@
 class Node:
     """All actors of one controller on one runtime."""
 
-    def __init__(self, runtime: Runtime, settings: Settings, policy: Policy, rng: random.Random) -> None:
+    def __init__(
+        self, runtime: Runtime, settings: Settings, policy: Policy, rng: random.Random
+    ) -> None:
         store = Store(runtime, settings.state, policy.call, policy.first_call)
         cloud = Cloud(runtime, settings.cloud, settings.cloud_rps, policy.call * 2)
         workers = Workers(runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE))
         self.peers = Peers(
-            runtime, settings.node, settings.peer_listen,
-            {name: address for name, (_, address) in settings.peers.items()}, policy.peer_silence, policy.gather,
+            runtime,
+            settings.node,
+            settings.peer_listen,
+            {name: address for name, (_, address) in settings.peers.items()},
+            policy.peer_silence,
+            policy.gather,
             self._receive,
-        )  # fmt: skip
+        )
         self.election = Election(
-            runtime, settings.node, policy, store, self.peers, rng,
-            lambda term, version: self.leader.tell("begin", term, version), lambda: self.leader.tell("end"),
-        )  # fmt: skip
+            runtime,
+            settings.node,
+            policy,
+            store,
+            self.peers,
+            rng,
+            lambda term, version: self.leader.tell("begin", term, version),
+            lambda: self.leader.tell("end"),
+        )
         self.peers.mail = Mail(
-            runtime, settings.node, list(settings.peers), store, policy.mail, settings.value_bytes * 7 // 8,
-            self.peers.silent, self._mails, self._receive,
-        )  # fmt: skip
+            runtime,
+            settings.node,
+            list(settings.peers),
+            store,
+            policy.mail,
+            settings.value_bytes * 7 // 8,
+            self.peers.silent,
+            self._mails,
+            self._receive,
+        )
         self.dispatch = Dispatch(runtime, settings, policy, self.election, self.peers, workers)
         self.ledger = Ledger(
-            runtime, store, settings.state_write_rps, settings.value_bytes, settings.txn_ops, policy.retry,
-            policy.first_call, policy.gather, self.election.depose,
-        )  # fmt: skip
+            runtime,
+            store,
+            settings.state_write_rps,
+            settings.value_bytes,
+            settings.txn_ops,
+            policy.retry,
+            policy.first_call,
+            policy.gather,
+            self.election.depose,
+        )
         self.leader = Leader(
-            runtime, settings, policy, self.ledger, cloud, self.election, self.dispatch, rng,
-        )  # fmt: skip
+            runtime,
+            settings,
+            policy,
+            self.ledger,
+            cloud,
+            self.election,
+            self.dispatch,
+            rng,
+        )
         self.dispatch.deliver_to(self.leader.on_report)
         self.intake = Intake(
-            runtime, policy, self.election, self.peers, self.leader, self.dispatch.beat, settings.max_sockets,
-        )  # fmt: skip
+            runtime,
+            policy,
+            self.election,
+            self.peers,
+            self.leader,
+            self.dispatch.beat,
+            settings.max_sockets,
+        )
         self._frames = {
-            "hb": self.election.heartbeat, "rep": self.dispatch.forwarded, "ord": self.dispatch.order,
-            "done": self.dispatch.carried, "ask": self.intake.asked, "ans": self.intake.answered,
-        }  # fmt: skip
+            "hb": self.election.heartbeat,
+            "rep": self.dispatch.forwarded,
+            "ord": self.dispatch.order,
+            "done": self.dispatch.carried,
+            "ask": self.intake.asked,
+            "ans": self.intake.answered,
+        }
         Server(
-            runtime, settings.listen, self.intake.handle, int(settings.max_sockets * ACCEPTED_SHARE),
-            settings.lease_s * 3, policy.retry,
-        )  # fmt: skip
+            runtime,
+            settings.listen,
+            self.intake.handle,
+            int(settings.max_sockets * ACCEPTED_SHARE),
+            settings.lease_s * 3,
+            policy.retry,
+        )
         self.election.start()
         log.info("event=start node=%s zone=%s", settings.node, settings.zone)
 
     def _mails(self, peer: str) -> bool:
-        """Only a leader and its followers write to each other: changes at the state service are few."""
+        """Only a leader and its followers write to each other: changes at the state service are
+        few.
+        """
         election = self.election
         return election.store_answers and (election.leading or election.leader == peer)
 
--- a/flaxtally/peers.py
+++ b/flaxtally/peers.py
@@ -72,9 +72,15 @@
     """Owns the links. `heard[node]` is when a frame of that node last came."""
 
     def __init__(
-        self, runtime: Runtime, node: str, listen: Address, others: dict[str, Address],
-        silence: float, gather: float, receive: Callable[[str, Frame], None],
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        node: str,
+        listen: Address,
+        others: dict[str, Address],
+        silence: float,
+        gather: float,
+        receive: Callable[[str, Frame], None],
+    ) -> None:
         super().__init__(runtime)
         self._node, self._silence, self._gather, self._receive = node, silence, gather, receive
         self._links = {name: _Link(address) for name, address in others.items()}
@@ -85,7 +91,10 @@
 
     def direct(self, node: str) -> bool:
         """Whether the node was lately heard over its link."""
-        return node == self._node or self.runtime.now() - self.heard.get(node, float("-inf")) < self._silence
+        return (
+            node == self._node
+            or self.runtime.now() - self.heard.get(node, float("-inf")) < self._silence
+        )
 
     def fresh(self, node: str) -> bool:
         """Whether the node was lately heard at all, over its link or by mail."""
@@ -99,12 +108,14 @@
         if self.mail is not None and self.silent(node):
             self.mail.post(node, frame)
         now = self.runtime.now()
-        stale = now - self.heard[node] > 2 * self._silence and now - link.dialled_at > 2 * self._silence
+        stale = (
+            now - self.heard[node] > 2 * self._silence and now - link.dialled_at > 2 * self._silence
+        )
         unheard = link.deaf and now - link.dialled_at > 2 * self._silence
         if link.stream is not None and (stale or unheard):
-            # A cut may hold packets for minutes: what waits in the old connection is better lost. And the
-            # peer may have begun anew during a cut: then this connection leads nowhere, and nothing says so
-            # but the peer itself, whose own connection to us works.
+            # A cut may hold packets for minutes: what waits in the old connection is better lost.
+            # And the peer may have begun anew during a cut: then this connection leads nowhere, and
+            # nothing says so but the peer itself, whose own connection to us works.
             link.stream.close()
             link.stream = None
         if link.stream is None:
@@ -113,7 +124,8 @@
             self._dial(node, link)
         if link.stream is None:
             return
-        # Frames go a few at a time: hundreds of questions and reports a second were as many sends and wake-ups.
+        # Frames go a few at a time: hundreds of questions and reports a second were as many sends
+        # and wake-ups.
         if not link.gathered:
             self.later(self._gather, self._flush, link)
         link.gathered += encode(frame)
@@ -135,7 +147,9 @@
     def silent(self, node: str) -> bool:
         """Whether one of the two directions of the link seems dead."""
         link = self._links.get(node)
-        return not self.direct(node) or (link is not None and (link.deaf or self._refused(node, link)))
+        return not self.direct(node) or (
+            link is not None and (link.deaf or self._refused(node, link))
+        )
 
     def broadcast(self, frame: Frame) -> None:
         """To every peer, with word on whether we hear it."""
@@ -153,8 +167,10 @@
             self._dial(node, link)
 
     def refuses(self, node: str) -> bool:
-        """Whether the node's address refused a connection after it was last heard, and no mail of it comes:
-        its process is likely dead. A cut hangs instead; a filter refuses too, but then mail will come."""
+        """Whether the node's address refused a connection after it was last heard, and no mail of
+        it comes: its process is likely dead. A cut hangs instead; a filter refuses too, but then
+        mail will come.
+        """
         link = self._links.get(node)
         if link is None or not self._refused(node, link):
             return False
--- a/flaxtally/placement.py
+++ b/flaxtally/placement.py
@@ -25,8 +25,10 @@
 
     def holds(self, spec: wire.Spec) -> bool:
         return (
-            spec.cores <= self.cores + SLACK and spec.gpus <= self.gpus + SLACK and spec.ram <= self.ram + SLACK
-        )  # fmt: skip
+            spec.cores <= self.cores + SLACK
+            and spec.gpus <= self.gpus + SLACK
+            and spec.ram <= self.ram + SLACK
+        )
 
 
 def room(machine: Machine, kind: wire.MachineType) -> Room:
@@ -54,26 +56,35 @@
 
 
 def gpu_needs(specs: Iterable[wire.Spec]) -> GpuNeeds:
-    """Of the class that takes most on average. One greedy task is no reason to leave the cores of all GPUs idle."""
+    """Of the class that takes most on average. One greedy task is no reason to leave the cores of
+    all GPUs idle.
+    """
     lanes: dict[str, list[wire.Spec]] = {}
     for spec in specs:
         if spec.gpus:
             lanes.setdefault(spec.lane, []).append(spec)
     means = [
-        (sum(s.cores / s.gpus for s in found) / len(found), sum(s.ram / s.gpus for s in found) / len(found))
+        (
+            sum(s.cores / s.gpus for s in found) / len(found),
+            sum(s.ram / s.gpus for s in found) / len(found),
+        )
         for found in lanes.values()
-    ]  # fmt: skip
-    return GpuNeeds(max((cores for cores, _ in means), default=0.0), max((ram for _, ram in means), default=0.0))
+    ]
+    return GpuNeeds(
+        max((cores for cores, _ in means), default=0.0), max((ram for _, ram in means), default=0.0)
+    )
 
 
-def leaves_gpus_usable(spec: wire.Spec, left: Room, kind: wire.MachineType, needs: GpuNeeds) -> bool:
-    """A task without GPUs may fill a GPU machine's spare cores, not those its free GPUs will need."""
+def leaves_gpus_usable(
+    spec: wire.Spec, left: Room, kind: wire.MachineType, needs: GpuNeeds
+) -> bool:
+    """Tasks without GPUs may use a GPU machine's cores, but not those its free GPUs need."""
     if spec.gpus or not kind.gpus:
         return True
     return (
         left.cores - spec.cores >= left.gpus * min(needs.cores, kind.cores / kind.gpus) - SLACK
         and left.ram - spec.ram >= left.gpus * min(needs.ram, kind.ram / kind.gpus) - SLACK
-    )  # fmt: skip
+    )
 
 
 def fetch_seconds(spec: wire.Spec, machine: Machine, kind: wire.MachineType) -> float:
@@ -93,9 +104,12 @@
 
 
 class Exhausted:
-    """Sizes of tasks for which there was nothing, by whatever else decides: a larger one needn't look.
+    """Sizes of tasks for which there was nothing, by whatever else decides: a larger one needn't
+    look.
 
-    Jobs of a class ask for amounts that differ a little; one that found no room answers for all the larger ones."""
+    Jobs of a class ask for amounts that differ a little; one that found no room answers for all the
+    larger ones.
+    """
 
     def __init__(self) -> None:
         self._sizes: dict[Hashable, list[tuple[float, float, float]]] = {}
@@ -118,25 +132,42 @@
 
 
 class Stock:
-    """The machines that one pass of the scheduler may use, walked in a random order, each with its pool.
+    """The machines that one pass of the scheduler may use, walked in a random order, each with its
+    pool.
 
-    What a pool may not take (types, zones, spot) is decided once a shape, not once a machine; a search
-    begins at a random place and ends as soon as it has a sample. `looked` counts the machines looked at.
+    What a pool may not take (types, zones, spot) is decided once a shape, not once a machine; a
+    search begins at a random place and ends as soon as it has a sample. `looked` counts the
+    machines looked at.
     """
 
-    def __init__(self, machines: Iterable[Machine], kinds: dict[str, wire.MachineType], rng: random.Random) -> None:
+    def __init__(
+        self, machines: Iterable[Machine], kinds: dict[str, wire.MachineType], rng: random.Random
+    ) -> None:
         self.kinds, self._rng, self.looked = kinds, rng, 0
         numbers: dict[tuple[str, str, bool], int] = {}
         self._entries = [
-            (numbers.setdefault((machine.kind, machine.zone, machine.spot), len(numbers)), kinds[machine.kind], machine)
+            (
+                numbers.setdefault((machine.kind, machine.zone, machine.spot), len(numbers)),
+                kinds[machine.kind],
+                machine,
+            )
             for machine in machines
-        ]  # fmt: skip
-        # A stride without a common divisor visits each machine once, in an order of its own; shuffling hundreds
-        # of machines for each pass cost more than most passes' searches.
+        ]
+        # A stride without a common divisor visits each machine once, in an order of its own;
+        # shuffling hundreds of machines for each pass cost more than most passes' searches.
         count = len(self._entries)
-        self._stride = next(
-            (stride for stride in (rng.randrange(1, count) for _ in range(32)) if math.gcd(stride, count) == 1), 1
-        ) if count > 1 else 0  # fmt: skip
+        self._stride = (
+            next(
+                (
+                    stride
+                    for stride in (rng.randrange(1, count) for _ in range(32))
+                    if math.gcd(stride, count) == 1
+                ),
+                1,
+            )
+            if count > 1
+            else 0
+        )
         self._pools = list(numbers)
         self._allowed: dict[Hashable, list[bool]] = {}
         self._by_image: dict[str, list[_Entry]] | None = None
@@ -148,20 +179,23 @@
         if allows is None:
             allows = self._allowed[key] = [
                 allowed(spec, self.kinds[kind], zone, spot) for kind, zone, spot in self._pools
-            ]  # fmt: skip
+            ]
         if not zone_open:
             return allows
         return [
-            allow and zone_open.get(zone, True) for allow, (_, zone, _) in zip(allows, self._pools, strict=True)
-        ]  # fmt: skip
+            allow and zone_open.get(zone, True)
+            for allow, (_, zone, _) in zip(allows, self._pools, strict=True)
+        ]
 
-    def walk(self, spec: wire.Spec, zone_open: dict[str, bool]) -> Iterator[tuple[Machine, wire.MachineType]]:
+    def walk(
+        self, spec: wire.Spec, zone_open: dict[str, bool]
+    ) -> Iterator[tuple[Machine, wire.MachineType]]:
         """The machines that the job may use, whatever room they have, from a random one on."""
         return self._walk(self._entries, self._stride, self._open(spec, zone_open))
 
     def _walk(
         self, entries: list[_Entry], stride: int, opens: list[bool]
-    ) -> Iterator[tuple[Machine, wire.MachineType]]:  # fmt: skip
+    ) -> Iterator[tuple[Machine, wire.MachineType]]:
         if not any(opens):
             return
         count = len(entries)
@@ -185,27 +219,38 @@
         return self._by_image.get(image, [])
 
     def fitting(
-        self, spec: wire.Spec, zone_open: dict[str, bool], needs: GpuNeeds | None, most: int,
+        self,
+        spec: wire.Spec,
+        zone_open: dict[str, bool],
+        needs: GpuNeeds | None,
+        most: int,
         keep: Callable[[Machine], bool] | None = None,
-    ) -> list[Machine]:  # fmt: skip
-        """At most so many machines, drawn at random, that can hold one more task of the job: among those that
-        hold its image, and if none of them can, among all. In a large fleet a sample of all misses the few that do.
-
-        Without `needs` nothing is kept for GPU tasks, and slow machines will do.
-        Who has found some ends after `WIDEN` times as many looks; who has found none looks at all."""
+    ) -> list[Machine]:
+        """At most so many machines, drawn at random, that can hold one more task of the job: among
+        those that hold its image, and if none of them can, among all. In a large fleet a sample of
+        all misses the few that do.
+
+        Without `needs` nothing is kept for GPU tasks, and slow machines will do. Who has found some
+        ends after `WIDEN` times as many looks; who has found none looks at all.
+        """
         opens = self._open(spec, zone_open)
         for walk in (
-            self._walk(self._holding(spec.image), 1, opens), self._walk(self._entries, self._stride, opens)
-        ):  # fmt: skip
+            self._walk(self._holding(spec.image), 1, opens),
+            self._walk(self._entries, self._stride, opens),
+        ):
             found = self._sample(walk, spec, needs, most, keep)
             if found:
                 return found
         return []
 
     def _sample(
-        self, walk: Iterator[tuple[Machine, wire.MachineType]], spec: wire.Spec, needs: GpuNeeds | None, most: int,
+        self,
+        walk: Iterator[tuple[Machine, wire.MachineType]],
+        spec: wire.Spec,
+        needs: GpuNeeds | None,
+        most: int,
         keep: Callable[[Machine], bool] | None,
-    ) -> list[Machine]:  # fmt: skip
+    ) -> list[Machine]:
         found: list[Machine] = []
         enough = self.looked + WIDEN * most
         quick = spec.kind == wire.SERVICE or needs is None
@@ -217,7 +262,9 @@
                 and machine.ram + ram <= kind.ram
                 and (quick or not machine.slow)
                 and (
-                    spec.gpus or not kind.gpus or needs is None
+                    spec.gpus
+                    or not kind.gpus
+                    or needs is None
                     or leaves_gpus_usable(spec, room(machine, kind), kind, needs)
                 )
                 and (keep is None or keep(machine))
@@ -229,9 +276,14 @@
 
 
 def choose(
-    spec: wire.Spec, job_no: int, stock: Stock, needs: GpuNeeds | None, sample: int, zone_open: dict[str, bool],
+    spec: wire.Spec,
+    job_no: int,
+    stock: Stock,
+    needs: GpuNeeds | None,
+    sample: int,
+    zone_open: dict[str, bool],
     keep: Callable[[Machine], bool] | None = None,
-) -> Machine | None:  # fmt: skip
+) -> Machine | None:
     """The machine for a task, or None. Looks at a sample of those that can hold it."""
     best: tuple[tuple[float, ...], Machine] | None = None
     for machine in stock.fitting(spec, zone_open, needs, sample, keep):
--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -1,7 +1,7 @@
 """The operators' settings: what the platform's file leaves open, as ratios to its figures.
 
-The shipped values stand in `defaults.policy`, in the language of `language`; an operators' file in the
-same language sets some of them anew.
+The shipped values stand in `defaults.policy`, in the language of `language`; an operators' file in
+the same language sets some of them anew.
 """
 
 from __future__ import annotations
@@ -9,9 +9,22 @@
 import dataclasses
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 from ..settings import Settings
-from .language import PLAIN, RATE, SIZE, TIME, Fault, Known, PolicyError, Statement, Unit, evaluate, parse
+from .language import (
+    PLAIN,
+    RATE,
+    SIZE,
+    TIME,
+    Fault,
+    Known,
+    PolicyError,
+    Statement,
+    Unit,
+    evaluate,
+    parse,
+)
 
 __all__ = ["Policy", "PolicyError", "Setting", "build", "default", "explain", "load"]
 
@@ -118,7 +131,11 @@
     statements = parse(text, name)
     first: dict[str, int] = {}
     twice = [
-        Fault(name, statement.line, f"{statement.name} was set in line {first[statement.name]} already")
+        Fault(
+            name,
+            statement.line,
+            f"{statement.name} was set in line {first[statement.name]} already",
+        )
         for statement in statements
         if first.setdefault(statement.name, statement.line) != statement.line
     ]
@@ -134,15 +151,20 @@
         statements |= {statement.name: statement for statement in _read(Path(path), path)}
     values = evaluate(statements, KNOWN, _platform(settings))
     return [
-        Setting(name, values[name], KNOWN[name].unit, statement.file, statement.line, statement.text)
+        Setting(
+            name, values[name], KNOWN[name].unit, statement.file, statement.line, statement.text
+        )
         for name, statement in statements.items()
     ]
 
 
 def build(explained: list[Setting]) -> Policy:
     """The policy of settings that were explained."""
-    values = {setting.name: setting.value for setting in explained}
-    return Policy(**{name: int(value) if KNOWN[name].whole else value for name, value in values.items()})  # type: ignore[arg-type]
+    values: dict[str, Any] = {
+        setting.name: int(setting.value) if KNOWN[setting.name].whole else setting.value
+        for setting in explained
+    }
+    return Policy(**values)
 
 
 def load(settings: Settings, path: str | None = None) -> Policy:
--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -1,15 +1,17 @@
-"""The operators' settings: a small expression language, parsed and checked before anything is evaluated.
+"""The operators' settings: a small expression language, parsed and checked before anything is
+evaluated.
 
-    file      = { NAME "=" expr NEWLINE }            "#" begins a comment; in brackets lines may go on
+    file      = { NAME "=" expr NEWLINE }            "#": comment; lines may go on in brackets
     expr      = "if" sum COMPARE sum "then" expr "else" expr | sum
     sum       = term { ("+" | "-") term }
     term      = factor { ("*" | "/") factor }
-    factor    = NUMBER [ "ms" | "s" | "GB" | "share" ] | NAME | ("min" | "max") "(" expr { "," expr } ")"
+    factor    = NUMBER [ "ms" | "s" | "GB" | "share" ] | NAME
+              | ("min" | "max") "(" expr { "," expr } ")"
               | "-" factor | "(" expr ")"
     COMPARE   = "<" | "<=" | ">" | ">=" | "=="
 
-A parser of our own: the one library that was measured (lark 1.3.1) adds 0.17 s and 12 MB to each start
-of a controller, on a share of a core, just when a dead one is to be replaced.
+A parser of our own: the one library that was measured (lark 1.3.1) adds 0.17 s and 12 MB to each
+start of a controller, on a share of a core, just when a dead one is to be replaced.
 """
 
 from __future__ import annotations
@@ -38,11 +40,18 @@
 PLAIN, TIME, SIZE, RATE = Unit(), Unit(1), Unit(0, 1), Unit(-1)
 UNITS = {"ms": (TIME, 0.001), "s": (TIME, 1.0), "GB": (SIZE, 1.0), "share": (PLAIN, 1.0)}
 COMPARE: dict[str, Callable[[float, float], bool]] = {
-    "<": operator.lt, "<=": operator.le, ">": operator.gt, ">=": operator.ge, "==": operator.eq,
-}  # fmt: skip
+    "<": operator.lt,
+    "<=": operator.le,
+    ">": operator.gt,
+    ">=": operator.ge,
+    "==": operator.eq,
+}
 ARITHMETIC: dict[str, Callable[[float, float], float]] = {
-    "+": operator.add, "-": operator.sub, "*": operator.mul, "/": operator.truediv,
-}  # fmt: skip
+    "+": operator.add,
+    "-": operator.sub,
+    "*": operator.mul,
+    "/": operator.truediv,
+}
 KEYWORDS = {"if", "then", "else", "min", "max", *UNITS}
 DEEPEST = 20
 LONGEST = 60
@@ -247,7 +256,11 @@
             continue
         try:
             name, expression = _Parser(pending).statement()
-            statements.append(Statement(name, expression, file, began, " ".join(pending.partition("=")[2].split())))
+            statements.append(
+                Statement(
+                    name, expression, file, began, " ".join(pending.partition("=")[2].split())
+                )
+            )
         except _Syntax as fault:
             faults.append(Fault(file, began, str(fault)))
         pending = ""
@@ -265,7 +278,10 @@
     """Units and names of one set of statements, without evaluating anything."""
 
     def __init__(
-        self, statements: dict[str, Statement], known: Mapping[str, Known], platform: Mapping[str, Unit]
+        self,
+        statements: dict[str, Statement],
+        known: Mapping[str, Known],
+        platform: Mapping[str, Unit],
     ) -> None:
         self._statements, self._known, self._platform = statements, known, platform
         self.faults: list[Fault] = []
@@ -274,7 +290,10 @@
         names = [*self._known, *self._platform]
         for statement in self._statements.values():
             if statement.name not in self._known:
-                self._fault(statement, f"no such setting: {statement.name!r}{_nearest(statement.name, names)}")
+                self._fault(
+                    statement,
+                    f"no such setting: {statement.name!r}{_nearest(statement.name, names)}",
+                )
                 continue
             unit = self._unit(statement.expression, statement)
             wanted = self._known[statement.name].unit
@@ -295,7 +314,9 @@
                     return self._known[name].unit
                 if name in self._platform:
                     return self._platform[name]
-                self._fault(where, f"unknown name {name!r}{_nearest(name, [*self._known, *self._platform])}")
+                self._fault(
+                    where, f"unknown name {name!r}{_nearest(name, [*self._known, *self._platform])}"
+                )
                 return None
             case Choice(_, left, right, then, otherwise):
                 compared = self._same(left, right, where, "compared")
@@ -318,7 +339,9 @@
                 return found
         raise AssertionError(expression)
 
-    def _same(self, left: Expression, right: Expression, where: Statement, what: str) -> Unit | None:
+    def _same(
+        self, left: Expression, right: Expression, where: Statement, what: str
+    ) -> Unit | None:
         one, two = self._unit(left, where), self._unit(right, where)
         if one is not None and two is not None and one != two:
             self._fault(where, f"{what}: {one} and {two}")
@@ -374,9 +397,13 @@
 
 
 def evaluate(
-    statements: dict[str, Statement], known: Mapping[str, Known], platform: Mapping[str, tuple[float, Unit]]
+    statements: dict[str, Statement],
+    known: Mapping[str, Known],
+    platform: Mapping[str, tuple[float, Unit]],
 ) -> dict[str, float]:
-    """The value of each setting; raises PolicyError with every fault. Nothing is evaluated before all is checked."""
+    """The value of each setting; raises PolicyError with every fault. Nothing is evaluated before
+    all is checked.
+    """
     check = _Check(statements, known, {name: unit for name, (_, unit) in platform.items()})
     check.all()
     if check.faults:
@@ -391,7 +418,9 @@
             try:
                 values[name] = _value(statements[name].expression, value)
             except ZeroDivisionError:
-                faults.append(Fault(statements[name].file, statements[name].line, f"{name} divides by zero"))
+                faults.append(
+                    Fault(statements[name].file, statements[name].line, f"{name} divides by zero")
+                )
                 # What follows from it is no fault of its own.
                 values[name] = math.nan
         return values[name]
@@ -401,10 +430,17 @@
         if math.isnan(found):
             continue
         if not math.isfinite(found) or not must.least <= found <= must.most:
-            faults.append(Fault(statement.file, statement.line, f"{name} is {found:g}, "
-                                f"it must be between {must.least:g} and {must.most:g}"))  # fmt: skip
+            faults.append(
+                Fault(
+                    statement.file,
+                    statement.line,
+                    f"{name} is {found:g}, it must be between {must.least:g} and {must.most:g}",
+                )
+            )
         elif must.whole and found != int(found):
-            faults.append(Fault(statement.file, statement.line, f"{name} is {found:g}, it must be whole"))
+            faults.append(
+                Fault(statement.file, statement.line, f"{name} is {found:g}, it must be whole")
+            )
     if faults:
         raise PolicyError(faults)
     return values
--- a/flaxtally/settings.py
+++ b/flaxtally/settings.py
@@ -27,7 +27,9 @@
 
 @dataclass(frozen=True)
 class Objective:
-    """An aim of the platform: what is to happen to a class within a time, or within so many times its deadline."""
+    """An aim of the platform: what is to happen to a class within a time, or within so many times
+    its deadline.
+    """
 
     kind: str
     lane: str | None
@@ -92,7 +94,9 @@
             raise SettingsError(f"{self._name(field)}: not a text")
         return value
 
-    def number(self, field: str, default: float | None = None, above: float = 0.0, least: bool = False) -> float:
+    def number(
+        self, field: str, default: float | None = None, above: float = 0.0, least: bool = False
+    ) -> float:
         if default is not None and field not in self._data:
             return default
         value = self._get(field)
@@ -136,35 +140,50 @@
     limits = params.table("limits")
     teams = {
         name: Team(
-            name, entry.number("cpus", 0.0, least=True), entry.number("cpus_max", 0.0, least=True),
-            entry.number("gpus", 0.0, least=True), entry.number("gpus_max", 0.0, least=True),
+            name,
+            entry.number("cpus", 0.0, least=True),
+            entry.number("cpus_max", 0.0, least=True),
+            entry.number("gpus", 0.0, least=True),
+            entry.number("gpus_max", 0.0, least=True),
         )
         for entry in params.tables("teams")
         for name in [entry.text("name")]
-    }  # fmt: skip
+    }
     objectives = tuple(
         Objective(
-            entry.text("kind"), entry.text("class") if entry.has("class") else None,
-            entry.number("within_s", 0.0, least=True), entry.number("share", 0.0, least=True),
+            entry.text("kind"),
+            entry.text("class") if entry.has("class") else None,
+            entry.number("within_s", 0.0, least=True),
+            entry.number("share", 0.0, least=True),
             entry.number("times", 1.0),
         )
         for entry in params.tables("objectives")
-    )  # fmt: skip
+    )
     settings = Settings(
-        node=top.text("node_name"), zone=top.text("site"),
-        listen=top.address("listen"), peer_listen=top.address("cluster_listen"),
+        node=top.text("node_name"),
+        zone=top.text("site"),
+        listen=top.address("listen"),
+        peer_listen=top.address("cluster_listen"),
         peers={
             entry.text("node_name"): (entry.text("site"), entry.address("peer_addr"))
             for entry in top.tables("others")
         },
-        cloud=endpoints.address("cloud"), state=endpoints.address("state"),
-        zones=params.texts("zones"), teams=teams, objectives=objectives,
-        report_s=workers.number("report_s"), lease_s=workers.number("lease_s"), cancel_s=workers.number("cancel_s"),
-        state_rps=state.number("rps"), state_write_rps=state.number("write_rps"),
-        value_bytes=int(state.number("value_kb") * 1024), txn_ops=int(state.number("txn_ops")),
-        cloud_rps=cloud.number("rps"), list_lag_s=cloud.number("list_lag_s", least=True),
+        cloud=endpoints.address("cloud"),
+        state=endpoints.address("state"),
+        zones=params.texts("zones"),
+        teams=teams,
+        objectives=objectives,
+        report_s=workers.number("report_s"),
+        lease_s=workers.number("lease_s"),
+        cancel_s=workers.number("cancel_s"),
+        state_rps=state.number("rps"),
+        state_write_rps=state.number("write_rps"),
+        value_bytes=int(state.number("value_kb") * 1024),
+        txn_ops=int(state.number("txn_ops")),
+        cloud_rps=cloud.number("rps"),
+        list_lag_s=cloud.number("list_lag_s", least=True),
         max_sockets=int(limits.number("max_sockets", 512.0)),
-    )  # fmt: skip
+    )
     if settings.node in settings.peers:
         raise SettingsError("others: names this node itself")
     return settings
--- a/flaxtally/standin/cloud.py
+++ b/flaxtally/standin/cloud.py
@@ -16,10 +16,16 @@
     """`start(machine)` is called when a machine is up and `end(machine)` when it is gone."""
 
     def __init__(
-        self, runtime: Runtime, address: Address, types: list[wire.MachineType],
-        capacity: dict[tuple[str, str, bool], int], place: Callable[[int], str],
-        start: Callable[[wire.Listed], None], end: Callable[[str], None], rng: random.Random,
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        address: Address,
+        types: list[wire.MachineType],
+        capacity: dict[tuple[str, str, bool], int],
+        place: Callable[[int], str],
+        start: Callable[[wire.Listed], None],
+        end: Callable[[str], None],
+        rng: random.Random,
+    ) -> None:
         self._runtime, self._types, self._capacity, self._rng = runtime, types, capacity, rng
         self._place, self._start, self._end = place, start, end
         self.machines: dict[str, wire.Listed] = {}
@@ -28,7 +34,9 @@
         self.down = False
         self.boots_fail = False
         self.boot: float | None = None
-        """Seconds that every machine rented from now on takes to boot; None: about its type's boot time."""
+        """Seconds that every machine rented from now on takes to boot; None: about its type's boot
+        time.
+        """
         self.lag = 0.0
         """The list is that much old, at times twice."""
         self._up_at: dict[str, float] = {}
@@ -65,7 +73,9 @@
             if self._asked_at[name] <= then:
                 up = self._up_at.get(name, float("inf")) <= then
                 state = machine.state if up or machine.state == wire.FAILED else wire.BOOTING
-                listed.append(msgspec.structs.replace(machine, age=then - self._asked_at[name], state=state))
+                listed.append(
+                    msgspec.structs.replace(machine, age=then - self._asked_at[name], state=state)
+                )
         return listed
 
     def _rent(self, request: Request, rental: wire.Rental) -> None:
@@ -89,7 +99,9 @@
         if not self.boots_fail:
             nominal = next(entry.boot for entry in self._types if entry.name == kind)
             boot = self.boot if boot is None else boot
-            self._runtime.after(nominal * self._rng.uniform(0.6, 1.5) if boot is None else boot, self._up, name)
+            self._runtime.after(
+                nominal * self._rng.uniform(0.6, 1.5) if boot is None else boot, self._up, name
+            )
         return name
 
     def _up(self, name: str) -> None:
--- a/flaxtally/standin/demo.py
+++ b/flaxtally/standin/demo.py
@@ -69,9 +69,24 @@
 peer_addr = "{host}:{peers}"
 """
 JOB = wire.Submission(
-    "j-000001", "gate", "crew", wire.SERVICE, "critical", 2, 2.0, 0.0, 4.0, "img-1", 1.0, False, True, False, 0.0,
-    0.0, 0.0,
-)  # fmt: skip
+    "j-000001",
+    "gate",
+    "crew",
+    wire.SERVICE,
+    "critical",
+    2,
+    2.0,
+    0.0,
+    4.0,
+    "img-1",
+    1.0,
+    False,
+    True,
+    False,
+    0.0,
+    0.0,
+    0.0,
+)
 
 
 def users(first: int, number: int) -> Address:
@@ -84,7 +99,9 @@
 
     def fill(text: str, node: int, **more: object) -> str:
         port = users(first, node)[1]
-        return text.format(name=NODES[node], zone=ZONES[node % 2], host=HOST, users=port, peers=port + 1, **more)
+        return text.format(
+            name=NODES[node], zone=ZONES[node % 2], host=HOST, users=port, peers=port + 1, **more
+        )
 
     others = "".join(fill(OTHER, other) for other in range(len(NODES)) if other != number)
     return fill(PAGE, number, others=others, state=first, cloud=first + 1)
@@ -97,20 +114,44 @@
         self._loop, self._first, self._rng = loop, first, random.Random()
         self.state = StateService(loop, (HOST, first))
         self.cloud = Cloud(
-            loop, (HOST, first + 1), TYPES,
-            {(kind.name, zone, spot): CAPACITY for kind in TYPES for zone in ZONES for spot in (False, True)},
-            lambda count: f"{HOST}:{first + 20 + count}", self._start, self._end, self._rng,
-        )  # fmt: skip
+            loop,
+            (HOST, first + 1),
+            TYPES,
+            {
+                (kind.name, zone, spot): CAPACITY
+                for kind in TYPES
+                for zone in ZONES
+                for spot in (False, True)
+            },
+            lambda count: f"{HOST}:{first + 20 + count}",
+            self._start,
+            self._end,
+            self._rng,
+        )
         self._workers: dict[str, Worker] = {}
 
     def _start(self, machine: wire.Listed) -> None:
         kind = next(entry for entry in TYPES if entry.name == machine.type)
         host, _, port = str(machine.address).partition(":")
         self._workers[machine.machine] = Worker(
-            self._loop, machine, kind, (host, int(port)), {name: users(self._first, n) for n, name in enumerate(NODES)},
-            1.5, 10.0, self.spec, self._run_time, self._watch, self._rng,
-        )  # fmt: skip
-        log.info("event=machine_up machine=%s type=%s zone=%s", machine.machine, machine.type, machine.zone)
+            self._loop,
+            machine,
+            kind,
+            (host, int(port)),
+            {name: users(self._first, n) for n, name in enumerate(NODES)},
+            1.5,
+            10.0,
+            self.spec,
+            self._run_time,
+            self._watch,
+            self._rng,
+        )
+        log.info(
+            "event=machine_up machine=%s type=%s zone=%s",
+            machine.machine,
+            machine.type,
+            machine.zone,
+        )
 
     def _end(self, name: str) -> None:
         worker = self._workers.pop(name, None)
@@ -119,8 +160,9 @@
         log.info("event=machine_gone machine=%s", name)
 
     def spec(self, ref: str) -> wire.Spec | None:
-        """What the workers know of a job. Users hand it to them on a way of their own, which the demo has
-        not; its workers look into the ledger instead."""
+        """What the workers know of a job. Users hand it to them on a way of their own, which the
+        demo has not; its workers look into the ledger instead.
+        """
         for key, (value, _, _) in self.state.rows.items():
             if key.startswith("p/"):
                 for record in value["r"]:
@@ -134,7 +176,13 @@
 
     @staticmethod
     def _watch(event: str, machine: str, task: str, attempt: int) -> None:
-        log.info("event=task_%s machine=%s task=%s attempt=%d", event.replace(" ", "_"), machine, task, attempt)
+        log.info(
+            "event=task_%s machine=%s task=%s attempt=%d",
+            event.replace(" ", "_"),
+            machine,
+            task,
+            attempt,
+        )
 
 
 def run(folder: Path, first: int) -> int:
--- a/flaxtally/standin/state.py
+++ b/flaxtally/standin/state.py
@@ -16,7 +16,9 @@
 class StateService:
     """Keys with versions, transactions, leases. `down` answers 503 to everything."""
 
-    def __init__(self, runtime: Runtime, address: Address, rng: random.Random | None = None) -> None:
+    def __init__(
+        self, runtime: Runtime, address: Address, rng: random.Random | None = None
+    ) -> None:
         self._runtime, self._rng = runtime, rng or random.Random()
         self.rows: dict[str, tuple[Any, int, int | None]] = {}
         self.revision = 0
@@ -24,7 +26,9 @@
         self.refused: set[str] = set()
         """Hosts that get 503 while all others are served."""
         self.lost_share = 0.0
-        """Of the transactions: that share gets no answer, and is carried out `lost_delay` seconds later."""
+        """Of the transactions: that share gets no answer, and is carried out `lost_delay` seconds
+        later.
+        """
         self.lost_delay = (2.0, 12.0)
         self.late: list[int] = []
         """How those came out that got no answer."""
@@ -76,7 +80,9 @@
     def recover(self) -> None:
         """Ends an outage: all leases have their full time again."""
         self.down = False
-        self._leases = {lease: (life, self._runtime.now() + life) for lease, (life, _) in self._leases.items()}
+        self._leases = {
+            lease: (life, self._runtime.now() + life) for lease, (life, _) in self._leases.items()
+        }
 
     def _expire(self) -> None:
         now = self._runtime.now()
@@ -87,7 +93,11 @@
                 del self.rows[key]
 
     def _list(self, request: Request, query: dict[str, str]) -> None:
-        prefix, after, most = query.get("starts", ""), query.get("after", ""), int(query.get("most", "1000"))
+        prefix, after, most = (
+            query.get("starts", ""),
+            query.get("after", ""),
+            int(query.get("most", "1000")),
+        )
         keys = sorted(key for key in self.rows if key.startswith(prefix) and key > after)
         found = [wire.Row(key, self.rows[key][0], self.rows[key][1]) for key in keys[:most]]
         request.reply(200, wire.Rows(found, len(keys) > most))
@@ -104,9 +114,16 @@
         self.late.append(self.transact(txn)[0])
 
     def transact(self, txn: wire.Txn) -> tuple[int, Any]:
-        if any(change.put and change.lease is not None and change.lease not in self._leases for change in txn.apply):
+        if any(
+            change.put and change.lease is not None and change.lease not in self._leases
+            for change in txn.apply
+        ):
             return 400, {"error": "no such lease"}
-        failed = [guard.key for guard in txn.guards if self.rows.get(guard.key, (None, 0))[1] != guard.version]
+        failed = [
+            guard.key
+            for guard in txn.guards
+            if self.rows.get(guard.key, (None, 0))[1] != guard.version
+        ]
         if failed:
             return 409, {"failed": failed, "ledger": self.revision}
         if txn.apply:
--- a/flaxtally/standin/worker.py
+++ b/flaxtally/standin/worker.py
@@ -23,14 +23,24 @@
 
 class Worker:
     """`run_time(ref)` is how long a job's tasks run (None: until stopped); `spec(ref)` is what was
-    uploaded; `watch(event, machine, task, attempt)` sees `start` and `end` of everything on the machine."""
+    uploaded; `watch(event, machine, task, attempt)` sees `start` and `end` of everything on the
+    machine.
+    """
 
     def __init__(
-        self, runtime: Runtime, machine: wire.Listed, kind: wire.MachineType, address: Address,
-        nodes: dict[str, Address], report_s: float, lease_s: float,
-        spec: Callable[[str], wire.Spec | None], run_time: Callable[[str], float | None],
-        watch: Callable[[str, str, str, int], None], rng: random.Random,
-    ) -> None:  # fmt: skip
+        self,
+        runtime: Runtime,
+        machine: wire.Listed,
+        kind: wire.MachineType,
+        address: Address,
+        nodes: dict[str, Address],
+        report_s: float,
+        lease_s: float,
+        spec: Callable[[str], wire.Spec | None],
+        run_time: Callable[[str], float | None],
+        watch: Callable[[str, str, str, int], None],
+        rng: random.Random,
+    ) -> None:
         self._runtime, self.machine, self._kind, self._address = runtime, machine, kind, address
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
         self._spec, self._run_time, self._watch, self._rng = spec, run_time, watch, rng
@@ -62,11 +72,20 @@
         self._sequence += 1
         machine = self.machine
         return wire.Report(
-            machine.machine, f"{self._address[0]}:{self._address[1]}", machine.type, machine.zone, machine.spot,
-            self.session, self._sequence, self.token,
-            [wire.TaskReport(held.task, held.attempt, held.state, held.cause) for held in self.tasks.values()],
+            machine.machine,
+            f"{self._address[0]}:{self._address[1]}",
+            machine.type,
+            machine.zone,
+            machine.spot,
+            self.session,
+            self._sequence,
+            self.token,
+            [
+                wire.TaskReport(held.task, held.attempt, held.state, held.cause)
+                for held in self.tasks.values()
+            ],
             self.notice,
-        )  # fmt: skip
+        )
 
     def _due(self, delay: float) -> None:
         if self._next is not None:
@@ -171,10 +190,20 @@
                 del self.tasks[order.task, order.attempt]
 
     def _launch(self, order: wire.Order) -> None:
-        held = self.tasks[order.task, order.attempt] = Held(order.task, order.attempt, wire.FETCHING)
+        held = self.tasks[order.task, order.attempt] = Held(
+            order.task, order.attempt, wire.FETCHING
+        )
         spec = self._spec(order.task.partition("/")[0])
-        live = [other for other in self.tasks.values() if other.state != wire.EXITED and other is not held]
-        specs = [found for other in live if (found := self._spec(other.task.partition("/")[0])) is not None]
+        live = [
+            other
+            for other in self.tasks.values()
+            if other.state != wire.EXITED and other is not held
+        ]
+        specs = [
+            found
+            for other in live
+            if (found := self._spec(other.task.partition("/")[0])) is not None
+        ]
         kind = self._kind
         if spec is None:
             held.state, held.cause = wire.EXITED, wire.CAUSE_UNKNOWN
--- a/flaxtally/store.py
+++ b/flaxtally/store.py
@@ -40,7 +40,8 @@
     def __init__(self, runtime: Runtime, address: Address, timeout: float, first: float) -> None:
         """`first`: how long to wait for the answer to a transaction's first try."""
         self._runtime, self._timeout, self._first = runtime, timeout, first
-        # More than are needed while all is answered: calls whose answers are lost keep theirs for a while.
+        # More than are needed while all is answered: calls whose answers are lost keep theirs for a
+        # while.
         self._client = Client(runtime, address, most=8)
         self._commits = Client(runtime, address, most=1)
         self.contact = float("-inf")
@@ -86,12 +87,20 @@
         ask(None)
 
     def transact(
-        self, guards: dict[str, int], puts: dict[str, Any], drops: list[str],
-        done: Callable[[Outcome, int], None], lease: int | None = None, commit: bool = False, first: bool = False,
-    ) -> None:  # fmt: skip
+        self,
+        guards: dict[str, int],
+        puts: dict[str, Any],
+        drops: list[str],
+        done: Callable[[Outcome, int], None],
+        lease: int | None = None,
+        commit: bool = False,
+        first: bool = False,
+    ) -> None:
         """`done(outcome, revision)`; the revision is that of the change when it was done.
 
-        `commit` puts it on the connection kept for the ledger's commits; `first` tries are waited for less long."""
+        `commit` puts it on the connection kept for the ledger's commits; `first` tries are waited
+        for less long.
+        """
 
         def told(reply: Reply) -> None:
             if self._served(reply):
--- a/flaxtally/urgency.py
+++ b/flaxtally/urgency.py
@@ -1,7 +1,8 @@
 """Which jobs can be in time together. Pure.
 
-When more is asked for than the machines can do, the order of due times makes job after job late: each begins when
-it is nearly too late. Moore and Hodgson's rule leaves out the largest jobs instead, so that the most can be in time.
+When more is asked for than the machines can do, the order of due times makes job after job late:
+each begins when it is nearly too late. Moore and Hodgson's rule leaves out the largest jobs
+instead, so that the most can be in time.
 """
 
 from __future__ import annotations
@@ -12,7 +13,9 @@
 
 
 class Due(NamedTuple):
-    """A job with waiting tasks. `latest`: by when these must begin for each of its due times, in order."""
+    """A job with waiting tasks. `latest`: by when these must begin for each of its due times, in
+    order.
+    """
 
     no: int
     latest: tuple[float, ...]
@@ -20,8 +23,10 @@
 
 
 def levels(jobs: Iterable[Due], now: float, slots: int) -> dict[int, int]:
-    """By job, the first of its due times for which there is room, when `slots` tasks run at a time; the number of its
-    due times if there is none. Jobs of an earlier level go before those of a later one."""
+    """By job, the first of its due times for which there is room, when `slots` tasks run at a time;
+    the number of its due times if there is none. Jobs of an earlier level go before those of a
+    later one.
+    """
     found: dict[int, int] = {}
     left, ahead, level = list(jobs), 0.0, 0
     while left:
--- a/flaxtally/wire.py
+++ b/flaxtally/wire.py
@@ -23,7 +23,13 @@
 RANKS = {"critical": 0, "high": 1, "standard": 2, "idle": 3}
 PENDING, RUNNING, DONE, ABORTED = "pending", "running", "done", "aborted"
 FETCHING, FLUSHING, EXITED = "fetching", "flushing", "exited"
-CAUSE_DONE, CAUSE_ERROR, CAUSE_FULL, CAUSE_IN_USE, CAUSE_UNKNOWN = "done", "error", "full", "in_use", "unknown"
+CAUSE_DONE, CAUSE_ERROR, CAUSE_FULL, CAUSE_IN_USE, CAUSE_UNKNOWN = (
+    "done",
+    "error",
+    "full",
+    "in_use",
+    "unknown",
+)
 FAILED, BOOTING = "failed", "booting"
 
 
@@ -57,12 +63,27 @@
         return (self.tasks + 1) // 2
 
 
-class Submission(msgspec.Struct, rename={
-    "team": "crew", "kind": "craft", "tasks": "hands", "gpus": "cards", "ram": "ramGb", "image": "mold",
-    "image_gb": "sizeGb", "types": "breeds", "zone": "yard", "one_zone": "samePlace", "spread": "scatter",
-    "spot": "loaner", "estimate": "reckonS", "checkpoint": "stashEveryS", "save": "stashS",
-    "deadline": "dueS",
-}):  # fmt: skip
+class Submission(
+    msgspec.Struct,
+    rename={
+        "team": "crew",
+        "kind": "craft",
+        "tasks": "hands",
+        "gpus": "cards",
+        "ram": "ramGb",
+        "image": "mold",
+        "image_gb": "sizeGb",
+        "types": "breeds",
+        "zone": "yard",
+        "one_zone": "samePlace",
+        "spread": "scatter",
+        "spot": "loaner",
+        "estimate": "reckonS",
+        "checkpoint": "stashEveryS",
+        "save": "stashS",
+        "deadline": "dueS",
+    },
+):
     """A submission as it is sent."""
 
     ref: str
@@ -97,10 +118,20 @@
     kept: bool = False
 
 
-class Report(msgspec.Struct, rename={
-    "machine": "rig", "type": "breed", "zone": "yard", "spot": "loaner", "session": "shift",
-    "sequence": "tally", "token": "baton", "notice": "warningS", "tasks": "hands",
-}):  # fmt: skip
+class Report(
+    msgspec.Struct,
+    rename={
+        "machine": "rig",
+        "type": "breed",
+        "zone": "yard",
+        "spot": "loaner",
+        "session": "shift",
+        "sequence": "tally",
+        "token": "baton",
+        "notice": "warningS",
+        "tasks": "hands",
+    },
+):
     """A worker's report."""
 
     machine: str
@@ -120,10 +151,20 @@
         return self.session, self.sequence
 
 
-class MachineType(msgspec.Struct, rename={
-    "name": "label", "gpus": "cards", "ram": "ramGb", "cache": "cacheGb", "fetch_rate": "pullGbPerS",
-    "price": "hourly", "spot_price": "spotPrice", "boot": "bootS", "zones": "yards",
-}):  # fmt: skip
+class MachineType(
+    msgspec.Struct,
+    rename={
+        "name": "label",
+        "gpus": "cards",
+        "ram": "ramGb",
+        "cache": "cacheGb",
+        "fetch_rate": "pullGbPerS",
+        "price": "hourly",
+        "spot_price": "spotPrice",
+        "boot": "bootS",
+        "zones": "yards",
+    },
+):
     """A machine type of the catalogue."""
 
     name: str
@@ -146,9 +187,17 @@
     machines: list[str]
 
 
-class Listed(msgspec.Struct, rename={
-    "machine": "ref", "type": "breed", "zone": "yard", "spot": "loaner", "state": "stage", "age": "ageS",
-}):  # fmt: skip
+class Listed(
+    msgspec.Struct,
+    rename={
+        "machine": "ref",
+        "type": "breed",
+        "zone": "yard",
+        "spot": "loaner",
+        "state": "stage",
+        "age": "ageS",
+    },
+):
     """A machine as the cloud lists it."""
 
     machine: str
@@ -205,22 +254,52 @@
         raise BadSubmission("rank: unknown")
     if not 1 <= sent.tasks <= MOST_TASKS:
         raise BadSubmission(f"hands: not within 1 to {MOST_TASKS}")
-    amounts = [sent.cores, sent.gpus, sent.ram, sent.image_gb, sent.estimate, sent.checkpoint, sent.save]
+    amounts = [
+        sent.cores,
+        sent.gpus,
+        sent.ram,
+        sent.image_gb,
+        sent.estimate,
+        sent.checkpoint,
+        sent.save,
+    ]
     amounts.append(sent.deadline or 0.0)
     if not all(math.isfinite(amount) and amount >= 0 for amount in amounts):
         raise BadSubmission("an amount is negative or not finite")
-    if any(len(text) > 200 for text in (sent.lane, sent.team, sent.image, sent.zone or "", *(sent.types or ()))):
+    if any(
+        len(text) > 200
+        for text in (sent.lane, sent.team, sent.image, sent.zone or "", *(sent.types or ()))
+    ):
         raise BadSubmission("a name is too long")
     if sent.types is not None and len(sent.types) > 50:
         raise BadSubmission("breeds: too many")
     return Spec(
-        sent.ref, sent.lane, sent.team, sent.kind, sent.rank, sent.tasks, sent.cores, sent.gpus, sent.ram,
-        sent.image, sent.image_gb, sent.types, sent.zone, sent.one_zone, sent.spread, sent.spot,
-        sent.estimate, sent.checkpoint, sent.save, sent.deadline,
-    )  # fmt: skip
-
-
-def job_status(ref: str, stage: str, done: int | None = None, running: int | None = None) -> dict[str, Any]:
+        sent.ref,
+        sent.lane,
+        sent.team,
+        sent.kind,
+        sent.rank,
+        sent.tasks,
+        sent.cores,
+        sent.gpus,
+        sent.ram,
+        sent.image,
+        sent.image_gb,
+        sent.types,
+        sent.zone,
+        sent.one_zone,
+        sent.spread,
+        sent.spot,
+        sent.estimate,
+        sent.checkpoint,
+        sent.save,
+        sent.deadline,
+    )
+
+
+def job_status(
+    ref: str, stage: str, done: int | None = None, running: int | None = None
+) -> dict[str, Any]:
     """What a user is told of a job."""
     status: dict[str, Any] = {"ref": ref, "stage": stage}
     if done is not None:
@@ -261,7 +340,9 @@
     return {"rigs": machines}
 
 
-def txn(guards: dict[str, int], puts: dict[str, Any], drops: list[str], lease: int | None = None) -> dict[str, Any]:
+def txn(
+    guards: dict[str, int], puts: dict[str, Any], drops: list[str], lease: int | None = None
+) -> dict[str, Any]:
     """A transaction; `lease` is attached to every key that it puts."""
     apply: list[dict[str, Any]] = []
     for key, value in puts.items():
@@ -270,7 +351,9 @@
             change["tenure"] = lease
         apply.append(change)
     apply += [{"drop": key} for key in drops]
-    body: dict[str, Any] = {"guards": [{"k": key, "stamp": version} for key, version in guards.items()]}
+    body: dict[str, Any] = {
+        "guards": [{"k": key, "stamp": version} for key, version in guards.items()]
+    }
     if apply:
         body["apply"] = apply
     return body
@@ -327,8 +410,16 @@
     apply: list[Change] = []
 
 
-class Rental(msgspec.Struct, rename={"request": "hire", "type": "breed", "zone": "yard", "spot": "loaner",
-                                     "count": "number"}):  # fmt: skip
+class Rental(
+    msgspec.Struct,
+    rename={
+        "request": "hire",
+        "type": "breed",
+        "zone": "yard",
+        "spot": "loaner",
+        "count": "number",
+    },
+):
     request: str
     type: str
     zone: str
--- a/flaxtally/workers.py
+++ b/flaxtally/workers.py
@@ -5,6 +5,7 @@
 import logging
 from collections import deque
 from collections.abc import Callable
+from functools import partial
 from typing import Any, NamedTuple
 
 import msgspec
@@ -40,7 +41,9 @@
 class Workers:
     """`done(status, body)`: status 0 means that no answer came, so the orders may yet be executed.
 
-    At most `most` connections at a time, in all: those that were used last are kept, a call beyond them waits."""
+    At most `most` connections at a time, in all: those that were used last are kept, a call beyond
+    them waits.
+    """
 
     def __init__(self, runtime: Runtime, timeout: float, most: int) -> None:
         self._runtime, self._timeout, self._most = runtime, timeout, max(A_WORKER, most)
@@ -48,19 +51,25 @@
         """By address, the one called longest ago first."""
         self._waiting: deque[_Call] = deque()
 
-    def orders(self, address: str, body: dict[str, Any], done: Callable[[int, bytes], None]) -> None:
+    def orders(
+        self, address: str, body: dict[str, Any], done: Callable[[int, bytes], None]
+    ) -> None:
         self._call(address, "POST", wire.ORDERS, body, done)
 
     def status(self, address: str, done: Callable[[int, bytes], None]) -> None:
         self._call(address, "GET", wire.STATUS, None, done)
 
-    def _call(self, address: str, method: str, path: str, body: Any, done: Callable[[int, bytes], None]) -> None:
+    def _call(
+        self, address: str, method: str, path: str, body: Any, done: Callable[[int, bytes], None]
+    ) -> None:
         target = parse_address(address)
         if target is None:
             log.warning("worker address %r is none", address)
             done(0, b"")
             return
-        self._waiting.append(_Call(address, target, method, path, body, done, self._runtime.now() + self._timeout))
+        self._waiting.append(
+            _Call(address, target, method, path, body, done, self._runtime.now() + self._timeout)
+        )
         self._pump()
 
     def _pump(self) -> None:
@@ -77,10 +86,18 @@
                 client = Client(self._runtime, call.target, most=A_WORKER)
             self._clients[call.address] = client
             self._waiting.popleft()
-            client.request(call.method, call.path, call.body, call.until - now, lambda r, c=call: self._told(c, r))  # type: ignore[misc]
+            client.request(
+                call.method,
+                call.path,
+                call.body,
+                call.until - now,
+                partial(self._told, call),
+            )
 
     def _room(self) -> bool:
-        """Whether one more machine may be called; closes the connections that were used longest ago."""
+        """Whether one more machine may be called; closes the connections that were used longest
+        ago.
+        """
         if sum(client.connections for client in self._clients.values()) + A_WORKER <= self._most:
             return True
         for address, client in self._clients.items():
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""The thin deploy form of `python3 -m flaxtally serve`: finds the built dependencies, then starts."""
+"""Deploy form of `python3 -m flaxtally serve`: finds the built dependencies, then starts."""
 
 from __future__ import annotations
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
 """A plugin of pytest for CI: passes over just the tests that KNOWN-RED.txt lists, and prints them.
 
-A line is `test, cause, issue`, three lines at most. A listed test that passes or doesn't exist fails the run: it is
-to be taken off the list.
+A line is `test, cause, issue`, three lines at most. A listed test that passes or doesn't exist
+fails the run: it is to be taken off the list.
 """
 
 from __future__ import annotations
@@ -17,7 +17,9 @@
 def read(root: Path) -> dict[str, str]:
     """The listed tests, each with its cause and issue; none when there is no list."""
     path = root / LIST
-    lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
+    lines = (
+        [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
+    )
     if len(lines) > MOST:
         raise pytest.UsageError(f"{LIST}: {len(lines)} lines, {MOST} at most")
     known: dict[str, str] = {}
@@ -41,6 +43,8 @@
         raise pytest.UsageError(f"{LIST}: no such test: {', '.join(sorted(missing))}")
 
 
-def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
+def pytest_terminal_summary(
+    terminalreporter: pytest.TerminalReporter, config: pytest.Config
+) -> None:
     for test, why in read(config.rootpath).items():
         terminalreporter.write_line(f"known red: {test}, {why}")
