--- a/tests/rules.py
+++ b/tests/rules.py
@@ -1,6 +1,8 @@
-"""The protocol's rules, checked from outside: by what workers run, users are told and the cloud takes back.
+"""The protocol's rules, checked from outside: by what workers run, users are told and the cloud
+takes back.
 
-Knows nothing of the code under test. A broken rule is kept in `broken`; the world ends the test with it.
+Knows nothing of the code under test. A broken rule is kept in `broken`; the world ends the test
+with it.
 """
 
 from __future__ import annotations
@@ -32,22 +34,28 @@
 
 def _over(team: Team, cores: float, gpus: float) -> bool:
     """Whether that much is beyond the team's limit."""
-    return bool((team.cores_max and cores > team.cores_max) or (team.gpus_max and gpus > team.gpus_max))
+    return bool(
+        (team.cores_max and cores > team.cores_max) or (team.gpus_max and gpus > team.gpus_max)
+    )
 
 
 def _allowed(spec: wire.Spec, machine: wire.Listed, zones: list[str]) -> bool:
     """Whether one more task of the job may be there, given the zones of its others."""
     return (
-        (spec.types is None or machine.type in spec.types) and spec.zone in (None, machine.zone)
-        and (spec.spot or not machine.spot) and not (spec.one_zone and any(zone != machine.zone for zone in zones))
+        (spec.types is None or machine.type in spec.types)
+        and spec.zone in (None, machine.zone)
+        and (spec.spot or not machine.spot)
+        and not (spec.one_zone and any(zone != machine.zone for zone in zones))
         and not (spec.spread and zones.count(machine.zone) + 1 > (spec.tasks + 1) // 2)
-    )  # fmt: skip
+    )
 
 
 class Rules:
     """Owns the outside view: who runs where, and what was answered when."""
 
-    def __init__(self, teams: dict[str, Team], types: Iterable[wire.MachineType], cancel_s: float) -> None:
+    def __init__(
+        self, teams: dict[str, Team], types: Iterable[wire.MachineType], cancel_s: float
+    ) -> None:
         self.teams, self.types, self.cancel_s = teams, {kind.name: kind for kind in types}, cancel_s
         self.jobs: dict[str, _Job] = {}
         self.on: dict[str, tuple[wire.Listed, int]] = {}
@@ -55,7 +63,8 @@
         self.used: dict[str, list[float]] = {}
         self.broken: list[str] = []
         self.crossed = 0
-        """Answers older than one given before them, to questions asked before that one was given."""
+        """Answers older than one given before them, to questions asked before that one was given.
+        """
 
     def breaks(self, rule: str, what: str, at: float) -> None:
         self.broken.append(f"{at:.2f} {rule}: {what}")
@@ -69,14 +78,18 @@
         job = self.job(task.partition("/")[0])
         spec = job.spec
         if task in self.on:
-            self.breaks("ran_twice", f"{task} on {self.on[task][0].machine} and {machine.machine}", now)
+            self.breaks(
+                "ran_twice", f"{task} on {self.on[task][0].machine} and {machine.machine}", now
+            )
         if job.told == wire.ABORTED:
             self.breaks("started_cancelled", f"{task}, its user was told at {job.told_at:.2f}", now)
         if spec is None:
             self.breaks("nobody_asked", task, now)
             return
         if not _allowed(spec, machine, self._zones(spec)):
-            self.breaks("wrong_place", f"{task} on {machine.type} {machine.zone} spot={machine.spot}", now)
+            self.breaks(
+                "wrong_place", f"{task} on {machine.type} {machine.zone} spot={machine.spot}", now
+            )
         job.waits_since = None
         self.on[task] = machine, attempt
         used = self.used.setdefault(spec.team, [0.0, 0.0])
@@ -87,7 +100,9 @@
 
     def _zones(self, spec: wire.Spec) -> list[str]:
         """Of the job's tasks that are on machines."""
-        return [there.zone for other, (there, _) in self.on.items() if other.startswith(spec.ref + "/")]
+        return [
+            there.zone for other, (there, _) in self.on.items() if other.startswith(spec.ref + "/")
+        ]
 
     def ends(self, task: str, attempt: int, machine: str, done: bool) -> None:
         there = self.on.get(task)
@@ -110,7 +125,9 @@
     def asks_to_cancel(self, ref: str) -> None:
         self.job(ref).asked_to_cancel = True
 
-    def answered(self, what: str, ref: str, asked_at: float, now: float, status: int, body: Any) -> None:
+    def answered(
+        self, what: str, ref: str, asked_at: float, now: float, status: int, body: Any
+    ) -> None:
         """An answer as it reached its user. `what`: submit, poll or cancel."""
         job = self.job(ref)
         if status in (200, 201):
@@ -127,7 +144,9 @@
                 why = self._cannot_run(job.spec)
                 if why:
                     self.breaks("accepted", f"{ref}: {why}", now)
-        elif asked_at >= job.accepted_at and (status == 404 or (what == "submit" and status in (400, 422))):
+        elif asked_at >= job.accepted_at and (
+            status == 404 or (what == "submit" and status in (400, 422))
+        ):
             self.breaks("forgotten", f"{what} of {ref} answered {status}", now)
 
     def _told(self, job: _Job, ref: str, asked_at: float, now: float, stage: str) -> None:
@@ -154,10 +173,13 @@
         if _over(team, spec.cores * count, spec.gpus * count):
             return "beyond its team's limit"
         fits = any(
-            kind.cores >= spec.cores and kind.gpus >= spec.gpus and kind.ram >= spec.ram
-            and (spec.types is None or kind.name in spec.types) and (spec.zone is None or spec.zone in kind.zones)
+            kind.cores >= spec.cores
+            and kind.gpus >= spec.gpus
+            and kind.ram >= spec.ram
+            and (spec.types is None or kind.name in spec.types)
+            and (spec.zone is None or spec.zone in kind.zones)
             for kind in self.types.values()
-        )  # fmt: skip
+        )
         return None if fits else "fits no machine"
 
     # What time alone breaks
@@ -167,10 +189,16 @@
         for task, (machine, _) in self.on.items():
             job = self.job(task.partition("/")[0])
             if job.told == wire.ABORTED and now > job.told_at + self.cancel_s:
-                self.breaks("ran_cancelled", f"{task} on {machine.machine}, told at {job.told_at:.2f}", now)
-
-    def look_when_calm(self, now: float, calm_since: float, machines: list[tuple[wire.Listed, set[str]]]) -> None:
-        """Once all troubles are over. `machines`: those that are up, and the tasks on each, with those that fetch."""
+                self.breaks(
+                    "ran_cancelled", f"{task} on {machine.machine}, told at {job.told_at:.2f}", now
+                )
+
+    def look_when_calm(
+        self, now: float, calm_since: float, machines: list[tuple[wire.Listed, set[str]]]
+    ) -> None:
+        """Once all troubles are over. `machines`: those that are up, and the tasks on each, with
+        those that fetch.
+        """
         held = {task for _, tasks in machines for task in tasks}
         rooms = [(machine, self._room(machine, tasks)) for machine, tasks in machines]
         for ref, job in self.jobs.items():
@@ -189,19 +217,27 @@
                 self.breaks("left_waiting", f"{ref} while a machine fits", now)
 
     def _room(self, machine: wire.Listed, tasks: set[str]) -> tuple[float, float, float]:
-        kind, specs = self.types[machine.type], [self.job(task.partition("/")[0]).spec for task in tasks]
+        kind, specs = (
+            self.types[machine.type],
+            [self.job(task.partition("/")[0]).spec for task in tasks],
+        )
         return (
             kind.cores - sum(spec.cores for spec in specs if spec),
             kind.gpus - sum(spec.gpus for spec in specs if spec),
             kind.ram - sum(spec.ram for spec in specs if spec),
         )
 
-    def _could_start(self, spec: wire.Spec, rooms: list[tuple[wire.Listed, tuple[float, float, float]]]) -> bool:
+    def _could_start(
+        self, spec: wire.Spec, rooms: list[tuple[wire.Listed, tuple[float, float, float]]]
+    ) -> bool:
         team, used = self.teams[spec.team], self.used.get(spec.team, [0.0, 0.0])
         if _over(team, used[0] + spec.cores, used[1] + spec.gpus):
             return False
         zones = self._zones(spec)
         return any(
-            room[0] >= spec.cores and room[1] >= spec.gpus and room[2] >= spec.ram and _allowed(spec, machine, zones)
+            room[0] >= spec.cores
+            and room[1] >= spec.gpus
+            and room[2] >= spec.ram
+            and _allowed(spec, machine, zones)
             for machine, room in rooms
         )
--- a/tests/sim.py
+++ b/tests/sim.py
@@ -137,9 +137,11 @@
         if stream.dead:
             return
         if (
-            host is None or not host.alive or port not in host.listening
+            host is None
+            or not host.alive
+            or port not in host.listening
             or frozenset((stream.host.ip, ip)) in self.filters
-        ):  # fmt: skip
+        ):
             stream.ended()
             return
         far = SimStream(host, stream.host.ip)
@@ -156,7 +158,9 @@
         if pair in self.cuts:
             self._held.setdefault(pair, []).append((stream, data))
             return
-        stream.arrives_at = max(self.time + self.delay() + self.slow.get(pair, 0.0), stream.arrives_at)
+        stream.arrives_at = max(
+            self.time + self.delay() + self.slow.get(pair, 0.0), stream.arrives_at
+        )
         self.at(stream.arrives_at, self._arrive, stream.other, data)
 
     @staticmethod
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -19,16 +19,19 @@
 RED = "test_it.py::test_red, not mended yet, issue 1"
 
 
-@pytest.mark.parametrize(("lines", "other_red", "code", "said"), [
-    ([RED], False, 0, "known red: test_it.py::test_red, not mended yet, issue 1"),
-    ([], False, 1, "1 failed"),
-    ([RED], True, 1, "test_other"),
-    ([RED, "test_it.py::test_green, it passes, issue 1"], False, 1, "strict"),
-    ([RED, "test_it.py::test_gone, never was, issue 1"], False, 4, "no such test"),
-    ([RED] * 4, False, 4, "4 lines, 3 at most"),
-    ([RED] * 2, False, 4, "twice"),
-    (["test_it.py::test_red"], False, 4, "not `test, cause, issue`"),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    ("lines", "other_red", "code", "said"),
+    [
+        ([RED], False, 0, "known red: test_it.py::test_red, not mended yet, issue 1"),
+        ([], False, 1, "1 failed"),
+        ([RED], True, 1, "test_other"),
+        ([RED, "test_it.py::test_green, it passes, issue 1"], False, 1, "strict"),
+        ([RED, "test_it.py::test_gone, never was, issue 1"], False, 4, "no such test"),
+        ([RED] * 4, False, 4, "4 lines, 3 at most"),
+        ([RED] * 2, False, 4, "twice"),
+        (["test_it.py::test_red"], False, 4, "not `test, cause, issue`"),
+    ],
+)
 def test_exactly_the_listed_tests_may_fail(
     pytester: pytest.Pytester, lines: list[str], other_red: bool, code: int, said: str
 ) -> None:
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -19,7 +19,9 @@
 from .world import NODES, STATE, World, batch, spec
 
 
-def busy(seed: int = 1, services: int = 4, arrays: int = 2, run_time: float = 25.0, **world_args: object) -> World:
+def busy(
+    seed: int = 1, services: int = 4, arrays: int = 2, run_time: float = 25.0, **world_args: object
+) -> World:
     """A world whose services run and whose arrays have begun."""
     world = World(seed, **world_args)  # type: ignore[arg-type]
     for number in range(services):
@@ -38,7 +40,9 @@
 def change_leader(world: World, back_after: float = 2.0) -> str:
     """Ends the leader's process; the next leader, once it is ready."""
     world.crash(leader_of(world), back_after=back_after)
-    assert world.until(lambda: (new := world.leader()) is not None and world.nodes[new].leader.term.active, 20)
+    assert world.until(
+        lambda: (new := world.leader()) is not None and world.nodes[new].leader.term.active, 20
+    )
     return leader_of(world)
 
 
@@ -50,7 +54,9 @@
     """Small jobs come; each third is cancelled a little later."""
     for number in range(int(for_s / every)):
         ref = f"j-{5000 + number:06d}"
-        world.after(number * every, world.submit, batch(ref, 1 + number % 3), 3.0 + number % 5, number)
+        world.after(
+            number * every, world.submit, batch(ref, 1 + number % 3), 3.0 + number % 5, number
+        )
         if number % 3 == 2:
             world.after(number * every + 2.0 + number % 4, world.cancel, ref, number + 1)
 
@@ -66,14 +72,19 @@
             assert world.count(ref) == 0
         elif job.kind == wire.ARRAY:
             ends = known.told == wire.DONE or known.asked_to_cancel
-            assert ends or len(known.done) + world.count(ref) == job.tasks, (ref, world.ask(ref), world.trace[-40:])
+            assert ends or len(known.done) + world.count(ref) == job.tasks, (
+                ref,
+                world.ask(ref),
+                world.trace[-40:],
+            )
         elif not known.asked_to_cancel:
             assert world.count(ref) == job.tasks, (ref, world.ask(ref))
 
 
 def test_the_gap_between_a_refused_leader_and_an_outage() -> None:
-    # The meeting that broke most schedulers: the leader is refused, another confirms cancellations, then nobody
-    # reaches the state service for longer than `cancel_s` while workers go on reporting to the old leader.
+    # The meeting that broke most schedulers: the leader is refused, another confirms cancellations,
+    # then nobody reaches the state service for longer than `cancel_s` while workers go on reporting
+    # to the old leader.
     for seed in range(3):
         world = busy(seed, services=10, arrays=4, run_time=200.0)
         old = leader_of(world)
@@ -113,11 +124,14 @@
 
 @pytest.mark.parametrize("at_once", [False, True])
 def test_transactions_without_an_answer(at_once: bool) -> None:
-    # Carried out after newer ones of the same controller, or at once while other nodes read what they wrote.
-    # Found: a record whose types are a tuple was not recognised when read back, so the leader took itself for deposed.
+    # Carried out after newer ones of the same controller, or at once while other nodes read what
+    # they wrote. Found: a record whose types are a tuple was not recognised when read back, so the
+    # leader took itself for deposed.
     world = busy()
     for number in range(200, 240):
-        world.after(number - 200, world.submit, batch(f"j-{number:06d}", 2, types=("g8",)), 4.0, number)
+        world.after(
+            number - 200, world.submit, batch(f"j-{number:06d}", 2, types=("g8",)), 4.0, number
+        )
     world.lose_writes(0.3, 40.0, at_once)
     steady_work(world, 40.0)
     before = term(world)
@@ -155,7 +169,13 @@
     for number in range(12):
         world.submit(batch(f"j-{number:06d}", 6), run_time=25.0, node=number)
     for number in range(6):
-        world.after(20.0 + number, world.submit, spec(f"j-{100 + number:06d}", tasks=1, cores=6.0), None, number)
+        world.after(
+            20.0 + number,
+            world.submit,
+            spec(f"j-{100 + number:06d}", tasks=1, cores=6.0),
+            None,
+            number,
+        )
         world.after(22.0 + number, world.cancel, f"j-{number:06d}", number)
     world.run(24)
     assert any(node.leader.jobs.waiting() for node in world.nodes.values())
@@ -202,8 +222,11 @@
 
 
 @pytest.mark.parametrize("what", ["hung", "deaf", "mute", "cut"])
-def test_a_team_at_its_limit_a_new_leader_and_cancellations_on_machines_that_cannot_be_asked(what: str) -> None:
-    # Cancelled tasks count until they are proven over, for a new leader too; then waiting jobs move at once.
+def test_a_team_at_its_limit_a_new_leader_and_cancellations_on_machines_that_cannot_be_asked(
+    what: str,
+) -> None:
+    # Cancelled tasks count until they are proven over, for a new leader too; then waiting jobs move
+    # at once.
     world = busy(team=Team("crew", 0.0, 37.0, 0.0, 8.0), services=3, arrays=2, run_time=120.0)
     for number in range(200, 203):
         world.submit(batch(f"j-{number:06d}", 2), run_time=10.0, node=number)
@@ -217,7 +240,7 @@
     ends_well(world)
 
 
-def test_the_state_service_is_slow_or_gone_for_longer_than_cancel_s_while_users_cancel_and_ask() -> None:
+def test_the_state_service_is_slow_or_gone_while_users_cancel_and_ask() -> None:
     world = busy(services=6, run_time=200.0)
     world.slow_state(0.6, 20.0)
     for number in range(4):
@@ -246,7 +269,8 @@
 
 
 def test_an_isolated_leader_keeps_its_workers_and_tells_and_starts_nothing() -> None:
-    # Cut from the state service and its peers, while workers and users reach it; jobs are cancelled through the next.
+    # Cut from the state service and its peers, while workers and users reach it; jobs are cancelled
+    # through the next.
     world = busy(services=8, run_time=100.0)
     old = leader_of(world)
     served = [name for name, worker in world.workers.items() if worker._at == old]
@@ -258,7 +282,9 @@
     for number in range(4):
         world.cancel(f"j-{number:06d}", others[number % 2])
     answers: list[int] = []
-    world.call(old, "POST", f"{wire.WORK}/j-000005/cancel", None, lambda status, _: answers.append(status))
+    world.call(
+        old, "POST", f"{wire.WORK}/j-000005/cancel", None, lambda status, _: answers.append(status)
+    )
     for ref in list(world.specs):
         world.look_closely(ref)
     world.run(20)
@@ -274,8 +300,9 @@
 
 @pytest.mark.parametrize("company", [False, True])
 def test_an_isolated_leader_returns_no_machine_that_its_successor_uses(company: bool) -> None:
-    # Found on a drawn day: cut from the state service and its peers, the old leader gave back machines that were idle
-    # or silent to it, and with them the tasks that the next leader had placed there.
+    # Found on a drawn day: cut from the state service and its peers, the old leader gave back
+    # machines that were idle or silent to it, and with them the tasks that the next leader had
+    # placed there.
     world = busy(services=2, arrays=0)
     spare = [world.cloud.add("c16", zone, False, boot=0.5) for zone in "ab"]
     assert world.until(lambda: all(name in world.workers for name in spare), 10)
@@ -307,7 +334,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts(seed: int) -> None:
+def test_old_reports_arrive_after_newer_ones_also_of_earlier_sessions_and_attempts(
+    seed: int,
+) -> None:
     world = busy(seed)
     world.copy_reports(0.4, 60.0)
     steady_work(world, 50.0)
@@ -320,7 +349,10 @@
     world.crash(leader_of(world), back_after=2.0)
     world.run(30)
     assert world.copies > 30
-    assert any(worker.session > 1 for worker in world.workers.values()) or names[0] not in world.workers
+    assert (
+        any(worker.session > 1 for worker in world.workers.values())
+        or names[0] not in world.workers
+    )
     ends_well(world)
 
 
@@ -357,7 +389,8 @@
 
 
 def test_one_task_jobs_four_a_second_for_minutes_a_quarter_cancelled() -> None:
-    # Also while a cancelled job's machine is silent: found that cleaning then stood still, and pages grew with the day.
+    # Also while a cancelled job's machine is silent: found that cleaning then stood still, and
+    # pages grew with the day.
     world = World(value_bytes=2048)
     world.submit(spec("j-900000", tasks=2))
     assert world.until(lambda: world.count("j-900000") == 2, 60)
@@ -450,8 +483,8 @@
 
 
 def test_controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() -> None:
-    # Found by reading: numbers of questions and orders began at 1 in every life of a process, and an answer to the
-    # former life was taken for one to the new.
+    # Found by reading: numbers of questions and orders began at 1 in every life of a process, and
+    # an answer to the former life was taken for one to the new.
     world = busy(run_time=60.0)
     steady_work(world, 40.0)
     for _ in range(4):
@@ -535,14 +568,18 @@
 
     def send(name: str, body: object, path: str = wire.WORK) -> None:
         node = world.rng.choice(NODES)
-        world.call(node, "POST", path, body, lambda status, _: statuses.setdefault(name, set()).add(status))
+        world.call(
+            node, "POST", path, body, lambda status, _: statuses.setdefault(name, set()).add(status)
+        )
 
     def odd(number: int) -> None:
         ref = f"j-{7000 + number:06d}"
         send("fits nothing", wire.submission(spec(ref + "1", cores=1000.0)))
         send("too much", wire.submission(spec(ref + "2", tasks=101)))
         send("lacks a field", {"ref": ref + "3", "lane": "gate"})
-        send("wrong type", {**msgspec.to_builtins(wire.submission(spec(ref + "4"))), "hands": "many"})
+        send(
+            "wrong type", {**msgspec.to_builtins(wire.submission(spec(ref + "4"))), "hands": "many"}
+        )
         send("known", wire.submission(world.specs["j-000000"]))
         send("known, malformed", {"ref": "j-000001"})
         send("done, cancelled", None, f"{wire.WORK}/{done[0]}/cancel")
@@ -564,7 +601,8 @@
 
 
 def test_an_answer_to_a_former_life_of_a_controller_is_none_to_this() -> None:
-    # Found by reading: questions were numbered from 1 in each life of a process, and matched by that number alone.
+    # Found by reading: questions were numbered from 1 in each life of a process, and matched by
+    # that number alone.
     world = busy(arrays=1)
     leader = leader_of(world)
     node = next(name for name in NODES if name != leader)
@@ -572,16 +610,26 @@
     world.call(node, "GET", f"{wire.WORK}/j-000000", None, lambda *_: None)
     world.run(0.05)
     world.crash(node, back_after=0.1)
-    assert world.until(lambda: world.nodes[node].election.able and world.sim.hosts[world.ip(node)].alive, 3)
+    assert world.until(
+        lambda: world.nodes[node].election.able and world.sim.hosts[world.ip(node)].alive, 3
+    )
     answers: list[int] = []
     for ref in ("j-000001", "j-000100"):
-        world.call(node, "GET", f"{wire.WORK}/{ref}", None, lambda status, _: answers.append(status))
+        world.call(
+            node, "GET", f"{wire.WORK}/{ref}", None, lambda status, _: answers.append(status)
+        )
     world.run(5)
     assert len(answers) == 2
     # Neither do orders' answers of another peer, or of another life, count.
     dispatch = world.nodes[leader].dispatch
     told: list[int] = []
-    dispatch.carry(node, "n", "10.1.99.99:9000", wire.orders_body(1, 1, []), lambda status, _: told.append(status))
+    dispatch.carry(
+        node,
+        "n",
+        "10.1.99.99:9000",
+        wire.orders_body(1, 1, []),
+        lambda status, _: told.append(status),
+    )
     number = next(iter(dispatch._carried))
     dispatch.carried(node, {"k": "done", "i": 1, "s": 200, "b": b""})
     dispatch.carried("hearth-9", {"k": "done", "i": number, "s": 200, "b": b""})
@@ -591,8 +639,9 @@
 
 
 def test_a_late_copy_of_a_transaction_brings_no_cleaned_page_back() -> None:
-    # Found by reading: the guard "does not exist" holds again once the page that a transaction created is cleaned
-    # away; its late copy, under the same term, would have brought old records back for the next leader to read.
+    # Found by reading: the guard "does not exist" holds again once the page that a transaction
+    # created is cleaned away; its late copy, under the same term, would have brought old records
+    # back for the next leader to read.
     world = World(value_bytes=512)
     sent: list[wire.Txn] = []
     transact = world.state.transact
@@ -608,21 +657,27 @@
         world.after(number * 0.4, world.submit, batch(f"j-{number:06d}", 1), 1.0, number)
     world.run(60)
     gone = [
-        txn for txn in sent
-        if all(change.put not in world.state.rows for change in txn.apply if change.put != "p/00000000")
-    ]  # fmt: skip
+        txn
+        for txn in sent
+        if all(
+            change.put not in world.state.rows for change in txn.apply if change.put != "p/00000000"
+        )
+    ]
     assert len(gone) > 20
     assert {transact(txn)[0] for txn in sent} == {409}
 
 
 def test_a_commit_whose_answer_is_lost_is_recognised_when_read_back() -> None:
-    # Found: types are a tuple in memory and a list when read, so the leader took itself for deposed.
+    # Found: types are a tuple in memory and a list when read, so the leader took itself for
+    # deposed.
     world = busy()
     leader = world.nodes[leader_of(world)].leader
     before = leader.term
     world.lose_writes(0.5, 20.0, at_once=True)
     for number in range(200, 220):
-        world.after(number - 200, world.submit, batch(f"j-{number:06d}", 2, types=("g8",)), 4.0, number)
+        world.after(
+            number - 200, world.submit, batch(f"j-{number:06d}", 2, types=("g8",)), 4.0, number
+        )
     world.run(30)
     assert world.state.late.count(200) > 5
     assert leader.term is before
@@ -630,8 +685,8 @@
 
 
 def test_answers_that_are_lost_keep_no_user_waiting() -> None:
-    # Found on a day of our own: with a third of the transactions unanswered, most polls were answered after the 2 s for
-    # which users wait, since one lost answer held all questions up.
+    # Found on a day of our own: with a third of the transactions unanswered, most polls were
+    # answered after the 2 s for which users wait, since one lost answer held all questions up.
     world = busy()
     world.lose_writes(0.3, 60.0)
     waits: list[float] = []
@@ -652,8 +707,9 @@
 
 
 def test_a_leader_that_gave_up_never_leads_the_same_term_again() -> None:
-    # Found: the key still named it, so it led the same term anew and took what it had placed for placed by an earlier
-    # one. A launch that was held up then came under a token that the worker still takes: the task ran twice.
+    # Found: the key still named it, so it led the same term anew and took what it had placed for
+    # placed by an earlier one. A launch that was held up then came under a token that the worker
+    # still takes: the task ran twice.
     world = busy(services=1, arrays=0)
     old = world.nodes[leader_of(world)]
     first, task = old.election.term, "j-000050/0"
@@ -669,7 +725,8 @@
 
 
 def test_copies_of_old_reports_keep_no_machine_alive_for_a_new_leader() -> None:
-    # Found by reading: until a machine had the new leader's token, each copy counted as a sign of life.
+    # Found by reading: until a machine had the new leader's token, each copy counted as a sign of
+    # life.
     world = busy()
     name = world.machine_of("j-000000/0")
     stale = [world.workers[name].report() for _ in range(3)]
@@ -680,7 +737,8 @@
             world._deliver_copy(node, stale[turn % 3])
         world.run(1.0)
     assert name not in world.workers
-    # Nor does one of a machine that is gone, and that the next leader does not know, become room for long.
+    # Nor does one of a machine that is gone, and that the next leader does not know, become room
+    # for long.
     change_leader(world)
     world._deliver_copy(leader_of(world), stale[0])
     world.run(12)
@@ -688,7 +746,9 @@
     ends_well(world)
 
 
-def test_a_damaged_ledger_is_said_once_and_not_served_from(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_damaged_ledger_is_said_once_and_not_served_from(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     world = busy()
     sound = world.state.rows["p/00000001"]
     for damage in ({"x": 1}, {"r": [["?"]]}):
@@ -711,11 +771,17 @@
     before = dict(world.running)
     hello = encode({"k": "hello", "node": next(name for name in NODES if name != leader)})
     nonsense = [
-        b"\xff" * 40, encode({"k": "hb"}), hello + encode({"k": "hb", "term": "x", "leader": 3}),
-        hello + encode({"k": "ord", "a": 1, "o": []}), hello + encode({"k": "rep", "t": term(world), "b": b"x"}),
-        hello + encode({"k": "ans", "i": "x"}), hello + encode({"k": "done", "i": [1]}), hello + encode({"k": "?"}),
-        hello + encode({"k": "ask", "i": 1, "w": "poll", "s": 7}), hello + b"\x00\x00\x00\x01\xff",
-    ]  # fmt: skip
+        b"\xff" * 40,
+        encode({"k": "hb"}),
+        hello + encode({"k": "hb", "term": "x", "leader": 3}),
+        hello + encode({"k": "ord", "a": 1, "o": []}),
+        hello + encode({"k": "rep", "t": term(world), "b": b"x"}),
+        hello + encode({"k": "ans", "i": "x"}),
+        hello + encode({"k": "done", "i": [1]}),
+        hello + encode({"k": "?"}),
+        hello + encode({"k": "ask", "i": 1, "w": "poll", "s": 7}),
+        hello + b"\x00\x00\x00\x01\xff",
+    ]
     with caplog.at_level(logging.WARNING):
         for number, data in enumerate(nonsense):
             caplog.clear()
@@ -726,7 +792,9 @@
         caplog.clear()
         for body in (b"x", {"rig": "n-1"}, {"rig": 7}):
             answers: list[int] = []
-            world.call(leader, "POST", wire.BEAT, body, lambda status, _, told=answers: told.append(status))
+            world.call(
+                leader, "POST", wire.BEAT, body, lambda status, _, told=answers: told.append(status)
+            )
             world.run(0.2)
             assert answers == [400]
         assert len(caplog.records) == 3
@@ -742,8 +810,8 @@
 
 @pytest.mark.parametrize("kind", [wire.SERVICE, wire.ARRAY])
 def test_no_job_waits_beside_room_that_is_kept_for_others(kind: str) -> None:
-    # Found by reading: where no machine without GPUs is to be had, tasks without GPUs waited for ever beside the cores
-    # that are kept for GPU tasks.
+    # Found by reading: where no machine without GPUs is to be had, tasks without GPUs waited for
+    # ever beside the cores that are kept for GPU tasks.
     world = World(3, capacity=1)
     for pool in list(world.cloud._capacity):
         if pool[0] == "c16":
@@ -751,7 +819,9 @@
     world.submit(spec("j-000001", tasks=2, gpus=4.0, cores=8.0, ram=32.0, lane="big"))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     for number in range(12):
-        job = spec(f"j-{100 + number:06d}", kind=kind, tasks=2, cores=6.0, lane="small", estimate=30.0)
+        job = spec(
+            f"j-{100 + number:06d}", kind=kind, tasks=2, cores=6.0, lane="small", estimate=30.0
+        )
         world.submit(job, run_time=300.0, node=number)
     world.run(30)
     assert any(node.leader.jobs.waiting() for node in world.nodes.values())
@@ -762,7 +832,9 @@
     # Left out for being large while small ones can be in time, a job must begin all the same.
     world = World(capacity=1, objectives=(Objective("finished", "batch", 40.0, 1.0),))
     for number in range(280):
-        world.after(number * 1.0, world.submit, batch(f"j-{number:06d}", 2, deadline=30.0), 20.0, number)
+        world.after(
+            number * 1.0, world.submit, batch(f"j-{number:06d}", 2, deadline=30.0), 20.0, number
+        )
     world.run(50)
     world.submit(batch("j-900000", 30, deadline=30.0), run_time=20.0)
     world.run(60)
@@ -778,7 +850,9 @@
 def test_a_random_mix_of_troubles(seed: int) -> None:
     rng = random.Random(seed)
     team = rng.choice([None, Team("crew", 0.0, 70.0, 0.0, 16.0)])
-    world = busy(seed, services=6, arrays=3, run_time=40.0, value_bytes=rng.choice([768, 8192]), team=team)
+    world = busy(
+        seed, services=6, arrays=3, run_time=40.0, value_bytes=rng.choice([768, 8192]), team=team
+    )
     world.cloud.lag, world.cloud.boot = rng.choice([0.0, 3.0]), rng.choice([None, 1.0])
     steady_work(world, 60.0, every=0.6)
     for _ in range(12):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -135,7 +135,9 @@
         parse(tomllib.loads(SETTINGS.replace(old, new, 1)))
 
 
-def test_bad_settings_end_with_one_line_and_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_bad_settings_end_with_one_line_and_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "node.toml"
     path.write_text(SETTINGS.replace("rps = 3.0", "rps = true"))
     assert main(["serve", "--config", str(path)]) == 2
@@ -149,6 +151,7 @@
 
 # The ledger
 
+
 def fill_book(rng: random.Random, steps: int) -> tuple[Book, list[list[object]]]:
     """A book after random proper records, and those records."""
     book, records = Book(), []
@@ -161,13 +164,19 @@
         jobs = [job for job in book.jobs.values() if not job.final]
         action = rng.random()
         if not jobs or action < 0.2:
-            made = batch(f"j-{step:06d}", rng.randint(1, 9)) if rng.random() < 0.7 else spec(f"j-{step:06d}", tasks=3)
+            made = (
+                batch(f"j-{step:06d}", rng.randint(1, 9))
+                if rng.random() < 0.7
+                else spec(f"j-{step:06d}", tasks=3)
+            )
             apply("J", book.next_no, 1.0, *wire.msgspec.to_builtins(made))
             continue
         job = rng.choice(jobs)
         if action < 0.6 and job.waiting:
             task = job.next_task()
-            apply("P", job.no, task, job.attempts.get(task, 0) + 1, f"n-{rng.randint(0, 3):06d}", "a")
+            apply(
+                "P", job.no, task, job.attempts.get(task, 0) + 1, f"n-{rng.randint(0, 3):06d}", "a"
+            )
         elif action < 0.95 and job.placed:
             placed = rng.choice(list(job.placed.values()))
             apply("E", job.no, placed.task, placed.attempt, rng.random() < 0.6)
@@ -187,36 +196,55 @@
         placed = {task: (p.attempt, p.machine, p.zone) for task, p in job.placed.items()}
         waiting = {*job.requeued, *range(job.fresh, job.spec.tasks)}
         jobs[job.spec.ref] = (job.spec, job.cancelled, job.done_tasks, placed, waiting)
-    usage = {team: (round(use.cores, 6), round(use.gpus, 6)) for team, use in book.usage.items() if use.cores > 1e-9}
+    usage = {
+        team: (round(use.cores, 6), round(use.gpus, 6))
+        for team, use in book.usage.items()
+        if use.cores > 1e-9
+    }
     return finals, jobs, usage
 
 
 @given(st.integers(0, 10**6), st.integers(0, 120))
 @settings(derandomize=True, max_examples=60)
 def test_replay_and_snapshot_mean_the_same(seed: int, steps: int) -> None:
-    # What a takeover reads, whether first written or rewritten by cleaning, is what the leader knew.
+    # What a takeover reads, whether first written or rewritten by cleaning, is what the leader
+    # knew.
     book, records = fill_book(random.Random(seed), steps)
     replayed, rewritten = Book(), Book()
     for record in records:
         replayed.replay(record, 1)
-    # The first page is cleaned and gone; what was written since, before the snapshot, is still there.
+    # The first page is cleaned and gone; what was written since, before the snapshot, is still
+    # there.
     for record in [*records[len(records) // 2 :], *book.snapshot(1)]:
         rewritten.replay(record, 2)
     assert picture(replayed) == picture(book)
     assert picture(rewritten) == picture(book)
-    attempts = {(job.spec.ref, task): attempt for job in book.jobs.values() if not job.final
-                for task, attempt in job.attempts.items()}  # fmt: skip
-    assert attempts == {(job.spec.ref, task): attempt for job in rewritten.jobs.values() if not job.final
-                        for task, attempt in job.attempts.items()}  # fmt: skip
+    attempts = {
+        (job.spec.ref, task): attempt
+        for job in book.jobs.values()
+        if not job.final
+        for task, attempt in job.attempts.items()
+    }
+    assert attempts == {
+        (job.spec.ref, task): attempt
+        for job in rewritten.jobs.values()
+        if not job.final
+        for task, attempt in job.attempts.items()
+    }
 
 
 def test_the_book_refuses_what_breaks_an_invariant() -> None:
-    # A second placement, an attempt used twice, a placement after a cancellation, an end of nothing.
+    # A second placement, an attempt used twice, a placement after a cancellation, an end of
+    # nothing.
     book = Book()
     book.apply(["J", 1, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))], 1)
     book.apply(["P", 1, 0, 1, "n-1", "a"], 1)
-    for record in (["P", 1, 0, 2, "n-2", "a"], ["E", 1, 0, 7, True], ["E", 1, 1, 1, True],
-                   ["J", 2, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))]):  # fmt: skip
+    for record in (
+        ["P", 1, 0, 2, "n-2", "a"],
+        ["E", 1, 0, 7, True],
+        ["E", 1, 1, 1, True],
+        ["J", 2, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))],
+    ):
         with pytest.raises(BookError):
             book.apply(record, 1)
     book.apply(["E", 1, 0, 1, False], 1)
@@ -229,6 +257,7 @@
 
 # Forecast, fill, placement
 
+
 def room(kind: str, zone: str = "a", spot: bool = False) -> Bin:
     entry = KINDS[kind]
     return Bin(entry, zone, spot, entry.cores, entry.gpus, entry.ram)
@@ -244,8 +273,9 @@
 
 
 def test_one_long_job_does_not_stand_for_its_lane() -> None:
-    # Found on magnolia-plant-fleet: the last job's estimate (160 s for a class of 35 s) made each plan rent for
-    # all arrivals of that long, a hundred machines and more; they fell idle one after the other.
+    # Found on magnolia-plant-fleet: the last job's estimate (160 s for a class of 35 s) made each
+    # plan rent for all arrivals of that long, a hundred machines and more; they fell idle one after
+    # the other.
     arrivals = Arrivals(100.0, 5.0)
     for at in range(20):
         arrivals.note("batch", 10, 35.0, float(at))
@@ -275,8 +305,8 @@
 
 
 def test_fill_serves_an_early_gap_with_what_boots_in_time_unless_that_is_dear() -> None:
-    # Found on a grown deployment: small front replicas waited a minute for big machines that were still
-    # booting and counted as room, while small ones boot in a third of that time.
+    # Found on a grown deployment: small front replicas waited a minute for big machines that were
+    # still booting and counted as room, while small ones boot in a third of that time.
     gate = Shape.of(spec("j-000001"))
     pools = [Pool(kind, "a", False) for kind in ("c16", "g8")]
     quick, slow = KINDS["c16"], msgspec.structs.replace(KINDS["g8"], price=1.0, boot=60.0)
@@ -285,8 +315,12 @@
         return {"c16": msgspec.structs.replace(quick, price=price), "g8": slow}
 
     steps = [(30.0, [Demand(gate, 8, 300.0)], []), (60.0, [Demand(gate, 8, 300.0)], [])]
-    assert [rent.pool.kind for rent in plan(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)] == ["c16"]
-    assert [rent.pool.kind for rent in plan(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)] == ["g8"]
+    assert [
+        rent.pool.kind for rent in plan(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)
+    ] == ["c16"]
+    assert [
+        rent.pool.kind for rent in plan(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)
+    ] == ["g8"]
 
 
 def test_pieces_of_room_do_not_add_up() -> None:
@@ -298,8 +332,10 @@
 
 def test_placement_prefers_cached_images_and_leaves_gpus_their_cores() -> None:
     gate, work = spec("j-000001", image_gb=8.0), batch("j-000002", 1)
-    cold, warm, gpu = (Machine(name, kind, "a", False, 0.0) for name, kind in
-                       (("n-1", "c16"), ("n-2", "c16"), ("n-3", "g8")))  # fmt: skip
+    cold, warm, gpu = (
+        Machine(name, kind, "a", False, 0.0)
+        for name, kind in (("n-1", "c16"), ("n-2", "c16"), ("n-3", "g8"))
+    )
     warm.note_image("img-1", 8.0, 40.0)
     chosen = choose(gate, 1, Stock([cold, warm], KINDS, random.Random(1)), NEEDS, 9, {})
     assert chosen is warm
@@ -335,7 +371,9 @@
 
     def pick_with(moving: list[Machine]) -> Machine | None:
         usable = [machine for machine in fleet if machine not in moving]
-        return pick(usable, KINDS, NEEDS, 24, random.Random(1), lambda *_: {}, lambda _: True, True, moving)[0]
+        return pick(
+            usable, KINDS, NEEDS, 24, random.Random(1), lambda *_: {}, lambda _: True, True, moving
+        )[0]
 
     assert pick_with([]) in fleet
     assert pick_with([x]) is None
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,7 +15,11 @@
 from flaxtally.settings import load
 from flaxtally.standin import demo
 
-NAMES = {"a": Known(TIME, 0.0, 100.0), "b": Known(TIME, 0.0), "c": Known(PLAIN, 0.0, 9.0, whole=True)}
+NAMES = {
+    "a": Known(TIME, 0.0, 100.0),
+    "b": Known(TIME, 0.0),
+    "c": Known(PLAIN, 0.0, 9.0, whole=True),
+}
 PLATFORM = {"workers.lease_s": (10.0, TIME), "params.nodes": (3.0, PLAIN)}
 
 
@@ -42,7 +46,10 @@
 @pytest.mark.parametrize(
     ("text", "fault"),
     [
-        ("a = workers.leas_s", "x:1: unknown name 'workers.leas_s'; did you mean 'workers.lease_s'?"),
+        (
+            "a = workers.leas_s",
+            "x:1: unknown name 'workers.leas_s'; did you mean 'workers.lease_s'?",
+        ),
         ("a = 3", "x:1: a is in a plain number, it must be in s"),
         ("a = 3 s + 2 GB", "x:1: '+' of s and GB"),
         ("\na = 1 s / (params.nodes - 3)", "x:2: a divides by zero"),
@@ -62,9 +69,10 @@
 
 def test_all_faults_of_a_file_are_listed_and_what_follows_from_one_is_not() -> None:
     assert faults("a = 4 GB\nc = nodes\nq = 1") == [
-        "x:1: a is in GB, it must be in s", "x:2: unknown name 'nodes'; did you mean 'params.nodes'?",
+        "x:1: a is in GB, it must be in s",
+        "x:2: unknown name 'nodes'; did you mean 'params.nodes'?",
         "x:3: no such setting: 'q'",
-    ]  # fmt: skip
+    ]
     assert faults("a = b / 0\nb = 1 s") == ["x:1: a divides by zero"]
 
 
@@ -79,8 +87,12 @@
     assert all(fault.line >= 1 and fault.reason for fault in found)
 
 
-PAGE = demo.page(21000, 0).replace("report_s = 1.5", "report_s = 2.0").replace(
-    "lease_s = 10.0", "lease_s = 12.0").replace("cancel_s = 30.0", "cancel_s = 42.0")  # fmt: skip
+PAGE = (
+    demo.page(21000, 0)
+    .replace("report_s = 1.5", "report_s = 2.0")
+    .replace("lease_s = 10.0", "lease_s = 12.0")
+    .replace("cancel_s = 30.0", "cancel_s = 42.0")
+)
 
 
 @pytest.fixture
@@ -90,7 +102,9 @@
     return path
 
 
-def test_an_operators_file_changes_a_setting_and_what_refers_to_it(config: Path, tmp_path: Path) -> None:
+def test_an_operators_file_changes_a_setting_and_what_refers_to_it(
+    config: Path, tmp_path: Path
+) -> None:
     shipped = policy.default(load(str(config)))
     assert (shipped.plan_step, shipped.sample, shipped.unattended) == (3.0, 24, 36.0)
     own = tmp_path / "own.policy"
@@ -129,5 +143,7 @@
         path.write_text(demo.page(23000, number))
         loaded.append(load(str(path)))
     for settings in loaded:
-        others = {other.node: (other.zone, other.peer_listen) for other in loaded if other is not settings}
+        others = {
+            other.node: (other.zone, other.peer_listen) for other in loaded if other is not settings
+        }
         assert settings.peers == others
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -113,24 +113,42 @@
 
 
 FAULTS: dict[str, list[Callable[[Rules], None]]] = {
-    "ran_twice": [ran_twice], "quota": [quota], "ran_cancelled": [ran_cancelled],
-    "started_cancelled": [started_cancelled], "forgotten": [forgotten, refused_again, unanswered],
-    "invented": [invented], "not_done": [not_done], "went_back": [went_back, cancelled_by_nobody],
-    "wrong_job": [wrong_job], "accepted": [accepted], "left_waiting": [left_waiting],
-}  # fmt: skip
-
-
-@pytest.mark.parametrize(("rule", "fault"), [(rule, fault) for rule, faults in FAULTS.items() for fault in faults])
-def test_a_planted_fault_breaks_its_rule_and_no_other(rule: str, fault: Callable[[Rules], None]) -> None:
+    "ran_twice": [ran_twice],
+    "quota": [quota],
+    "ran_cancelled": [ran_cancelled],
+    "started_cancelled": [started_cancelled],
+    "forgotten": [forgotten, refused_again, unanswered],
+    "invented": [invented],
+    "not_done": [not_done],
+    "went_back": [went_back, cancelled_by_nobody],
+    "wrong_job": [wrong_job],
+    "accepted": [accepted],
+    "left_waiting": [left_waiting],
+}
+
+
+@pytest.mark.parametrize(
+    ("rule", "fault"), [(rule, fault) for rule, faults in FAULTS.items() for fault in faults]
+)
+def test_a_planted_fault_breaks_its_rule_and_no_other(
+    rule: str, fault: Callable[[Rules], None]
+) -> None:
     rules = day()
     assert not rules.broken
     fault(rules)
     assert {broken.split()[1] for broken in rules.broken} == {rule + ":"}
 
 
-@pytest.mark.parametrize("change", [
-    {"types": ("c16",)}, {"zone": "b"}, {"spot": False}, {"one_zone": True}, {"spread": True, "tasks": 2},
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "change",
+    [
+        {"types": ("c16",)},
+        {"zone": "b"},
+        {"spot": False},
+        {"one_zone": True},
+        {"spread": True, "tasks": 2},
+    ],
+)
 def test_a_task_in_the_wrong_place_is_seen(change: dict[str, object]) -> None:
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     job = msgspec.structs.replace(batch(REF, 4), **change)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -22,9 +22,10 @@
 
 
 def test_a_grown_deployment_keeps_the_rules_and_looks_at_few_machines_a_task() -> None:
-    # Found on grown deployments: each waiting task looked at every machine, twice where it found none, in
-    # each pass of the scheduler; a leader with a share of a core fell seconds behind at the start.
-    # The world checks at each start of a task: run once, committed first, in its place, within quota.
+    # Found on grown deployments: each waiting task looked at every machine, twice where it found
+    # none, in each pass of the scheduler; a leader with a share of a core fell seconds behind at
+    # the start. The world checks at each start of a task: run once, committed first, in its place,
+    # within quota.
     world = World(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
     jobs = 0
     for number in range(90):
@@ -32,7 +33,9 @@
         world.submit(spec(f"j-{jobs:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
     for number in range(14):
         jobs += 1
-        world.submit(spec(f"j-{jobs:06d}", tasks=2, gpus=4.0, cores=14.0, ram=100.0, lane="big"), node=number)
+        world.submit(
+            spec(f"j-{jobs:06d}", tasks=2, gpus=4.0, cores=14.0, ram=100.0, lane="big"), node=number
+        )
     for number in range(20):
         jobs += 1
         world.submit(batch(f"j-{jobs:06d}", 60), run_time=6.0, node=number)
@@ -51,14 +54,15 @@
     assert world.ask("j-000002")[1]["stage"] == "running"
     assert len(world.accepted) == jobs
     assert all(
-        world.count(ref) == job.tasks for ref, job in world.specs.items()
+        world.count(ref) == job.tasks
+        for ref, job in world.specs.items()
         if job.kind == wire.SERVICE and ref != "j-000001"
-    )  # fmt: skip
+    )
 
 
 def test_who_found_no_room_looks_again_where_there_is_more() -> None:
-    # A day of 600 machines took over 400 s of processor time: each pass sought room anew for all that waited.
-    # What is remembered must be forgotten in time, or tasks wait beside free room.
+    # A day of 600 machines took over 400 s of processor time: each pass sought room anew for all
+    # that waited. What is remembered must be forgotten in time, or tasks wait beside free room.
     world = World()
     assert world.until(lambda: world.leader() is not None, 10)
     scheduler = world.nodes[world.leader() or ""].leader.scheduler
@@ -88,7 +92,8 @@
 
 
 def test_idle_machines_are_checked_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Fifty idle machines, checked one by one, kept the leader's loop busy for longer than a peer may be silent.
+    # Fifty idle machines, checked one by one, kept the leader's loop busy for longer than a peer
+    # may be silent.
     world = World()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
@@ -115,12 +120,15 @@
 
     found = merged([demand(5.0), demand(5.4), demand(5.2), demand(10.0), demand(5.2, gpus=1.0)])
     assert [(one.shape.cores, one.shape.gpus, one.count) for one in found] == [
-        (5.4, 0.0, 30), (10.0, 0.0, 10), (5.2, 1.0, 10),
-    ]  # fmt: skip
+        (5.4, 0.0, 30),
+        (10.0, 0.0, 10),
+        (5.2, 1.0, 10),
+    ]
 
 
 def test_time_limits_that_were_kept_wake_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Every request sets time limits and cancels them; the loop woke for each of them when it would have been due.
+    # Every request sets time limits and cancels them; the loop woke for each of them when it would
+    # have been due.
     loop = Loop()
     waits: list[float | None] = []
     monkeypatch.setattr(loop.selector, "select", lambda wait: waits.append(wait) or [])
@@ -133,7 +141,8 @@
 
 
 def test_too_much_work_leaves_out_the_largest_not_the_last() -> None:
-    # Found on magnolia-plant-fleet's bursts: in the order of due times every job began when it was nearly too late.
+    # Found on magnolia-plant-fleet's bursts: in the order of due times every job began when it was
+    # nearly too late.
     large = [Due(number, (50.0, 90.0), 400.0) for number in range(2)]
     small = [Due(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
     found = levels([*large, *small], 10.0, 10)
@@ -144,10 +153,11 @@
 
 
 def test_everything_restarts_together_at_size() -> None:
-    # 560 machines and seven controllers: all controllers end at once, some back within a fraction of a second, while
-    # machines hang and others are taken. The world checks the rules at each start and end of a task; here: every job is
-    # known and answered, what ran runs on, and no controller holds more sockets than it may.
-    # (Played at half as many machines again only by the bench: here it would take half of the suite's time.)
+    # 560 machines and seven controllers: all controllers end at once, some back within a fraction
+    # of a second, while machines hang and others are taken. The world checks the rules at each
+    # start and end of a task; here: every job is known and answered, what ran runs on, and no
+    # controller holds more sockets than it may. (Played at half as many machines again only by the
+    # bench: here it would take half of the suite's time.)
     world = World(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
     for number in range(150):
         world.submit(spec(f"j-{number:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
@@ -174,7 +184,8 @@
     assert not any(" end lapsed " in line for line in world.trace)
     ended = [line for line in world.trace if " end " in line and " end done " not in line]
     assert {line.split(" end ")[1].split()[0] for line in ended} <= {"gone", "halted"}
-    # What ran on hung machines is placed anew, a few replicas are moved off dear machines; the rest stayed.
+    # What ran on hung machines is placed anew, a few replicas are moved off dear machines; the rest
+    # stayed.
     moved = {task for task in services if world.running.get(task) != before[task]}
     assert len(moved) <= sum(before[task][0] in hung for task in services) + len(services) / 20
     assert services <= set(world.running)
@@ -184,12 +195,13 @@
 
 
 def test_a_replica_leaves_gpus_for_a_cold_machine_without() -> None:
-    # Found on quizul-cluj-fleet: 47 of 79 GPU machines held nothing but small replicas, while cheap machines stood
-    # idle beside them, since none of these held an image.
+    # Found on quizul-cluj-fleet: 47 of 79 GPU machines held nothing but small replicas, while cheap
+    # machines stood idle beside them, since none of these held an image.
     kinds = {kind.name: kind for kind in TYPES}
     dear, cheap, other = (
-        Machine(f"n-{number}", kind, "a", False, 0.0) for number, kind in enumerate(("g8", "c16", "g8"))
-    )  # fmt: skip
+        Machine(f"n-{number}", kind, "a", False, 0.0)
+        for number, kind in enumerate(("g8", "c16", "g8"))
+    )
     gate = spec("j-000001")
     assert takes(dear, cheap, gate, kinds)
     assert not takes(cheap, dear, gate, kinds)
@@ -202,8 +214,9 @@
 
 
 def test_a_flood_of_submissions_delays_neither_reports_nor_leadership() -> None:
-    # More is asked at once than the state service's limit lets through: each is answered in time, accepted or 503, no
-    # worker loses its lease, the leader stays, and the limit on changes is kept.
+    # More is asked at once than the state service's limit lets through: each is answered in time,
+    # accepted or 503, no worker loses its lease, the leader stays, and the limit on changes is
+    # kept.
     world = World(nodes=NAMES, capacity=20)
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
@@ -216,8 +229,13 @@
         asked = world.sim.time
         job = batch(f"j-{number:06d}", 3, image=f"img-{number % 9}")
         world.specs[job.ref] = job
-        world.call(NAMES[number % 7], "POST", wire.WORK, wire.submission(job),
-                   lambda status, _: answers.append((world.sim.time - asked, status)))  # fmt: skip
+        world.call(
+            NAMES[number % 7],
+            "POST",
+            wire.WORK,
+            wire.submission(job),
+            lambda status, _: answers.append((world.sim.time - asked, status)),
+        )
 
     start, changes = world.sim.time, world.state.changes
     for number in range(3000):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -34,8 +34,15 @@
     statuses: list[int] = []
     for turn in range(5):
         for number, client in enumerate(clients):
-            sim.at(turn * 2.5 + number * 0.05, client.request, "POST", "/x", None, 4.0,
-                   lambda reply: statuses.append(reply.status))  # fmt: skip
+            sim.at(
+                turn * 2.5 + number * 0.05,
+                client.request,
+                "POST",
+                "/x",
+                None,
+                4.0,
+                lambda reply: statuses.append(reply.status),
+            )
     most = 0
     while sim.next_time() < 14.0:
         sim.step()
@@ -56,7 +63,13 @@
     most = 0
     for turn in range(3):
         for number in range(30):
-            sim.at(float(turn), workers.orders, f"10.1.0.{number}:9000", {}, lambda status, _: told.append(status))
+            sim.at(
+                float(turn),
+                workers.orders,
+                f"10.1.0.{number}:9000",
+                {},
+                lambda status, _: told.append(status),
+            )
     while sim.next_time() < 6.0:
         sim.step()
         most = max(most, standing(host))
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,7 +1,8 @@
 """Kept traces: whole stories of a small deployment, as text that people read (`tests/traces/`).
 
 A change in behaviour shows as a change of the story. When it is meant, keep the new one:
-`FLAXTALLY_KEEP_TRACES=1 python3 -m pytest tests/test_traces.py`, and read the difference before the commit.
+`FLAXTALLY_KEEP_TRACES=1 python3 -m pytest tests/test_traces.py`, and read the difference before the
+commit.
 """
 
 from __future__ import annotations
@@ -66,7 +67,9 @@
     return world
 
 
-@pytest.mark.parametrize("story", [quiet_start, leader_crash, hung_machine, all_crash_and_state_outage])
+@pytest.mark.parametrize(
+    "story", [quiet_start, leader_crash, hung_machine, all_crash_and_state_outage]
+)
 def test_the_story_is_the_kept_one(story: Callable[[], World]) -> None:
     told = "\n".join(story().trace) + "\n"
     path = TRACES / f"{story.__name__}.txt"
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -29,7 +29,10 @@
     world.submit(batch("j-000100", 10), run_time=5.0)
     assert world.until(lambda: world.count("j-000100") > 0, 60)
     world.run(30)
-    assert world.ask("j-000100") == (200, {"ref": "j-000100", "stage": "done", "done": 10, "running": 0})
+    assert world.ask("j-000100") == (
+        200,
+        {"ref": "j-000100", "stage": "done", "done": 10, "running": 0},
+    )
     assert world.ask("j-000000")[1]["stage"] == "running"
     assert world.ask("j-999999")[0] == 404
     assert sum(node.election.leading for node in world.nodes.values()) == 1
@@ -57,10 +60,15 @@
     world.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
     assert world.until(lambda: "j-000050" in world.accepted, 5)
     world.run(0.5)
-    assert [placed.attempt for placed in node.leader.book.by_ref["j-000050"].placed.values()] == [1, 1]
+    assert [placed.attempt for placed in node.leader.book.by_ref["j-000050"].placed.values()] == [
+        1,
+        1,
+    ]
     world.crash(leader, back_after=5.0)
     assert world.until(lambda: world.count("j-000050") == 2, 30), world.trace
-    assert {attempt for task, (_, attempt) in world.running.items() if task.startswith("j-000050")} == {2}
+    assert {
+        attempt for task, (_, attempt) in world.running.items() if task.startswith("j-000050")
+    } == {2}
 
 
 def test_all_controllers_crash() -> None:
@@ -106,8 +114,13 @@
     world.run(3)
     answers: list[tuple[float, int]] = []
     asked = world.sim.time
-    world.call("hearth-0", "POST", wire.WORK, wire.submission(spec("j-000061")),
-               lambda status, _: answers.append((world.sim.time - asked, status)))  # fmt: skip
+    world.call(
+        "hearth-0",
+        "POST",
+        wire.WORK,
+        wire.submission(spec("j-000061")),
+        lambda status, _: answers.append((world.sim.time - asked, status)),
+    )
     world.run(20)
     assert answers[0][1] == 503
     assert answers[0][0] < 2.0
@@ -152,7 +165,8 @@
 
 
 def test_hung_machine_in_a_cloud_outage_keeps_its_tasks_until_proof() -> None:
-    # With the cloud down there is no proof: the tasks must not start elsewhere, until it hangs no more.
+    # With the cloud down there is no proof: the tasks must not start elsewhere, until it hangs no
+    # more.
     world = serving()
     machine = world.machine_of("j-000000/0")
     held = {task for task, (name, _) in world.running.items() if name == machine}
@@ -165,11 +179,14 @@
     assert held <= set(world.running)
     world.workers[machine].hung = False
     world.cloud.down = False
-    assert world.until(lambda: len(world.running) == 8 and machine not in dict(world.running.values()), 40)
+    assert world.until(
+        lambda: len(world.running) == 8 and machine not in dict(world.running.values()), 40
+    )
 
 
 def test_worker_that_hears_nobody_lapses_and_its_tasks_move() -> None:
-    # Reports arrive, answers and orders don't: the lease ends in the worker, a new session is the proof.
+    # Reports arrive, answers and orders don't: the lease ends in the worker, a new session is the
+    # proof.
     world = serving()
     machine = world.machine_of("j-000000/0")
     world.workers[machine]._execute = lambda *_: None  # type: ignore[method-assign]
@@ -182,7 +199,9 @@
 def cut_zone(world: World, zone: str) -> Callable[[], None]:
     """Cuts a zone's controllers and machines off from everything; gives what heals it."""
     inside = {world.ip(name) for number, name in enumerate(world.names) if "ab"[number % 2] == zone}
-    inside |= {world.ip_of(name) for name, worker in world.workers.items() if worker.machine.zone == zone}
+    inside |= {
+        world.ip_of(name) for name, worker in world.workers.items() if worker.machine.zone == zone
+    }
     pairs = [(one, other) for one in inside for other in world.sim.hosts if other not in inside]
     for pair in pairs:
         world.sim.cut(*pair)
@@ -190,9 +209,10 @@
 
 
 def test_a_controller_begun_anew_in_a_cut_zone_keeps_its_workers_tasks() -> None:
-    # Found on magnolia-plant-fleet: a cut zone's only controller ended and came back. It knew no term and
-    # answered its workers 503; 956 tasks were killed by their leases.
-    # With more controllers than two a worker's tries of those beyond the cut alone outlast this world's lease.
+    # Found on magnolia-plant-fleet: a cut zone's only controller ended and came back. It knew no
+    # term and answered its workers 503; 956 tasks were killed by their leases. With more
+    # controllers than two a worker's tries of those beyond the cut alone outlast this world's
+    # lease.
     world = World(nodes=NODES[:2])
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2))
@@ -213,8 +233,9 @@
 
 
 def test_a_cancellation_is_told_when_nothing_of_the_job_is_left() -> None:
-    # A promise that hung on leases bounded how long a cut zone's tasks could be kept, and could be broken by a cut
-    # and an outage together: the user is told to ask again until the tasks are proven over.
+    # A promise that hung on leases bounded how long a cut zone's tasks could be kept, and could be
+    # broken by a cut and an outage together: the user is told to ask again until the tasks are
+    # proven over.
     world = serving()
     ref = "j-000000"
     heal = cut_zone(world, "b")
@@ -223,12 +244,18 @@
     leader = NODES.index(world.leader() or "")
     asked = world.sim.time
     answers: list[tuple[float, int]] = []
-    world.call(NODES[leader], "POST", f"{wire.WORK}/{ref}/cancel", None,
-               lambda status, _: answers.append((world.sim.time - asked, status)))  # fmt: skip
+    world.call(
+        NODES[leader],
+        "POST",
+        f"{wire.WORK}/{ref}/cancel",
+        None,
+        lambda status, _: answers.append((world.sim.time - asked, status)),
+    )
     world.run(2)
     assert [status for _, status in answers] == [503]
     assert answers[0][0] < 0.1
-    # One task is stopped, the other can't be reached; nobody calls the job cancelled, and nothing of it starts.
+    # One task is stopped, the other can't be reached; nobody calls the job cancelled, and nothing
+    # of it starts.
     assert world.count(ref) == 1
     assert world.ask(ref)[1]["stage"] in ("running", "pending")
     world.run(20)
@@ -242,7 +269,8 @@
 
 
 def test_stale_report_copies_keep_no_machine_alive() -> None:
-    # Copies of old reports arrive for a lease and more: they are no sign of life and prove no task absent.
+    # Copies of old reports arrive for a lease and more: they are no sign of life and prove no task
+    # absent.
     world = serving()
     leader = world.leader()
     assert leader
@@ -273,7 +301,8 @@
 
 
 def test_late_launch_is_waited_for() -> None:
-    # Reports that don't list a launched task arrive before the launch does: no proof that it never will.
+    # Reports that don't list a launched task arrive before the launch does: no proof that it never
+    # will.
     world = World()
     for zone in "ab":
         world.cloud.add("c16", zone, False, boot=0.5)
@@ -292,7 +321,9 @@
     old = world.leader()
     assert old
     world.crash(old, back_after=30.0)
-    assert world.until(lambda: (new := world.leader()) is not None and world.nodes[new].leader.term.active, 10)
+    assert world.until(
+        lambda: (new := world.leader()) is not None and world.nodes[new].leader.term.active, 10
+    )
     leader = world.nodes[world.leader() or ""].leader
     machine = world.machine_of("j-000000/0")
     report = world.workers[machine].report()
@@ -303,7 +334,8 @@
 
 
 def test_an_attempt_whose_launch_is_unanswered_is_not_forgotten() -> None:
-    # The launch arrived, its answer did not: another copy of it may come and would run the task again.
+    # The launch arrived, its answer did not: another copy of it may come and would run the task
+    # again.
     world = World()
     name = world.cloud.add("g8", "a", False, boot=0.5)
     world.run(5)
@@ -325,7 +357,9 @@
     world = serving()
     leader = world.nodes[world.leader() or ""]
     value, _, _ = world.state.rows[LEAD]
-    world.state.transact(wire.Txn(apply=[wire.Change(put=LEAD, value=value | {"term": 9, "node": "x", "boot": "x"})]))
+    world.state.transact(
+        wire.Txn(apply=[wire.Change(put=LEAD, value=value | {"term": 9, "node": "x", "boot": "x"})])
+    )
     pages = {key: row for key, row in world.state.rows.items() if key.startswith("p/")}
     leader.ledger.propose(["C", 1])
     assert world.until(lambda: not leader.election.leading, 2)
@@ -366,7 +400,9 @@
     assert world.until(lambda: world.count("j-000100") >= 20, 60)
     for name in [name for name, worker in world.workers.items() if worker.machine.spot]:
         world.cloud.take(name)
-    assert world.until(lambda: len(world.nodes) > 0 and world.ask("j-000100")[1]["stage"] == "done", 120), world.trace
+    assert world.until(
+        lambda: len(world.nodes) > 0 and world.ask("j-000100")[1]["stage"] == "done", 120
+    ), world.trace
 
 
 def test_quota_is_kept_under_a_flood() -> None:
@@ -380,7 +416,8 @@
 
 
 def test_unexpected_machine_is_adopted_and_idle_ones_returned() -> None:
-    # A late rental nobody remembers shows up by its reports, and costs money until it is used or returned.
+    # A late rental nobody remembers shows up by its reports, and costs money until it is used or
+    # returned.
     world = serving()
     name = world.cloud.add("g8", "a", False, boot=1.0)
     assert world.until(lambda: name in world.workers, 5)
@@ -393,7 +430,9 @@
     answers: dict[str, int] = {}
 
     def send(name: str, body: object) -> None:
-        world.call("hearth-1", "POST", wire.WORK, body, lambda status, _: answers.__setitem__(name, status))
+        world.call(
+            "hearth-1", "POST", wire.WORK, body, lambda status, _: answers.__setitem__(name, status)
+        )
         world.run(0.5)
 
     good = wire.submission(spec("j-000070"))
@@ -408,28 +447,42 @@
     send("known, malformed", {"ref": "j-000000"})
     send("good", good)
     assert answers == {
-        "not a map": 400, "missing field": 400, "no tasks": 400, "infinite": 400, "bad id": 400,
-        "unknown team": 422, "too big for any": 422, "over the limit": 422, "known, malformed": 200, "good": 201,
-    }  # fmt: skip
+        "not a map": 400,
+        "missing field": 400,
+        "no tasks": 400,
+        "infinite": 400,
+        "bad id": 400,
+        "unknown team": 422,
+        "too big for any": 422,
+        "over the limit": 422,
+        "known, malformed": 200,
+        "good": 201,
+    }
 
 
 def test_zone_cut_off_from_the_leader_keeps_its_tasks() -> None:
-    # Found on a rough day: the leader released the whole fleet beyond a cut between zones, although a
-    # controller there heard it. Through the state service that controller keeps both in touch: tasks
-    # stay, ends are learnt, a cancellation and a launch get through.
+    # Found on a rough day: the leader released the whole fleet beyond a cut between zones, although
+    # a controller there heard it. Through the state service that controller keeps both in touch:
+    # tasks stay, ends are learnt, a cancellation and a launch get through.
     world = serving(jobs=6)
     world.submit(batch("j-000100", 6), run_time=25.0)
     assert world.until(lambda: world.count("j-000100") == 6, 60)
-    before = {task: where for task, where in world.running.items() if not task.startswith("j-000100")}
+    before = {
+        task: where for task, where in world.running.items() if not task.startswith("j-000100")
+    }
     far = {name for name, worker in world.workers.items() if worker.machine.zone == "b"}
     one = [*(world.ip(name) for name in NODES if NODES.index(name) % 2 == 0)]
-    one += [world.ip_of(name) for name, worker in world.workers.items() if worker.machine.zone == "a"]
+    one += [
+        world.ip_of(name) for name, worker in world.workers.items() if worker.machine.zone == "a"
+    ]
     other = [world.ip("hearth-1"), *(world.ip_of(name) for name in far)]
     for left in one:
         for right in other:
             world.sim.cut(left, right)
     world.run(40)
-    assert {task: where for task, where in world.running.items() if not task.startswith("j-000100")} == before
+    assert {
+        task: where for task, where in world.running.items() if not task.startswith("j-000100")
+    } == before
     victim = next(task for task, (name, _) in world.running.items() if name in far)
     ref = victim.partition("/")[0]
     world.cancel(ref)
@@ -453,7 +506,8 @@
 
 
 def test_a_critical_replica_takes_the_room_of_batch_tasks() -> None:
-    # All GPUs are taken by batch tasks and the cloud has no more: the replica must not wait for them.
+    # All GPUs are taken by batch tasks and the cloud has no more: the replica must not wait for
+    # them.
     world = crowded()
     world.submit(spec("j-000001", gpus=2.0, cores=6.0))
     assert world.until(lambda: world.count("j-000001") == 1, 10), world.trace
@@ -462,7 +516,8 @@
 
 
 def test_thinly_used_machines_are_emptied_and_returned() -> None:
-    # Found by the fleet's log: replicas that stay kept machines used by a tenth from ever falling idle.
+    # Found by the fleet's log: replicas that stay kept machines used by a tenth from ever falling
+    # idle.
     world = World()
     for number in range(16):
         world.submit(spec(f"j-{number:06d}", gpus=2.0, cores=6.0))
@@ -470,11 +525,14 @@
     before = len(world.workers)
     for number in (0, 1, 2, 4, 5, 7, 8, 10, 11, 13):
         world.cancel(f"j-{number:06d}")
-    assert world.until(lambda: len(world.running) == 6 and len(world.workers) <= 2 < before, 200), world.trace[-40:]
+    assert world.until(lambda: len(world.running) == 6 and len(world.workers) <= 2 < before, 200), (
+        world.trace[-40:]
+    )
 
 
 def test_a_takeover_counts_each_placement_once() -> None:
-    # Found by the fleet's log: after a takeover every machine that reported lately seemed twice as full.
+    # Found by the fleet's log: after a takeover every machine that reported lately seemed twice as
+    # full.
     world = serving()
     world.crash(world.leader() or "", back_after=5.0)
     world.run(15)
@@ -504,8 +562,9 @@
 
 
 def test_a_peer_that_began_anew_during_a_cut_hears_us_again() -> None:
-    # Found on a drawn day: the leader's old connection to a controller that had crashed beyond a cut led
-    # nowhere, while that controller's own reached the leader. Reports came, and every order was lost.
+    # Found on a drawn day: the leader's old connection to a controller that had crashed beyond a
+    # cut led nowhere, while that controller's own reached the leader. Reports came, and every order
+    # was lost.
     world = serving()
     leader = world.leader()
     assert leader
@@ -521,8 +580,8 @@
 
 
 def test_a_zone_that_falls_silent_at_once_is_waited_for() -> None:
-    # Found on a drawn day: beyond a cut the only controller crashed. The leader took the whole zone's
-    # machines for dead, and released them just as that controller was back.
+    # Found on a drawn day: beyond a cut the only controller crashed. The leader took the whole
+    # zone's machines for dead, and released them just as that controller was back.
     world = World()
     for number in range(24):
         world.submit(spec(f"j-{number:06d}", tasks=2, cores=8.0))
@@ -542,19 +601,22 @@
 
 
 def test_two_preemptions_on_one_machine_do_not_count_the_same_room_twice() -> None:
-    # Found when a machine with two replicas died: both waited for the same four stopped tasks. Then a
-    # machine taken by one preemption was closed to all others, and teams' guarantees waited.
+    # Found when a machine with two replicas died: both waited for the same four stopped tasks. Then
+    # a machine taken by one preemption was closed to all others, and teams' guarantees waited.
     world = crowded()
     world.submit(spec("j-000001", gpus=2.0, cores=6.0))
     world.submit(spec("j-000002", gpus=2.0, cores=6.0), node=1)
-    assert world.until(lambda: world.count("j-000001") + world.count("j-000002") == 2, 3), world.trace
+    assert world.until(lambda: world.count("j-000001") + world.count("j-000002") == 2, 3), (
+        world.trace
+    )
     world.run(10)
     assert world.count("j-000100") == 4
 
 
 def test_leadership_is_steady_while_all_controllers_refuse_each_other() -> None:
-    # Found on a grown deployment: a packet filter between controllers looked like dead processes. Each took
-    # over from the last, 140 terms in 30 s, and nothing was accepted. The leader's mail tells that it lives.
+    # Found on a grown deployment: a packet filter between controllers looked like dead processes.
+    # Each took over from the last, 140 terms in 30 s, and nothing was accepted. The leader's mail
+    # tells that it lives.
     world = serving()
     terms = max(node.election.term for node in world.nodes.values())
     pairs = [(world.ip(one), world.ip(other)) for one in NODES for other in NODES if one < other]
@@ -589,8 +651,8 @@
 
 
 def test_a_machine_that_runs_its_tasks_slower_is_found_and_left_alone() -> None:
-    # Found on a quiet day: two machines of three hundred were faulty and slow; each job with a task there
-    # ended minutes after its others. What saves is moved, and new batch tasks go elsewhere.
+    # Found on a quiet day: two machines of three hundred were faulty and slow; each job with a task
+    # there ended minutes after its others. What saves is moved, and new batch tasks go elsewhere.
     world = World()
     world.submit(batch("j-000001", 24, checkpoint=1.0, save=0.2), run_time=10.0)
     assert world.until(lambda: world.count("j-000001") == 24, 60)
@@ -601,15 +663,22 @@
     assert world.until(lambda: world.ask("j-000002")[1]["stage"] == "done", 60)
     assert world.sim.time - started < 50
     leader = world.nodes[world.leader() or ""].leader
-    assert [name for name, machine in leader.term.fleet.machines.items() if machine.slow] == [slow.machine.machine]
+    assert [name for name, machine in leader.term.fleet.machines.items() if machine.slow] == [
+        slow.machine.machine
+    ]
     world.submit(batch("j-000003", 12), run_time=10.0)
     assert world.until(lambda: world.count("j-000003") == 12, 30)
-    assert not any(place[0] == slow.machine.machine for task, place in world.running.items() if "j-000003" in task)
+    assert not any(
+        place[0] == slow.machine.machine
+        for task, place in world.running.items()
+        if "j-000003" in task
+    )
 
 
 def test_jobs_submitted_with_a_mistake_take_no_machine_with_them() -> None:
-    # Found in an incident: two such jobs failed on the same machines, which were then taken for faulty. With services
-    # on them they drained for the rest of the day: half of the GPUs; three quarters of the array jobs weren't served.
+    # Found in an incident: two such jobs failed on the same machines, which were then taken for
+    # faulty. With services on them they drained for the rest of the day: half of the GPUs; three
+    # quarters of the array jobs weren't served.
     world = World(capacity=1)
     world.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60), world.trace
@@ -628,8 +697,8 @@
 
 
 def test_a_machine_that_fails_for_a_spell_is_used_again() -> None:
-    # Found in the same incident: two of four GPU machines failed all tasks for a moment, and, with services on them,
-    # were left alone for three minutes.
+    # Found in the same incident: two of four GPU machines failed all tasks for a moment, and, with
+    # services on them, were left alone for three minutes.
     world = World(capacity=1)
     world.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60), world.trace
@@ -640,12 +709,17 @@
     world.run(5)
     world.faulty.clear()
     world.run(45)
-    there = [task for task, (machine, _) in world.running.items() if machine == held and task.startswith("j-0002")]
+    there = [
+        task
+        for task, (machine, _) in world.running.items()
+        if machine == held and task.startswith("j-0002")
+    ]
     assert len(there) >= 5, world.running
 
 
 def test_a_machine_on_which_several_jobs_fail_is_left_alone() -> None:
-    # Also when one of them has failed elsewhere before: what it has done shows that the mistake isn't its own.
+    # Also when one of them has failed elsewhere before: what it has done shows that the mistake
+    # isn't its own.
     world = World()
     for number in range(4):
         world.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
@@ -656,14 +730,22 @@
         world.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
     assert world.until(lambda: bad not in world.workers, 40), world.trace[-30:]
     world.run(40)
-    assert all(world.rules.jobs[f"j-{number:06d}"].told or world.ask(f"j-{number:06d}")[1]["stage"] == "done"
-               for number in range(12))  # fmt: skip
+    assert all(
+        world.rules.jobs[f"j-{number:06d}"].told
+        or world.ask(f"j-{number:06d}")[1]["stage"] == "done"
+        for number in range(12)
+    )
 
 
 def test_a_job_that_lost_its_deadline_goes_before_one_that_lost_its_multiple_too() -> None:
-    # Found on a grown deployment: in a queue that nothing can meet, jobs past their deadline went by age,
-    # though some could still be done by the multiple of it that is asked for as well.
-    world = World(objectives=(Objective("deadline", "batch", 0.0, 0.9), Objective("deadline", "batch", 0.0, 0.9, 3.0)))
+    # Found on a grown deployment: in a queue that nothing can meet, jobs past their deadline went
+    # by age, though some could still be done by the multiple of it that is asked for as well.
+    world = World(
+        objectives=(
+            Objective("deadline", "batch", 0.0, 0.9),
+            Objective("deadline", "batch", 0.0, 0.9, 3.0),
+        )
+    )
     world.run(1)
     for name, deadline in (("j-000001", 8.0), ("j-000002", 40.0), ("j-000003", 10.0)):
         world.submit(batch(name, 1, deadline=deadline))
@@ -679,8 +761,9 @@
 
 
 def test_after_an_outage_of_the_cloud_no_old_rental_requests_are_worked_off() -> None:
-    # Found on a rough day: during an outage each plan's requests were kept and sent again and again. When it
-    # was over they took up all calls for 38 s, and what was needed by then had to wait.
+    # Found on a rough day: during an outage each plan's requests were kept and sent again and
+    # again. When it was over they took up all calls for 38 s, and what was needed by then had to
+    # wait.
     world = World()
     world.run(2)
     world.cloud.down = True
@@ -695,8 +778,9 @@
 
 
 def test_a_machine_that_an_earlier_leader_released_unseen_is_not_waited_for() -> None:
-    # Found on a rough day: the leader had released two hung machines while the state service was down, and ended
-    # before it could commit that. The next one waited for their silence, until the cloud was down in turn.
+    # Found on a rough day: the leader had released two hung machines while the state service was
+    # down, and ended before it could commit that. The next one waited for their silence, until the
+    # cloud was down in turn.
     world = serving()
     lost = world.machine_of("j-000000/0")
     for name in NODES:
--- a/tests/world.py
+++ b/tests/world.py
@@ -33,24 +33,59 @@
 def spec(ref: str, **changes: Any) -> wire.Spec:
     """A submission: by default one small critical service replica."""
     base = wire.Spec(
-        ref, "gate", "crew", wire.SERVICE, "critical", 1, 2.0, 0.0, 4.0, "img-1", 1.0, None, None, False, True,
-        False, 0.0, 0.0, 0.0, None,
-    )  # fmt: skip
+        ref,
+        "gate",
+        "crew",
+        wire.SERVICE,
+        "critical",
+        1,
+        2.0,
+        0.0,
+        4.0,
+        "img-1",
+        1.0,
+        None,
+        None,
+        False,
+        True,
+        False,
+        0.0,
+        0.0,
+        0.0,
+        None,
+    )
     return msgspec.structs.replace(base, **changes)
 
 
 def batch(ref: str, tasks: int, **changes: Any) -> wire.Spec:
-    return spec(ref, lane="batch", kind=wire.ARRAY, rank="standard", tasks=tasks, gpus=1.0, cores=3.0, ram=16.0,
-                spread=False, spot=True, estimate=6.0, **changes)  # fmt: skip
+    return spec(
+        ref,
+        lane="batch",
+        kind=wire.ARRAY,
+        rank="standard",
+        tasks=tasks,
+        gpus=1.0,
+        cores=3.0,
+        ram=16.0,
+        spread=False,
+        spot=True,
+        estimate=6.0,
+        **changes,
+    )
 
 
 class World:
     """Controllers, state service, cloud, workers, users."""
 
     def __init__(
-        self, seed: int = 1, team: Team | None = None, value_bytes: int = 8192, nodes: tuple[str, ...] = NODES,
-        capacity: int = 4, objectives: tuple[Objective, ...] = (),
-    ) -> None:  # fmt: skip
+        self,
+        seed: int = 1,
+        team: Team | None = None,
+        value_bytes: int = 8192,
+        nodes: tuple[str, ...] = NODES,
+        capacity: int = 4,
+        objectives: tuple[Objective, ...] = (),
+    ) -> None:
         self.value_bytes, self.names, self.objectives = value_bytes, nodes, objectives
         self.sim = Sim(seed)
         self.rng = random.Random(seed)
@@ -77,10 +112,20 @@
         self.nodes: dict[str, Node] = {}
         self.state = StateService(self.sim.host(STATE[0]), STATE, random.Random(seed))
         self.cloud = Cloud(
-            self.sim.host(CLOUD[0]), CLOUD, TYPES,
-            {(kind.name, zone, spot): capacity for kind in TYPES for zone in ZONES for spot in (False, True)},
-            lambda count: f"10.1.{count // 250}.{count % 250 + 1}:9000", self._start_worker, self._end_worker, self.rng,
-        )  # fmt: skip
+            self.sim.host(CLOUD[0]),
+            CLOUD,
+            TYPES,
+            {
+                (kind.name, zone, spot): capacity
+                for kind in TYPES
+                for zone in ZONES
+                for spot in (False, True)
+            },
+            lambda count: f"10.1.{count // 250}.{count % 250 + 1}:9000",
+            self._start_worker,
+            self._end_worker,
+            self.rng,
+        )
         self.user = self.sim.host(USER)
         self._clients: dict[str, Client] = {}
         for name in nodes:
@@ -91,7 +136,9 @@
     @property
     def running(self) -> dict[str, tuple[str, int]]:
         """Where each task is, and its attempt."""
-        return {task: (machine.machine, attempt) for task, (machine, attempt) in self.rules.on.items()}
+        return {
+            task: (machine.machine, attempt) for task, (machine, attempt) in self.rules.on.items()
+        }
 
     # The service
 
@@ -100,19 +147,37 @@
 
     def start(self, node: str) -> None:
         settings = Settings(
-            node=node, zone=ZONES[self.names.index(node) % 2], listen=(self.ip(node), 8080),
+            node=node,
+            zone=ZONES[self.names.index(node) % 2],
+            listen=(self.ip(node), 8080),
             peer_listen=(self.ip(node), 8081),
             peers={
                 other: (ZONES[number % 2], (self.ip(other), 8081))
-                for number, other in enumerate(self.names) if other != node
+                for number, other in enumerate(self.names)
+                if other != node
             },
-            cloud=CLOUD, state=STATE, zones=ZONES, teams={"crew": self.team}, objectives=self.objectives,
-            report_s=1.5, lease_s=10.0, cancel_s=CANCEL_S, state_rps=250.0, state_write_rps=40.0,
-            value_bytes=self.value_bytes, txn_ops=32, cloud_rps=3.0, list_lag_s=1.0, max_sockets=500,
-        )  # fmt: skip
+            cloud=CLOUD,
+            state=STATE,
+            zones=ZONES,
+            teams={"crew": self.team},
+            objectives=self.objectives,
+            report_s=1.5,
+            lease_s=10.0,
+            cancel_s=CANCEL_S,
+            state_rps=250.0,
+            state_write_rps=40.0,
+            value_bytes=self.value_bytes,
+            txn_ops=32,
+            cloud_rps=3.0,
+            list_lag_s=1.0,
+            max_sockets=500,
+        )
         self.nodes[node] = Node(
-            self.sim.host(self.ip(node)), settings, policy.default(settings), random.Random(self.rng.random())
-        )  # fmt: skip
+            self.sim.host(self.ip(node)),
+            settings,
+            policy.default(settings),
+            random.Random(self.rng.random()),
+        )
 
     def crash(self, node: str, back_after: float | None = None) -> None:
         self.note(f"{node} crashes")
@@ -135,9 +200,18 @@
         assert machine.address is not None
         ip, _, port = machine.address.partition(":")
         worker = self.workers[machine.machine] = Worker(
-            self.sim.host(ip), machine, kind, (ip, int(port)), {name: (self.ip(name), 8080) for name in self.names},
-            1.5, 10.0, self.specs.get, self.run_times.get, self._watch, self.rng,
-        )  # fmt: skip
+            self.sim.host(ip),
+            machine,
+            kind,
+            (ip, int(port)),
+            {name: (self.ip(name), 8080) for name in self.names},
+            1.5,
+            10.0,
+            self.specs.get,
+            self.run_times.get,
+            self._watch,
+            self.rng,
+        )
         worker.copy = self._copied
         worker.fails = lambda ref: ref in self.broken or machine.machine in self.faulty
 
@@ -158,7 +232,9 @@
         self.note(f"{task} try {attempt} {event} on {machine}")
         if event == "start":
             # Its user may hear of it a little later, but it and the placement must be committed.
-            assert self._is_committed(task, attempt, machine), f"started before its record was committed: {task}"
+            assert self._is_committed(task, attempt, machine), (
+                f"started before its record was committed: {task}"
+            )
             self.rules.starts(task, attempt, self.workers[machine].machine, self.sim.time)
         else:
             self.rules.ends(task, attempt, machine, event == "end done")
@@ -168,20 +244,30 @@
         self.rules.look(self.sim.time)
         if self.sim.time > self.calm_since:
             up = [
-                (worker.machine, {held.task for held in worker.tasks.values() if held.state != wire.EXITED})
-                for worker in self.workers.values() if worker.notice is None
-            ]  # fmt: skip
+                (
+                    worker.machine,
+                    {held.task for held in worker.tasks.values() if held.state != wire.EXITED},
+                )
+                for worker in self.workers.values()
+                if worker.notice is None
+            ]
             self.rules.look_when_calm(self.sim.time, self.calm_since, up)
 
     def _is_committed(self, task: str, attempt: int, machine: str) -> bool:
-        """Whether the state service's pages hold the placement. Pages are read when they changed."""
+        """Whether the state service's pages hold the placement. Pages are read on change."""
         held = False
         for key, (value, stamp, _) in sorted(self.state.rows.items()):
             if not key.startswith("p/"):
                 continue
             if self._pages.get(key, (0, None))[0] != stamp:
-                self._refs.update({record[1]: record[3] for record in value["r"] if record[0] == "J"})
-                placed = {(f"{self._refs.get(r[1])}/{r[2]}", r[3], r[4]) for r in value["r"] if r[0] == "P"}
+                self._refs.update(
+                    {record[1]: record[3] for record in value["r"] if record[0] == "J"}
+                )
+                placed = {
+                    (f"{self._refs.get(r[1])}/{r[2]}", r[3], r[4])
+                    for r in value["r"]
+                    if r[0] == "P"
+                }
                 self._pages[key] = stamp, placed
             held = held or (task, attempt, machine) in self._pages[key][1]
         return held
@@ -204,7 +290,9 @@
         self.after(for_s, self.state.recover)
 
     def lose_writes(self, share: float, for_s: float, at_once: bool = False) -> None:
-        """That share of transactions gets no answer; each is carried out 2 to 12 s later, or at once."""
+        """That share of transactions gets no answer; each is carried out 2 to 12 s later, or at
+        once.
+        """
         self.state.lost_share, self.state.lost_delay = share, (0.0, 0.0) if at_once else (2.0, 12.0)
         self.after(for_s, setattr, self.state, "lost_share", 0.0)
 
@@ -213,8 +301,9 @@
         self.after(for_s, setattr, self.state, "slow", 0.0)
 
     def copy_reports(self, share: float, for_s: float, for_next: bool = False) -> None:
-        """A copy of that share of reports arrives again: 2 s to 1.6 leases later, at any controller; or at every
-        controller when the next leader has begun."""
+        """A copy of that share of reports arrives again: 2 s to 1.6 leases later, at any
+        controller; or at every controller when the next leader has begun.
+        """
         self._copy_share, self._copy_for_next = share, for_next
         self.after(for_s, setattr, self, "_copy_share", 0.0)
 
@@ -223,10 +312,18 @@
             if self._copy_for_next:
                 self._kept.append((self._term_active(), report))
             else:
-                self.after(self.rng.uniform(2.0, 16.0), self._deliver_copy, self.rng.choice(self.names), report)
+                self.after(
+                    self.rng.uniform(2.0, 16.0),
+                    self._deliver_copy,
+                    self.rng.choice(self.names),
+                    report,
+                )
 
     def _term_active(self) -> int:
-        return max((node.leader.term.number for node in self.nodes.values() if node.leader.term.active), default=0)
+        return max(
+            (node.leader.term.number for node in self.nodes.values() if node.leader.term.active),
+            default=0,
+        )
 
     def _deliver_kept(self) -> None:
         self.after(0.05, self._deliver_kept)
@@ -239,11 +336,14 @@
 
     def _deliver_copy(self, node: str, report: wire.Report) -> None:
         self.copies += 1
-        Client(self.user, (self.ip(node), 8080)).request("POST", wire.BEAT, report, 4.0, lambda _: None)
+        Client(self.user, (self.ip(node), 8080)).request(
+            "POST", wire.BEAT, report, 4.0, lambda _: None
+        )
 
     def machine_trouble(self, what: str, machines: list[str], for_s: float) -> None:
-        """`what`: hung, deaf (answers and orders lost, reports arrive), mute (reaches no controller) or cut (from all
-        controllers: what is sent is held)."""
+        """`what`: hung, deaf (answers and orders lost, reports arrive), mute (reaches no
+        controller) or cut (from all controllers: what is sent is held).
+        """
         for name in machines:
             self.note(f"{name} is {what}")
             if what == "cut":
@@ -261,16 +361,26 @@
     def slow_links(self, seconds: float, for_s: float) -> None:
         """Between controllers, and between these and the state service."""
         hosts = [*(self.ip(name) for name in self.names), STATE[0]]
-        self.sim.slow = {frozenset((one, other)): seconds for one in hosts for other in hosts if one != other}
+        self.sim.slow = {
+            frozenset((one, other)): seconds for one in hosts for other in hosts if one != other
+        }
         self.after(for_s, self.sim.slow.clear)
 
     def isolate(self, node: str, for_s: float) -> None:
-        """The controller loses the state service and the other controllers, not its workers or users."""
+        """The controller loses the state service and the other controllers, not its workers or
+        users.
+        """
         self.note(f"{node} is cut from the state service and its peers")
-        self.cut(self.ip(node), [STATE[0], *(self.ip(name) for name in self.names if name != node)], for_s)
+        self.cut(
+            self.ip(node),
+            [STATE[0], *(self.ip(name) for name in self.names if name != node)],
+            for_s,
+        )
 
     def calm(self, for_s: float = 110.0) -> None:
-        """All troubles are over: now the rules count how long questions and waiting jobs are left alone."""
+        """All troubles are over: now the rules count how long questions and waiting jobs are left
+        alone.
+        """
         self.calm_since = self.sim.time
         for _ in range(int(for_s / 5)):
             for ref, job in self.rules.jobs.items():
@@ -281,12 +391,17 @@
 
     # Users
 
-    def call(self, node: str, method: str, path: str, body: Any, done: Callable[[int, Any], None]) -> None:
+    def call(
+        self, node: str, method: str, path: str, body: Any, done: Callable[[int, Any], None]
+    ) -> None:
         """A user's request. The rules see all that are asked and answered."""
         client = self._clients.setdefault(node, Client(self.user, (self.ip(node), 8080), 8))
         asked_at = self.sim.time
         if path == wire.WORK:
-            what, ref = "submit", getattr(body, "ref", "") or (body.get("ref", "") if isinstance(body, dict) else "")
+            what, ref = (
+                "submit",
+                getattr(body, "ref", "") or (body.get("ref", "") if isinstance(body, dict) else ""),
+            )
             if isinstance(body, wire.Submission):
                 self.rules.submits(self.specs.get(ref) or wire.Spec(**msgspec.structs.asdict(body)))
         else:
@@ -335,14 +450,20 @@
             else:
                 self.gave_up.append(ref)
 
-        self.call(self.names[node % len(self.names)], "POST", f"{wire.WORK}/{ref}/cancel", None, done)
+        self.call(
+            self.names[node % len(self.names)], "POST", f"{wire.WORK}/{ref}/cancel", None, done
+        )
 
     def look_closely(self, ref: str) -> None:
-        """Its user asks at all nodes, again and again within milliseconds, and repeats the submission."""
+        """Its user asks at all nodes, again and again within milliseconds, and repeats the
+        submission.
+        """
         for turn in range(4):
             for number, name in enumerate(self.names):
                 delay = 0.004 * turn + 0.001 * number
-                self.after(delay, self.call, name, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
+                self.after(
+                    delay, self.call, name, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None
+                )
                 body = wire.submission(self.specs[ref])
                 self.after(delay, self.call, name, "POST", wire.WORK, body, lambda *_: None)
 
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -1,5 +1,6 @@
-"""What 10,000 known jobs cost a controller: memory of the ledger's content, and processor time of what the
-leader does with it. Run from the repository's root: `python3 tools/limits.py [JOBS]`."""
+"""What 10,000 known jobs cost a controller: memory of the ledger's content, and processor time of
+what the leader does with it. Run from the repository's root: `python3 tools/limits.py [JOBS]`.
+"""
 
 from __future__ import annotations
 
@@ -20,11 +21,31 @@
 
 def spec(number: int) -> wire.Spec:
     service = number % 3 == 0
-    lane, kind, rank = ("gate", wire.SERVICE, "critical") if service else ("batch", wire.ARRAY, "standard")
+    lane, kind, rank = (
+        ("gate", wire.SERVICE, "critical") if service else ("batch", wire.ARRAY, "standard")
+    )
     return wire.Spec(
-        f"j-{number:06d}", lane, f"team-{number % 4}", kind, rank, 8, 2.0, 0.0 if service else 1.0, 4.0,
-        f"img-{number % 16}", 1.5, None, None, False, service, not service, 0.0 if service else 40.0, 0.0, 0.0, None,
-    )  # fmt: skip
+        f"j-{number:06d}",
+        lane,
+        f"team-{number % 4}",
+        kind,
+        rank,
+        8,
+        2.0,
+        0.0 if service else 1.0,
+        4.0,
+        f"img-{number % 16}",
+        1.5,
+        None,
+        None,
+        False,
+        service,
+        not service,
+        0.0 if service else 40.0,
+        0.0,
+        0.0,
+        None,
+    )
 
 
 def records(jobs: int, placed: bool) -> list[Record]:
@@ -32,7 +53,10 @@
     for number in range(1, jobs + 1):
         found.append(["J", number, 1.8e9, *msgspec.to_builtins(spec(number))])
         if placed:
-            found += [["P", number, task, 1, f"n-{(number * 8 + task) % 340:06d}", "a"] for task in range(8)]
+            found += [
+                ["P", number, task, 1, f"n-{(number * 8 + task) % 340:06d}", "a"]
+                for task in range(8)
+            ]
     return found
 
 
