--- a/flaxtally/cloud.py
+++ b/flaxtally/cloud.py
@@ -61,7 +61,7 @@
         self._bucket = Bucket(runtime, rps * 0.9, rps)
         self._waiting: list[tuple[int, int, tuple[Any, ...]]] = []
         self._order = itertools.count()
-        self._armed = False
+        self._armed = self._held = False
         self.troubled_at = float("-inf")
         self.contact = float("-inf")
 
@@ -138,6 +138,16 @@
     def forget(self) -> None:
         """Drops what still waits to be called; for a leader that is one no more."""
         self._waiting.clear()
+        self._held = False
+
+    def hold(self) -> None:
+        """Sends nothing until `resume`; calls wait in their order."""
+        self._held = True
+
+    def resume(self) -> None:
+        """Goes on after `hold`."""
+        self._held = False
+        self._pump()
 
     def _read(self, reply: Reply, decoder: Any, field: str | None) -> Any:
         if reply.status != 200:
@@ -158,7 +168,7 @@
 
     def _pump(self) -> None:
         self._armed = False
-        while self._waiting:
+        while self._waiting and not self._held:
             wait = self._bucket.wait(1.0)
             if wait > 0:
                 self._armed = True
--- a/flaxtally/election.py
+++ b/flaxtally/election.py
@@ -11,6 +11,7 @@
 import logging
 import random
 from collections.abc import Callable
+from functools import partial
 from typing import Any
 
 from . import wire
@@ -74,6 +75,8 @@
         self._lost_since: float | None = None
         self._sees: dict[str, bool] = {}
         self._reading = self._taking = self._checking = False
+        self._attempt = 0
+        """Numbers the attempts at a takeover: one that a pause fell into is judged anew."""
         self._lease: int | None = None
         self._lease_turn = 0
         self._leasing = False
@@ -84,6 +87,14 @@
         self.every(self._policy.probe, self._probe)
         self._peers.on_refused = self._refused
 
+    def on_pause(self, lost: float) -> None:
+        """The process stood still: the leader was not silent, and attempts under way are old."""
+        self._leader_heard = min(self.runtime.now(), self._leader_heard + lost)
+        self._lost_since = None
+        self._attempt += 1
+        self._taking = self._key_known = False
+        self._probe()
+
     # What others ask
 
     @property
@@ -285,18 +296,24 @@
         elif not self._checking:
             # Alone, or others disagree: the leader's lease at the state service decides.
             self._checking = True
-            self._store.rows(ALIVE, self._checked)
+            self._store.rows(ALIVE, partial(self._checked, self._attempt))
 
-    def _checked(self, rows: list[wire.Row] | None) -> None:
+    def _checked(self, attempt: int, rows: list[wire.Row] | None) -> None:
         self._checking = False
-        if rows is not None and not any(row.value == self.term for row in rows):
+        if (
+            attempt == self._attempt
+            and rows is not None
+            and not any(row.value == self.term for row in rows)
+        ):
             self._schedule(self._rng.uniform(0, self._policy.heartbeat))
 
     def _schedule(self, delay: float) -> None:
         self._taking = True
-        self.later(delay, self._take)
+        self.later(delay, self._take, self._attempt)
 
-    def _take(self) -> None:
+    def _take(self, attempt: int) -> None:
+        if attempt != self._attempt:
+            return
         if self.leading or not self._key_known:
             self._taking = False
             return
@@ -304,6 +321,10 @@
         value = {"term": term, "node": self._node, "boot": self._boot}
 
         def told(outcome: Outcome, revision: int) -> None:
+            if attempt != self._attempt:
+                # Somebody may have taken over since. The key tells, also whether it names us.
+                self._probe()
+                return
             self._taking = False
             if outcome is Outcome.DONE and term > self.term:
                 self._won(term, revision)
--- a/flaxtally/intake.py
+++ b/flaxtally/intake.py
@@ -31,9 +31,10 @@
     to that.
     """
 
-    __slots__ = ("answer", "asked", "number", "subject", "term", "timer", "what")
+    __slots__ = ("answer", "asked", "number", "subject", "term", "timer", "until", "what")
 
-    def __init__(self, what: str, subject: str | bytes, answer: Answer) -> None:
+    def __init__(self, what: str, subject: str | bytes, answer: Answer, until: float) -> None:
+        self.until = until
         self.what, self.subject, self.answer = what, subject, answer
         self.number = self.term = 0
         self.asked: str | None = None
@@ -149,8 +150,11 @@
         ):
             answer(503, None)
             return
-        question = _Question(what, subject, answer)
-        question.timer = self.later(self._policy.ask, self._unanswered, question)
+        patience = self._policy.ask
+        question = _Question(
+            what, subject, answer, self.runtime.now() + patience + self._policy.process_pause
+        )
+        question.timer = self.later(patience, self._unanswered, question)
         self._pass(question)
 
     def _pass(self, question: _Question) -> None:
@@ -186,7 +190,10 @@
         question = self._asked.get(number)
         if question is None:
             return
-        if status == 503 and question.term < self._election.term and question.timer is not None:
+        if self.runtime.now() > question.until:
+            # After a pause of this process it may be older than what others were told since.
+            status, body = 503, None
+        elif status == 503 and question.term < self._election.term and question.timer is not None:
             # Its leader gave up leading; the successor is asked as soon as it is ready.
             return
         del self._asked[number]
--- a/flaxtally/lead/orders.py
+++ b/flaxtally/lead/orders.py
@@ -69,7 +69,14 @@
             placed.stopping_at = now
         self.order(machine, wire.stop(placed.name, placed.attempt, grace), None)
 
+    def resume(self) -> None:
+        """Leadership was confirmed after a pause: what waited meanwhile is sent."""
+        if self._outbox:
+            self._send()
+
     def _send(self) -> None:
+        if self.term.suspended:
+            return
         outbox, self._outbox = self._outbox, {}
         for name, entries in outbox.items():
             machine = self.fleet.machines.get(name)
@@ -92,7 +99,7 @@
     def _carry(
         self, machine: Machine, orders: list[dict[str, Any]], launched: list[Placement]
     ) -> None:
-        server = machine.server
+        server, pauses = machine.server, self.term.pauses
         for placed in launched:
             # Set as the order leaves: this session is the last in which a copy of it can be
             # executed.
@@ -105,7 +112,7 @@
                     placed.open -= 1
                 machine.orders_failed = 0
                 self.answered(server, body)
-            else:
+            elif pauses == self.term.pauses:
                 machine.orders_failed += 1
 
         self.carrier.carry(
--- a/flaxtally/lead/pace.py
+++ b/flaxtally/lead/pace.py
@@ -35,11 +35,19 @@
         self._lengths: dict[int, list[float]] = {}
         self._late: dict[str, set[Task]] = {}
         self._slow: dict[str, float] = {}
+        self._blind_until = float("-inf")
+        """Until then run times can't be told: the ends of tasks were reported during a pause."""
+
+    def on_pause(self) -> None:
+        """The process stood still: what ended meanwhile is heard of late."""
+        self._blind_until = self.runtime.now() + 2 * self.policy.machine_suspect
 
     def ended(self, machine: Machine, placed: Placement) -> None:
         """A task ended with its result."""
         if placed.job.spec.kind != wire.ARRAY or placed.ran_at is None or placed.inherited:
             return
+        if self.runtime.now() < self._blind_until:
+            return
         usual, length = self._usual(placed.job), self.runtime.now() - placed.ran_at
         if placed.attempt == 1:
             # Later attempts may have gone on from a checkpoint.
@@ -61,6 +69,8 @@
         for name, until in list(self._slow.items()):
             if now > until:
                 self._clear(name)
+        if now < self._blind_until:
+            return
         for job in list(self.jobs.live.values()):
             usual = self._usual(job)
             if not usual:
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -329,7 +329,7 @@
 
     def _replan(self) -> None:
         self._replanning = False
-        if not self._pending_hires:
+        if not self._pending_hires and self.term.may_act:
             self.plan()
 
     def _retry_hires(self, now: float) -> None:
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -52,7 +52,7 @@
 
     def _schedule(self) -> None:
         self._kicked = False
-        if not self.term.active or not self.term.kinds or self.term.isolated:
+        if not self.term.may_act or not self.term.kinds:
             return
         if self.ledger.backlog > MOST_BACKLOG:
             self._kick_later()
--- a/flaxtally/lead/term.py
+++ b/flaxtally/lead/term.py
@@ -53,11 +53,20 @@
         self.active = False
         self.isolated = False
         """Others may well lead by now: see `Election.isolated`."""
+        self.suspended = False
+        """The process stood still, and leadership was not confirmed since."""
+        self.pauses = 0
+        """How often the process stood still; what timed out across a pause proves nothing."""
         self.began = runtime.now()
         self.fleet = Fleet(runtime, ledger, settings.zones)
         self.kick: Callable[[], None] = lambda: None
         """Asks for a pass of the scheduler."""
 
+    @property
+    def may_act(self) -> bool:
+        """Whether it may rent, release, order, move and preempt."""
+        return self.active and not self.isolated and not self.suspended
+
 
 class Duty(Actor):
     """One duty of the leader, for one term."""
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -328,6 +328,18 @@
         for machine in self.fleet.machines.values():
             machine.heard_at = max(machine.heard_at, now - self.policy.machine_suspect)
 
+    def on_pause(self, lost: float) -> None:
+        """The process stood still: neither machines nor boots nor cancellations are late for it."""
+        now = self.runtime.now()
+        for machine in self.fleet.machines.values():
+            machine.heard_at = min(now, machine.heard_at + lost)
+            machine.failed_probes = 0
+            if machine.booting:
+                machine.rented_at = min(now, machine.rented_at + lost)
+        for job in self.jobs.live.values():
+            if job.cancelled:
+                job.cancelled_at = min(now, job.cancelled_at + lost)
+
     def _dark_zones(self, now: float) -> set[str]:
         """Zones in which most machines fell silent together: that is the network or a controller,
         and the machines are likely well.
@@ -346,14 +358,14 @@
 
     def _probe(self, machine: Machine) -> None:
         machine.probing = True
-        server = self.settings.node
+        server, pauses = self.settings.node, self.term.pauses
 
         def told(status: int, body: bytes) -> None:
             machine.probing = False
             if status == 200:
                 machine.failed_probes = 0
                 self.orders.answered(server, body)
-            else:
+            elif pauses == self.term.pauses:
                 machine.failed_probes += 1
 
         self.orders.carrier.carry(server, machine.name, machine.address, None, told)
@@ -425,7 +437,7 @@
         asked_at = self.runtime.now()
 
         def told(listed: list[wire.Listed] | None) -> None:
-            if listed is None or not self.term.active:
+            if listed is None or not self.term.may_act:
                 return
             now = self.runtime.now()
             self._unlisted({entry.machine for entry in listed}, asked_at)
--- a/flaxtally/leader.py
+++ b/flaxtally/leader.py
@@ -95,6 +95,40 @@
             self._cloud.forget()
             self._wire(0, self.term.kinds)
 
+    def on_pause(self, lost: float) -> None:
+        """The process stood still, and others may lead by now: leadership is confirmed first.
+
+        Commits are guarded by themselves. Rents, releases and orders wait.
+        """
+        term = self.term
+        if not term.number:
+            return
+        term.pauses += 1
+        self.tracker.on_pause(lost)
+        self.pace.on_pause()
+        self._cloud.hold()
+        if not term.suspended:
+            term.suspended = True
+            self._confirm_leadership(term)
+
+    def _confirm_leadership(self, term: Term) -> None:
+        pauses = term.pauses
+
+        def told(leading: bool) -> None:
+            if term is not self.term:
+                return
+            if not leading or pauses != term.pauses:
+                self.later(self._policy.retry, self._confirm_leadership, term)
+                return
+            log.info("event=leadership_confirmed term=%d", term.number)
+            term.suspended = False
+            self._cloud.resume()
+            self.orders.resume()
+            term.kick()
+
+        if term is self.term:
+            self._ledger.confirm(told)
+
     def _ready(self) -> None:
         term, now = self.term, self.runtime.now()
         term.active = True
@@ -158,7 +192,7 @@
             if not isolated:
                 self.tracker.hear_anew()
                 self.term.kick()
-        return not isolated
+        return self.term.may_act
 
     def _watch(self) -> None:
         if self._may_act():
--- a/flaxtally/loop.py
+++ b/flaxtally/loop.py
@@ -66,6 +66,12 @@
 
     def connect(self, address: Address) -> Stream: ...
 
+    def on_pause(self, least: float, notify: Callable[[float], None]) -> None:
+        """Calls `notify` with the seconds lost when the process stood still for over `least`.
+
+        It comes before anything that arrived or fell due during the pause is handled.
+        """
+
 
 def _nothing(*_: Any) -> None:
     """The callback of a stream that nobody listens to any more."""
@@ -168,6 +174,8 @@
         self._order = itertools.count()
         self._soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._running = False
+        self._pause_watchers: list[tuple[float, Callable[[float], None]]] = []
+        self._last_seen = time.monotonic()
         self.now = time.monotonic
         self.wall = time.time
 
@@ -214,8 +222,25 @@
             log.debug("no TCP_NODELAY here")
         return SocketStream(self, sock, far, connected)
 
+    def on_pause(self, least: float, notify: Callable[[float], None]) -> None:
+        self._pause_watchers.append((least, notify))
+
+    def _checkpoint(self, waited: float = 0.0) -> float:
+        """The time now; reports a pause if more than `waited` passed since the last checkpoint.
+
+        A process that is not scheduled (a frozen host, a long garbage collection, a callback that
+        computes for seconds) would otherwise take its own silence for that of others.
+        """
+        now = self.now()
+        lost, self._last_seen = now - self._last_seen - waited, now
+        for least, notify in self._pause_watchers:
+            if lost > least:
+                self._call(notify, (lost,))
+        return now
+
     def run(self) -> None:
         self._running = True
+        self._last_seen = self.now()
         while self._running:
             self._turn()
 
@@ -228,13 +253,16 @@
         # messages.
         while self._timers and not self._timers[0][2].live:
             heapq.heappop(self._timers)
+        now = self._checkpoint()
         if self._soon:
             wait = 0.0
         elif self._timers:
-            wait = max(0.0, self._timers[0][0] - self.now())
-        for key, mask in self.selector.select(wait):
+            wait = max(0.0, self._timers[0][0] - now)
+        ready = self.selector.select(wait)
+        self._checkpoint(float("inf") if wait is None else wait)
+        for key, mask in ready:
             self._call(key.data, (mask,))
-        now = self.now()
+        now = self._checkpoint()
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
             if timer.live:
--- a/flaxtally/mail.py
+++ b/flaxtally/mail.py
@@ -90,6 +90,12 @@
         box = self._boxes.get(peer)
         return box is not None and self.runtime.now() - box.heard < 5 * self._period
 
+    def on_pause(self, lost: float) -> None:
+        """The process stood still: peers were not silent meanwhile."""
+        now = self.runtime.now()
+        for box in self._boxes.values():
+            box.heard = min(now, box.heard + lost)
+
     def post(self, peer: str, frame: Frame) -> None:
         """Keeps the frame for the next batch. Of heartbeats, and of one machine's reports, the last
         is enough.
--- a/flaxtally/node.py
+++ b/flaxtally/node.py
@@ -34,7 +34,8 @@
     def __init__(
         self, runtime: Runtime, settings: Settings, policy: Policy, rng: random.Random
     ) -> None:
-        store = Store(runtime, settings.state, policy.call, policy.first_call)
+        self._name = settings.node
+        store = self._store = Store(runtime, settings.state, policy.call, policy.first_call)
         cloud = Cloud(runtime, settings.cloud, settings.cloud_rps, policy.call * 2)
         workers = Workers(runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE))
         self.peers = Peers(
@@ -115,6 +116,7 @@
             settings.lease_s * 3,
             policy.retry,
         )
+        runtime.on_pause(policy.process_pause, self._on_pause)
         self.election.start()
         log.info("event=start node=%s zone=%s", settings.node, settings.zone)
 
@@ -125,6 +127,14 @@
         election = self.election
         return election.store_answers and (election.leading or election.leader == peer)
 
+    def _on_pause(self, lost: float) -> None:
+        """What was silent while this process stood still is not to blame for it."""
+        log.warning("event=process_pause node=%s lost=%.1f", self._name, lost)
+        self._store.on_pause(lost)
+        self.peers.on_pause(lost)
+        self.election.on_pause(lost)
+        self.leader.on_pause(lost)
+
     def _receive(self, sender: str, frame: Frame) -> None:
         handler = self._frames.get(frame["k"])
         if handler is not None:
--- a/flaxtally/peers.py
+++ b/flaxtally/peers.py
@@ -100,6 +100,16 @@
         """Whether the node was lately heard at all, over its link or by mail."""
         return self.direct(node) or (self.mail is not None and self.mail.fresh(node))
 
+    def on_pause(self, lost: float) -> None:
+        """The process stood still: peers were not silent meanwhile, nor are links stale for it."""
+        now = self.runtime.now()
+        for node, link in self._links.items():
+            self.heard[node] = min(now, self.heard[node] + lost)
+            link.refused_at = min(now, link.refused_at + lost)
+            link.dialled_at = min(now, link.dialled_at + lost)
+        if self.mail is not None:
+            self.mail.on_pause(lost)
+
     def send(self, node: str, frame: Frame) -> None:
         """Sends if the link is up or can be dialled; no promise that it arrives."""
         link = self._links.get(node)
--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -50,6 +50,7 @@
 
     heartbeat: float
     peer_silence: float
+    process_pause: float
     refused_patience: float
     leader_hold: float
     probe: float
--- a/flaxtally/standin/cloud.py
+++ b/flaxtally/standin/cloud.py
@@ -41,6 +41,8 @@
         """The list is that much old, at times twice."""
         self._up_at: dict[str, float] = {}
         self._gone: dict[str, tuple[float, wire.Listed]] = {}
+        self.callers: list[tuple[str, str]] = []
+        """Host and path of each request that changes something, in order."""
         self.asked: list[str] = []
         """The rental requests that came, in order, repeats too."""
         self._count = 0
@@ -48,6 +50,8 @@
 
     def _handle(self, request: Request) -> None:
         path = request.path.partition("?")[0]
+        if request.method == "POST":
+            self.callers.append((request.far, path))
         if path == wire.RENTALS and request.method == "POST":
             self.asked.append(msgspec.msgpack.decode(request.body, type=wire.Rental).request)
         if self.down:
--- a/flaxtally/store.py
+++ b/flaxtally/store.py
@@ -145,6 +145,10 @@
 
         self._client.request("POST", f"{wire.HOLDS}/{lease}/extend", None, self._timeout, told)
 
+    def on_pause(self, lost: float) -> None:
+        """The process stood still: the service was not silent meanwhile."""
+        self.contact = min(self._runtime.now(), self.contact + lost)
+
     def _served(self, reply: Reply) -> bool:
         """Whether the service really answered (429 and 503 are refusals)."""
         served = reply.status in (200, 201, 404, 409, 410)
--- a/tests/sim.py
+++ b/tests/sim.py
@@ -45,6 +45,9 @@
             if self.opened:
                 self.host.sim.carry(self, None)
 
+    def deliver(self, data: bytes) -> None:
+        self.on_data(data)
+
     def ended(self) -> None:
         if not self.dead:
             self.dead = True
@@ -59,6 +62,10 @@
         self.sim, self.ip, self.alive = sim, ip, True
         self.streams: list[SimStream] = []
         self.listening: dict[int, Callable[[Stream], None]] = {}
+        self._pause_watchers: list[tuple[float, Callable[[float], None]]] = []
+        self._frozen_at: float | None = None
+        self._held_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self._held_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
 
     def now(self) -> float:
         return self.sim.time
@@ -72,16 +79,47 @@
         return timer
 
     def _fire(self, timer: Timer) -> None:
-        if timer.live:
+        if timer.live and self._frozen_at is not None:
+            self._held_calls.append((self._fire, (timer,)))
+        elif timer.live:
             self.call(timer.fn, *timer.args)
 
     def soon(self, fn: Callable[..., None], *args: Any) -> None:
-        self.sim.at(self.sim.time, self.call, fn, *args)
+        self.sim.at(self.sim.time, self._call_soon, fn, *args)
+
+    def _call_soon(self, fn: Callable[..., None], *args: Any) -> None:
+        if self._frozen_at is not None:
+            self._held_calls.append((fn, args))
+        else:
+            self.call(fn, *args)
 
     def call(self, fn: Callable[..., None], *args: Any) -> None:
-        if self.alive:
+        """What comes from outside: data, connections, their ends."""
+        if self._frozen_at is not None:
+            self._held_events.append((fn, args))
+        elif self.alive:
             fn(*args)
 
+    def on_pause(self, least: float, notify: Callable[[float], None]) -> None:
+        self._pause_watchers.append((least, notify))
+
+    def freeze(self, for_s: float) -> None:
+        """The process stands still while its clocks run on; its kernel still takes packets."""
+        self._frozen_at = self.sim.time
+        self.sim.at(self.sim.time + for_s, self._thaw)
+
+    def _thaw(self) -> None:
+        """Goes on as `flaxtally.loop` does: the pause, then what arrived, then what fell due."""
+        assert self._frozen_at is not None
+        lost, self._frozen_at = self.sim.time - self._frozen_at, None
+        for least, notify in self._pause_watchers:
+            if lost > least:
+                self.call(notify, lost)
+        held = self._held_events + self._held_calls
+        self._held_events, self._held_calls = [], []
+        for fn, args in held:
+            self.call(fn, *args)
+
     def listen(self, address: Address, accept: Callable[[Stream], None]) -> None:
         self.listening[address[1]] = accept
 
@@ -168,9 +206,9 @@
         if far is None or far.dead:
             return
         if data is None:
-            far.ended()
+            far.host.call(far.ended)
         else:
-            far.host.call(far.on_data, data)
+            far.host.call(far.deliver, data)
 
     def cut(self, one: str, other: str) -> None:
         self.cuts.add(frozenset((one, other)))
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -15,72 +15,10 @@
 from flaxtally.peers import encode
 from flaxtally.settings import Objective, Team
 
-from .test_world import cut_zone
+from .scenarios import busy, change_leader, cut_zone, ends_well, leader_of, steady_work, term
 from .world import NODES, STATE, World, batch, spec
 
 
-def busy(
-    seed: int = 1, services: int = 4, arrays: int = 2, run_time: float = 25.0, **world_args: object
-) -> World:
-    """A world whose services run and whose arrays have begun."""
-    world = World(seed, **world_args)  # type: ignore[arg-type]
-    for number in range(services):
-        world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
-    for number in range(arrays):
-        world.submit(batch(f"j-{100 + number:06d}", 4), run_time=run_time, node=number)
-    assert world.until(lambda: len(world.running) == 2 * services + 4 * arrays, 90), world.trace
-    return world
-
-
-def leader_of(world: World, most: float = 15.0) -> str:
-    assert world.until(lambda: world.leader() is not None, most), world.trace
-    return world.leader() or ""
-
-
-def change_leader(world: World, back_after: float = 2.0) -> str:
-    """Ends the leader's process; the next leader, once it is ready."""
-    world.crash(leader_of(world), back_after=back_after)
-    assert world.until(
-        lambda: (new := world.leader()) is not None and world.nodes[new].leader.term.active, 20
-    )
-    return leader_of(world)
-
-
-def term(world: World) -> int:
-    return max(node.election.term for node in world.nodes.values())
-
-
-def steady_work(world: World, for_s: float, every: float = 0.5) -> None:
-    """Small jobs come; each third is cancelled a little later."""
-    for number in range(int(for_s / every)):
-        ref = f"j-{5000 + number:06d}"
-        world.after(
-            number * every, world.submit, batch(ref, 1 + number % 3), 3.0 + number % 5, number
-        )
-        if number % 3 == 2:
-            world.after(number * every + 2.0 + number % 4, world.cancel, ref, number + 1)
-
-
-def ends_well(world: World, for_s: float = 110.0) -> None:
-    """Once all is over every accepted job is known, arrays are done or run, services run."""
-    world.calm(for_s)
-    for ref, job in world.specs.items():
-        known = world.rules.jobs[ref]
-        if not known.accepted:
-            continue
-        if known.told == wire.ABORTED:
-            assert world.count(ref) == 0
-        elif job.kind == wire.ARRAY:
-            ends = known.told == wire.DONE or known.asked_to_cancel
-            assert ends or len(known.done) + world.count(ref) == job.tasks, (
-                ref,
-                world.ask(ref),
-                world.trace[-40:],
-            )
-        elif not known.asked_to_cancel:
-            assert world.count(ref) == job.tasks, (ref, world.ask(ref))
-
-
 def test_the_gap_between_a_refused_leader_and_an_outage() -> None:
     # The meeting that broke most schedulers: the leader is refused, another confirms cancellations,
     # then nobody reaches the state service for longer than `cancel_s` while workers go on reporting
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,14 +3,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-
 from flaxtally import wire
 from flaxtally.election import LEAD
 from flaxtally.http import Request
 from flaxtally.settings import Objective, Team
 from flaxtally.standin.worker import Worker
 
+from .scenarios import cut_zone
 from .world import NODES, STATE, World, batch, spec
 
 
@@ -196,18 +195,6 @@
     assert world.until(lambda: len(world.running) == 8, 40), world.trace
 
 
-def cut_zone(world: World, zone: str) -> Callable[[], None]:
-    """Cuts a zone's controllers and machines off from everything; gives what heals it."""
-    inside = {world.ip(name) for number, name in enumerate(world.names) if "ab"[number % 2] == zone}
-    inside |= {
-        world.ip_of(name) for name, worker in world.workers.items() if worker.machine.zone == zone
-    }
-    pairs = [(one, other) for one in inside for other in world.sim.hosts if other not in inside]
-    for pair in pairs:
-        world.sim.cut(*pair)
-    return lambda: [world.sim.heal(*pair) for pair in pairs] and None
-
-
 def test_a_controller_begun_anew_in_a_cut_zone_keeps_its_workers_tasks() -> None:
     # Found on magnolia-plant-fleet: a cut zone's only controller ended and came back. It knew no
     # term and answered its workers 503; 956 tasks were killed by their leases. With more
--- a/tests/world.py
+++ b/tests/world.py
@@ -296,6 +296,11 @@
         self.state.lost_share, self.state.lost_delay = share, (0.0, 0.0) if at_once else (2.0, 12.0)
         self.after(for_s, setattr, self.state, "lost_share", 0.0)
 
+    def freeze(self, node: str, for_s: float) -> None:
+        """The controller stands still while its clocks run on."""
+        self.note(f"{node} stands still")
+        self.sim.hosts[self.ip(node)].freeze(for_s)
+
     def slow_state(self, seconds: float, for_s: float) -> None:
         self.state.slow = seconds
         self.after(for_s, setattr, self.state, "slow", 0.0)
