--- a/flaxtally/dispatch.py
+++ b/flaxtally/dispatch.py
@@ -60,6 +60,8 @@
         self._heard: dict[str, tuple[float, wire.Report]] = {}
         self._sent_on: dict[str, float] = {}
         self._returned: dict[str, float] = {}
+        self._kept: dict[str, float] = {}
+        """When a machine of another controller's was last answered here."""
         self._zones = {
             settings.node: settings.zone,
             **{name: zone for name, (zone, _) in settings.peers.items()},
@@ -102,7 +104,11 @@
             if now - self._sent_on.get(name, float("-inf")) < lease:
                 # Sent on and back again: evidently it can't reach its owner.
                 self._returned[name] = now
-            if now - self._returned.get(name, float("-inf")) > 3 * lease:
+            known = now - self._kept.get(name, float("-inf")) < lease / 2
+            self._kept[name] = now
+            if known and now - self._returned.get(name, float("-inf")) > 3 * lease:
+                # Never at its first report here: it may come from an owner that does not answer it
+                # (cut off from workers alone, or standing still), and that took half of its lease.
                 self._sent_on[name] = now
                 request.reply(421, wire.report_elsewhere(theirs))
                 return
@@ -151,6 +157,7 @@
         self._heard = {name: entry for name, entry in self._heard.items() if entry[0] > old}
         self._sent_on = {name: at for name, at in self._sent_on.items() if at > old}
         self._returned = {name: at for name, at in self._returned.items() if at > old}
+        self._kept = {name: at for name, at in self._kept.items() if at > old}
 
     # Orders
 
@@ -170,6 +177,11 @@
         self._carried[number] = (server, done, timer)
         self._peers.send(server, {"k": "ord", "i": number, "a": address, "o": body})
 
+    def others(self, zone: str) -> list[str]:
+        here = self._settings.node
+        live = [node for node in self._election.view if node != here and self._peers.direct(node)]
+        return sorted(live, key=lambda node: self._zones.get(node) != zone)
+
     def _send(self, address: str, body: dict[str, Any] | None, done: Told) -> None:
         if body is None:
             self._workers.status(address, done)
@@ -186,10 +198,10 @@
         session.
         """
         address, body, number = frame.get("a"), frame.get("o"), frame.get("i")
-        if not isinstance(address, str) or not isinstance(body, dict):
+        if not isinstance(address, str) or not isinstance(body, dict | None):
             log.warning("orders of %s are none", sender)
             return
-        if body.get("baton") != self._election.term:
+        if body is not None and body.get("baton") != self._election.term:
             return
 
         def told(status: int, answer: bytes) -> None:
--- a/flaxtally/fleet.py
+++ b/flaxtally/fleet.py
@@ -34,7 +34,7 @@
         "notice_until",
         "orders_failed",
         "placements",
-        "probing",
+        "probes",
         "ram",
         "release_tried",
         "releasing",
@@ -64,7 +64,8 @@
         """Runs its tasks slower than others: batch tasks go elsewhere."""
         self.releasing = False
         self.release_tried = float("-inf")
-        self.probing = False
+        self.probes = 0
+        """Probes under way."""
         self.failed_probes = 0
         self.orders_failed = 0
         self.errors: set[str] = set()
--- a/flaxtally/lead/orders.py
+++ b/flaxtally/lead/orders.py
@@ -32,6 +32,10 @@
         """Orders (or, with no body, a status question); `done(0, b"")` when no answer came."""
         raise NotImplementedError
 
+    def others(self, zone: str) -> list[str]:
+        """The other live controllers that can carry, those of the zone first."""
+        raise NotImplementedError
+
     def known_machines(self) -> list[wire.Report]:
         """The last reports that this node took itself, for a leader that has just begun."""
         raise NotImplementedError
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import logging
+from functools import partial
 
 from .. import wire
 from ..cloud import MOST_RELEASED
@@ -305,7 +306,7 @@
                 ):
                     self.release(machine, "never came up")
             elif age > policy.machine_suspect:
-                if not machine.probing and machine.address:
+                if not machine.probes and machine.address:
                     self._probe(machine)
                 if machine.notice_until is not None and now > machine.notice_until:
                     self.release(machine, "silent, and its notice is over")
@@ -357,18 +358,28 @@
         return {zone for zone, until in self._dark_until.items() if until > now}
 
     def _probe(self, machine: Machine) -> None:
-        machine.probing = True
-        server, pauses = self.settings.node, self.term.pauses
+        """Asks the machine directly and through another controller, at the same time.
 
-        def told(status: int, body: bytes) -> None:
-            machine.probing = False
+        One answer is enough. Where neither comes, it is not just this controller that is cut off.
+        """
+        servers = [self.settings.node]
+        others = self.orders.carrier.others(machine.zone)
+        if others:
+            servers.append(others[machine.failed_probes // 2 % len(others)])
+        pauses = self.term.pauses
+
+        def told(server: str, status: int, body: bytes) -> None:
+            machine.probes -= 1
             if status == 200:
                 machine.failed_probes = 0
                 self.orders.answered(server, body)
             elif pauses == self.term.pauses:
                 machine.failed_probes += 1
 
-        self.orders.carrier.carry(server, machine.name, machine.address, None, told)
+        machine.probes = len(servers)
+        for server in servers:
+            done = partial(told, server)
+            self.orders.carrier.carry(server, machine.name, machine.address, None, done)
 
     def release(self, machine: Machine, why: str) -> None:
         log.info(
