--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -43,6 +43,8 @@
         """What each team's unfinished jobs take together, as of the last count."""
         self._counted_at = float("-inf")
         self.backoff: dict[int, float] = {}
+        self.suspects: set[int] = set()
+        """Jobs that seem to be submitted with a mistake: one of their tasks at a time is tried."""
         self._cancelling: dict[int, list[Answer]] = {}
         """Who waits to hear that a job is cancelled. Those who wait for too long were answered 503
         by their node.
@@ -308,7 +310,7 @@
         """
         lanes: dict[str, list[Due]] = {}
         for job in waiting:
-            if job.spec.kind != wire.SERVICE:
+            if job.spec.kind != wire.SERVICE and job.no not in self.suspects:
                 due = Due(job.no, self._latest(job), job.waiting * job.spec.estimate)
                 lanes.setdefault(job.spec.lane, []).append(due)
         running: dict[str, int] = {}
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -147,7 +147,7 @@
         for job in self.jobs.queue():
             spec = job.spec
             team = self.settings.teams.get(spec.team)
-            if team is None:
+            if team is None or job.no in self.jobs.suspects:
                 continue
             if spec.team not in headroom:
                 usage = self.ledger.book.usage.get(spec.team)
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -82,6 +82,9 @@
         for job in queue:
             if self.jobs.backoff.get(job.no, 0.0) > now:
                 continue
+            suspect = job.no in self.jobs.suspects
+            if suspect and job.placed:
+                continue
             spec = job.spec
             if spec.kind == wire.GANG and not job.placed:
                 self._place_gang(job, stock)
@@ -112,10 +115,15 @@
                     )
                     if chosen is not None:
                         self._place(job, chosen)
+                        if suspect:
+                            break
                         continue
                     unfit.add(room, spec)
                     if not (known or more):
                         self._full.add(room, spec)
+                if suspect:
+                    # Nobody is stopped for what will likely fail.
+                    break
                 # Batch work stops others for one task of a shape at a time. For services, who may
                 # be stopped depends on the team too, while they are within its guarantee.
                 kin = like, spec.team if job.no not in self.jobs.beyond else None
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -8,7 +8,8 @@
 from .. import wire
 from ..cloud import MOST_RELEASED
 from ..fleet import Machine
-from ..ledger.book import Job, Placement
+from ..ledger.book import Placement
+from .failures import Failures
 from .jobs import Jobs
 from .orders import Orders
 from .pace import Pace
@@ -16,18 +17,16 @@
 
 log = logging.getLogger(__name__)
 
-FAULTY_AFTER = 2
-"""Jobs that fail on one machine."""
-
 
 class Tracker(Duty):
     """Owns the proofs: it alone says that a placement is over."""
 
-    def __init__(self, term: Term, jobs: Jobs, orders: Orders, pace: Pace) -> None:
+    def __init__(
+        self, term: Term, jobs: Jobs, orders: Orders, pace: Pace, failures: Failures
+    ) -> None:
         super().__init__(term)
-        self.jobs, self.orders, self.pace = jobs, orders, pace
+        self.jobs, self.orders, self.pace, self.failures = jobs, orders, pace, failures
         self._exits: dict[tuple[str, str, int], Placement] = {}
-        self._errors: dict[str, set[str]] = {}
         self._releasing_now = False
         self._dark_until: dict[str, float] = {}
         orders.deliver = self.on_report
@@ -133,23 +132,13 @@
             self.orders.stop(placed, 0.0)
 
     def _exited(self, machine: Machine, placed: Placement, task: wire.TaskReport) -> None:
-        cause, ref = task.cause, placed.job.spec.ref
+        cause = task.cause
         if cause == wire.CAUSE_DONE:
             machine.errors.clear()
+            self.failures.acquit(placed.job)
             self.pace.ended(machine, placed)
         elif cause == wire.CAUSE_ERROR:
-            tried = self._errors.setdefault(ref, set())
-            tried.add(machine.name)
-            self._blame(placed.job, machine, tried)
-            self.jobs.backoff[placed.job.no] = self.runtime.now() + self.policy.retry * min(
-                2 ** len(tried), 64
-            )
-            log.info(
-                "event=task_error term=%d task=%s machine=%s",
-                self.term.number,
-                placed.name,
-                machine.name,
-            )
+            self.failures.failed(placed.job, machine)
         elif cause in (wire.CAUSE_FULL, wire.CAUSE_IN_USE, wire.CAUSE_UNKNOWN):
             self.jobs.backoff[placed.job.no] = self.runtime.now() + self.policy.retry * 2
             log.info(
@@ -162,35 +151,6 @@
         self._exits[machine.name, placed.name, placed.attempt] = placed
         self.over(placed, cause == wire.CAUSE_DONE, cause or "exited")
 
-    def _blame(self, job: Job, machine: Machine, tried: set[str]) -> None:
-        """Whose fault is it that a task failed? A job that fails on several machines and has
-        nothing done was likely submitted with a mistake: the machines are cleared of it. One on
-        which several other jobs fail is faulty.
-        """
-        if len(tried) >= 2 and not job.done_tasks:
-            for name in tried:
-                other = self.fleet.machines.get(name)
-                if other is not None:
-                    other.errors.discard(job.spec.ref)
-                    if other.faulty_until is not None and len(other.errors) < FAULTY_AFTER:
-                        self._clear(other)
-            return
-        machine.errors.add(job.spec.ref)
-        if len(machine.errors) >= FAULTY_AFTER and not machine.draining:
-            log.info("event=machine_faulty term=%d machine=%s", self.term.number, machine.name)
-            # Some are for a spell only: looked at again soon, then less often; no job may wait 90 s
-            # beside it.
-            rest = min(self.policy.faulty_rest * 2**machine.faults, self.policy.keep_patience)
-            machine.draining, machine.faulty_until = True, self.runtime.now() + rest
-            machine.faults += 1
-
-    def _clear(self, machine: Machine) -> None:
-        log.info("event=machine_cleared term=%d machine=%s", self.term.number, machine.name)
-        machine.faulty_until = None
-        machine.draining = machine.notice_until is not None
-        machine.errors.clear()
-        self.term.kick()
-
     def _unplaced(self, machine: Machine, task: wire.TaskReport) -> None:
         """A task on the machine that the ledger does not place there."""
         if task.state != wire.EXITED:
@@ -238,7 +198,7 @@
             machine.free(placed, now)
         if job.final and not job.placed:
             self.jobs.live.pop(job.no, None)
-            self._errors.pop(job.spec.ref, None)
+            self.failures.forget(job)
         elif not done:
             self.jobs.waits_again(job)
         self.term.kick()
@@ -288,6 +248,7 @@
     def watch(self) -> None:
         """Probes silent machines; releases what stays silent, never boots or defies a stop."""
         now, policy = self.runtime.now(), self.policy
+        self.failures.watch()
         dark = self._dark_zones(now)
         for job in list(self.jobs.live.values()):
             if job.ending and now - job.cancelled_at > policy.cancel_patience:
@@ -318,7 +279,7 @@
                 self.release(machine, "drained")
             elif machine.faulty_until is not None and now > machine.faulty_until:
                 # Services go on there all the same: it gets another chance.
-                self._clear(machine)
+                self.failures.clear(machine)
             elif machine.deaf:
                 # Nothing else is sent there: without this it would be passed over for ever.
                 self.orders.knock(machine)
--- a/flaxtally/leader.py
+++ b/flaxtally/leader.py
@@ -17,6 +17,7 @@
 from .cloud import Cloud
 from .election import Election
 from .lead.emptier import Emptier
+from .lead.failures import Failures
 from .lead.jobs import Answer, Jobs
 from .lead.orders import Carrier, Orders
 from .lead.pace import Pace
@@ -69,7 +70,8 @@
         self.orders = Orders(term, self._carrier)
         self.jobs = Jobs(term, self.orders)
         self.pace = Pace(term, self.jobs, self.orders)
-        self.tracker = Tracker(term, self.jobs, self.orders, self.pace)
+        self.failures = Failures(term, self.jobs)
+        self.tracker = Tracker(term, self.jobs, self.orders, self.pace, self.failures)
         self.scheduler = Scheduler(term, self.jobs, self.tracker, self.orders)
         self.planner = Planner(term, self.jobs, self.tracker)
         self.emptier = Emptier(
