--- a/flaxtally/consolidate.py
+++ b/flaxtally/consolidate.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Collection, Sequence
+from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
+from contextlib import contextmanager
 
 from . import wire
 from .fleet import Machine
@@ -48,6 +49,22 @@
     failed: list[str] = []
     if not candidates:
         return None, failed
+    with without_best_effort(machines):
+        return _pick(candidates, machines, kinds, needs, sample, rng, zones_without, moving, failed)
+
+
+def _pick(
+    candidates: list[tuple[float, Machine]],
+    machines: Sequence[Machine],
+    kinds: dict[str, wire.MachineType],
+    needs: GpuNeeds,
+    sample: int,
+    rng: random.Random,
+    zones_without: Callable[[Job, Placement], dict[str, bool]],
+    moving: Collection[Machine],
+    failed: list[str],
+) -> tuple[Machine | None, list[str]]:
+    """The first candidate whose replicas all find room, beside those that are moving already."""
     stock = Stock(machines, kinds, rng)
     claimed: list[tuple[Machine, wire.Spec]] = []
 
@@ -78,6 +95,24 @@
             held_by.claim(spec, -1)
 
 
+@contextmanager
+def without_best_effort(machines: Iterable[Machine]) -> Iterator[None]:
+    """Counts the room of best-effort tasks as free: they give way to replicas."""
+    freed = [
+        (machine, placed.job.spec)
+        for machine in machines
+        for placed in machine.placements.values()
+        if placed.best_effort and placed.stopping_at is None
+    ]
+    for machine, spec in freed:
+        machine.claim(spec, -1)
+    try:
+        yield
+    finally:
+        for machine, spec in freed:
+            machine.claim(spec, 1)
+
+
 def target(
     placed: Placement,
     machine: Machine,
--- a/flaxtally/fill.py
+++ b/flaxtally/fill.py
@@ -14,6 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from . import wire
+from .best_effort import NOTHING_DEAR, Dear
 from .forecast import Shape
 from .placement import SLACK, GpuNeeds, allowed
 
@@ -32,6 +33,8 @@
     gpus: float
     ram: float
     name: str = ""
+    anchored: bool = False
+    """Kept for more than best-effort work."""
 
 
 @dataclass(frozen=True)
@@ -66,6 +69,14 @@
     """For jobs that spread: how many more of their tasks each zone may take. None: any number."""
     typical: bool = False
     """Stands for its lane in the forecast of arrivals."""
+    dear: Dear = NOTHING_DEAR
+    """Types that best-effort work neither rents nor keeps."""
+
+    def may_use(self, room: Bin) -> bool:
+        """Whether the room counts for this demand."""
+        return allowed(self.shape, room.kind, room.zone, room.spot) and (
+            room.anchored or (room.kind.name, room.spot) not in self.dear
+        )
 
     def cap(self, zone: str) -> int:
         return 1_000_000 if self.caps is None else self.caps.get(zone, 0)
@@ -131,7 +142,7 @@
     shape = demand.shape
     # Spot machines first for what may use them, plain ones first for what needs no GPU.
     for room in sorted(
-        (room for room in rooms if allowed(shape, room.kind, room.zone, room.spot)),
+        (room for room in rooms if demand.may_use(room)),
         key=lambda room: (shape.spot and not room.spot, bool(room.kind.gpus) and not shape.gpus),
     ):
         if left <= 0:
@@ -164,9 +175,9 @@
     hours = max(demand.until - first, 1.0) / 3600
     for pool in pools:
         kind = kinds[pool.kind]
-        if not allowed(shape, kind, pool.zone, pool.spot):
-            continue
         fresh = Bin(kind, pool.zone, pool.spot, kind.cores, kind.gpus, kind.ram)
+        if not demand.may_use(fresh):
+            continue
         served = min(count, _slots(shape, fresh, needs), demand.cap(pool.zone))
         if not served:
             continue
--- a/flaxtally/fleet.py
+++ b/flaxtally/fleet.py
@@ -16,6 +16,7 @@
 
     __slots__ = (
         "address",
+        "anchors",
         "baseline",
         "booting",
         "cores",
@@ -44,6 +45,7 @@
         "session",
         "slow",
         "spot",
+        "unneeded_since",
         "zone",
     )
 
@@ -57,7 +59,9 @@
         self.glimpsed = (0, 0)
         """Session and sequence of its newest report under an older token."""
         self.heard_at = self.rented_at = now
-        self.idle_since = now
+        self.idle_since = self.unneeded_since = now
+        self.anchors = 0
+        """Placements other than best-effort ones: they are what the machine is kept for."""
         self.notice_until: float | None = None
         self.draining = False
         self.slow = False
@@ -98,12 +102,16 @@
         key = (placement.job.no, placement.task)
         if key not in self.placements:
             self.claim(placement.job.spec, 1)
+            self.anchors += not placement.best_effort
         self.placements[key] = placement
 
     def free(self, placement: Placement, now: float) -> None:
         if self.placements.pop((placement.job.no, placement.task), None) is not None:
             self.claim(placement.job.spec, -1)
             self.idle_since = now
+            if not placement.best_effort:
+                self.anchors -= 1
+                self.unneeded_since = now
 
     def note_image(self, image: str, size: float, cache: float) -> None:
         """Remembers the image as the most recently used; forgets what the cache no longer holds."""
--- a/flaxtally/forecast.py
+++ b/flaxtally/forecast.py
@@ -23,6 +23,11 @@
     service: bool
     rank: int
 
+    @property
+    def best_effort(self) -> bool:
+        """Whether it is of the lowest rank and runs to an end."""
+        return not self.service and self.rank == wire.RANKS["idle"]
+
     @classmethod
     def of(cls, spec: wire.Spec) -> Shape:
         return cls(
--- a/flaxtally/lead/emptier.py
+++ b/flaxtally/lead/emptier.py
@@ -12,6 +12,7 @@
 from .jobs import Jobs
 from .orders import Orders
 from .planner import Planner
+from .scheduler import Scheduler
 from .term import Duty, Term
 from .tracker import Tracker
 
@@ -28,7 +29,7 @@
         tracker: Tracker,
         orders: Orders,
         planner: Planner,
-        hints: dict[tuple[int, int], str],
+        scheduler: Scheduler,
     ) -> None:
         super().__init__(term)
         self.jobs, self.tracker, self.orders, self.planner = jobs, tracker, orders, planner
@@ -36,8 +37,7 @@
         """Machines being emptied, and since when."""
         self._firm: dict[str, float] = {}
         """Machines that could not be emptied, until when they are passed over."""
-        self._hints = hints
-        """Where a moved task is to go; the scheduler takes them out."""
+        self._scheduler = scheduler
         self._cold: dict[Placement, float] = {}
         """Moved replicas that fetch their image, and since when."""
 
@@ -64,7 +64,7 @@
             )
 
         self._firm = {name: until for name, until in self._firm.items() if until > now}
-        beside_arrays = not self.jobs.waiting()
+        beside_arrays = all(job.spec.best_effort for job in self.jobs.waiting())
         kinds = self.term.kinds
         known = [machine for machine in self.fleet.machines.values() if machine.kind in kinds]
         mean = sum(consolidate.hourly(machine, kinds) for machine in known) / max(1, len(known))
@@ -107,6 +107,9 @@
             )
             self._moving[machine.name] = now
             machine.draining = True
+            for placed in machine.placements.values():
+                if placed.best_effort and placed.job.spec.checkpoint:
+                    self.orders.stop(placed, placed.job.spec.save)
 
     def _few(self) -> int:
         """How many machines may be silent or emptied at a time in a fleet of this size."""
@@ -164,10 +167,35 @@
             placed, machine, stock, self.jobs.needs, self.policy.sample, self.jobs.zones_open
         )
         if target is None:
+            self._displace(machine)
             return
         if placed.job.spec.image not in target.images:
             if len(self._cold) >= max(1, len(self.fleet.machines) // (8 * self.policy.sample)):
                 return
             self._cold[placed] = now
-        self._hints[placed.job.no, placed.task] = target.name
+        self._scheduler.hints[placed.job.no, placed.task] = target.name
         self.orders.stop(placed, 0.0)
+
+    def _displace(self, machine: Machine) -> None:
+        """Stops best-effort tasks elsewhere where that makes room for the machine's replicas."""
+        usable = self.tracker.usable()
+        with consolidate.without_best_effort(usable):
+            stock = placement.Stock(usable, self.term.kinds, self.rng)
+            found = [
+                (placed, other)
+                for placed in consolidate.replicas(machine)
+                if placed.seen
+                and (
+                    other := consolidate.target(
+                        placed,
+                        machine,
+                        stock,
+                        self.jobs.needs,
+                        self.policy.sample,
+                        self.jobs.zones_open,
+                    )
+                )
+                is not None
+            ]
+        for placed, other in found:
+            self._scheduler.make_room(placed, other)
--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -279,7 +279,14 @@
         left = spec.tasks - len(job.done_tasks)
         self._claims[spec.team] = cores, gpus = cores + spec.cores * left, gpus + spec.gpus * left
         team = self.settings.teams.get(spec.team)
-        if team is None or (team.cores and cores > team.cores) or (team.gpus and gpus > team.gpus):
+        # A team without any guarantee is beyond it with its first task.
+        unguaranteed = team is None or not (team.cores or team.gpus)
+        if (
+            team is None
+            or unguaranteed
+            or (team.cores and cores > team.cores)
+            or (team.gpus and gpus > team.gpus)
+        ):
             self.beyond.add(job.no)
 
     def urgency(self, job: Job, wall: float) -> tuple[int, float]:
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -10,11 +10,14 @@
 import msgspec
 
 from .. import fill, placement, wire
+from ..best_effort import dear_types
 from ..cloud import MOST_RENTED
 from ..fill import Bin, Demand, Pool
 from ..fleet import Machine
 from ..forecast import Shape
+from ..ledger.book import Job, Placement
 from .jobs import Jobs
+from .orders import Orders
 from .term import Duty, Term
 from .tracker import Tracker
 
@@ -32,9 +35,9 @@
 class Planner(Duty):
     """Owns the plan of the fleet and the rental requests under way."""
 
-    def __init__(self, term: Term, jobs: Jobs, tracker: Tracker) -> None:
+    def __init__(self, term: Term, jobs: Jobs, tracker: Tracker, orders: Orders) -> None:
         super().__init__(term)
-        self.jobs, self.tracker = jobs, tracker
+        self.jobs, self.tracker, self.orders = jobs, tracker, orders
         # Lanes whose wait aim no new machine can meet: room for their next job must be there before
         # it.
         self._reserve = {
@@ -175,6 +178,9 @@
                 caps = demand.caps = demand.caps or {}
                 for zone in self.settings.zones:
                     caps[zone] = caps.get(zone, 0) + max(0, spec.zone_share - job.zone_count(zone))
+        for job in self.jobs.live.values():
+            if job.placed and not job.final and job.spec.best_effort:
+                self._demand_again(counts, job)
         for shape, spec in self.jobs.specs.items():
             if (
                 shape not in counts
@@ -187,6 +193,9 @@
                     counts[shape].caps = dict.fromkeys(self.settings.zones, 0)
         demands = fill.merged(counts.values())
         for demand in demands:
+            if demand.shape.best_effort:
+                most = self.policy.best_effort_price
+                demand.dear = dear_types(demand.shape, self.term.kinds, self.jobs.needs, most)
             for machine in self.fleet.machines.values():
                 if machine.kind in self.term.kinds and placement.allowed(
                     demand.shape, self.term.kinds[machine.kind], machine.zone, machine.spot
@@ -194,6 +203,22 @@
                     demand.zones[machine.zone] = demand.zones.get(machine.zone, 0) + 1
         return sorted(demands, key=lambda demand: (demand.shape.rank, -demand.shape.gpus))
 
+    def _demand_again(self, counts: dict[Shape, Demand], job: Job) -> None:
+        """Best-effort tasks that run are planned like those that wait: `_rooms` counts their room
+        as free, so that they get what all other demand leaves, or cheap machines.
+        """
+        spec = job.spec
+        length = self.jobs.run_length(spec)
+        demand = counts.get(job.shape)
+        if demand is None:
+            typical = self._typical(job.shape)
+            demand = counts[job.shape] = Demand(job.shape, 0.0, length, typical=typical)
+        demand.add(len(job.placed), length)
+        if spec.spread:
+            caps = demand.caps = demand.caps or {}
+            for zone in self.settings.zones:
+                caps[zone] = caps.get(zone, 0) + job.zone_count(zone)
+
     def _typical(self, shape: Shape) -> bool:
         """One shape stands for its lane in the forecast of arrivals: the one last seen."""
         last = next(
@@ -222,7 +247,7 @@
             count += more
             if caps is not None:
                 caps = {zone: cap + math.ceil(more / 2) for zone, cap in caps.items()}
-        return Demand(demand.shape, count, at + demand.until, demand.zones, caps, demand.typical)
+        return replace(demand, count=count, until=at + demand.until, caps=caps)
 
     def _rooms(self, now: float, at: float) -> list[Bin]:
         """The room of machines that serve by then: free now, or freed by tasks estimated to end.
@@ -247,17 +272,20 @@
                 continue
             room = placement.room(machine, kind)
             space = Bin(
-                kind, machine.zone, machine.spot, room.cores, room.gpus, room.ram, machine.name
+                kind,
+                machine.zone,
+                machine.spot,
+                room.cores,
+                room.gpus,
+                room.ram,
+                machine.name,
+                machine.anchors > 0,
             )
-            if at:
-                for placed in machine.placements.values():
-                    spec = placed.job.spec
-                    if spec.kind == wire.ARRAY and spec.estimate:
-                        began = placed.ran_at if placed.ran_at is not None else now
-                        if began + spec.estimate < now + at:
-                            space.cores += spec.cores
-                            space.gpus += spec.gpus
-                            space.ram += spec.ram
+            for placed in machine.placements.values():
+                if self._frees_room(placed, now, at):
+                    space.cores += placed.job.spec.cores
+                    space.gpus += placed.job.spec.gpus
+                    space.ram += placed.job.spec.ram
             bins.append(space)
         for pool, count, _ in self._pending_hires.values():
             kind = self.term.kinds[pool.kind]
@@ -268,6 +296,15 @@
                 ]
         return bins
 
+    @staticmethod
+    def _frees_room(placed: Placement, now: float, at: float) -> bool:
+        """Whether the plan counts the task's room as free in `at` seconds."""
+        spec = placed.job.spec
+        if spec.best_effort:
+            return True
+        began = placed.ran_at if placed.ran_at is not None else now
+        return spec.kind == wire.ARRAY and 0 < spec.estimate < now + at - began
+
     def _rent(self, pool: Pool, count: int, why: fill.Rent) -> None:
         self._hires += 1
         request = f"{self.settings.node}-{self.term.number}-{self._hires}"
@@ -348,11 +385,10 @@
             machine
             for machine in self.fleet.machines.values()
             if machine.baseline
-            and not machine.placements
             and not machine.draining
             and not machine.releasing
             and machine.kind in self.term.kinds
-            and now - machine.idle_since > self.policy.cool_down
+            and (self._is_idle(machine, now) or self._holds_only_leftovers(machine, now))
         ]
         if not idle:
             return
@@ -370,11 +406,45 @@
             else:
                 size = len(some) // 2
         for machine in going:
+            if machine.placements:
+                self._drain(machine)
+                continue
             self.tracker.release(
                 machine, f"idle for {now - machine.idle_since:.0f}s, no step needs it"
             )
         self.tracker.flush_releases()
 
+    def _is_idle(self, machine: Machine, now: float) -> bool:
+        return not machine.placements and now - machine.idle_since > self.policy.cool_down
+
+    def _holds_only_leftovers(self, machine: Machine, now: float) -> bool:
+        """Whether the machine has long held nothing but best-effort tasks for which it is dear."""
+        if machine.anchors or now - machine.unneeded_since <= self.policy.cool_down:
+            return False
+        pool = machine.kind, machine.spot
+        shapes = {placed.job.shape for placed in machine.placements.values()}
+        most = self.policy.best_effort_price
+        return bool(shapes) and all(
+            pool in dear_types(shape, self.term.kinds, self.jobs.needs, most) for shape in shapes
+        )
+
+    def _drain(self, machine: Machine) -> None:
+        """Takes nothing more, and is released when empty: tasks that can save are stopped, others
+        are left to end.
+        """
+        log.info(
+            "event=drain term=%d machine=%s type=%s spot=%s best_effort=%d",
+            self.term.number,
+            machine.name,
+            machine.kind,
+            machine.spot,
+            len(machine.placements),
+        )
+        machine.draining = True
+        for placed in machine.placements.values():
+            if placed.job.spec.checkpoint:
+                self.orders.stop(placed, placed.job.spec.save)
+
     def _steps(self) -> tuple[float, float]:
         """The times ahead that the plan looks at."""
         return self.policy.plan_lead / 2, self.policy.plan_lead
@@ -385,7 +455,9 @@
         """
         steps = []
         for at in self._steps():
-            rooms, then = self._rooms(now, at), [self._at(demand, at, now) for demand in demands]
+            # Best-effort work holds no machine that is dear for it, whatever else is there.
+            rooms = [replace(room, anchored=False) for room in self._rooms(now, at)]
+            then = [self._at(demand, at, now) for demand in demands]
             steps.append((rooms, then, self._left(then, rooms)))
 
         def check(without: set[str]) -> bool:
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -7,8 +7,10 @@
 from collections.abc import Callable, Hashable
 
 from .. import placement, wire
+from ..best_effort import dear_types
 from ..fleet import Machine
 from ..ledger.book import Job, Placement
+from .claims import Claim, Claims, TaskKey
 from .jobs import MOST_BACKLOG, Jobs
 from .orders import Orders
 from .term import Duty, Term
@@ -16,8 +18,17 @@
 
 log = logging.getLogger(__name__)
 
+MOST_PLACED = 400
+"""Tasks a pass: one large array on an idle fleet must not hold up reports and users."""
 NO_ZONES: frozenset[str] = frozenset()
 
+RoomTaken = tuple[float, float, float, bool, bool]
+"""Cores, GPUs and memory taken; whether slow; whether best-effort work may find it too dear."""
+
+
+def _room_taken(machine: Machine) -> RoomTaken:
+    return machine.cores, machine.gpus, machine.ram, machine.slow, not machine.anchors
+
 
 class Scheduler(Duty):
     """Owns the passes over the queue and the claims on room that preemptions make."""
@@ -27,18 +38,20 @@
         self.jobs, self.tracker, self.orders = jobs, tracker, orders
         self.looked = 0
         """Machines that the scheduler looked at, in all."""
+        self.preempted = 0
+        """Tasks that were stopped to make room, in all."""
         self._kicked = False
         self._next_pass = 0.0
-        self._reserved: dict[str, dict[tuple[int, int], tuple[int, float, wire.Spec]]] = {}
+        self._placed = 0
+        """Tasks placed in this pass."""
+        self._claims = Claims()
         self._preempted: dict[tuple[int, int], float] = {}
-        self._freed: set[str] = set()
-        """Machines on which a claim was made good since the last pass."""
         self.hints: dict[tuple[int, int], str] = {}
         """Where moved tasks are to go."""
         self._full = placement.Exhausted()
         """Who found no room in the passes up to now; only where there is more now they look again.
         """
-        self._last_room: dict[str, tuple[float, float, float, bool]] = {}
+        self._last_room: dict[str, RoomTaken] = {}
         self._rules: Hashable = None
         self._nobody = placement.Exhausted()
         """Who found nobody to stop, until `_nobody_until`."""
@@ -59,12 +72,15 @@
             return
         now = self.runtime.now()
         queue = self.jobs.queue()
+        self._placed = 0
         if queue:
             self._pass(queue, now)
         ended = self.runtime.now()
         self._next_pass = ended + max(
             self.policy.pass_rest * (ended - now), self.policy.heartbeat / 8
         )
+        if self._placed >= MOST_PLACED:
+            self.kick()
 
     def _pass(self, queue: list[Job], now: float) -> None:
         """One look at all that waits. Who found no room in an earlier pass looks only where there
@@ -72,7 +88,7 @@
         """
         usable = self.tracker.usable()
         stock = placement.Stock(usable, self.term.kinds, self.rng)
-        more = self._grown(usable, self._expire_claims(now))
+        more = self._grown(usable, self._claims.expire(now, self.ledger.book))
         grown = placement.Stock(more, self.term.kinds, self.rng)
         if now >= self._nobody_until:
             self._nobody, self._nobody_until = placement.Exhausted(), now + self.policy.retry
@@ -80,6 +96,8 @@
         unfit = placement.Exhausted()
         asked: set[Hashable] = set()
         for job in queue:
+            if self._placed >= MOST_PLACED:
+                break
             if self.jobs.backoff.get(job.no, 0.0) > now:
                 continue
             suspect = job.no in self.jobs.suspects
@@ -90,8 +108,9 @@
                 self._place_gang(job, stock)
                 continue
             rank = wire.RANKS[spec.rank]
-            keep = self._unclaimed_by(rank) if self._reserved else None
-            while job.waiting and self.jobs.within_limit(spec):
+            keep = self._claims.unclaimed_by(rank) if self._claims else None
+            worth: Callable[[Machine], bool] | None = None
+            while job.waiting and self.jobs.within_limit(spec) and self._placed < MOST_PLACED:
                 zones = self.jobs.zones_open(job)
                 if self.hints and (hinted := self._hinted(job, zones, keep)) is not None:
                     self._place(job, hinted)
@@ -108,10 +127,13 @@
                 like = spec.types, spec.zone, spec.spot, spec.kind, rank, bool(spec.gpus), shut
                 room = like, overdue
                 if not unfit.covers(room, spec):
+                    if spec.best_effort and worth is None:
+                        worth = self._worth_using(spec, keep)
                     known = self._full.covers(room, spec)
                     where = grown if known else stock
+                    accept = keep if overdue or worth is None else worth
                     chosen = placement.choose(
-                        spec, job.no, where, needs, self.policy.sample, zones, keep
+                        spec, job.no, where, needs, self.policy.sample, zones, accept
                     )
                     if chosen is not None:
                         self._place(job, chosen)
@@ -148,11 +170,11 @@
         rules = self.jobs.needs, tuple(self.term.kinds)
         if rules != self._rules:
             self._rules, self._full, self._last_room = rules, placement.Exhausted(), {}
-        last, room = self._last_room, dict[str, tuple[float, float, float, bool]]()
+        last, room = self._last_room, dict[str, RoomTaken]()
         grown = []
         for machine in usable:
             name = machine.name
-            took = room[name] = machine.cores, machine.gpus, machine.ram, machine.slow
+            took = room[name] = _room_taken(machine)
             had = last.get(name)
             if had == took and name not in freed:
                 continue
@@ -189,34 +211,18 @@
         )
         return machine if fits else None
 
-    def _unclaimed_by(self, rank: int) -> Callable[[Machine], bool]:
-        """Whether a machine's room is not claimed by somebody more important."""
+    def _worth_using(
+        self, spec: wire.Spec, keep: Callable[[Machine], bool] | None
+    ) -> Callable[[Machine], bool]:
+        """Whether best-effort work may use a machine: not a dear one that nothing else is on."""
+        dear = dear_types(spec, self.term.kinds, self.jobs.needs, self.policy.best_effort_price)
 
-        def keep(machine: Machine) -> bool:
-            return all(rank <= claim[0] for claim in self._reserved.get(machine.name, {}).values())
+        def worth(machine: Machine) -> bool:
+            if not machine.anchors and (machine.kind, machine.spot) in dear:
+                return False
+            return keep is None or keep(machine)
 
-        return keep
-
-    def _expire_claims(self, now: float) -> set[str]:
-        """Drops the claims on room that were made good, or have waited too long; gives the
-        machines.
-        """
-        kept, freed = {}, self._freed
-        self._freed = set()
-        for name, claims in self._reserved.items():
-            live = {
-                key: claim
-                for key, claim in claims.items()
-                if claim[1] > now
-                and (job := self.ledger.book.jobs.get(key[0])) is not None
-                and key[1] not in job.placed
-            }
-            if live:
-                kept[name] = live
-            if len(live) < len(claims):
-                freed.add(name)
-        self._reserved = kept
-        return freed
+        return worth
 
     def _preempt(self, job: Job, stock: placement.Stock, zones: dict[str, bool]) -> bool:
         """Makes room for a task by stopping tasks of lower rank where, of a sample, the least work
@@ -227,7 +233,7 @@
         now, spec, rank = self.runtime.now(), job.spec, wire.RANKS[job.spec.rank]
         key = (job.no, job.next_task())
         entitled = job.no not in self.jobs.beyond
-        if rank > wire.RANKS["high"] and not entitled:
+        if rank == wire.RANKS["idle"] and not entitled:
             return False
         if self._preempted.get(key, 0.0) > now:
             return True
@@ -249,11 +255,10 @@
         if best is None:
             return False
         loss, machine, victims = best
-        until = now + 2 * self.policy.order_call + max(placed.job.spec.save for placed in victims)
-        self._preempted[key] = until
         self._preempted = {key: until for key, until in self._preempted.items() if until > now}
-        self._reserved.setdefault(machine.name, {})[key] = (rank, until, spec)
-        log.info(
+        self._preempted[key] = self._evict(key, spec, machine, victims, moving=False)
+        self.preempted += len(victims)
+        log.debug(
             "event=preempt term=%d job=%s machine=%s stopped=%d loss=%.0f",
             self.term.number,
             spec.ref,
@@ -261,10 +266,35 @@
             len(victims),
             loss,
         )
+        return True
+
+    def _evict(
+        self,
+        key: TaskKey,
+        spec: wire.Spec,
+        machine: Machine,
+        victims: list[Placement],
+        moving: bool,
+    ) -> float:
+        """Stops the tasks and keeps their room for another; returns until when."""
+        now = self.runtime.now()
+        until = now + 2 * self.policy.order_call + max(placed.job.spec.save for placed in victims)
+        rank = wire.RANKS[spec.rank]
+        self._claims.add(machine.name, key, Claim(rank, until, spec, moving))
         for placed in victims:
             if placed.stopping_at is None:
                 self.orders.stop(placed, placed.job.spec.save)
-        return True
+        return until
+
+    def make_room(self, placed: Placement, machine: Machine) -> None:
+        """Stops best-effort tasks on the machine so that a replica can move there."""
+        key = placed.job.no, placed.task
+        if self._claims.has(key):
+            return
+        kind, now = self.term.kinds[machine.kind], self.runtime.now()
+        victims = self._victims(placed.job, machine, kind, False, now)
+        if victims and all(victim.best_effort for victim in victims):
+            self._evict(key, placed.job.spec, machine, victims, moving=True)
 
     def _victims(
         self, job: Job, machine: Machine, kind: wire.MachineType, entitled: bool, now: float
@@ -294,10 +324,12 @@
             return []
         lower.sort(key=lambda placed: self._loss(placed, now))
         left, victims = placement.room(machine, kind), list[Placement]()
-        for _, _, claim in self._reserved.get(machine.name, {}).values():
+        for claim in self._claims.on(machine.name):
             # What is being stopped there makes room for another task; it can't make it twice.
             left = placement.Room(
-                left.cores - claim.cores, left.gpus - claim.gpus, left.ram - claim.ram
+                left.cores - claim.spec.cores,
+                left.gpus - claim.spec.gpus,
+                left.ram - claim.spec.ram,
             )
         for placed in lower:
             if left.holds(spec):
@@ -377,12 +409,9 @@
         placed = job.placed[task]
         placed.proposed_at = job.waits_since = now
         machine.use(placed)
-        for name, claims in self._reserved.items():
-            # Made good: who comes later in this pass must not count it beside the placement, and
-            # stop twice as many.
-            if claims.pop((job.no, task), None) is not None:
-                self._freed.add(name)
+        self._placed += 1
+        self._claims.made_good((job.no, task))
         if job.spec.gpus:
             self._last_room.pop(machine.name, None)
         else:
-            self._last_room[machine.name] = machine.cores, machine.gpus, machine.ram, machine.slow
+            self._last_room[machine.name] = _room_taken(machine)
--- a/flaxtally/leader.py
+++ b/flaxtally/leader.py
@@ -73,9 +73,9 @@
         self.failures = Failures(term, self.jobs)
         self.tracker = Tracker(term, self.jobs, self.orders, self.pace, self.failures)
         self.scheduler = Scheduler(term, self.jobs, self.tracker, self.orders)
-        self.planner = Planner(term, self.jobs, self.tracker)
+        self.planner = Planner(term, self.jobs, self.tracker, self.orders)
         self.emptier = Emptier(
-            term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler.hints
+            term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler
         )
 
     @property
--- a/flaxtally/ledger/book.py
+++ b/flaxtally/ledger/book.py
@@ -72,6 +72,10 @@
     def name(self) -> str:
         return f"{self.job.spec.ref}/{self.task}"
 
+    @property
+    def best_effort(self) -> bool:
+        return self.job.spec.best_effort
+
 
 class Job:
     """A job and the states of its tasks. Tasks from `fresh` on were never touched."""
--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -39,6 +39,7 @@
     "very_late": Known(PLAIN, 1.1, 100.0),
     "slack": Known(PLAIN, 0.0, 1.0),
     "move_worth": _RATIO,
+    "best_effort_price": _RATIO,
     "pass_rest": _RATIO,
     "sample": Known(PLAIN, 1.0, 10000.0, whole=True),
 }
@@ -78,6 +79,7 @@
     begin_latest: float
     keep_patience: float
     slack: float
+    best_effort_price: float
     cool_down: float
     pool_rest: float
     move_after: float
--- a/flaxtally/standin/state.py
+++ b/flaxtally/standin/state.py
@@ -35,6 +35,10 @@
         self.slow = 0.0
         """How much later everything is carried out and answered."""
         self.refuse_changes = False
+        self.requests = 0
+        self.over_limit: list[str] = []
+        """Transactions beyond `txn_ops` or `value_bytes`, said in words; they are carried out."""
+        self.txn_ops, self.value_bytes = 32, 8 * 1024
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 1
         self.changes = 0
@@ -51,6 +55,7 @@
             request.reply(503, {"error": "trouble"})
             return
         self._expire()
+        self.requests += 1
         path, _, query = request.path.partition("?")
         if path == wire.TXN:
             self._txn(request)
@@ -104,6 +109,12 @@
 
     def _txn(self, request: Request) -> None:
         txn = msgspec.msgpack.decode(request.body, type=wire.Txn)
+        if len(txn.apply) > self.txn_ops or len(txn.guards) > 4 * self.txn_ops:
+            self.over_limit.append(f"{len(txn.apply)} changes, {len(txn.guards)} guards")
+        for change in txn.apply:
+            size = len(msgspec.json.encode(change.value))
+            if size > self.value_bytes:
+                self.over_limit.append(f"{change.put}: {size} bytes")
         if self.lost_share and self._rng.random() < self.lost_share:
             self._runtime.after(self._rng.uniform(*self.lost_delay), self._late, txn)
             return
--- a/flaxtally/wire.py
+++ b/flaxtally/wire.py
@@ -62,6 +62,11 @@
         """How many tasks of a job that spreads may be in one zone."""
         return (self.tasks + 1) // 2
 
+    @property
+    def best_effort(self) -> bool:
+        """Whether the job is of the lowest rank and runs to an end."""
+        return self.kind == ARRAY and RANKS[self.rank] == RANKS["idle"]
+
 
 class Submission(
     msgspec.Struct,
--- a/tests/world.py
+++ b/tests/world.py
@@ -85,6 +85,7 @@
         nodes: tuple[str, ...] = NODES,
         capacity: int = 4,
         objectives: tuple[Objective, ...] = (),
+        guests: tuple[Team, ...] = (),
     ) -> None:
         self.value_bytes, self.names, self.objectives = value_bytes, nodes, objectives
         self.sim = Sim(seed)
@@ -94,7 +95,8 @@
         self.run_times: dict[str, float] = {}
         self.workers: dict[str, Worker] = {}
         self.trace: list[str] = []
-        self.rules = Rules({"crew": self.team}, TYPES, CANCEL_S)
+        self.teams = {team.name: team for team in (self.team, *guests)}
+        self.rules = Rules(self.teams, TYPES, CANCEL_S)
         self.calm_since = float("inf")
         self.copies = 0
         self._copy_share, self._copy_for_next = 0.0, False
@@ -159,7 +161,7 @@
             cloud=CLOUD,
             state=STATE,
             zones=ZONES,
-            teams={"crew": self.team},
+            teams=self.teams,
             objectives=self.objectives,
             report_s=1.5,
             lease_s=10.0,
