--- a/flaxtally/dispatch.py
+++ b/flaxtally/dispatch.py
@@ -14,7 +14,7 @@
 from .actor import Actor
 from .election import Election
 from .http import Request
-from .lead.orders import Carrier
+from .lead.orders import OrderCarrier
 from .loop import Runtime, Timer
 from .peers import Frame, Peers
 from .policy import Policy
@@ -40,7 +40,7 @@
     return max(view, key=weight, default=None)
 
 
-class Dispatch(Actor, Carrier):
+class Dispatch(Actor, OrderCarrier):
     """Owns what this node hears from machines and the orders that it carries."""
 
     def __init__(
@@ -173,7 +173,7 @@
             self._send(address, body, done)
             return
         number = next(self._ids)
-        timer = self.later(self._policy.order_call * 1.25, self._uncarried, number)
+        timer = self.later(self._policy.order_call * 1.25, self._carry_timed_out, number)
         self._carried[number] = (server, done, timer)
         self._peers.send(server, {"k": "ord", "i": number, "a": address, "o": body})
 
@@ -188,7 +188,7 @@
         else:
             self._workers.orders(address, body, done)
 
-    def _uncarried(self, number: int) -> None:
+    def _carry_timed_out(self, number: int) -> None:
         entry = self._carried.pop(number, None)
         if entry is not None:
             entry[1](0, b"")
--- a/flaxtally/fleet.py
+++ b/flaxtally/fleet.py
@@ -25,13 +25,13 @@
         "failed_probes",
         "faults",
         "faulty_until",
-        "glimpsed",
         "gpus",
         "heard_at",
         "idle_since",
         "images",
         "kind",
         "name",
+        "newest_foreign_report",
         "notice_until",
         "orders_failed",
         "placements",
@@ -56,7 +56,7 @@
         self.booting = True
         self.baseline = False
         self.session = self.sequence = 0
-        self.glimpsed = (0, 0)
+        self.newest_foreign_report = (0, 0)
         """Session and sequence of its newest report under an older token."""
         self.heard_at = self.rented_at = now
         self.idle_since = self.unneeded_since = now
--- a/flaxtally/lead/emptier.py
+++ b/flaxtally/lead/consolidation.py
@@ -13,13 +13,13 @@
 from .orders import Orders
 from .planner import Planner
 from .scheduler import Scheduler
-from .term import Duty, Term
+from .term import Term, TermActor
 from .tracker import Tracker
 
 log = logging.getLogger(__name__)
 
 
-class Emptier(Duty):
+class Consolidation(TermActor):
     """Owns the machines being emptied: one at a time in a small fleet, several in a large one."""
 
     def __init__(
@@ -42,7 +42,7 @@
         """Moved replicas that fetch their image, and since when."""
 
     def consolidate(self, now: float, demands: list[Demand]) -> None:
-        """Begins to empty machines when all is calm; `move_on` moves replicas one at a time."""
+        """Begins to empty machines when all is calm; `continue_moves` moves their replicas."""
         most = max(1, self._few())
         calm = (
             len(self._moving) < most
@@ -123,7 +123,7 @@
         )
         return silent <= self._few()
 
-    def move_on(self, now: float) -> None:
+    def continue_moves(self, now: float) -> None:
         """Moves the next replica of each machine, once the last one is placed and while all is in
         touch.
         """
--- a/flaxtally/lead/failures.py
+++ b/flaxtally/lead/failures.py
@@ -7,7 +7,7 @@
 from ..fleet import Machine
 from ..ledger.book import Job
 from .jobs import Jobs
-from .term import Duty, Term
+from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
@@ -29,7 +29,7 @@
         self.rounds = 0
 
 
-class Failures(Duty):
+class Failures(TermActor):
     """Owns the failures by job, and decides which machines are faulty.
 
     A job that fails on several machines and has nothing done was likely submitted with a mistake:
@@ -79,7 +79,7 @@
         machine.faulty_until = None
         machine.draining = machine.notice_until is not None
         machine.errors.clear()
-        self.term.kick()
+        self.term.request_pass()
 
     def watch(self) -> None:
         """Acquits suspects whose task has run for longer than a mistake takes to show."""
--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -13,7 +13,7 @@
 from ..ledger.book import Job, Placement
 from ..urgency import Due, levels
 from .orders import Orders
-from .term import Duty, Term
+from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
@@ -23,7 +23,7 @@
 """Of the time within which an aim wants a class to begin: who still waits then goes first."""
 
 
-class Jobs(Duty):
+class Jobs(TermActor):
     """Owns the jobs that are not over, and what is asked for by shape."""
 
     def __init__(self, term: Term, orders: Orders) -> None:
@@ -107,7 +107,7 @@
         self._claim(job)
         self._note_spec(job)
         self.arrivals.note(spec.lane, spec.tasks, self.run_length(spec), now)
-        self.term.kick()
+        self.term.request_pass()
 
     def _refusal(self, spec: wire.Spec) -> str | None:
         team = self.settings.teams.get(spec.team)
--- a/flaxtally/lead/orders.py
+++ b/flaxtally/lead/orders.py
@@ -11,14 +11,14 @@
 from .. import wire
 from ..fleet import Machine
 from ..ledger.book import Placement
-from .term import Duty, Term
+from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
 MOST_ORDERS = 200
 
 
-class Carrier:
+class OrderCarrier:
     """How the leader's orders and questions reach machines; the dispatch actor implements it."""
 
     def carry(
@@ -41,15 +41,15 @@
         raise NotImplementedError
 
 
-class Orders(Duty):
+class Orders(TermActor):
     """Owns what waits to be sent, and which launches may still arrive. Answers go to `deliver`."""
 
-    def __init__(self, term: Term, carrier: Carrier) -> None:
+    def __init__(self, term: Term, carrier: OrderCarrier) -> None:
         super().__init__(term)
         self.carrier = carrier
         self.deliver: Callable[[str, wire.Report], None] = lambda *_: None
         self._outbox: dict[str, list[tuple[dict[str, Any], Placement | None]]] = {}
-        self._knocked: dict[str, float] = {}
+        self._empty_orders_sent: dict[str, float] = {}
 
     def order(self, machine: Machine, order: dict[str, Any], launched: Placement | None) -> None:
         if not self._outbox:
@@ -145,16 +145,16 @@
             return
         self.deliver(server or "", report)
 
-    def knock(self, machine: Machine) -> None:
+    def send_empty_order(self, machine: Machine) -> None:
         """An empty order, one at a time: does the machine answer again?"""
         now = self.runtime.now()
-        self._knocked = {
+        self._empty_orders_sent = {
             name: at
-            for name, at in self._knocked.items()
+            for name, at in self._empty_orders_sent.items()
             if now - at < 1.5 * self.policy.order_call
         }
-        if machine.name not in self._knocked:
-            self._knocked[machine.name] = now
+        if machine.name not in self._empty_orders_sent:
+            self._empty_orders_sent[machine.name] = now
             self.push_token(machine)
 
     def push_token(self, machine: Machine) -> None:
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -18,7 +18,7 @@
 from ..ledger.book import Job, Placement
 from .jobs import Jobs
 from .orders import Orders
-from .term import Duty, Term
+from .term import Term, TermActor
 from .tracker import Tracker
 
 log = logging.getLogger(__name__)
@@ -32,7 +32,7 @@
     return msgspec.structs.replace(kind, spot_price=0.0)
 
 
-class Planner(Duty):
+class Planner(TermActor):
     """Owns the plan of the fleet and the rental requests under way."""
 
     def __init__(self, term: Term, jobs: Jobs, tracker: Tracker, orders: Orders) -> None:
@@ -45,9 +45,9 @@
             for aim in self.settings.objectives
             if aim.kind == "wait" and aim.lane is not None and aim.within < self.settings.lease_s
         }
-        self._hires = 0
+        self._rentals_sent = 0
         self._turns = 0
-        self._pending_hires: dict[str, tuple[Pool, int, float]] = {}
+        self._pending_rentals: dict[str, tuple[Pool, int, float]] = {}
         self._resting: dict[Pool, float] = {}
         self._refusals: dict[Pool, int] = {}
         self._replanning = False
@@ -68,7 +68,7 @@
             known = msgspec.convert(self.ledger.book.catalog, list[wire.MachineType])
             if [_fixed(kind) for kind in known] != [_fixed(kind) for kind in kinds]:
                 self.ledger.propose(["K", msgspec.to_builtins(kinds)])
-            self.term.kick()
+            self.term.request_pass()
 
         self.cloud.catalog(told)
 
@@ -86,7 +86,7 @@
         self._turns += 1
         if self._turns % 10 == 0:
             self._log_fleet(now)
-        self._retry_hires(now)
+        self._retry_rentals(now)
         self._resting = {pool: until for pool, until in self._resting.items() if until > now}
         demands = self._demands(now)
         steps = []
@@ -287,7 +287,7 @@
                     space.gpus += placed.job.spec.gpus
                     space.ram += placed.job.spec.ram
             bins.append(space)
-        for pool, count, _ in self._pending_hires.values():
+        for pool, count, _ in self._pending_rentals.values():
             kind = self.term.kinds[pool.kind]
             if last or kind.boot <= at:
                 bins += [
@@ -306,8 +306,8 @@
         return spec.kind == wire.ARRAY and 0 < spec.estimate < now + at - began
 
     def _rent(self, pool: Pool, count: int, why: fill.Rent) -> None:
-        self._hires += 1
-        request = f"{self.settings.node}-{self.term.number}-{self._hires}"
+        self._rentals_sent += 1
+        request = f"{self.settings.node}-{self.term.number}-{self._rentals_sent}"
         log.info(
             "event=rent term=%d request=%s type=%s zone=%s spot=%s count=%d lane=%s score=%.3f "
             "gap=%.0f-%.0f",
@@ -322,20 +322,20 @@
             why.first,
             why.last,
         )
-        self._pending_hires[request] = (pool, count, self.runtime.now())
-        self._hire(request)
+        self._pending_rentals[request] = (pool, count, self.runtime.now())
+        self._send_rental(request)
 
-    def _hire(self, request: str) -> None:
+    def _send_rental(self, request: str) -> None:
         if request in self._asking:
             return
-        pool, count, _ = self._pending_hires[request]
+        pool, count, _ = self._pending_rentals[request]
         self._asking.add(request)
 
         def told(outcome: str, machines: list[str]) -> None:
             self._asking.discard(request)
             if not self.term.active or outcome == "unknown":
                 return
-            now, asked = self.runtime.now(), self._pending_hires.pop(request, None)
+            now, asked = self.runtime.now(), self._pending_rentals.pop(request, None)
             if outcome == "trouble":
                 # It was not executed, and the next plan knows better what is needed by then.
                 return
@@ -366,18 +366,18 @@
 
     def _replan(self) -> None:
         self._replanning = False
-        if not self._pending_hires and self.term.may_act:
+        if not self._pending_rentals and self.term.may_act:
             self.plan()
 
-    def _retry_hires(self, now: float) -> None:
+    def _retry_rentals(self, now: float) -> None:
         """A lost reply is asked for again under the same name; after an outage the gap is planned
         anew.
         """
-        for request, (_, _, asked) in list(self._pending_hires.items()):
+        for request, (_, _, asked) in list(self._pending_rentals.items()):
             if now - asked > self.policy.plan_lead:
-                del self._pending_hires[request]
+                del self._pending_rentals[request]
             elif now - asked > self.policy.order_call:
-                self._hire(request)
+                self._send_rental(request)
 
     def _give_back(self, now: float, demands: list[Demand]) -> None:
         """Returns machines proven empty, idle for the cool-down, that no step's demand needs."""
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -13,7 +13,7 @@
 from .claims import Claim, Claims, TaskKey
 from .jobs import MOST_BACKLOG, Jobs
 from .orders import Orders
-from .term import Duty, Term
+from .term import Term, TermActor
 from .tracker import Tracker
 
 log = logging.getLogger(__name__)
@@ -30,7 +30,7 @@
     return machine.cores, machine.gpus, machine.ram, machine.slow, not machine.anchors
 
 
-class Scheduler(Duty):
+class Scheduler(TermActor):
     """Owns the passes over the queue and the claims on room that preemptions make."""
 
     def __init__(self, term: Term, jobs: Jobs, tracker: Tracker, orders: Orders) -> None:
@@ -40,7 +40,7 @@
         """Machines that the scheduler looked at, in all."""
         self.preempted = 0
         """Tasks that were stopped to make room, in all."""
-        self._kicked = False
+        self._pass_requested = False
         self._next_pass = 0.0
         self._placed = 0
         """Tasks placed in this pass."""
@@ -56,19 +56,19 @@
         self._nobody = placement.Exhausted()
         """Who found nobody to stop, until `_nobody_until`."""
         self._nobody_until = 0.0
-        term.kick = self.kick
+        term.request_pass = self.request_pass
 
-    def kick(self) -> None:
-        if not self._kicked and self.term.active:
-            self._kicked = True
+    def request_pass(self) -> None:
+        if not self._pass_requested and self.term.active:
+            self._pass_requested = True
             self.later(max(0.002, self._next_pass - self.runtime.now()), self._schedule)
 
     def _schedule(self) -> None:
-        self._kicked = False
+        self._pass_requested = False
         if not self.term.may_act or not self.term.kinds:
             return
         if self.ledger.backlog > MOST_BACKLOG:
-            self._kick_later()
+            self._request_pass_later()
             return
         now = self.runtime.now()
         queue = self.jobs.queue()
@@ -80,7 +80,7 @@
             self.policy.pass_rest * (ended - now), self.policy.heartbeat / 8
         )
         if self._placed >= MOST_PLACED:
-            self.kick()
+            self.request_pass()
 
     def _pass(self, queue: list[Job], now: float) -> None:
         """One look at all that waits. Who found no room in an earlier pass looks only where there
@@ -376,15 +376,15 @@
                     self._place(job, machine)
                 return
 
-    def _kick_later(self) -> None:
-        self.later(self.policy.retry, self.kick)
+    def _request_pass_later(self) -> None:
+        self.later(self.policy.retry, self.request_pass)
 
     def wake(self) -> None:
         """A pass for jobs that were held back and no longer are."""
         now = self.runtime.now()
         held = self.jobs.backoff
         if any(now < until < now + 2 * self.policy.retry for until in held.values()):
-            self._kick_later()
+            self._request_pass_later()
         self.jobs.backoff = {
             no: until for no, until in held.items() if until > now - self.policy.settle
         }
--- a/flaxtally/lead/pace.py
+++ b/flaxtally/lead/stragglers.py
@@ -10,7 +10,7 @@
 from ..ledger.book import Job, Placement
 from .jobs import Jobs
 from .orders import Orders
-from .term import Duty, Term
+from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
@@ -20,7 +20,7 @@
 Task = tuple[int, int, int]
 
 
-class Pace(Duty):
+class Stragglers(TermActor):
     """Owns the lengths of ended tasks by job, and which tasks of a machine took, or take, too long.
 
     Tasks of one job differ by half among themselves, and sound machines by a tenth. So one task
--- a/flaxtally/lead/term.py
+++ b/flaxtally/lead/term.py
@@ -59,7 +59,7 @@
         """How often the process stood still; what timed out across a pause proves nothing."""
         self.began = runtime.now()
         self.fleet = Fleet(runtime, ledger, settings.zones)
-        self.kick: Callable[[], None] = lambda: None
+        self.request_pass: Callable[[], None] = lambda: None
         """Asks for a pass of the scheduler."""
 
     @property
@@ -68,7 +68,7 @@
         return self.active and not self.isolated and not self.suspended
 
 
-class Duty(Actor):
+class TermActor(Actor):
     """One duty of the leader, for one term."""
 
     def __init__(self, term: Term) -> None:
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -12,23 +12,23 @@
 from .failures import Failures
 from .jobs import Jobs
 from .orders import Orders
-from .pace import Pace
-from .term import Duty, Term
+from .stragglers import Stragglers
+from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
 
-class Tracker(Duty):
+class Tracker(TermActor):
     """Owns the proofs: it alone says that a placement is over."""
 
     def __init__(
-        self, term: Term, jobs: Jobs, orders: Orders, pace: Pace, failures: Failures
+        self, term: Term, jobs: Jobs, orders: Orders, stragglers: Stragglers, failures: Failures
     ) -> None:
         super().__init__(term)
-        self.jobs, self.orders, self.pace, self.failures = jobs, orders, pace, failures
+        self.jobs, self.orders, self.stragglers, self.failures = jobs, orders, stragglers, failures
         self._exits: dict[tuple[str, str, int], Placement] = {}
         self._releasing_now = False
-        self._dark_until: dict[str, float] = {}
+        self._zone_silent_until: dict[str, float] = {}
         orders.deliver = self.on_report
 
     def on_report(self, server: str, report: wire.Report) -> None:
@@ -46,9 +46,9 @@
             return
         if report.token != self.term.number:
             # A copy that comes after newer ones says nothing, not even that the machine is alive.
-            if report.order <= machine.glimpsed:
+            if report.order <= machine.newest_foreign_report:
                 return
-            machine.glimpsed = report.order
+            machine.newest_foreign_report = report.order
         if machine.booting:
             machine.booting = False
             machine.idle_since = now
@@ -61,7 +61,7 @@
                 machine.spot,
                 now - machine.rented_at,
             )
-            self.term.kick()
+            self.term.request_pass()
         machine.address, machine.server = report.address, server
         if not (machine.baseline and report.token < self.term.number):
             machine.heard_at = max(machine.heard_at, now)
@@ -75,7 +75,7 @@
         machine.session, machine.sequence = report.session, report.sequence
         if not machine.baseline:
             machine.baseline = True
-            self.term.kick()
+            self.term.request_pass()
         if report.notice is not None and machine.notice_until is None:
             self._noticed(machine, report.notice)
         listed = {(task.task, task.attempt): task for task in report.tasks}
@@ -136,7 +136,7 @@
         if cause == wire.CAUSE_DONE:
             machine.errors.clear()
             self.failures.acquit(placed.job)
-            self.pace.ended(machine, placed)
+            self.stragglers.ended(machine, placed)
         elif cause == wire.CAUSE_ERROR:
             self.failures.failed(placed.job, machine)
         elif cause in (wire.CAUSE_FULL, wire.CAUSE_IN_USE, wire.CAUSE_UNKNOWN):
@@ -201,7 +201,7 @@
             self.failures.forget(job)
         elif not done:
             self.jobs.waits_again(job)
-        self.term.kick()
+        self.term.request_pass()
 
     def _noticed(self, machine: Machine, notice: float) -> None:
         """The cloud takes the machine: save what can be saved, place nothing more."""
@@ -229,7 +229,7 @@
                 )
                 if left > 1.5 * notice:
                     self.orders.stop(placed, 0.0)
-        self.term.kick()
+        self.term.request_pass()
 
     def usable(self) -> list[Machine]:
         return [machine for machine in self.fleet.machines.values() if self.is_usable(machine)]
@@ -249,12 +249,16 @@
         """Probes silent machines; releases what stays silent, never boots or defies a stop."""
         now, policy = self.runtime.now(), self.policy
         self.failures.watch()
-        dark = self._dark_zones(now)
+        silent_zones = self._silent_zones(now)
         for job in list(self.jobs.live.values()):
             if job.ending and now - job.cancelled_at > policy.cancel_patience:
                 for placed in list(job.placed.values()):
                     machine = self.fleet.machines.get(placed.machine)
-                    if machine is not None and not machine.releasing and machine.zone not in dark:
+                    if (
+                        machine is not None
+                        and not machine.releasing
+                        and machine.zone not in silent_zones
+                    ):
                         self.release(machine, "cancelled task not confirmed gone")
         for machine in list(self.fleet.machines.values()):
             if machine.releasing:
@@ -272,7 +276,9 @@
                 if machine.notice_until is not None and now > machine.notice_until:
                     self.release(machine, "silent, and its notice is over")
                     continue
-                patience = policy.zone_silence if machine.zone in dark else policy.machine_silence
+                patience = (
+                    policy.zone_silence if machine.zone in silent_zones else policy.machine_silence
+                )
                 if age > patience and (machine.failed_probes >= 2 or not machine.address):
                     self.release(machine, f"silent for {age:.1f}s")
             elif machine.draining and not machine.placements and machine.baseline:
@@ -282,7 +288,7 @@
                 self.failures.clear(machine)
             elif machine.deaf:
                 # Nothing else is sent there: without this it would be passed over for ever.
-                self.orders.knock(machine)
+                self.orders.send_empty_order(machine)
 
     def hear_anew(self) -> None:
         """After a spell in which this node heard little: silence counts from now."""
@@ -302,7 +308,7 @@
             if job.cancelled:
                 job.cancelled_at = min(now, job.cancelled_at + lost)
 
-    def _dark_zones(self, now: float) -> set[str]:
+    def _silent_zones(self, now: float) -> set[str]:
         """Zones in which most machines fell silent together: that is the network or a controller,
         and the machines are likely well.
         """
@@ -315,8 +321,8 @@
         for zone, (up, silent) in counts.items():
             if silent >= 3 and silent * 2 > up:
                 # Not over as soon as half of them report again: the others are then on their way.
-                self._dark_until[zone] = now + self.policy.machine_silence
-        return {zone for zone, until in self._dark_until.items() if until > now}
+                self._zone_silent_until[zone] = now + self.policy.machine_silence
+        return {zone for zone, until in self._zone_silent_until.items() if until > now}
 
     def _probe(self, machine: Machine) -> None:
         """Asks the machine directly and through another controller, at the same time.
@@ -387,7 +393,7 @@
             # Also one whose own commit is under way: when it ends, nothing is launched there.
             self.over(placed, False, "machine released")
         self._exits = {key: placed for key, placed in self._exits.items() if key[0] != name}
-        self.term.kick()
+        self.term.request_pass()
 
     def _unlisted(self, listed: set[str], asked_at: float) -> None:
         """Machines that the ledger places tasks on, that no report of this term came from, and that
--- a/flaxtally/leader.py
+++ b/flaxtally/leader.py
@@ -16,13 +16,13 @@
 from .actor import Actor
 from .cloud import Cloud
 from .election import Election
-from .lead.emptier import Emptier
+from .lead.consolidation import Consolidation
 from .lead.failures import Failures
 from .lead.jobs import Answer, Jobs
-from .lead.orders import Carrier, Orders
-from .lead.pace import Pace
+from .lead.orders import OrderCarrier, Orders
 from .lead.planner import Planner
 from .lead.scheduler import Scheduler
+from .lead.stragglers import Stragglers
 from .lead.term import Term
 from .lead.tracker import Tracker
 from .ledger.book import Book
@@ -45,7 +45,7 @@
         ledger: Ledger,
         cloud: Cloud,
         election: Election,
-        carrier: Carrier,
+        carrier: OrderCarrier,
         rng: random.Random,
     ) -> None:
         super().__init__(runtime)
@@ -69,12 +69,12 @@
         )
         self.orders = Orders(term, self._carrier)
         self.jobs = Jobs(term, self.orders)
-        self.pace = Pace(term, self.jobs, self.orders)
+        self.stragglers = Stragglers(term, self.jobs, self.orders)
         self.failures = Failures(term, self.jobs)
-        self.tracker = Tracker(term, self.jobs, self.orders, self.pace, self.failures)
+        self.tracker = Tracker(term, self.jobs, self.orders, self.stragglers, self.failures)
         self.scheduler = Scheduler(term, self.jobs, self.tracker, self.orders)
         self.planner = Planner(term, self.jobs, self.tracker, self.orders)
-        self.emptier = Emptier(
+        self.consolidation = Consolidation(
             term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler
         )
 
@@ -107,7 +107,7 @@
             return
         term.pauses += 1
         self.tracker.on_pause(lost)
-        self.pace.on_pause()
+        self.stragglers.on_pause()
         self._cloud.hold()
         if not term.suspended:
             term.suspended = True
@@ -126,7 +126,7 @@
             term.suspended = False
             self._cloud.resume()
             self.orders.resume()
-            term.kick()
+            term.request_pass()
 
         if term is self.term:
             self._ledger.confirm(told)
@@ -152,7 +152,7 @@
             term.kinds = {kind.name: kind for kind in kinds}
         self.planner.learn_kinds()
         self.tracker.list_machines()
-        term.kick()
+        term.request_pass()
 
     # Users and machines
 
@@ -193,14 +193,14 @@
             log.info("event=%s term=%d", "isolated" if isolated else "in_touch", self.term.number)
             if not isolated:
                 self.tracker.hear_anew()
-                self.term.kick()
+                self.term.request_pass()
         return self.term.may_act
 
     def _watch(self) -> None:
         if self._may_act():
             self.tracker.watch()
-            self.pace.watch()
-            self.emptier.move_on(self.runtime.now())
+            self.stragglers.watch()
+            self.consolidation.continue_moves(self.runtime.now())
             self.tracker.flush_releases()
             self.scheduler.wake()
             # With each plan alone it fell behind where jobs are many and short.
@@ -209,7 +209,7 @@
     def _plan(self) -> None:
         demands = self.planner.plan() if self._may_act() else None
         if demands is not None:
-            self.emptier.consolidate(self.runtime.now(), demands)
+            self.consolidation.consolidate(self.runtime.now(), demands)
 
     def _list(self) -> None:
         if self._may_act():
--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/commit.py
@@ -43,7 +43,7 @@
     return f"{PAGES}{number:08d}"
 
 
-class _Asker:
+class _ConfirmationRequest:
     """Who wants leadership confirmed, until it is told once."""
 
     __slots__ = ("done",)
@@ -97,7 +97,7 @@
         self._content: list[Record] = []
         self._size = 0
         self._busy = self._armed = False
-        self._askers: list[_Asker] = []
+        self._confirmation_requests: list[_ConfirmationRequest] = []
         self._confirming = False
         self._round = 0
         self._drops: list[int] = []
@@ -105,10 +105,10 @@
 
     def close(self) -> None:
         """This node leads no more: what waited is dropped, and those who asked are told so."""
-        waiting = self._askers
+        waiting = self._confirmation_requests
         self._reset(0)
-        for asker in waiting:
-            asker.tell(False)
+        for request in waiting:
+            request.tell(False)
 
     def open(self, version: int, ready: Then) -> None:
         """Reads all pages under a leader key of this version. Writes of earlier leaders fail from
@@ -367,7 +367,7 @@
 
     def confirm(self, done: Callable[[bool], None]) -> None:
         """`done(True)` once a compare-only transaction sent after this call shows that we lead."""
-        self._askers.append(_Asker(done))
+        self._confirmation_requests.append(_ConfirmationRequest(done))
         if not self._confirming:
             self._confirming = True
             self.later(self._gather / 2, self._ask, self.generation)
@@ -375,14 +375,14 @@
     def _ask(self, generation: int) -> None:
         if generation != self.generation:
             return
-        asked, self._askers = self._askers, []
+        asked, self._confirmation_requests = self._confirmation_requests, []
         number = self._round
 
         def told(outcome: Outcome, _: int) -> None:
             timer.cancel()
             current = generation == self.generation
-            for asker in asked:
-                asker.tell(current and outcome is Outcome.DONE)
+            for request in asked:
+                request.tell(current and outcome is Outcome.DONE)
             if current and outcome is Outcome.FAILED:
                 self._lost()
             else:
@@ -392,7 +392,9 @@
             # The answer may be lost: they are asked for again with whoever came since. An answer
             # still counts.
             if generation == self.generation and number == self._round:
-                self._askers = [asker for asker in asked if asker.done is not None] + self._askers
+                self._confirmation_requests = [
+                    request for request in asked if request.done is not None
+                ] + self._confirmation_requests
                 self._next_round(generation, number)
 
         timer = self.later(self._first, unanswered)
@@ -402,7 +404,7 @@
         if generation != self.generation or number != self._round:
             return
         self._round += 1
-        if self._askers:
+        if self._confirmation_requests:
             self.later(self._gather, self._ask, generation)
         else:
             self._confirming = False
--- a/tests/test_meetings.py
+++ b/tests/test_fault_combinations.py
@@ -1,4 +1,4 @@
-"""Two troubles at once: each meeting of `docs/meetings.md`, brought about and seen to happen.
+"""Combinations of faults: each case of `docs/fault_combinations.md`, brought about and seen.
 
 The rules (`tests/rules.py`) are checked in every world, all along and once the troubles are over.
 """
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -109,7 +109,7 @@
         most = max(most, len(packed))
     assert not spare & set(world.workers)
     assert used <= set(world.workers)
-    # One a step for what the rooms hold, the checks, and the same for the emptier.
+    # One a step for what the rooms hold, the checks, and the same for the consolidation.
     assert 0 < most <= 2 * 2 * (1 + MOST_CHECKS)
 
 
