--- a/flaxtally/cli.py
+++ b/flaxtally/cli.py
@@ -208,6 +208,7 @@
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Runs the command line; returns the exit code."""
     arguments = _parser().parse_args(argv)
     try:
         code: int = arguments.run(arguments)
--- a/flaxtally/cloud.py
+++ b/flaxtally/cloud.py
@@ -83,8 +83,10 @@
         count: int,
         done: Callable[[str, list[str]], None],
     ) -> None:
-        """`done(outcome, machines)` with outcome `rented`, `none` (no capacity), `trouble` (not
-        executed) or `unknown` (no answer: it may have been, or may still be).
+        """Asks for machines.
+
+        `done(outcome, machines)`: `rented`, `none` (no capacity), `trouble` (not executed) or
+        `unknown` (no answer: it may have been, or may still be).
         """
 
         def told(reply: Reply) -> None:
--- a/flaxtally/consolidate.py
+++ b/flaxtally/consolidate.py
@@ -29,9 +29,10 @@
     firm: Collection[str] = (),
     least: float = 0.0,
 ) -> tuple[Machine | None, list[str]]:
-    """The machine whose return saves most a replica moved, if all on it fit on other used machines,
-    or on idle ones that cost less than half; and the names of those that were looked at and can't
-    be emptied.
+    """The machine to empty, and the names of those that were looked at and can't be emptied.
+
+    It is the one whose return saves most a replica moved, if all on it fit on other used machines,
+    or on idle ones that cost less than half.
 
     `beside_arrays`: also one where array tasks still run, which will take none while it is emptied.
     `moving`: machines being emptied, whose replicas find their room first. `firm`: machines to pass
@@ -137,9 +138,10 @@
 def takes(
     machine: Machine, other: Machine, spec: wire.Spec, kinds: dict[str, wire.MachineType]
 ) -> bool:
-    """Whether a replica may move from the one to the other: to a used machine, or an idle one that
-    costs less than half; to one that holds its image, or off GPUs that it doesn't need to a machine
-    without them.
+    """Whether a replica may move from the one machine to the other.
+
+    To a used machine, or an idle one that costs less than half; to one that holds its image, or off
+    GPUs that it doesn't need to a machine without them.
     """
     if other is machine or not (
         other.placements or 2 * hourly(other, kinds) < hourly(machine, kinds)
@@ -157,5 +159,6 @@
 
 
 def hourly(machine: Machine, kinds: dict[str, wire.MachineType]) -> float:
+    """What the machine costs an hour."""
     kind = kinds[machine.kind]
     return kind.spot_price if machine.spot else kind.price
--- a/flaxtally/dispatch.py
+++ b/flaxtally/dispatch.py
@@ -141,8 +141,9 @@
             self._deliver(sender, report)
 
     def _note(self, report: wire.Report) -> None:
-        """Keeps a machine's newest report for a term that begins here; copies of older ones come
-        later.
+        """Keeps a machine's newest report for a term that begins here.
+
+        Copies of older ones come later.
         """
         _, last = self._heard.get(report.machine, (0.0, None))
         if last is None or report.order > last.order:
@@ -194,8 +195,9 @@
             entry[1](0, b"")
 
     def order(self, sender: str, frame: Frame) -> None:
-        """The leader asks this part to carry orders. Late ones are harmless: they name term and
-        session.
+        """The leader asks this controller to carry orders.
+
+        Late ones are harmless: they name term and session.
         """
         address, body, number = frame.get("a"), frame.get("o"), frame.get("i")
         if not isinstance(address, str) or not isinstance(body, dict | None):
--- a/flaxtally/election.py
+++ b/flaxtally/election.py
@@ -103,9 +103,10 @@
 
     @property
     def isolated(self) -> bool:
-        """Whether others may well lead by now: the state service doesn't answer, and some other
-        controller is neither heard nor dead. (In an outage of the state service the others are
-        heard, and nobody can take over.)
+        """Whether others may well lead by now.
+
+        The state service doesn't answer, and some other controller is neither heard nor dead. (In
+        an outage of the state service the others are heard, and nobody can take over.)
         """
         peers = self._peers
         return not self.store_answers and not all(
@@ -127,8 +128,10 @@
 
     @property
     def able(self) -> bool:
-        """Whether this node reaches, or is, a leader that can commit; damped, since a node that
-        was marked down comes back slowly."""
+        """Whether this node reaches, or is, a leader that can commit.
+
+        Damped, since a node that was marked down comes back slowly.
+        """
         now = self.runtime.now()
         if self.leading:
             able = self.ready and self.store_answers
--- a/flaxtally/fill.py
+++ b/flaxtally/fill.py
@@ -94,8 +94,10 @@
 
 
 def merged(demands: Iterable[Demand]) -> list[Demand]:
-    """Demands that differ by no more than `ALIKE` in cores and in nothing else count as one of the
-    largest size; those given are used up.
+    """Merges demands of nearly the same size; those given are used up.
+
+    Those that differ by no more than `ALIKE` in cores, and in nothing else, count as one of the
+    largest size.
 
     Jobs of a class vary; a plan that packs each of their sizes by itself grows with sizes times
     machines.
@@ -165,9 +167,11 @@
     spot_worth: float,
     by: float,
 ) -> tuple[float, Pool] | None:
-    """The pool with the lowest price per unit of work for this gap, of the types that boot by then.
-    Among equal ones, the zone that the shape's machines use least. None also if being there in time
-    costs `HASTE` times as much as the cheapest type: a later step's gap will take that one.
+    """The pool with the lowest price per unit of work for this gap.
+
+    Only types that boot by then count. Among equal ones, the zone that the shape's machines use
+    least. None also if being there in time costs `HASTE` times as much as the cheapest type: a
+    later step's gap will take that one.
     """
     best: tuple[float, int, Pool] | None = None
     lowest = float("inf")
@@ -198,9 +202,10 @@
     spot_worth: float,
     most: int,
 ) -> list[Rent]:
-    """What to rent now. `steps`: (time from now, demand, rooms) in order of time; what is rented
-    for one step is room at the later ones. Before the last step, only types that boot in time serve
-    a gap.
+    """What to rent now.
+
+    `steps`: (time from now, demand, rooms) in order of time; what is rented for one step is room at
+    the later ones. Before the last step, only types that boot in time serve a gap.
     """
     rents: list[Rent] = []
     joined: list[tuple[Pool, wire.MachineType]] = []
--- a/flaxtally/forecast.py
+++ b/flaxtally/forecast.py
@@ -67,8 +67,9 @@
         return max((tasks for tasks, _ in self._recent(lane, now)), default=0)
 
     def length(self, lane: str, now: float) -> float:
-        """How long a task of the lane is estimated to run, on average over the window's tasks; 0:
-        none came.
+        """How long a task of the lane is estimated to run.
+
+        The average over the window's tasks; 0: none came.
         """
         recent = self._recent(lane, now)
         return sum(tasks * length for tasks, length in recent) / max(
--- a/flaxtally/http.py
+++ b/flaxtally/http.py
@@ -217,11 +217,12 @@
 
 
 class Server:
-    """Keeps up to `most` connections, so that the sockets kept for peers, state service and cloud
-    can't be taken by others. When there are nearly as many, each ends with its next answer; for one
-    beyond them the one that is idle for longest is closed. A controller that is alone has more
-    workers than connections to keep: were it to refuse the last ones, these would lose their
-    leases.
+    """Accepts up to `most` connections.
+
+    The sockets kept for peers, state service and cloud can't be taken by others. When there are
+    nearly as many, each ends with its next answer; for one beyond them the one that is idle for
+    longest is closed. A controller that is alone has more workers than connections to keep: were it
+    to refuse the last ones, these would lose their leases.
     """
 
     def __init__(
--- a/flaxtally/lead/consolidation.py
+++ b/flaxtally/lead/consolidation.py
@@ -124,8 +124,9 @@
         return silent <= self._few()
 
     def continue_moves(self, now: float) -> None:
-        """Moves the next replica of each machine, once the last one is placed and while all is in
-        touch.
+        """Moves the next replica of each machine that is being emptied.
+
+        Once the last one is placed, and while all machines are in touch.
         """
         stock: placement.Stock | None = None
         waiting = not self._in_touch(now) or any(
@@ -149,7 +150,8 @@
     def _move_one(self, machine: Machine, stock: placement.Stock, now: float) -> None:
         """Moves the machine's next replica to where there is room for it now.
 
-        Few fetch their image at a time: each of them is away for seconds."""
+        Few fetch their image at a time: each of them is away for seconds.
+        """
         self._cold = {
             old: since
             for old, since in self._cold.items()
--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -165,8 +165,7 @@
         self.ledger.confirm(told)
 
     def cancel(self, ref: str, answer: Answer) -> None:
-        """Stops the job, and says so once every placement of it is proven over and that is
-        committed.
+        """Stops the job; it is told as cancelled once each placement is proven over.
 
         A promise that hung on leases or on the cloud could be broken by a cut together with an
         outage. Who asks while a machine of the job is silent is told at once to ask again.
@@ -240,8 +239,10 @@
         return list(self._waiting.values())
 
     def queue(self) -> list[Job]:
-        """Jobs with waiting tasks: by rank, those within their team's guarantee first, then those
-        that can still be in time, the most pressing of them first, then by age.
+        """Jobs with waiting tasks, in the order in which they are placed.
+
+        By rank, those within their team's guarantee first, then those that can still be in time,
+        the most pressing of them first, then by age.
         """
         waiting = self.waiting()
         if not waiting:
@@ -312,8 +313,9 @@
         return tuple(job.at + due - spec.estimate for due in sorted(dues))
 
     def _choose_levels(self, waiting: list[Job]) -> None:
-        """Chooses which waiting jobs are to be in time; each class by what its running tasks can
-        work off.
+        """Chooses which waiting jobs are to be in time.
+
+        Each class by what its running tasks can work off.
         """
         lanes: dict[str, list[Due]] = {}
         for job in waiting:
@@ -328,8 +330,9 @@
             self._levels |= levels(dues, self.runtime.wall(), max(1, running.get(lane, 0)))
 
     def zones_open(self, job: Job, leaving: Placement | None = None) -> dict[str, bool]:
-        """Zones that the job's placements, but for one that leaves, keep open; those not named are
-        open.
+        """Zones that the job's placements keep open or shut.
+
+        `leaving` is not counted. Zones that are not named are open.
         """
         spec = job.spec
         if spec.one_zone and job.placed:
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -204,8 +204,10 @@
         return sorted(demands, key=lambda demand: (demand.shape.rank, -demand.shape.gpus))
 
     def _demand_again(self, counts: dict[Shape, Demand], job: Job) -> None:
-        """Best-effort tasks that run are planned like those that wait: `_rooms` counts their room
-        as free, so that they get what all other demand leaves, or cheap machines.
+        """Plans best-effort tasks that run like those that wait.
+
+        `_rooms` counts their room as free, so that they get what all other demand leaves, or cheap
+        machines.
         """
         spec = job.spec
         length = self.jobs.run_length(spec)
@@ -250,8 +252,10 @@
         return replace(demand, count=count, until=at + demand.until, caps=caps)
 
     def _rooms(self, now: float, at: float) -> list[Bin]:
-        """The room of machines that serve by then: free now, or freed by tasks estimated to end.
-        Those that can't be up by then count at the last step only.
+        """The room of machines that serve by then.
+
+        Free now, or freed by tasks estimated to end. Machines that can't be up by then count at the
+        last step only.
         """
         bins: list[Bin] = []
         last = at >= self._steps()[-1]
@@ -370,8 +374,9 @@
             self.plan()
 
     def _retry_rentals(self, now: float) -> None:
-        """A lost reply is asked for again under the same name; after an outage the gap is planned
-        anew.
+        """Asks again, under the same name, for rentals whose answer was lost.
+
+        After an outage the gap is planned anew.
         """
         for request, (_, _, asked) in list(self._pending_rentals.items()):
             if now - asked > self.policy.plan_lead:
@@ -429,8 +434,9 @@
         )
 
     def _drain(self, machine: Machine) -> None:
-        """Takes nothing more, and is released when empty: tasks that can save are stopped, others
-        are left to end.
+        """Places nothing more on the machine, which is released when empty.
+
+        Tasks that can save are stopped, others are left to end.
         """
         log.info(
             "event=drain term=%d machine=%s type=%s spot=%s best_effort=%d",
@@ -450,8 +456,10 @@
         return self.policy.plan_lead / 2, self.policy.plan_lead
 
     def spare(self, demands: list[Demand], now: float) -> Callable[[set[str]], bool]:
-        """A check whether the demand that the rooms can hold, at each step, is held just as well
-        without the named machines.
+        """Makes a check whether machines can be spared.
+
+        They can if the demand that the rooms can hold, at each step, is held just as well without
+        them.
         """
         steps = []
         for at in self._steps():
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -83,8 +83,9 @@
             self.request_pass()
 
     def _pass(self, queue: list[Job], now: float) -> None:
-        """One look at all that waits. Who found no room in an earlier pass looks only where there
-        is more now.
+        """Places what can be placed of all that waits.
+
+        Who found no room in an earlier pass looks only where there is more now.
         """
         usable = self.tracker.usable()
         stock = placement.Stock(usable, self.term.kinds, self.rng)
@@ -225,11 +226,13 @@
         return worth
 
     def _preempt(self, job: Job, stock: placement.Stock, zones: dict[str, bool]) -> bool:
-        """Makes room for a task by stopping tasks of lower rank where, of a sample, the least work
-        is lost.
+        """Makes room for a task by stopping tasks of lower rank.
+
+        Where, of a sample, the least work is lost.
 
         The machine is kept for that rank until the stopped tasks are proven gone. False: there is
-        nobody to stop, for this job and its like."""
+        nobody to stop, for this job and its like.
+        """
         now, spec, rank = self.runtime.now(), job.spec, wire.RANKS[job.spec.rank]
         key = (job.no, job.next_task())
         entitled = job.no not in self.jobs.beyond
@@ -299,8 +302,9 @@
     def _victims(
         self, job: Job, machine: Machine, kind: wire.MachineType, entitled: bool, now: float
     ) -> list[Placement]:
-        """The tasks whose stop makes room for one of the job, those that lose least first; none: it
-        can't.
+        """The tasks whose stop makes room for one of the job.
+
+        Those that lose least first; none: it can't be done there.
         """
         spec, rank = job.spec, wire.RANKS[job.spec.rank]
         lower = [
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -309,8 +309,9 @@
                 job.cancelled_at = min(now, job.cancelled_at + lost)
 
     def _silent_zones(self, now: float) -> set[str]:
-        """Zones in which most machines fell silent together: that is the network or a controller,
-        and the machines are likely well.
+        """Zones in which most machines fell silent together.
+
+        That is the network or a controller, and the machines are likely well.
         """
         counts: dict[str, list[int]] = {}
         for machine in self.fleet.machines.values():
@@ -396,11 +397,12 @@
         self.term.request_pass()
 
     def _unlisted(self, listed: set[str], asked_at: float) -> None:
-        """Machines that the ledger places tasks on, that no report of this term came from, and that
-        the cloud no longer lists: an earlier leader released them and could not commit it. The list
-        proves nothing; the release's answer will. One that is newer than the list is old works, and
-        is not listed yet: names are in the order of creation, and after twice the lag all of the
-        earlier leader's are listed.
+        """Releases machines that an earlier leader released and could not commit.
+
+        The ledger places tasks on them, no report of this term came from them, and the cloud no
+        longer lists them. The list proves nothing; the release's answer will. One that is newer
+        than the list is old works, and is not listed yet: names are in the order of creation, and
+        after twice the lag all of the earlier leader's are listed.
         """
         late_enough = asked_at - self.term.began > 2 * self.settings.list_lag_s
         newest = max(listed, default="")
--- a/flaxtally/leader.py
+++ b/flaxtally/leader.py
@@ -181,9 +181,10 @@
     # What comes again and again
 
     def _may_act(self) -> bool:
-        """An isolated leader answers reports and stops what it cancelled. It doesn't rent, release,
-        move or preempt: the machines that are silent, idle or slow to it may be at work for its
-        successor.
+        """Whether the leader may rent, release, move and preempt.
+
+        An isolated one answers reports and stops what it cancelled, no more: the machines that are
+        silent, idle or slow to it may be at work for its successor.
         """
         if not self.term.active:
             return False
--- a/flaxtally/ledger/book.py
+++ b/flaxtally/ledger/book.py
@@ -173,8 +173,10 @@
         getattr(self, "_apply_" + record[0])(page, *record[1:])
 
     def replay(self, record: Record, page: int) -> None:
-        """Applies a record that was read back. Records of a job whose own record is not there yet
-        belong to a page that was cleaned: a later snapshot says what they meant.
+        """Applies a record that was read back.
+
+        Records of a job whose own record is not there yet belong to a page that was cleaned: a
+        later snapshot says what they meant.
         """
         if record[0] in "TPEC" and record[1] not in self.jobs:
             return
--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/commit.py
@@ -40,6 +40,7 @@
 
 
 def page_key(number: int) -> str:
+    """The key of a page at the state service."""
     return f"{PAGES}{number:08d}"
 
 
@@ -111,8 +112,10 @@
             request.tell(False)
 
     def open(self, version: int, ready: Then) -> None:
-        """Reads all pages under a leader key of this version. Writes of earlier leaders fail from
-        the takeover on, so what is read is final."""
+        """Reads all pages under a leader key of this version.
+
+        Writes of earlier leaders fail from the takeover on, so what is read is final.
+        """
         self._reset(version)
         generation = self.generation
 
@@ -185,7 +188,8 @@
     def clean(self) -> None:
         """Cleans the oldest page when the pages hold much more than what they still mean.
 
-        A crash between the new records and the drop leaves both: replay takes the later ones."""
+        A crash between the new records and the drop leaves both: replay takes the later ones.
+        """
         if self._cleaning or self._queue or self._busy or len(self._pages) <= FEW_PAGES:
             return
         oldest = min(page for page in self._pages if page != ORIGIN)
--- a/flaxtally/mail.py
+++ b/flaxtally/mail.py
@@ -97,8 +97,9 @@
             box.heard = min(now, box.heard + lost)
 
     def post(self, peer: str, frame: Frame) -> None:
-        """Keeps the frame for the next batch. Of heartbeats, and of one machine's reports, the last
-        is enough.
+        """Keeps the frame for the next batch.
+
+        Of heartbeats, and of one machine's reports, the last is enough.
         """
         box = self._boxes[peer]
         box.count += 1
--- a/flaxtally/node.py
+++ b/flaxtally/node.py
@@ -121,8 +121,9 @@
         log.info("event=start node=%s zone=%s", settings.node, settings.zone)
 
     def _mails(self, peer: str) -> bool:
-        """Only a leader and its followers write to each other: changes at the state service are
-        few.
+        """Whether frames for the peer may go through the state service.
+
+        Only a leader and its followers write to each other: changes there are few.
         """
         election = self.election
         return election.store_answers and (election.leading or election.leader == peer)
--- a/flaxtally/peers.py
+++ b/flaxtally/peers.py
@@ -26,6 +26,7 @@
 
 
 def encode(frame: Frame) -> bytes:
+    """A frame as bytes, with its length before it."""
     body = cbor2.dumps(frame)
     return _length.pack(len(body)) + body
 
@@ -177,9 +178,10 @@
             self._dial(node, link)
 
     def refuses(self, node: str) -> bool:
-        """Whether the node's address refused a connection after it was last heard, and no mail of
-        it comes: its process is likely dead. A cut hangs instead; a filter refuses too, but then
-        mail will come.
+        """Whether the node's process is likely dead.
+
+        Its address refused a connection after it was last heard, and no mail of it comes. A cut
+        hangs instead; a filter refuses too, but then mail will come.
         """
         link = self._links.get(node)
         if link is None or not self._refused(node, link):
--- a/flaxtally/placement.py
+++ b/flaxtally/placement.py
@@ -32,6 +32,7 @@
 
 
 def room(machine: Machine, kind: wire.MachineType) -> Room:
+    """What the machine has left."""
     return Room(kind.cores - machine.cores, kind.gpus - machine.gpus, kind.ram - machine.ram)
 
 
@@ -56,8 +57,9 @@
 
 
 def gpu_needs(specs: Iterable[wire.Spec]) -> GpuNeeds:
-    """Of the class that takes most on average. One greedy task is no reason to leave the cores of
-    all GPUs idle.
+    """What tasks need beside each GPU, for the class that takes most on average.
+
+    One greedy task is no reason to leave the cores of all GPUs idle.
     """
     lanes: dict[str, list[wire.Spec]] = {}
     for spec in specs:
@@ -104,8 +106,7 @@
 
 
 class Exhausted:
-    """Sizes of tasks for which there was nothing, by whatever else decides: a larger one needn't
-    look.
+    """Sizes of tasks for which nothing was found; larger ones needn't look.
 
     Jobs of a class ask for amounts that differ a little; one that found no room answers for all the
     larger ones.
@@ -132,8 +133,9 @@
 
 
 class Stock:
-    """The machines that one pass of the scheduler may use, walked in a random order, each with its
-    pool.
+    """The machines that one pass of the scheduler may use.
+
+    They are walked in a random order, each with its pool.
 
     What a pool may not take (types, zones, spot) is decided once a shape, not once a machine; a
     search begins at a random place and ends as soon as it has a sample. `looked` counts the
@@ -226,9 +228,10 @@
         most: int,
         keep: Callable[[Machine], bool] | None = None,
     ) -> list[Machine]:
-        """At most so many machines, drawn at random, that can hold one more task of the job: among
-        those that hold its image, and if none of them can, among all. In a large fleet a sample of
-        all misses the few that do.
+        """A sample of the machines that can hold one more task of the job.
+
+        At most `most`, drawn at random among those that hold its image, and if none of them can,
+        among all. In a large fleet a sample of all misses the few that do.
 
         Without `needs` nothing is kept for GPU tasks, and slow machines will do. Who has found some
         ends after `WIDEN` times as many looks; who has found none looks at all.
--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -176,4 +176,5 @@
 
 
 def default(settings: Settings) -> Policy:
+    """The shipped policy for these settings."""
     return load(settings)
--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -1,5 +1,4 @@
-"""The operators' settings: a small expression language, parsed and checked before anything is
-evaluated.
+"""The operators' settings: a small expression language, checked before evaluation.
 
     file      = { NAME "=" expr NEWLINE }            "#": comment; lines may go on in brackets
     expr      = "if" sum COMPARE sum "then" expr "else" expr | sum
@@ -78,12 +77,16 @@
 
 @dataclass(frozen=True)
 class Number:
+    """A number with its unit."""
+
     value: float
     unit: Unit
 
 
 @dataclass(frozen=True)
 class Name:
+    """A reference to a setting, or to a figure of the platform's file."""
+
     name: str
 
 
@@ -97,6 +100,8 @@
 
 @dataclass(frozen=True)
 class Choice:
+    """`if … then … else …`."""
+
     compare: str
     left: Expression
     right: Expression
@@ -109,6 +114,8 @@
 
 @dataclass(frozen=True)
 class Statement:
+    """One setting of a file, and where it stands."""
+
     name: str
     expression: Expression
     file: str
@@ -367,6 +374,7 @@
 
 
 def names_in(expression: Expression) -> list[str]:
+    """The names that an expression refers to."""
     match expression:
         case Name(name):
             return [name]
@@ -401,8 +409,9 @@
     known: Mapping[str, Known],
     platform: Mapping[str, tuple[float, Unit]],
 ) -> dict[str, float]:
-    """The value of each setting; raises PolicyError with every fault. Nothing is evaluated before
-    all is checked.
+    """The value of each setting; raises PolicyError with every fault.
+
+    Nothing is evaluated before all is checked.
     """
     check = _Check(statements, known, {name: unit for name, (_, unit) in platform.items()})
     check.all()
--- a/flaxtally/settings.py
+++ b/flaxtally/settings.py
@@ -27,8 +27,9 @@
 
 @dataclass(frozen=True)
 class Objective:
-    """An aim of the platform: what is to happen to a class within a time, or within so many times
-    its deadline.
+    """An aim of the platform.
+
+    What is to happen to a class within a time, or within so many times its deadline.
     """
 
     kind: str
--- a/flaxtally/standin/demo.py
+++ b/flaxtally/standin/demo.py
@@ -160,8 +160,10 @@
         log.info("event=machine_gone machine=%s", name)
 
     def spec(self, ref: str) -> wire.Spec | None:
-        """What the workers know of a job. Users hand it to them on a way of their own, which the
-        demo has not; its workers look into the ledger instead.
+        """What the workers know of a job.
+
+        Users hand it to them on a way of their own, which the demo has not; its workers look into
+        the ledger instead.
         """
         for key, (value, _, _) in self.state.rows.items():
             if key.startswith("p/"):
--- a/flaxtally/standin/worker.py
+++ b/flaxtally/standin/worker.py
@@ -22,7 +22,9 @@
 
 
 class Worker:
-    """`run_time(ref)` is how long a job's tasks run (None: until stopped); `spec(ref)` is what was
+    """A worker and its machine.
+
+    `run_time(ref)` is how long a job's tasks run (None: until stopped); `spec(ref)` is what was
     uploaded; `watch(event, machine, task, attempt)` sees `start` and `end` of everything on the
     machine.
     """
--- a/flaxtally/urgency.py
+++ b/flaxtally/urgency.py
@@ -13,8 +13,9 @@
 
 
 class Due(NamedTuple):
-    """A job with waiting tasks. `latest`: by when these must begin for each of its due times, in
-    order.
+    """A job with waiting tasks.
+
+    `latest`: by when these must begin for each of its due times, in order.
     """
 
     no: int
@@ -23,9 +24,10 @@
 
 
 def levels(jobs: Iterable[Due], now: float, slots: int) -> dict[int, int]:
-    """By job, the first of its due times for which there is room, when `slots` tasks run at a time;
-    the number of its due times if there is none. Jobs of an earlier level go before those of a
-    later one.
+    """By job, the first of its due times for which there is room.
+
+    `slots` tasks run at a time. The number of its due times if there is none. Jobs of an earlier
+    level go before those of a later one.
     """
     found: dict[int, int] = {}
     left, ahead, level = list(jobs), 0.0, 0
--- a/flaxtally/wire.py
+++ b/flaxtally/wire.py
@@ -185,10 +185,14 @@
 
 
 class Catalog(msgspec.Struct, rename={"types": "breeds"}):
+    """The cloud's machine types."""
+
     types: list[MachineType]
 
 
 class Rented(msgspec.Struct, rename={"machines": "rigs"}):
+    """The answer to a rental request."""
+
     machines: list[str]
 
 
@@ -215,26 +219,36 @@
 
 
 class Listing(msgspec.Struct, rename={"machines": "rigs", "more": "hasNext"}):
+    """A page of the cloud's list of machines."""
+
     machines: list[Listed]
     more: bool = False
 
 
 class Row(msgspec.Struct, rename={"key": "k", "value": "v", "version": "stamp"}):
+    """A key of the state service with its value and version."""
+
     key: str
     value: Any
     version: int
 
 
 class Rows(msgspec.Struct, rename={"rows": "rows", "more": "hasNext"}):
+    """A page of keys."""
+
     rows: list[Row]
     more: bool = False
 
 
 class Revision(msgspec.Struct, rename={"revision": "ledger"}):
+    """The revision of a change."""
+
     revision: int
 
 
 class Hold(msgspec.Struct, rename={"lease": "tenure"}):
+    """A lease that was granted."""
+
     lease: int
 
 
@@ -313,18 +327,22 @@
 
 
 def launch(task: str, attempt: int) -> dict[str, Any]:
+    """The order to start an attempt of a task."""
     return {"verb": "launch", "hand": task, "try": attempt}
 
 
 def stop(task: str, attempt: int, grace: float) -> dict[str, Any]:
+    """The order to stop an attempt, with seconds to save."""
     return {"verb": "stop", "hand": task, "try": attempt, "leewayS": grace}
 
 
 def forget(task: str, attempt: int) -> dict[str, Any]:
+    """The order to drop an exited attempt from the reports."""
     return {"verb": "reap", "hand": task, "try": attempt}
 
 
 def orders_body(token: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+    """Direct orders, under a token and for a session."""
     return {"baton": token, "shift": session, "orders": orders}
 
 
@@ -334,14 +352,17 @@
 
 
 def report_elsewhere(node: str | None) -> dict[str, Any]:
+    """The answer that sends a worker to another controller, or to any."""
     return {} if node is None else {"foreman": node}
 
 
 def rental(request: str, kind: str, zone: str, spot: bool, count: int) -> dict[str, Any]:
+    """A rental request; its name must never be used again."""
     return {"hire": request, "breed": kind, "yard": zone, "loaner": spot, "number": count}
 
 
 def release(machines: list[str]) -> dict[str, Any]:
+    """A request to give machines back."""
     return {"rigs": machines}
 
 
@@ -365,14 +386,17 @@
 
 
 def hold_body(life: float) -> dict[str, Any]:
+    """A request for a lease."""
     return {"lifeMs": int(life * 1000)}
 
 
 def rows_path(prefix: str, after: str | None, most: int) -> str:
+    """The path of a listing of keys."""
     return f"{STORE}?starts={prefix}" + (f"&after={after}" if after else "") + f"&most={most}"
 
 
 def listing_path(after: str | None, most: int) -> str:
+    """The path of a listing of machines."""
     return f"{RENTALS}?most={most}" + (f"&after={after}" if after else "")
 
 
@@ -380,6 +404,8 @@
 
 
 class Order(msgspec.Struct, rename={"task": "hand", "attempt": "try", "grace": "leewayS"}):
+    """An order as a worker reads it."""
+
     verb: str
     task: str
     attempt: int
@@ -395,15 +421,21 @@
 
 
 class Elsewhere(msgspec.Struct, rename={"node": "foreman"}):
+    """A redirection as a worker reads it."""
+
     node: str | None = None
 
 
 class Guard(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
+    """A condition of a transaction: the key has this version (0: none)."""
+
     key: str
     version: int
 
 
 class Change(msgspec.Struct, rename={"value": "v", "lease": "tenure"}):
+    """A put or a drop of a transaction."""
+
     put: str | None = None
     value: Any = None
     lease: int | None = None
@@ -411,6 +443,8 @@
 
 
 class Txn(msgspec.Struct):
+    """A transaction as the state service reads it."""
+
     guards: list[Guard] = []
     apply: list[Change] = []
 
@@ -425,6 +459,8 @@
         "count": "number",
     },
 ):
+    """A rental request as the cloud reads it."""
+
     request: str
     type: str
     zone: str
@@ -433,10 +469,14 @@
 
 
 class Release(msgspec.Struct, rename={"machines": "rigs"}):
+    """A release as the cloud reads it."""
+
     machines: list[str]
 
 
 class Life(msgspec.Struct, rename={"milliseconds": "lifeMs"}):
+    """A lease's length as the state service reads it."""
+
     milliseconds: int
 
 
--- a/flaxtally/workers.py
+++ b/flaxtally/workers.py
@@ -22,6 +22,7 @@
 
 
 def parse_address(text: str) -> Address | None:
+    """The address of `HOST:PORT`, or None."""
     host, _, port = text.rpartition(":")
     return (host, int(port)) if host and port.isdigit() else None
 
@@ -95,8 +96,9 @@
             )
 
     def _room(self) -> bool:
-        """Whether one more machine may be called; closes the connections that were used longest
-        ago.
+        """Whether one more machine may be called.
+
+        Closes the connections that were used longest ago.
         """
         if sum(client.connections for client in self._clients.values()) + A_WORKER <= self._most:
             return True
