--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,7 +19,7 @@
 from flaxtally.settings import Team
 
 from .scenarios import busy, ends_well, leader_of, steady_work, term
-from .world import World, batch, spec
+from .world import STATE, World, batch, spec
 
 
 def test_the_loop_notices_a_pause_once_and_before_what_fell_due(
@@ -137,6 +137,25 @@
     ends_well(world)
 
 
+@pytest.mark.parametrize("for_s", [1.2, 6.0, 25.0])
+def test_a_pause_in_the_midst_of_a_commit_or_of_a_question(for_s: float) -> None:
+    # The commit's answer waits in the socket while others take over; what follows it may be told
+    # only as far as it is still true, and a question's answer no later than its user waits.
+    world = busy(arrays=0)
+    for number in range(6):
+        ref = f"j-{400 + number:06d}"
+        old = leader_of(world)
+        world.submit(batch(ref, 1), run_time=3.0, node=number)
+        ledger = world.nodes[old].leader._ledger
+        assert world.until(lambda ledger=ledger: ledger._busy, 5)  # type: ignore[misc]
+        world.look_closely(ref)
+        world.after(0.3, world.cancel, ref, number + 1)
+        world.freeze(old, for_s)
+        world.run(for_s + 6)
+        world.look_closely(ref)
+    ends_well(world)
+
+
 def poll_storm(world: World, refs: list[str], for_s: float, per_s: int = 200) -> dict[int, int]:
     """Users ask about these jobs that many times a second, at all nodes; the answers by status."""
     answers: dict[int, int] = {}
@@ -151,7 +170,10 @@
     return answers
 
 
-@pytest.mark.parametrize("what", ["nothing", "crash", "refuse", "isolate", "freeze", "workers"])
+@pytest.mark.parametrize(
+    "what",
+    ["nothing", "crash", "refuse", "isolate", "freeze", "workers", "state", "network"],
+)
 def test_a_poll_storm_crowds_nothing_out(what: str) -> None:
     # Polls share confirmations of leadership, so the state service's requests don't grow with them;
     # submissions, reports, cancellations and the lease go on, also when the leader is lost.
@@ -173,6 +195,10 @@
         world.freeze(leader, 12.0)
     elif what == "workers":
         world.cut(world.ip(leader), [world.ip_of(name) for name in world.workers], 15.0)
+    elif what == "state":
+        world.cut(world.ip(leader), [STATE[0]], 15.0)
+    elif what == "network":
+        world.cut(world.ip(leader), [ip for ip in world.sim.hosts if ip != world.ip(leader)], 15.0)
     running = dict(world.running)
     world.run(22)
     asked = 30 * 200
