--- a/flaxtally/dispatch.py
+++ b/flaxtally/dispatch.py
@@ -24,6 +24,8 @@
 log = logging.getLogger(__name__)
 
 Told = Callable[[int, bytes], None]
+ORDERS_REMEMBERED = 4096
+"""Numbers of a leader's orders, against frames that come twice."""
 
 
 def owner(machine: str, zone: str, view: list[str], zones: dict[str, str]) -> str | None:
@@ -40,6 +42,32 @@
     return max(view, key=weight, default=None)
 
 
+class OrderNumbers:
+    """Tells orders that come a second time from those that come for the first.
+
+    While a link is taken for silent a frame goes both over it and through the state service, and
+    may arrive by both ways, the second time seconds or minutes late. An order carried out again
+    after its attempt was forgotten on the machine would start that a second time.
+    """
+
+    def __init__(self, most: int) -> None:
+        """`most`: numbers that are remembered; older ones count as seen."""
+        self._most = most
+        self._seen: set[int] = set()
+        self._oldest = -1
+
+    def is_new(self, number: int) -> bool:
+        """Whether the number comes for the first time; it is remembered."""
+        if number <= self._oldest or number in self._seen:
+            return False
+        self._seen.add(number)
+        if len(self._seen) > 2 * self._most:
+            kept = sorted(self._seen)[-self._most :]
+            self._oldest = kept[0] - 1
+            self._seen = set(kept)
+        return True
+
+
 class Dispatch(Actor, OrderCarrier):
     """Owns what this node hears from machines and the orders that it carries."""
 
@@ -71,6 +99,9 @@
         self._ids = itertools.count(election.life)
         self._carried: dict[int, tuple[str, Told, Timer]] = {}
         """By number: who was asked to carry the orders."""
+        self._order_numbers: dict[str, OrderNumbers] = {}
+        """By leader, for the present term: within it a leader has one life, and numbers rise."""
+        self._order_term = 0
         self.every(settings.lease_s, self._tidy)
 
     def deliver_to(self, deliver: Callable[[str, wire.Report], None]) -> None:
@@ -203,7 +234,7 @@
         if not isinstance(address, str) or not isinstance(body, dict | None):
             log.warning("orders of %s are none", sender)
             return
-        if body is not None and body.get("baton") != self._election.term:
+        if body is not None and not self._is_due(sender, body, number):
             return
 
         def told(status: int, answer: bytes) -> None:
@@ -211,6 +242,16 @@
 
         self._send(address, body, told)
 
+    def _is_due(self, sender: str, body: dict[str, Any], number: Any) -> bool:
+        """Whether the orders are of the present term and come for the first time."""
+        term = self._election.term
+        if body.get("baton") != term or not isinstance(number, int):
+            return False
+        if term != self._order_term:
+            self._order_term, self._order_numbers = term, {}
+        numbers = self._order_numbers.setdefault(sender, OrderNumbers(ORDERS_REMEMBERED))
+        return numbers.is_new(number)
+
     def carried(self, sender: str, frame: Frame) -> None:
         number, status, body = frame.get("i"), frame.get("s"), frame.get("b")
         if not (isinstance(number, int) and isinstance(status, int) and isinstance(body, bytes)):
--- a/flaxtally/lead/consolidation.py
+++ b/flaxtally/lead/consolidation.py
@@ -180,6 +180,8 @@
 
     def _displace(self, machine: Machine) -> None:
         """Stops best-effort tasks elsewhere where that makes room for the machine's replicas."""
+        if not any(job.placed and job.spec.best_effort for job in self.jobs.live.values()):
+            return
         usable = self.tracker.usable()
         with consolidate.without_best_effort(usable):
             stock = placement.Stock(usable, self.term.kinds, self.rng)
--- a/flaxtally/mail.py
+++ b/flaxtally/mail.py
@@ -26,30 +26,39 @@
 
 MAIL = "mail/"
 MOST_INFLATED = 1 << 20
+FRESH_PERIODS = 5
+"""For so many periods a peer whose batch was read counts as heard."""
+CLOCKS_APART = 1.0
+"""Seconds by which the times of day of two nodes may differ, and more."""
 Frame = dict[str, Any]
 
 
-def fold(frames: list[Frame], most: int) -> str:
-    """A batch as text of at most `most` characters; the newest frames win when not all fit."""
+def fold(frames: list[Frame], most: int, at: float) -> str:
+    """A batch as text of at most `most` characters; the newest frames win when not all fit.
+
+    `at`: the time of day, since a batch lies there until the next silence of the link.
+    """
     while True:
-        text = base64.b85encode(zlib.compress(cbor2.dumps(frames), 6)).decode("ascii")
+        text = base64.b85encode(zlib.compress(cbor2.dumps([at, frames]), 6)).decode("ascii")
         if len(text) <= most or not frames:
             return text
         frames = frames[len(frames) // 4 + 1 :]
 
 
-def unfold(text: str) -> list[Frame]:
-    """The batch, or ValueError."""
+def unfold(text: str) -> tuple[float, list[Frame]]:
+    """The time of day of a batch and its frames, or ValueError."""
     try:
         inflater = zlib.decompressobj()
-        frames = cbor2.loads(inflater.decompress(base64.b85decode(text), MOST_INFLATED))
+        at, frames = cbor2.loads(inflater.decompress(base64.b85decode(text), MOST_INFLATED))
     except (zlib.error, cbor2.CBORDecodeError, TypeError) as fault:
         raise ValueError(str(fault)) from None
+    if not isinstance(at, float):
+        raise ValueError("no time")
     if not isinstance(frames, list) or not all(
         isinstance(frame, dict) and "k" in frame for frame in frames
     ):
         raise ValueError("not a batch")
-    return frames
+    return at, frames
 
 
 class _Box:
@@ -88,7 +97,7 @@
 
     def fresh(self, peer: str) -> bool:
         box = self._boxes.get(peer)
-        return box is not None and self.runtime.now() - box.heard < 5 * self._period
+        return box is not None and self.runtime.now() - box.heard < FRESH_PERIODS * self._period
 
     def on_pause(self, lost: float) -> None:
         """The process stood still: peers were not silent meanwhile."""
@@ -130,7 +139,7 @@
             self._store.get(key, found)
             return
         box.posted_at = self.runtime.now()
-        text = fold(list(box.frames.values()), self._most)
+        text = fold(list(box.frames.values()), self._most, self.runtime.wall())
         box.frames = {}
 
         def told(outcome: Outcome, revision: int) -> None:
@@ -156,10 +165,13 @@
             if first or row is None or not self._silent(peer):
                 return
             try:
-                frames = unfold(row.value)
+                at, frames = unfold(row.value)
             except ValueError as fault:
                 log.warning("mail of %s: %s", peer, fault)
                 return
+            if self.runtime.wall() - at > FRESH_PERIODS * self._period + CLOCKS_APART:
+                # Of an earlier silence, never read then: heartbeats and orders of long ago.
+                return
             box.heard = self.runtime.now()
             for frame in frames:
                 try:
