--- /dev/null
+++ b/tests/test_links.py
@@ -0,0 +1,84 @@
+"""Frames between controllers that come late or by two ways."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import Any
+
+import pytest
+
+from flaxtally import wire
+from flaxtally.dispatch import Dispatch
+from flaxtally.peers import Peers
+from flaxtally.standin.worker import Worker
+
+from .scenarios import ends_well
+from .world import World, batch
+
+
+def test_an_order_that_comes_by_two_ways_is_carried_out_once(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # While a link is taken for silent frames go over it and through the state service. A launch
+    # that came again after its attempt was forgotten on the machine started that anew.
+    launched: Counter[tuple[str, int]] = Counter()
+    launch, send = Worker._launch, Peers.send
+
+    def counted(worker: Worker, order: wire.Order) -> None:
+        launched[order.task, order.attempt] += 1
+        launch(worker, order)
+
+    def doubled(peers: Peers, node: str, frame: dict[str, Any]) -> None:
+        send(peers, node, frame)
+        if frame["k"] == "ord":
+            peers.later(4.0, send, peers, node, frame)
+
+    monkeypatch.setattr(Worker, "_launch", counted)
+    monkeypatch.setattr(Peers, "send", doubled)
+    world = World()
+    for number in range(8):
+        world.submit(batch(f"j-{100 + number:06d}", 4), run_time=1.0, node=number)
+    world.run(40)
+    assert len(launched) == 32
+    assert max(launched.values()) == 1, launched
+    assert not any(machine for machine in world.running)
+    ends_well(world, 20)
+
+
+def test_a_batch_of_an_earlier_silence_is_not_taken_for_new(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Found on a day with two cuts between zones: the last batch of the first was read when the
+    # second began, 70 s later, and its launches were carried out again; a task ran twice.
+    sent: dict[tuple[str, int], float] = {}
+    ages: list[float] = []
+    send, order = Peers.send, Dispatch.order
+
+    def noted(peers: Peers, node: str, frame: dict[str, Any]) -> None:
+        if frame["k"] == "ord":
+            sent.setdefault((peers._node, frame["i"]), peers.runtime.now())
+        send(peers, node, frame)
+
+    def checked(dispatch: Dispatch, sender: str, frame: dict[str, Any]) -> None:
+        ages.append(dispatch.runtime.now() - sent[sender, frame["i"]])
+        order(dispatch, sender, frame)
+
+    monkeypatch.setattr(Peers, "send", noted)
+    monkeypatch.setattr(Dispatch, "order", checked)
+    world = World(3)
+    pairs = [(a, b) for a in world.names for b in world.names if a < b]
+    for turn in range(3):
+        for number in range(12):
+            ref = f"j-{100 * turn + number:06d}"
+            world.after(number * 0.7, world.submit, batch(ref, 3), 2.0, number)
+        world.run(4)
+        for a, b in pairs:
+            world.sim.cut(world.ip(a), world.ip(b))
+        world.run(8.3 + 0.1 * turn)
+        for a, b in pairs:
+            world.sim.heal(world.ip(a), world.ip(b))
+        world.run(25)
+    assert len(ages) > 20
+    # The cut itself holds frames back for as long as it lasts.
+    assert max(ages) < 9.0, sorted(ages)[-5:]
+    ends_well(world, 40)
--- /dev/null
+++ b/tests/test_pauses.py
@@ -0,0 +1,145 @@
+"""Controllers that stand still while their clocks run on."""
+
+from __future__ import annotations
+
+import pytest
+
+from flaxtally import wire
+from flaxtally.loop import Loop
+
+from .scenarios import busy, ends_well, leader_of, steady_work, term
+from .world import World, batch, spec
+
+
+def test_the_loop_notices_a_pause_once_and_before_what_fell_due(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    # Without it each actor would take the silence of its own standstill for that of others.
+    loop = Loop()
+    clock, seen = [100.0], list[object]()
+    monkeypatch.setattr(loop, "now", lambda: clock[0])
+    loop._last_seen = 100.0
+    loop.on_pause(1.0, lambda lost: seen.append(round(lost, 3)))
+    loop.after(0.5, seen.append, "timer")
+    waits: list[float | None] = []
+
+    class Frozen:
+        def select(self, wait: float | None) -> list[object]:
+            waits.append(wait)
+            clock[0] += (wait or 0.0) + (20.0 if len(waits) == 1 else 0.0)
+            return []
+
+    monkeypatch.setattr(loop, "selector", Frozen())
+    loop._turn()
+    assert waits == [0.5]
+    assert seen == [20.0, "timer"]
+    loop.after(30.0, seen.append, "late")
+    loop._turn()
+    assert seen == [20.0, "timer", "late"], "a wait that was asked for is no pause"
+    loop.soon(lambda: clock.__setitem__(0, clock[0] + 3.0))
+    loop._turn()
+    loop.soon(seen.append, "after a slow callback")
+    loop._turn()
+    assert seen[3:] == [3.0, "after a slow callback"]
+
+
+@pytest.mark.parametrize("for_s", [5.0, 12.0, 30.0])
+@pytest.mark.parametrize("who", ["leader", "follower"])
+def test_a_controller_stands_still_while_its_clocks_run_on(who: str, for_s: float) -> None:
+    world = busy(services=8, run_time=60.0)
+    old, before = leader_of(world), term(world)
+    frozen = old if who == "leader" else next(name for name in world.names if name != old)
+    steady_work(world, 40.0, every=1.0)
+    world.run(3)
+    there = set(world.workers)
+    services = {task: at for task, at in world.running.items() if task < "j-000008"}
+    world.freeze(frozen, for_s)
+    if who == "leader":
+        # Others take over in the usual time.
+        assert world.until(lambda: term(world) > before, 4), world.trace
+    world.run(for_s + 8)
+    assert term(world) == before + (who == "leader"), world.trace
+    # No machine is judged by the silence of the standstill, no replica moves.
+    assert there <= set(world.workers), world.trace
+    assert {task: world.running.get(task) for task in services} == services
+    ends_well(world)
+
+
+def test_a_paused_leader_whom_nobody_replaces_judges_nobody_by_its_own_silence() -> None:
+    # All stand still together, or the others can't take over since the state service is down. The
+    # leader goes on leading: cancellations under way, boots and machines are not late for it.
+    world = busy(services=6, run_time=80.0)
+    world.run(3)
+    old, before, there = leader_of(world), term(world), set(world.workers)
+    for name in world.names:
+        world.freeze(name, 9.0)
+    world.run(15)
+    assert leader_of(world) == old
+    assert term(world) == before
+    assert there <= set(world.workers), world.trace
+    world.outage(20.0)
+    world.run(1)
+    world.freeze(old, 8.0)
+    world.run(15)
+    assert there <= set(world.workers), world.trace
+    world.run(10)
+    ends_well(world)
+
+
+def test_a_former_leader_does_nothing_before_its_leadership_is_confirmed() -> None:
+    # Found: it goes on in one turn of the loop in which the others' heartbeats are read first (so
+    # it is not isolated), then its timers fall due (so it gave back machines that it took for idle
+    # and that its successor used), and only then is it told that it leads no more.
+    world = busy(services=2, arrays=0)
+    spare = [world.cloud.add("c16", zone, False, boot=0.5) for zone in "ab"]
+    assert world.until(lambda: all(name in world.workers for name in spare), 10)
+    old, before = leader_of(world), term(world)
+    world.run(24)
+    world.freeze(old, 20.0)
+    assert world.until(lambda: term(world) > before, 4), world.trace
+    refs = [f"j-{400 + number:06d}" for number in range(6)]
+    for ref in refs:
+        world.submit(spec(ref, tasks=2, cores=4.0), node=world.names.index(leader_of(world)))
+    assert world.until(lambda: all(world.count(ref) == 2 for ref in refs), 14), world.trace
+    assert set(spare) & {machine for machine, _ in world.running.values()}
+    running, asked = dict(world.running), world.cloud.callers.count((world.ip(old), wire.RELEASE))
+    world.run(12)
+    assert world.cloud.callers.count((world.ip(old), wire.RELEASE)) == asked
+    assert world.running == running, world.trace[-20:]
+    ends_well(world, 40)
+
+
+def test_a_takeover_that_a_pause_falls_into_is_judged_anew() -> None:
+    world: World = busy(arrays=0)
+    old = leader_of(world)
+    others = [name for name in world.names if name != old]
+    world.crash(old, back_after=3.0)
+    # Whoever has sent its takeover stands still until the other leads.
+    assert world.until(lambda: any(world.nodes[name].election._taking for name in others), 10)
+    taking = next(name for name in others if world.nodes[name].election._taking)
+    world.freeze(taking, 15.0)
+    world.run(14)
+    leads = leader_of(world)
+    world.run(5)
+    assert leader_of(world) == leads
+    assert not (world.nodes[taking].election.leading and leads != taking)
+    ends_well(world)
+
+
+@pytest.mark.parametrize("for_s", [1.2, 6.0, 25.0])
+def test_a_pause_in_the_midst_of_a_commit_or_of_a_question(for_s: float) -> None:
+    # The commit's answer waits in the socket while others take over; what follows it may be told
+    # only as far as it is still true, and a question's answer no later than its user waits.
+    world = busy(arrays=0)
+    for number in range(6):
+        ref = f"j-{400 + number:06d}"
+        old = leader_of(world)
+        world.submit(batch(ref, 1), run_time=3.0, node=number)
+        ledger = world.nodes[old].leader._ledger
+        assert world.until(lambda ledger=ledger: ledger._busy, 5)  # type: ignore[misc]
+        world.look_closely(ref)
+        world.after(0.3, world.cancel, ref, number + 1)
+        world.freeze(old, for_s)
+        world.run(for_s + 6)
+        world.look_closely(ref)
+    ends_well(world)
