--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -426,12 +426,16 @@
         """Whether the machine has long held nothing but best-effort tasks for which it is dear."""
         if machine.anchors or now - machine.unneeded_since <= self.policy.cool_down:
             return False
-        pool = machine.kind, machine.spot
-        shapes = {placed.job.shape for placed in machine.placements.values()}
-        most = self.policy.best_effort_price
-        return bool(shapes) and all(
-            pool in dear_types(shape, self.term.kinds, self.jobs.needs, most) for shape in shapes
-        )
+        pool, most = (machine.kind, machine.spot), self.policy.best_effort_price
+        known: dict[int, bool] = {}
+        for placed in machine.placements.values():
+            job = placed.job
+            if job.no not in known:
+                dear = dear_types(job.shape, self.term.kinds, self.jobs.needs, most)
+                known[job.no] = pool in dear
+            if not known[job.no]:
+                return False
+        return bool(known)
 
     def _drain(self, machine: Machine) -> None:
         """Places nothing more on the machine, which is released when empty.
--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/commit.py
@@ -105,9 +105,13 @@
         self._cleaning = False
 
     def close(self) -> None:
-        """This node leads no more: what waited is dropped, and those who asked are told so."""
+        """This node leads no more: what waited is dropped."""
+        self._restart(0)
+
+    def _restart(self, version: int) -> None:
+        """Forgets everything; who waits for leadership to be confirmed is told that it is not."""
         waiting = self._confirmation_requests
-        self._reset(0)
+        self._reset(version)
         for request in waiting:
             request.tell(False)
 
@@ -116,7 +120,7 @@
 
         Writes of earlier leaders fail from the takeover on, so what is read is final.
         """
-        self._reset(version)
+        self._restart(version)
         generation = self.generation
 
         def read() -> None:
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -143,3 +143,14 @@
         world.run(for_s + 6)
         world.look_closely(ref)
     ends_well(world)
+
+
+def test_who_waits_for_a_confirmation_is_told_when_the_ledger_is_opened_anew() -> None:
+    # A leader that paused acts again when it is confirmed: a request that was forgotten when a
+    # damaged ledger was opened once more would have kept it from acting for good.
+    world = busy(services=1, arrays=0)
+    leader = world.nodes[leader_of(world)].leader
+    told: list[bool] = []
+    leader._ledger.confirm(told.append)
+    leader._ledger.open(leader._ledger._version, lambda: None)
+    assert told == [False]
