--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 from flaxtally.peers import Peers
 from flaxtally.standin.worker import Worker
 
-from .scenarios import ends_well
+from .scenarios import busy, ends_well, leader_of, term
 from .world import World, batch
 
 
@@ -82,3 +82,20 @@
     # The cut itself holds frames back for as long as it lasts.
     assert max(ages) < 9.0, sorted(ages)[-5:]
     ends_well(world, 40)
+
+
+def test_heartbeats_of_an_earlier_silence_delay_no_takeover() -> None:
+    # Found in an incident: takeovers came after 4 s in place of 1.4, since the lost leader's last
+    # batch of an earlier silence was read, and its heartbeats were taken for new.
+    for seed in range(8):
+        world = busy(seed, services=3, arrays=0)
+        pairs = [(a, b) for a in world.names for b in world.names if a < b]
+        for a, b in pairs:
+            world.sim.cut(world.ip(a), world.ip(b))
+        world.run(8.3 + 0.1 * seed)
+        for a, b in pairs:
+            world.sim.heal(world.ip(a), world.ip(b))
+        world.run(25)
+        before = term(world)
+        world.freeze(leader_of(world), 6.0)
+        assert world.until(lambda before=before, world=world: term(world) > before, 2.0), seed  # type: ignore[misc]
