--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/commit.py
@@ -13,6 +13,7 @@
 import logging
 from collections import deque
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
 import msgspec
@@ -44,6 +45,17 @@
     return f"{PAGES}{number:08d}"
 
 
+@dataclass(frozen=True)
+class _Transaction:
+    """A commit under way. Sent again unchanged until its outcome is known."""
+
+    generation: int
+    guards: dict[str, int]
+    puts: dict[str, Any]
+    drops: list[str]
+    pages: list[int]
+
+
 class _ConfirmationRequest:
     """Who wants leadership confirmed, until it is told once."""
 
@@ -292,31 +304,26 @@
             self._content = pages[self._content_page]
         self._busy = True
         numbers = [ORIGIN, *pages] if ORIGIN in created else list(pages)
-        self._send(generation, guards, puts, drops, numbers, False)
+        self._send(_Transaction(generation, guards, puts, drops, numbers), unsure=False)
 
     _content_page = 0
 
-    def _send(
-        self,
-        generation: int,
-        guards: dict[str, int],
-        puts: dict[str, Any],
-        drops: list[str],
-        pages: list[int],
-        unsure: bool,
-    ) -> None:
+    def _send(self, transaction: _Transaction, unsure: bool) -> None:
+        """Sends it until its outcome is known. `unsure`: a copy may have been applied."""
+        pages = transaction.pages
+
         def again(unsure: bool) -> None:
-            if generation == self.generation:
-                self._send(generation, guards, puts, drops, pages, unsure)
+            if transaction.generation == self.generation:
+                self._send(transaction, unsure)
 
         def told(outcome: Outcome, revision: int) -> None:
-            if generation != self.generation:
+            if transaction.generation != self.generation:
                 return
             if outcome is Outcome.DONE:
                 self._committed(pages, revision)
             elif outcome is Outcome.FAILED and unsure:
                 # The first copy may have been applied although its answer was lost: read back.
-                self._read_back(generation, guards, puts, drops, pages)
+                self._read_back(transaction)
             elif outcome is Outcome.FAILED:
                 log.info("event=commit_refused pages=%s", pages)
                 self._lost()
@@ -325,27 +332,29 @@
                 delay = max(self._retry / 4, self._bucket.wait(len(pages)))
                 self.later(delay, again, unsure or outcome is Outcome.UNKNOWN)
 
-        self._store.transact(guards, puts, drops, told, commit=True, first=not unsure)
+        self._store.transact(
+            transaction.guards,
+            transaction.puts,
+            transaction.drops,
+            told,
+            commit=True,
+            first=not unsure,
+        )
 
-    def _read_back(
-        self,
-        generation: int,
-        guards: dict[str, int],
-        puts: dict[str, Any],
-        drops: list[str],
-        pages: list[int],
-    ) -> None:
-        key = page_key(pages[-1]) if pages else drops[-1]
+    def _read_back(self, transaction: _Transaction) -> None:
+        """Finds out by a page of it whether the transaction was applied."""
+        pages = transaction.pages
+        key = page_key(pages[-1]) if pages else transaction.drops[-1]
 
         def told(known: bool, row: wire.Row | None) -> None:
-            if generation != self.generation:
+            if transaction.generation != self.generation:
                 return
             if not known:
-                self.later(self._retry, self._read_back, generation, guards, puts, drops, pages)
+                self.later(self._retry, self._read_back, transaction)
             elif (
                 row is not None
-                and row.version != guards[key]
-                and pack(row.value) == pack(puts.get(key))
+                and row.version != transaction.guards[key]
+                and pack(row.value) == pack(transaction.puts.get(key))
             ):
                 # A transaction is atomic, and each puts a record that no earlier one did: one page
                 # tells for all.
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -81,3 +81,16 @@
     for pair in pairs:
         world.sim.cut(*pair)
     return lambda: [world.sim.heal(*pair) for pair in pairs] and None
+
+
+def cut_controllers(world: World) -> Callable[[], None]:
+    """Cuts all controllers off from each other, not from anything else; gives what heals it."""
+    pairs = [(a, b) for a in world.names for b in world.names if a < b]
+    for a, b in pairs:
+        world.sim.cut(world.ip(a), world.ip(b))
+
+    def heal() -> None:
+        for a, b in pairs:
+            world.sim.heal(world.ip(a), world.ip(b))
+
+    return heal
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -12,7 +12,7 @@
 from flaxtally.peers import Peers
 from flaxtally.standin.worker import Worker
 
-from .scenarios import busy, ends_well, leader_of, term
+from .scenarios import busy, cut_controllers, ends_well, leader_of, term
 from .world import World, batch
 
 
@@ -66,17 +66,14 @@
     monkeypatch.setattr(Peers, "send", noted)
     monkeypatch.setattr(Dispatch, "order", checked)
     world = World(3)
-    pairs = [(a, b) for a in world.names for b in world.names if a < b]
     for turn in range(3):
         for number in range(12):
             ref = f"j-{100 * turn + number:06d}"
             world.after(number * 0.7, world.submit, batch(ref, 3), 2.0, number)
         world.run(4)
-        for a, b in pairs:
-            world.sim.cut(world.ip(a), world.ip(b))
+        heal = cut_controllers(world)
         world.run(8.3 + 0.1 * turn)
-        for a, b in pairs:
-            world.sim.heal(world.ip(a), world.ip(b))
+        heal()
         world.run(25)
     assert len(ages) > 20
     # The cut itself holds frames back for as long as it lasts.
@@ -89,12 +86,9 @@
     # batch of an earlier silence was read, and its heartbeats were taken for new.
     for seed in range(8):
         world = busy(seed, services=3, arrays=0)
-        pairs = [(a, b) for a in world.names for b in world.names if a < b]
-        for a, b in pairs:
-            world.sim.cut(world.ip(a), world.ip(b))
+        heal = cut_controllers(world)
         world.run(8.3 + 0.1 * seed)
-        for a, b in pairs:
-            world.sim.heal(world.ip(a), world.ip(b))
+        heal()
         world.run(25)
         before = term(world)
         world.freeze(leader_of(world), 6.0)
