--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -10,6 +10,7 @@
 
 from .. import placement, wire
 from ..forecast import Arrivals, Shape
+from ..ledger import book as records
 from ..ledger.book import Job, Placement
 from ..urgency import Due, levels
 from .orders import Orders
@@ -95,7 +96,7 @@
             return
         now = self.runtime.now()
         no = self.ledger.book.next_no
-        record = ["J", no, round(self.runtime.wall(), 1), *msgspec.to_builtins(spec)]
+        record = [records.JOB, no, round(self.runtime.wall(), 1), *msgspec.to_builtins(spec)]
 
         def committed() -> None:
             job.committed = True
@@ -192,7 +193,7 @@
             self._stop_cancelled(job)
             self.settle(job)
 
-        self.ledger.propose(["C", job.no], committed)
+        self.ledger.propose([records.CANCELLED, job.no], committed)
         job.cancelled_at = self.runtime.now()
         if not job.placed:
             self.live.pop(job.no, None)
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -15,6 +15,7 @@
 from ..fill import Bin, Demand, Pool
 from ..fleet import Machine
 from ..forecast import Shape
+from ..ledger import book as records
 from ..ledger.book import Job, Placement
 from .jobs import Jobs
 from .orders import Orders
@@ -67,7 +68,7 @@
             self.term.kinds = {kind.name: kind for kind in kinds}
             known = msgspec.convert(self.ledger.book.catalog, list[wire.MachineType])
             if [_fixed(kind) for kind in known] != [_fixed(kind) for kind in kinds]:
-                self.ledger.propose(["K", msgspec.to_builtins(kinds)])
+                self.ledger.propose([records.CATALOG, msgspec.to_builtins(kinds)])
             self.term.request_pass()
 
         self.cloud.catalog(told)
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -9,6 +9,7 @@
 from .. import placement, wire
 from ..best_effort import dear_types
 from ..fleet import Machine
+from ..ledger import book as records
 from ..ledger.book import Job, Placement
 from .claims import Claim, Claims, TaskKey
 from .jobs import MOST_BACKLOG, Jobs
@@ -409,7 +410,9 @@
             else:
                 self.orders.launch(placed)
 
-        self.ledger.propose(["P", job.no, task, attempt, machine.name, machine.zone], committed)
+        self.ledger.propose(
+            [records.PLACED, job.no, task, attempt, machine.name, machine.zone], committed
+        )
         placed = job.placed[task]
         placed.proposed_at = job.waits_since = now
         machine.use(placed)
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -8,6 +8,7 @@
 from .. import wire
 from ..cloud import MOST_RELEASED
 from ..fleet import Machine
+from ..ledger import book as records
 from ..ledger.book import Placement
 from .failures import Failures
 from .jobs import Jobs
@@ -192,7 +193,7 @@
                 log.info("event=job_done term=%d job=%s", self.term.number, job.spec.ref)
             self.jobs.settle(job)
 
-        self.ledger.propose(["E", job.no, placed.task, placed.attempt, done], committed)
+        self.ledger.propose([records.ENDED, job.no, placed.task, placed.attempt, done], committed)
         job.leaving += 1
         if machine is not None:
             machine.free(placed, now)
--- a/flaxtally/ledger/book.py
+++ b/flaxtally/ledger/book.py
@@ -15,6 +15,7 @@
 
 import heapq
 from collections import deque
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -23,6 +24,10 @@
 from ..forecast import Shape
 
 Record = list[Any]
+JOB, TASKS, PLACED, ENDED = "J", "T", "P", "E"
+CANCELLED, FINAL, CATALOG = "C", "F", "K"
+OF_A_JOB = (TASKS, PLACED, ENDED, CANCELLED)
+"""Records that say something of a job that an earlier one accepted."""
 
 
 class Placement:
@@ -171,11 +176,21 @@
         self.next_no = 1
         self.catalog: list[Any] = []
         self.catalog_home = 0
+        self._handlers: dict[str, Callable[..., None]] = {
+            JOB: self._accept,
+            TASKS: self._restore_tasks,
+            PLACED: self._place,
+            ENDED: self._end,
+            CANCELLED: self._cancel,
+            FINAL: self._finish,
+            CATALOG: self._keep_catalog,
+        }
 
     # Records, live and on replay
 
     def apply(self, record: Record, page: int) -> None:
-        getattr(self, "_apply_" + record[0])(page, *record[1:])
+        """Takes the record in, or raises `BookError`."""
+        self._handlers[record[0]](page, *record[1:])
 
     def replay(self, record: Record, page: int) -> None:
         """Applies a record that was read back.
@@ -183,15 +198,15 @@
         Records of a job whose own record is not there yet belong to a page that was cleaned: a
         later snapshot says what they meant.
         """
-        if record[0] in "TPEC" and record[1] not in self.jobs:
+        if record[0] in OF_A_JOB and record[1] not in self.jobs:
             return
         self.apply(record, page)
 
     def compact(self, job: Job, page: int) -> None:
         """Shrinks a final job without placements to what must be kept for ever."""
-        self._apply_F(page, job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE)
+        self._finish(page, job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE)
 
-    def _apply_J(self, page: int, no: int, at: float, *spec: Any) -> None:
+    def _accept(self, page: int, no: int, at: float, *spec: Any) -> None:
         old = self.jobs.get(no)
         if old is not None:
             for placement in list(old.placed.values()):
@@ -205,7 +220,7 @@
         self.jobs[no] = self.by_ref[job.spec.ref] = job
         self.next_no = max(self.next_no, no + 1)
 
-    def _apply_T(self, page: int, no: int, runs: list[list[Any]]) -> None:
+    def _restore_tasks(self, page: int, no: int, runs: list[list[Any]]) -> None:
         job = self.jobs[no]
         for first, count, attempt, done in runs:
             for task in range(first, first + count):
@@ -218,9 +233,7 @@
                 job.fresh = max(job.fresh, task + 1)
         self._settle(job)
 
-    def _apply_P(
-        self, page: int, no: int, task: int, attempt: int, machine: str, zone: str
-    ) -> None:
+    def _place(self, page: int, no: int, task: int, attempt: int, machine: str, zone: str) -> None:
         job = self.jobs[no]
         if (
             task in job.placed
@@ -246,7 +259,7 @@
         usage.cores += job.spec.cores
         usage.gpus += job.spec.gpus
 
-    def _apply_E(self, page: int, no: int, task: int, attempt: int, done: bool) -> None:
+    def _end(self, page: int, no: int, task: int, attempt: int, done: bool) -> None:
         job = self.jobs[no]
         placement = job.placed.get(task)
         if placement is None or placement.attempt != attempt:
@@ -258,13 +271,13 @@
             heapq.heappush(job.requeued, task)
         self._settle(job)
 
-    def _apply_C(self, page: int, no: int) -> None:
+    def _cancel(self, page: int, no: int) -> None:
         job = self.jobs[no]
         if job.done:
             raise BookError(f"job {job.spec.ref} is done")
         job.cancelled = True
 
-    def _apply_F(self, page: int, no: int, ref: str, stage: str) -> None:
+    def _finish(self, page: int, no: int, ref: str, stage: str) -> None:
         job = self.jobs.pop(no, None)
         if job is not None:
             self.by_ref.pop(ref, None)
@@ -272,7 +285,7 @@
         self.final_home.setdefault(page, deque()).append(ref)
         self.next_no = max(self.next_no, no + 1)
 
-    def _apply_K(self, page: int, types: list[Any]) -> None:
+    def _keep_catalog(self, page: int, types: list[Any]) -> None:
         self.catalog, self.catalog_home = types, page
 
     def _remove(self, placement: Placement) -> None:
@@ -300,18 +313,18 @@
     def snapshot(self, home: int) -> list[Record]:
         """Records that say anew all that the records of page `home` still mean."""
         records: list[Record] = (
-            [["K", self.catalog]] if self.catalog and self.catalog_home == home else []
+            [[CATALOG, self.catalog]] if self.catalog and self.catalog_home == home else []
         )
         for job in [job for job in self.jobs.values() if job.home == home]:
             if job.final and not job.placed:
                 records.append(
-                    ["F", job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE]
+                    [FINAL, job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE]
                 )
                 continue
-            records.append(["J", job.no, job.at, *msgspec.to_builtins(job.spec)])
+            records.append([JOB, job.no, job.at, *msgspec.to_builtins(job.spec)])
             runs = self._runs(job)
             records += [
-                ["T", job.no, runs[start : start + 100]] for start in range(0, len(runs), 100)
+                [TASKS, job.no, runs[start : start + 100]] for start in range(0, len(runs), 100)
             ]
             for placement in job.placed.values():
                 records.append(
@@ -325,9 +338,9 @@
                     ]
                 )
             if job.cancelled:
-                records.append(["C", job.no])
+                records.append([CANCELLED, job.no])
         for ref in self.final_home.get(home, ()):
-            records.append(["F", 0, ref, self.finals[ref]])
+            records.append([FINAL, 0, ref, self.finals[ref]])
         return records
 
     def weight(self) -> int:
--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/commit.py
@@ -25,7 +25,7 @@
 from ..http import pack
 from ..loop import Runtime
 from ..store import Outcome, Store
-from .book import Book, Record
+from .book import CATALOG, FINAL, JOB, Book, Record
 
 log = logging.getLogger(__name__)
 
@@ -225,13 +225,13 @@
         refs = list(self.book.final_home.pop(oldest, ()))
         for record in records:
             size = self._room(record)
-            if record[0] == "J":
+            if record[0] == JOB:
                 self.book.jobs[record[1]].home = self._filling
-            elif record[0] == "K":
+            elif record[0] == CATALOG:
                 self.book.catalog_home = self._filling
-            elif record[0] == "F" and record[1]:
+            elif record[0] == FINAL and record[1]:
                 self.book.compact(self.book.jobs[record[1]], self._filling)
-            elif record[0] == "F":
+            elif record[0] == FINAL:
                 self.book.final_home.setdefault(self._filling, deque()).append(refs.pop(0))
             self._add(record, size, None)
 
--- a/flaxtally/standin/demo.py
+++ b/flaxtally/standin/demo.py
@@ -9,6 +9,7 @@
 import msgspec
 
 from .. import wire
+from ..ledger import book as records
 from ..loop import Address, Loop
 from .cloud import Cloud
 from .state import StateService
@@ -168,7 +169,7 @@
         for key, (value, _, _) in self.state.rows.items():
             if key.startswith("p/"):
                 for record in value["r"]:
-                    if record[0] == "J" and record[3] == ref:
+                    if record[0] == records.JOB and record[3] == ref:
                         return msgspec.convert(record[3:], wire.Spec)
         return None
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -11,6 +11,7 @@
 
 from flaxtally import policy, wire
 from flaxtally.http import Client, Reply
+from flaxtally.ledger import book as records
 from flaxtally.node import Node
 from flaxtally.settings import Objective, Settings, Team
 from flaxtally.standin.cloud import Cloud
@@ -263,12 +264,12 @@
                 continue
             if self._pages.get(key, (0, None))[0] != stamp:
                 self._refs.update(
-                    {record[1]: record[3] for record in value["r"] if record[0] == "J"}
+                    {record[1]: record[3] for record in value["r"] if record[0] == records.JOB}
                 )
                 placed = {
                     (f"{self._refs.get(r[1])}/{r[2]}", r[3], r[4])
                     for r in value["r"]
-                    if r[0] == "P"
+                    if r[0] == records.PLACED
                 }
                 self._pages[key] = stamp, placed
             held = held or (task, attempt, machine) in self._pages[key][1]
