--- a/flaxtally/consolidate.py
+++ b/flaxtally/consolidate.py
@@ -50,22 +50,6 @@
     failed: list[str] = []
     if not candidates:
         return None, failed
-    with without_best_effort(machines):
-        return _pick(candidates, machines, kinds, needs, sample, rng, zones_without, moving, failed)
-
-
-def _pick(
-    candidates: list[tuple[float, Machine]],
-    machines: Sequence[Machine],
-    kinds: dict[str, wire.MachineType],
-    needs: GpuNeeds,
-    sample: int,
-    rng: random.Random,
-    zones_without: Callable[[Job, Placement], dict[str, bool]],
-    moving: Collection[Machine],
-    failed: list[str],
-) -> tuple[Machine | None, list[str]]:
-    """The first candidate whose replicas all find room, beside those that are moving already."""
     stock = Stock(machines, kinds, rng)
     claimed: list[tuple[Machine, wire.Spec]] = []
 
--- a/flaxtally/lead/consolidation.py
+++ b/flaxtally/lead/consolidation.py
@@ -76,19 +76,21 @@
                 for name in self._moving
                 if (machine := self.fleet.machines.get(name)) is not None
             ]
-            machine, failed = consolidate.pick(
-                self.tracker.usable(),
-                kinds,
-                self.jobs.needs,
-                self.policy.sample,
-                self.rng,
-                self.jobs.zones_open,
-                settled,
-                beside_arrays,
-                moving,
-                self._firm,
-                mean * (self.policy.move_worth if not moving else 1.0),
-            )
+            usable = self.tracker.usable()
+            with consolidate.without_best_effort(usable):
+                machine, failed = consolidate.pick(
+                    usable,
+                    kinds,
+                    self.jobs.needs,
+                    self.policy.sample,
+                    self.rng,
+                    self.jobs.zones_open,
+                    settled,
+                    beside_arrays,
+                    moving,
+                    self._firm,
+                    mean * (self.policy.move_worth if not moving else 1.0),
+                )
             self._firm.update(dict.fromkeys(failed, now + self.policy.settle))
             if machine is None:
                 return
@@ -107,9 +109,7 @@
             )
             self._moving[machine.name] = now
             machine.draining = True
-            for placed in machine.placements.values():
-                if placed.best_effort and placed.job.spec.checkpoint:
-                    self.orders.stop(placed, placed.job.spec.save)
+            self.orders.stop_best_effort(machine)
 
     def _few(self) -> int:
         """How many machines may be silent or emptied at a time in a fleet of this size."""
--- a/flaxtally/lead/failures.py
+++ b/flaxtally/lead/failures.py
@@ -65,14 +65,10 @@
             self._blame(job, machine)
 
     def forget(self, job: Job) -> None:
-        """The job is over."""
+        """The job is over, or a task that ended with its result or runs for long acquits it."""
         self._records.pop(job.no, None)
         self.jobs.suspects.discard(job.no)
 
-    def acquit(self, job: Job) -> None:
-        """A task of the job ended with its result, or has run for long: it has no mistake."""
-        self.forget(job)
-
     def clear(self, machine: Machine) -> None:
         """The machine gets another chance."""
         log.info("event=machine_cleared term=%d machine=%s", self.term.number, machine.name)
@@ -92,7 +88,7 @@
                 placed.ran_at is not None and now - placed.ran_at > self.policy.settle
                 for placed in job.placed.values()
             ):
-                self.acquit(job)
+                self.forget(job)
 
     def _blame(self, job: Job, machine: Machine) -> None:
         machine.errors.add(job.spec.ref)
--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/lead/jobs.py
@@ -284,10 +284,9 @@
         self._claims[spec.team] = cores, gpus = cores + spec.cores * left, gpus + spec.gpus * left
         team = self.settings.teams.get(spec.team)
         # A team without any guarantee is beyond it with its first task.
-        unguaranteed = team is None or not (team.cores or team.gpus)
         if (
             team is None
-            or unguaranteed
+            or not (team.cores or team.gpus)
             or (team.cores and cores > team.cores)
             or (team.gpus and gpus > team.gpus)
         ):
--- a/flaxtally/lead/orders.py
+++ b/flaxtally/lead/orders.py
@@ -73,6 +73,12 @@
             placed.stopping_at = now
         self.order(machine, wire.stop(placed.name, placed.attempt, grace), None)
 
+    def stop_best_effort(self, machine: Machine) -> None:
+        """Stops the machine's best-effort tasks that can save; others are left to end."""
+        for placed in machine.placements.values():
+            if placed.best_effort and placed.job.spec.checkpoint:
+                self.stop(placed, placed.job.spec.save)
+
     def resume(self) -> None:
         """Leadership was confirmed after a pause: what waited meanwhile is sent."""
         if self._outbox:
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/lead/planner.py
@@ -452,9 +452,7 @@
             len(machine.placements),
         )
         machine.draining = True
-        for placed in machine.placements.values():
-            if placed.job.spec.checkpoint:
-                self.orders.stop(placed, placed.job.spec.save)
+        self.orders.stop_best_effort(machine)
 
     def _steps(self) -> tuple[float, float]:
         """The times ahead that the plan looks at."""
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/lead/scheduler.py
@@ -39,8 +39,6 @@
         self.jobs, self.tracker, self.orders = jobs, tracker, orders
         self.looked = 0
         """Machines that the scheduler looked at, in all."""
-        self.preempted = 0
-        """Tasks that were stopped to make room, in all."""
         self._pass_requested = False
         self._next_pass = 0.0
         self._placed = 0
@@ -261,7 +259,6 @@
         loss, machine, victims = best
         self._preempted = {key: until for key, until in self._preempted.items() if until > now}
         self._preempted[key] = self._evict(key, spec, machine, victims, moving=False)
-        self.preempted += len(victims)
         log.debug(
             "event=preempt term=%d job=%s machine=%s stopped=%d loss=%.0f",
             self.term.number,
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/lead/tracker.py
@@ -136,7 +136,7 @@
         cause = task.cause
         if cause == wire.CAUSE_DONE:
             machine.errors.clear()
-            self.failures.acquit(placed.job)
+            self.failures.forget(placed.job)
             self.stragglers.ended(machine, placed)
         elif cause == wire.CAUSE_ERROR:
             self.failures.failed(placed.job, machine)
