--- a/flaxtally/api/dispatch.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -11,18 +11,18 @@
 import msgspec
 
 from ..clients.workers import Workers, decode_report
-from ..cluster.election import Election
-from ..cluster.formats import MemberFormats
-from ..cluster.mail import ORDERS_ANSWER
-from ..cluster.peers import Frame, Peers
-from ..lead.orders import OrderCarrier
+from ..cluster.format_negotiation import MemberFormats
+from ..cluster.leader_election import Election
+from ..cluster.peer_links import Frame, Peers
+from ..cluster.store_relay import ORDERS_ANSWER
+from ..leader.commands import OrderCarrier
 from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.http import Request
 from ..runtime.loop import Runtime, Timer
 from ..settings import Settings
-from .forwarding import ReportForwarding
+from .heartbeat_forwarding import ReportForwarding
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/api/forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -15,10 +15,10 @@
 
 import msgspec
 
-from ..cluster.election import Election
-from ..cluster.formats import MemberFormats
-from ..cluster.mail import ALIVE, REPORT
-from ..cluster.peers import Peers
+from ..cluster.format_negotiation import MemberFormats
+from ..cluster.leader_election import Election
+from ..cluster.peer_links import Peers
+from ..cluster.store_relay import ALIVE, REPORT
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
--- a/flaxtally/api/intake.py
+++ b/flaxtally/api/job_api.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from ..cluster.election import Election
-from ..cluster.formats import MemberFormats
-from ..cluster.peers import Frame, Peers
-from ..lead.leader import Leader
+from ..cluster.format_negotiation import MemberFormats
+from ..cluster.leader_election import Election
+from ..cluster.peer_links import Frame, Peers
+from ..leader.leader import Leader
 from ..policy import Policy
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
--- a/flaxtally/cells/allotment.py
+++ b/flaxtally/cells/allotment.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..protocol import wire
 from ..runtime.loop import Loop
 from ..settings import address
--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..protocol import wire
 
 log = logging.getLogger(__name__)
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -14,9 +14,9 @@
 
 import msgspec
 
-from ..api.dispatch import rendezvous_weight
-from ..cluster.election import Election
-from ..cluster.peers import Frame, Peers
+from ..api.heartbeat_endpoint import rendezvous_weight
+from ..cluster.leader_election import Election
+from ..cluster.peer_links import Frame, Peers
 from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -12,13 +12,13 @@
 from dataclasses import replace
 from functools import cached_property
 
-from ..api.dispatch import Dispatch, Home, owner
-from ..api.intake import Intake
+from ..api.heartbeat_endpoint import Dispatch, Home, owner
+from ..api.job_api import Intake
 from ..clients.cloud import Cloud
-from ..clients.store import Store
-from ..cluster.election import LEAD, Election
-from ..cluster.peers import Peers
-from ..lead.leader import Leader
+from ..clients.key_value_store import Store
+from ..cluster.leader_election import LEAD, Election
+from ..cluster.peer_links import Peers
+from ..leader.leader import Leader
 from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
--- a/flaxtally/cells/messages.py
+++ b/flaxtally/cells/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..cluster.peers import Frame
+from ..cluster.peer_links import Frame
 
 STATE, QUESTION, ANSWER = "cell_state", "cell_ask", "cell_answer"
 
--- a/flaxtally/cli.py
+++ b/flaxtally/cli.py
@@ -20,9 +20,9 @@
 
 if TYPE_CHECKING:
     from .cells.membership import CellSetup
+    from .controller import Node
     from .features import Feature
     from .lending.feature import LendingFeature
-    from .node import Node
     from .runtime.loop import Loop
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
@@ -57,7 +57,7 @@
 
 def import_runtime() -> tuple[type[Loop], type[Node]]:
     """Imports what only a controller needs: `check` and `--help` do without its libraries."""
-    from .node import Node
+    from .controller import Node
     from .runtime.loop import Loop
 
     return Loop, Node
@@ -291,7 +291,7 @@
 
 
 def _demo(arguments: argparse.Namespace) -> int:
-    from .standin.demo import run
+    from .fakes.demo import run
 
     _logging()
     try:
--- a/flaxtally/cluster/formats.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -15,12 +15,12 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..protocol import formats, wire
 from ..protocol.formats import FormatRange
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
-from .election import LEAD
+from .leader_election import LEAD
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -14,12 +14,12 @@
 from functools import partial
 from typing import Any
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..policy import Policy
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
-from .peers import Frame, Peers
+from .peer_links import Frame, Peers
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/peers.py
+++ b/flaxtally/cluster/peer_links.py
@@ -17,7 +17,7 @@
 from ..protocol import formats
 from ..runtime.actor import Actor
 from ..runtime.loop import Address, Runtime, Stream
-from .mail import Mail
+from .store_relay import Mail
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/mail.py
+++ b/flaxtally/cluster/store_relay.py
@@ -19,7 +19,7 @@
 
 import cbor2
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
--- a/flaxtally/node.py
+++ b/flaxtally/controller.py
@@ -6,18 +6,18 @@
 import random
 from typing import TYPE_CHECKING
 
-from .api.dispatch import Dispatch
-from .api.intake import Intake
+from .api.heartbeat_endpoint import Dispatch
+from .api.job_api import Intake
 from .clients.cloud import Cloud
-from .clients.store import Store
+from .clients.key_value_store import Store
 from .clients.workers import CALLED_SHARE, Workers
-from .cluster.election import Election
-from .cluster.formats import MemberFormats
-from .cluster.mail import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, Mail
-from .cluster.peers import Frame, Peers
-from .lead.leader import Leader
-from .lead.limits import SettingsLimits, TeamLimits
-from .ledger.commit import PAGE_SHARE, Ledger
+from .cluster.format_negotiation import MemberFormats
+from .cluster.leader_election import Election
+from .cluster.peer_links import Frame, Peers
+from .cluster.store_relay import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, Mail
+from .leader.leader import Leader
+from .leader.team_limits import SettingsLimits, TeamLimits
+from .ledger.write_ahead_log import PAGE_SHARE, Ledger
 from .policy import Policy
 from .runtime.http import Server
 from .runtime.loop import Runtime
--- a/flaxtally/emulator/part.py
+++ b/flaxtally/emulator/child_process.py
@@ -1,6 +1,6 @@
-"""A process of the emulated surroundings: `python3 -m flaxtally.emulator.part PLAN ROLE NUMBER`.
+"""A process of the emulated environment.
 
-It speaks to the coordinator over one connection, and ends when that closes: no part outlives it.
+`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. It speaks to the coordinator over one connection, and ends when that closes: no part outlives it.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 import sys
 from pathlib import Path
 
+from .fake_environment import Outside
 from .link import OUTSIDE, WORKERS, Duty, Link
 from .measured import CountingLoop
-from .outside import Outside
 from .plan import Plan, load
 from .users import Users
 from .workers import Workers
--- a/flaxtally/emulator/node_settings.py
+++ b/flaxtally/emulator/controller_settings.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from ..fakes.settings_text import settings_text
 from ..runtime.loop import Address
 from ..settings import Objective, Settings, StateLimits
-from ..standin.settings_text import settings_text
 from .plan import HOST, URGENT_LANE, URGENT_SHARE, URGENT_WITHIN_S, Plan
 
 LIST_LAG_S = 2.0
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -11,6 +11,7 @@
 from ..runtime.actor import Actor
 from ..runtime.loop import Loop, Stream
 from ..runtime.loop_delay import LoopDelay
+from .controller_settings import cells_page, settings_page
 from .history import History
 from .link import LATE_S, OUTSIDE, USERS, WORKERS
 from .load import Load
@@ -29,7 +30,6 @@
     SilenceZone,
     TakeMachines,
 )
-from .node_settings import cells_page, settings_page
 from .plan import Plan, save
 from .processes import ProcessEnded, Processes
 
@@ -132,7 +132,7 @@
 
     def _start_part(self, plan_file: Path, role: str, number: int) -> None:
         name = f"{role}-{number}"
-        arguments = ["-m", "flaxtally.emulator.part", str(plan_file), role, str(number)]
+        arguments = ["-m", "flaxtally.emulator.child_process", str(plan_file), role, str(number)]
         self.processes.start(name, arguments, self._folder / f"{name}.log")
 
     def _start_controller(self, number: int, name: str) -> None:
--- a/flaxtally/emulator/outside.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -5,11 +5,11 @@
 import random
 import re
 
+from ..fakes.cloud import Cloud
+from ..fakes.key_value_store import StateService
 from ..runtime.http import Request
 from ..runtime.loop import Address
 from ..runtime.token_bucket import TokenBucket
-from ..standin.cloud import Cloud
-from ..standin.state import StateService
 from .link import Link
 from .measured import CountingLoop
 from .messages import MachinesTaken, MachineUp, Message, TakeMachines
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -5,10 +5,10 @@
 import random
 from collections.abc import Callable
 
+from ..fakes.held_task import Held
+from ..fakes.worker import Worker
 from ..protocol import wire
 from ..runtime.loop import Address
-from ..standin.held_task import Held
-from ..standin.worker import Worker
 from .load import Load, number_of
 from .measured import CountingLoop, MeasuredClient
 from .plan import Plan
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
+from ..fakes.cloud import Cloud
+from ..fakes.key_value_store import StateService
+from ..fakes.settings_text import settings_text
+from ..fakes.worker import Worker
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.http import Client, Reply
 from ..runtime.loop import Address, Loop
 from ..settings import Settings, StateLimits, Team
-from ..standin.cloud import Cloud
-from ..standin.settings_text import settings_text
-from ..standin.state import StateService
-from ..standin.worker import Worker
 from .coordinator import newest_term
 from .loan_audit import LoanAudit
 from .processes import ProcessEnded, Processes
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..cluster.peers import Frames, encode
+from ..cluster.peer_links import Frames, encode
 from ..protocol import wire
 from ..runtime.loop import Stream
 
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -4,9 +4,9 @@
 
 import random
 
+from ..fakes.held_task import Held
 from ..protocol import wire
 from ..settings import address
-from ..standin.held_task import Held
 from .hollow_worker import HollowWorker
 from .link import Link
 from .load import Load
--- a/flaxtally/standin/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from ..ledger import book as records
+from ..ledger import cluster_state as records
 from ..ledger.batch import BATCH
 from ..protocol import wire
 from ..runtime.loop import Address, Loop
 from ..settings import Settings, StateLimits, Team
 from .cloud import Cloud, equal_pools
 from .gang_meeting import GangMeetings
+from .key_value_store import StateService
 from .settings_text import settings_text
-from .state import StateService
 from .worker import Worker
 
 log = logging.getLogger(__name__)
--- a/flaxtally/gangs/__init__.py
+++ b/flaxtally/gangs/__init__.py
@@ -1,4 +1,4 @@
-"""Gangs: jobs whose tasks all run at the same time or not at all. Decisions without I/O.
+"""Gang scheduling decisions, without I/O: all tasks of a gang run at the same time or none does.
 
-The leader's duties import it (`lead/gangs.py` carries out what is decided here). Start with `life`.
+`leader/gang_scheduling/` carries out what is decided here. Start with `lifecycle`.
 """
--- a/flaxtally/gangs/making_room.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass
 
-from ..ledger.book import Placement
+from ..ledger.cluster_state import Placement
 from ..planning.fleet import Machine
 from ..planning.packing import Bin, slots
 from ..planning.placement import GpuNeeds, Room
--- a/flaxtally/gangs/life.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ..ledger.book import Job
+from ..ledger.cluster_state import Job
 from ..protocol import wire
 
 WAIT_SHARE = 0.5
--- a/flaxtally/lead/planner.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -9,19 +9,19 @@
 
 import msgspec
 
-from ..clients.cloud import MOST_RENTED
-from ..planning import fill
-from ..planning.best_effort import dear_types
-from ..planning.fleet import Machine, Pool
-from ..planning.packing import Bin, Demand, Rooms, pack
-from ..protocol import wire
+from ...clients.cloud import MOST_RENTED
+from ...planning import provisioning
+from ...planning.best_effort import dear_types
+from ...planning.fleet import Machine, Pool
+from ...planning.packing import Bin, Demand, Rooms, pack
+from ...protocol import wire
+from ..commands import Orders
+from ..jobs import Jobs
+from ..reconciliation.reconciler import Tracker
+from ..term import Term, TermActor
+from .capacity_forecast import RoomForecast
 from .demand_forecast import DemandForecast
-from .jobs import Jobs
-from .orders import Orders
-from .rentals import Rentals
-from .room_forecast import RoomForecast
-from .term import Term, TermActor
-from .tracker import Tracker
+from .scale_out import Rentals
 
 log = logging.getLogger(__name__)
 
@@ -110,10 +110,10 @@
         ]
         per_step = int(self.settings.cloud_rps * self.policy.plan_step)
         calls = 1 if self.cloud.troubled else max(1, per_step)
-        rents = fill.plan(
+        rents = provisioning.plan(
             steps, self.term.kinds, pools, self.jobs.needs, SPOT_WORTH, calls * MOST_RENTED
         )
-        wanted: dict[Pool, list[fill.Rent]] = {}
+        wanted: dict[Pool, list[provisioning.Rent]] = {}
         for rent in rents:
             wanted.setdefault(rent.pool, []).append(rent)
         for pool, group in list(wanted.items())[:calls]:
--- a/flaxtally/lead/room_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -4,12 +4,12 @@
 
 import math
 
-from ..ledger.book import Placement
-from ..planning.fleet import Machine
-from ..planning.packing import Bin
-from ..protocol import wire
-from .rentals import Rentals
-from .term import Term, TermActor
+from ...ledger.cluster_state import Placement
+from ...planning.fleet import Machine
+from ...planning.packing import Bin
+from ...protocol import wire
+from ..term import Term, TermActor
+from .scale_out import Rentals
 
 
 class RoomForecast(TermActor):
--- a/flaxtally/lead/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -5,18 +5,18 @@
 import logging
 from collections.abc import Callable
 
-from ..ledger.book import Placement
-from ..planning import consolidate
-from ..planning.fleet import Machine
-from ..planning.machine_index import MachineIndex
-from ..planning.packing import Demand
-from ..protocol import wire
-from .jobs import Jobs
-from .orders import Orders
-from .planner import Planner
-from .scheduler import Scheduler
-from .term import Term, TermActor
-from .tracker import Tracker
+from ...ledger.cluster_state import Placement
+from ...planning import consolidate
+from ...planning.fleet import Machine
+from ...planning.machine_index import MachineIndex
+from ...planning.packing import Demand
+from ...protocol import wire
+from ..commands import Orders
+from ..jobs import Jobs
+from ..reconciliation.reconciler import Tracker
+from ..scheduling.scheduler import Scheduler
+from ..term import Term, TermActor
+from .autoscaler import Planner
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -7,15 +7,15 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..ledger.book import Job
-from ..planning import fill, placement
-from ..planning.best_effort import dear_types
-from ..planning.fleet import Pool
-from ..planning.packing import Demand
-from ..protocol.shape import Shape
-from .gang_zones import GangZones
-from .jobs import Jobs
-from .term import Term, TermActor
+from ...ledger.cluster_state import Job
+from ...planning import placement, provisioning
+from ...planning.best_effort import dear_types
+from ...planning.fleet import Pool
+from ...planning.packing import Demand
+from ...protocol.shape import Shape
+from ..gang_scheduling.gang_zones import GangZones
+from ..jobs import Jobs
+from ..term import Term, TermActor
 
 UNLIMITED = 1e9
 """Cores or GPUs that a team without a limit may still take."""
@@ -51,7 +51,7 @@
                 self._add_running(by_shape, job)
         self._add_expected(by_shape, now)
         self._gang_zones.aim(by_shape.values(), now)
-        demands = fill.merged(by_shape.values())
+        demands = provisioning.merged(by_shape.values())
         self._note_dear_types(demands)
         self._count_machines(demands)
         return sorted(demands, key=lambda demand: (demand.shape.rank, -demand.shape.gpus))
--- a/flaxtally/lead/releases.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -5,11 +5,11 @@
 import logging
 from collections.abc import Callable
 
-from ..clients.cloud import MOST_RELEASED
-from ..planning.fleet import Machine
-from ..protocol import wire
-from .orders import Orders
-from .term import Term, TermActor
+from ...clients.cloud import MOST_RELEASED
+from ...planning.fleet import Machine
+from ...protocol import wire
+from ..commands import Orders
+from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/rentals.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from ..planning.fill import Rent
-from ..planning.fleet import Pool
-from .term import Term, TermActor
+from ...planning.fleet import Pool
+from ...planning.provisioning import Rent
+from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/orders.py
+++ b/flaxtally/leader/commands.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..ledger.book import Placement
+from ..ledger.cluster_state import Placement
 from ..lending.entitlement import NOTHING, Amounts, amounts_of
 from ..planning.fleet import Machine
 from ..protocol import wire
--- a/flaxtally/lead/gang_holds.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Collection, Iterator
 from dataclasses import dataclass
 
-from ..gangs.making_room import Candidate, Leaving, Share, best_shares
-from ..ledger.book import Job
-from ..planning import placement
-from ..planning.fleet import Machine
-from ..planning.machine_index import MachineIndex
-from ..protocol import wire
-from .jobs import Jobs
-from .term import Term, TermActor
+from ...gangs.gang_preemption import Candidate, Leaving, Share, best_shares
+from ...ledger.cluster_state import Job
+from ...planning import placement
+from ...planning.fleet import Machine
+from ...planning.machine_index import MachineIndex
+from ...protocol import wire
+from ..jobs import Jobs
+from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/gangs.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from ..gangs.life import Phase, Situation, Step, Times, next_step, phase_of, situation_of
-from ..gangs.room import Choice, GangSearch, Keep, choose_all, choose_missing
-from ..ledger import book as records
-from ..ledger.book import Job, Placement
-from ..planning.fleet import Machine
-from ..planning.machine_index import MachineIndex
-from ..protocol import formats, wire
-from .jobs import Jobs
-from .orders import Orders
-from .term import Term, TermActor
+from ...gangs.gang_capacity import Choice, GangSearch, Keep, choose_all, choose_missing
+from ...gangs.lifecycle import Phase, Situation, Step, Times, next_step, phase_of, situation_of
+from ...ledger import cluster_state as records
+from ...ledger.cluster_state import Job, Placement
+from ...planning.fleet import Machine
+from ...planning.machine_index import MachineIndex
+from ...protocol import formats, wire
+from ..commands import Orders
+from ..jobs import Jobs
+from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -7,12 +7,12 @@
 from collections.abc import Callable, Iterable
 from dataclasses import replace
 
-from ..planning import placement
-from ..planning.fleet import Pool
-from ..planning.packing import Bin, Demand, slots
-from ..protocol.shape import Shape
-from .jobs import Jobs
-from .term import Term, TermActor
+from ...planning import placement
+from ...planning.fleet import Pool
+from ...planning.packing import Bin, Demand, slots
+from ...protocol.shape import Shape
+from ..jobs import Jobs
+from ..term import Term, TermActor
 
 
 class GangZones(TermActor):
--- a/flaxtally/lead/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -8,15 +8,15 @@
 
 import msgspec
 
-from ..ledger import book as records
-from ..ledger.book import Job, Placement
+from ..ledger import cluster_state as records
+from ..ledger.cluster_state import Job, Placement
 from ..planning import placement
 from ..planning.forecast import Arrivals
 from ..protocol import formats, wire
-from .known_shapes import KnownShapes
-from .orders import Orders
+from .commands import Orders
+from .resource_shapes import KnownShapes
+from .scheduling.pending_queue import WaitingQueue
 from .term import Term, TermActor
-from .waiting_queue import WaitingQueue
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/leader.py
+++ b/flaxtally/leader/leader.py
@@ -2,7 +2,7 @@
 
 It alone proposes records. What it decides goes out through the parts (the controllers that the live
 view's hashing gives each machine to): they answer the machines' reports and carry its orders. Here
-its duties (`lead/`) are wired, anew for each term.
+its duties (`leader/`) are wired, anew for each term.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 import msgspec
 
 from ..clients.cloud import Cloud
-from ..cluster.election import Election
-from ..cluster.formats import MemberFormats
-from ..ledger.book import Book
-from ..ledger.commit import Ledger
+from ..cluster.format_negotiation import MemberFormats
+from ..cluster.leader_election import Election
+from ..ledger.cluster_state import Book
+from ..ledger.write_ahead_log import Ledger
 from ..policy import Policy
 from ..protocol import wire
 from ..protocol.formats import GANGS, LENDING
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
 from ..settings import Settings
-from .consolidation import Consolidation
-from .failures import Failures
-from .gangs import Gangs
+from .autoscaling.autoscaler import Planner
+from .autoscaling.consolidation import Consolidation
+from .commands import OrderCarrier, Orders
+from .gang_scheduling.gang_scheduler import Gangs
 from .jobs import Answer, Jobs
-from .lending import Lending
-from .limits import TeamLimits
-from .orders import OrderCarrier, Orders
-from .planner import Planner
-from .scheduler import Scheduler
-from .stragglers import Stragglers
+from .reclaim.quota_reclaim import Lending
+from .reconciliation.failure_attribution import Failures
+from .reconciliation.reconciler import Tracker
+from .reconciliation.stragglers import Stragglers
+from .scheduling.scheduler import Scheduler
+from .team_limits import TeamLimits
 from .term import Term
-from .tracker import Tracker
 
 if TYPE_CHECKING:
     from ..lending.feature import LendingFeature
-    from .loan_accounts import LoanAccounts
+    from .reclaim.loan_accounts import LoanAccounts
 
 log = logging.getLogger(__name__)
 
@@ -107,7 +107,7 @@
         if lending is None:
             return None
         # Imported here: a controller without the feature does without.
-        from .loan_accounts import LoanAccounts
+        from .reclaim.loan_accounts import LoanAccounts
 
         return LoanAccounts(self.term, self.jobs, self.lending, lending.accounts_every_s)
 
--- a/flaxtally/lead/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from ..ledger.loans import LoanAccount
-from ..lending.accounts import TeamAccount, TeamUse, team_accounts
-from ..lending.entitlement import NOTHING, Amounts, amounts_of
-from ..lending.page import page
-from .jobs import Jobs
-from .lending import Lending
-from .term import Term, TermActor
+from ...ledger.reclaims import LoanAccount
+from ...lending.accounts import TeamAccount, TeamUse, team_accounts
+from ...lending.entitlement import NOTHING, Amounts, amounts_of
+from ...lending.page import page
+from ..jobs import Jobs
+from ..term import Term, TermActor
+from .quota_reclaim import Lending
 
 Answer = Callable[[int, Any], None]
 
--- a/flaxtally/lead/open_recalls.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..ledger.book import Job, Placement
-from ..ledger.commit import Ledger
-from ..ledger.loans import Borrowed, Recall
-from ..lending.entitlement import NOTHING, Amounts, amounts_of
-from ..protocol import wire
+from ...ledger.cluster_state import Job, Placement
+from ...ledger.reclaims import Borrowed, Recall
+from ...ledger.write_ahead_log import Ledger
+from ...lending.entitlement import NOTHING, Amounts, amounts_of
+from ...protocol import wire
 
 
 class OpenRecall:
--- a/flaxtally/lead/lending.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -12,22 +12,22 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, NamedTuple
 
-from ..ledger.book import Job, Placement
-from ..ledger.loans import Borrowed, LoanAccount, Recall
-from ..lending.entitlement import Amounts, Reclaimable, amounts_of
-from ..lending.recall import Situation, Step, Times, next_step
-from ..planning import placement
-from ..planning.best_effort import dear_types
-from ..planning.fleet import Machine, Pool
-from ..protocol import formats, wire
-from .gangs import Gangs
-from .jobs import Jobs
-from .open_recalls import OpenRecall, OpenRecalls
-from .orders import Orders
-from .term import Term, TermActor
+from ...ledger.cluster_state import Job, Placement
+from ...ledger.reclaims import Borrowed, LoanAccount, Recall
+from ...lending.entitlement import Amounts, Reclaimable, amounts_of
+from ...lending.reclaim import Situation, Step, Times, next_step
+from ...planning import placement
+from ...planning.best_effort import dear_types
+from ...planning.fleet import Machine, Pool
+from ...protocol import formats, wire
+from ..commands import Orders
+from ..gang_scheduling.gang_scheduler import Gangs
+from ..jobs import Jobs
+from ..term import Term, TermActor
+from .open_reclaims import OpenRecall, OpenRecalls
 
 if TYPE_CHECKING:
-    from ..lending.feature import LendingFeature
+    from ...lending.feature import LendingFeature
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/failures.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -4,10 +4,10 @@
 
 import logging
 
-from ..ledger.book import Job
-from ..planning.fleet import Machine
-from .jobs import Jobs
-from .term import Term, TermActor
+from ...ledger.cluster_state import Job
+from ...planning.fleet import Machine
+from ..jobs import Jobs
+from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/probes.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -4,10 +4,10 @@
 
 from functools import partial
 
-from ..clients.workers import CALLED_SHARE
-from ..planning.fleet import Machine
-from .orders import Orders
-from .term import Term, TermActor
+from ...clients.workers import CALLED_SHARE
+from ...planning.fleet import Machine
+from ..commands import Orders
+from ..term import Term, TermActor
 
 PROBING_SHARE = 0.5
 """Of the connections for calls to workers: when a zone is silent, orders to the others go on."""
--- a/flaxtally/lead/tracker.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -4,18 +4,18 @@
 
 import logging
 
-from ..ledger import book as records
-from ..ledger.book import Placement
-from ..planning.fleet import Machine
-from ..protocol import wire
-from .failures import Failures
-from .gangs import Gangs
-from .jobs import Jobs
-from .orders import Orders
-from .probes import Probes
-from .releases import Releases
+from ...ledger import cluster_state as records
+from ...ledger.cluster_state import Placement
+from ...planning.fleet import Machine
+from ...protocol import wire
+from ..autoscaling.scale_in import Releases
+from ..commands import Orders
+from ..gang_scheduling.gang_scheduler import Gangs
+from ..jobs import Jobs
+from ..term import Term, TermActor
+from .failure_attribution import Failures
+from .health_checks import Probes
 from .stragglers import Stragglers
-from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -5,12 +5,12 @@
 import logging
 from bisect import insort
 
-from ..ledger.book import Job, Placement
-from ..planning.fleet import Machine
-from ..protocol import wire
-from .jobs import Jobs
-from .orders import Orders
-from .term import Term, TermActor
+from ...ledger.cluster_state import Job, Placement
+from ...planning.fleet import Machine
+from ...protocol import wire
+from ..commands import Orders
+from ..jobs import Jobs
+from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/waiting_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -6,11 +6,11 @@
 from collections.abc import Hashable
 from typing import NamedTuple
 
-from ..ledger.book import Job
-from ..lending.entitlement import NOTHING, Amounts, Guarantee, amounts_of
-from ..planning.urgency import Due, levels
-from ..protocol import wire
-from .term import Term, TermActor
+from ...ledger.cluster_state import Job
+from ...lending.entitlement import NOTHING, Amounts, Guarantee, amounts_of
+from ...planning.urgency import Due, levels
+from ...protocol import wire
+from ..term import Term, TermActor
 
 NO_DUE_TIME = 1000
 """The level of best-effort jobs that nobody expects by any time: after all others."""
--- a/flaxtally/lead/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -7,20 +7,20 @@
 import logging
 from collections.abc import Callable, Collection, Hashable, Iterator
 
-from ..gangs.making_room import Candidate, Leaving, Share, best_shares
-from ..ledger.book import Job, Placement
-from ..lending.entitlement import Reclaimable, amounts_of
-from ..lending.giving_way import giving_way
-from ..planning import placement
-from ..planning.fleet import Machine
-from ..planning.machine_index import MachineIndex
-from ..protocol import wire
-from .claims import Claim, Claims, TaskKey
-from .gangs import Gangs
-from .jobs import Jobs
-from .lending import Lending, Room
-from .orders import Orders
-from .term import Term, TermActor
+from ...gangs.gang_preemption import Candidate, Leaving, Share, best_shares
+from ...ledger.cluster_state import Job, Placement
+from ...lending.entitlement import Reclaimable, amounts_of
+from ...lending.victim_selection import giving_way
+from ...planning import placement
+from ...planning.fleet import Machine
+from ...planning.machine_index import MachineIndex
+from ...protocol import wire
+from ..commands import Orders
+from ..gang_scheduling.gang_scheduler import Gangs
+from ..jobs import Jobs
+from ..reclaim.quota_reclaim import Lending, Room
+from ..term import Term, TermActor
+from .reservations import Claim, Claims, TaskKey
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/claims.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from ..ledger.book import Book
-from ..planning.fleet import Machine
-from ..protocol import wire
+from ...ledger.cluster_state import Book
+from ...planning.fleet import Machine
+from ...protocol import wire
 
 TaskKey = tuple[int, int]
 """A job's number and a task's."""
--- a/flaxtally/lead/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -5,22 +5,22 @@
 import logging
 from collections.abc import Callable, Collection, Hashable
 
-from ..ledger import book as records
-from ..ledger.book import Job, Placement
-from ..planning import placement
-from ..planning.fleet import Machine
-from ..planning.machine_index import Fit, MachineIndex
-from ..protocol import wire
-from .gang_holds import GangHolds
-from .gangs import Gangs
-from .jobs import MOST_BACKLOG, Jobs
-from .lending import Lending
-from .orders import Orders
+from ...ledger import cluster_state as records
+from ...ledger.cluster_state import Job, Placement
+from ...planning import placement
+from ...planning.fleet import Machine
+from ...planning.machine_index import Fit, MachineIndex
+from ...protocol import wire
+from ..commands import Orders
+from ..gang_scheduling.gang_reservations import GangHolds
+from ..gang_scheduling.gang_scheduler import Gangs
+from ..jobs import MOST_BACKLOG, Jobs
+from ..reclaim.quota_reclaim import Lending
+from ..reconciliation.reconciler import Tracker
+from ..term import Term, TermActor
+from .pending_queue import WaitingJob
 from .preemption import Preemption
 from .scheduling_pass import SchedulingPass
-from .term import Term, TermActor
-from .tracker import Tracker
-from .waiting_queue import WaitingJob
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/lead/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -5,18 +5,18 @@
 from collections.abc import Callable, Collection, Hashable
 from typing import NamedTuple, Protocol
 
-from ..ledger.book import Job
-from ..planning import placement
-from ..planning.best_effort import dear_types
-from ..planning.choice import choose
-from ..planning.fleet import Machine
-from ..planning.machine_index import Fit, MachineIndex
-from ..policy import Policy
-from ..protocol import wire
-from .jobs import Jobs
+from ...ledger.cluster_state import Job
+from ...planning import placement
+from ...planning.best_effort import dear_types
+from ...planning.choice import choose
+from ...planning.fleet import Machine
+from ...planning.machine_index import Fit, MachineIndex
+from ...policy import Policy
+from ...protocol import wire
+from ..jobs import Jobs
+from ..term import Term
+from .pending_queue import WaitingJob
 from .preemption import Preemption
-from .term import Term
-from .waiting_queue import WaitingJob
 
 MOST_PLACED = 400
 """Tasks a pass: one large array on an idle fleet must not hold up reports and users."""
--- a/flaxtally/lead/term.py
+++ b/flaxtally/leader/term.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..clients.cloud import Cloud
-from ..ledger.commit import Ledger
+from ..ledger.write_ahead_log import Ledger
 from ..lending.entitlement import NOTHING, Amounts, Guarantee
 from ..planning.fleet import Machine
 from ..policy import Policy
@@ -14,7 +14,7 @@
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
 from ..settings import Settings
-from .limits import TeamLimits
+from .team_limits import TeamLimits
 
 
 class Fleet:
--- a/flaxtally/ledger/book.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -18,7 +18,7 @@
     P, E of gangs                 a lost task of a gang that has not begun may be placed again with
                                   the attempt number of its gang; one task that is done ends the job
 
-Since format 3: R, X and A, what is kept of loans (`ledger.loans`).
+Since format 3: R, X and A, what is kept of loans (`ledger.reclaims`).
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 from ..protocol import formats, wire
 from ..protocol.shape import Shape
 from .batch import BatchReader, Record
-from .finals import FinalStates, PageOfFinals
-from .loans import ACCOUNT, RECALL, RECALL_OVER, LoanBook
+from .reclaims import ACCOUNT, RECALL, RECALL_OVER, LoanBook
+from .terminal_jobs import FinalStates, PageOfFinals
 
 JOB, TASKS, PLACED, ENDED = "J", "T", "P", "E"
 CANCELLED, FINAL, CATALOG, FORMAT = "C", "F", "K", "V"
--- a/flaxtally/ledger/confirmation.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -8,8 +8,8 @@
 
 from collections.abc import Callable
 
-from ..clients.store import Outcome, Store
-from ..cluster.election import LEAD
+from ..clients.key_value_store import Outcome, Store
+from ..cluster.leader_election import LEAD
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
 
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -6,7 +6,7 @@
 
 from ..protocol import formats, wire
 from .batch import PIECE_OVERHEAD, Record, size_of
-from .book import CANCELLED, CATALOG, FINAL, FORMAT, JOB, PLACED, TASKS, Book, Job
+from .cluster_state import CANCELLED, CATALOG, FINAL, FORMAT, JOB, PLACED, TASKS, Book, Job
 
 RUNS_A_RECORD = 16
 """So that a record fits into a page, however many tasks its job has."""
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..clients.store import Outcome, Store
+from ..clients.key_value_store import Outcome, Store
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.http import pack
--- a/flaxtally/ledger/commit.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from ..clients.store import Store
-from ..cluster.election import LEAD
+from ..clients.key_value_store import Store
+from ..cluster.leader_election import LEAD
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
@@ -24,9 +24,9 @@
 from ..settings import StateLimits
 from . import snapshot
 from .batch import PIECE_OVERHEAD, Record, pieces, size_of
-from .book import CATALOG, FINAL, FORMAT, JOB, Book, FormatTooNew
-from .confirmation import Confirmation
-from .finals import PageOfFinals
+from .cluster_state import CATALOG, FINAL, FORMAT, JOB, Book, FormatTooNew
+from .leadership_barrier import Confirmation
+from .terminal_jobs import PageOfFinals
 from .transaction import Ending, Transaction, TransactionSender
 
 log = logging.getLogger(__name__)
--- a/flaxtally/lending/__init__.py
+++ b/flaxtally/lending/__init__.py
@@ -1,5 +1,4 @@
-"""Lending: teams use what others' guarantees leave unused, and return it. Decisions without I/O.
+"""Lending decisions, without I/O: teams borrow unused quota and return it when it is reclaimed.
 
-The leader's duties import it (`lead/lending.py` carries out what is decided here). Start with
-`entitlement`, then `recall`.
+`leader/reclaim/` carries out what is decided here. Start with `entitlement`, then `reclaim`.
 """
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -40,7 +40,7 @@
         )
 
     def start(self, loop: Loop, settings: Settings) -> None:
-        """The leader takes it up: see `lead.lending`."""
+        """The leader takes it up: see `leader.reclaim.quota_reclaim`."""
 
     def check(self, settings: Settings, policy: Policy, has_cells: bool) -> None:
         """Raises `FeatureError` if the other files don't go with it."""
--- a/flaxtally/lending/page.py
+++ b/flaxtally/lending/page.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..ledger.loans import LoanAccount, Recall
+from ..ledger.reclaims import LoanAccount, Recall
 from .accounts import TeamAccount, loans
 from .entitlement import Amounts
 
--- a/flaxtally/lending/recall.py
+++ b/flaxtally/lending/reclaim.py
@@ -1,7 +1,7 @@
 """The life of a recall, and what is to be done next about it. Pure.
 
 A *recall* makes room for one waiting task that is entitled to it, by stopping borrowed tasks on one
-machine before a deadline. What is stored of it is said in `ledger.loans`; all else follows from
+machine before a deadline. What is stored of it is said in `ledger.reclaims`; all else follows from
 what the leader sees, so that a successor finds each recall in its state.
 """
 
--- a/flaxtally/planning/consolidate.py
+++ b/flaxtally/planning/consolidate.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
 from contextlib import contextmanager
 
-from ..ledger.book import Job, Placement
+from ..ledger.cluster_state import Job, Placement
 from ..protocol import wire
 from .choice import choose
 from .fleet import Machine
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from ..ledger.book import Placement
+from ..ledger.cluster_state import Placement
 from ..protocol import wire
 
 DEAF_AFTER = 2
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -6,7 +6,7 @@
 
 from flaxtally.protocol import wire
 
-from .world import World, batch, spec
+from .simulated_cluster import World, batch, spec
 
 
 def busy(
--- a/tests/cell_world.py
+++ b/tests/simulated_cells.py
@@ -11,11 +11,11 @@
 from flaxtally.cells.map_keeper import MAP_KEY
 from flaxtally.cells.membership import CellSetup
 from flaxtally.cells.shares import Amount, TeamShares, limit_of
-from flaxtally.ledger import book as records
+from flaxtally.ledger import cluster_state as records
 from flaxtally.protocol import wire
 from flaxtally.settings import Settings, Team
 
-from .world import STATE, World
+from .simulated_cluster import STATE, World
 
 NORTH, SOUTH = "north", "south"
 CELL_NODES = ("north-0", "south-0", "north-1", "south-1", "north-2", "south-2")
--- a/tests/world.py
+++ b/tests/simulated_cluster.py
@@ -12,20 +12,20 @@
 
 from flaxtally import policy
 from flaxtally.cells.membership import CellSetup
+from flaxtally.controller import Node
 from flaxtally.emulator.rules import Rules
-from flaxtally.ledger import book as records
+from flaxtally.fakes.cloud import Cloud, equal_pools
+from flaxtally.fakes.gang_meeting import GangMeetings
+from flaxtally.fakes.key_value_store import StateService
+from flaxtally.fakes.worker import Worker
+from flaxtally.ledger import cluster_state as records
 from flaxtally.ledger.batch import BATCH, BatchReader
 from flaxtally.lending.feature import LendingFeature
-from flaxtally.node import Node
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client, Reply
 from flaxtally.settings import Objective, Settings, StateLimits, Team
-from flaxtally.standin.cloud import Cloud, equal_pools
-from flaxtally.standin.gang_meeting import GangMeetings
-from flaxtally.standin.state import StateService
-from flaxtally.standin.worker import Worker
 
-from .sim import Sim
+from .simulation import Sim
 
 STATE, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
 GANGS = "10.3.0.2"
--- a/tests/lending_world.py
+++ b/tests/simulated_lending.py
@@ -9,13 +9,13 @@
 
 from flaxtally.emulator.loan_audit import LoanAudit
 from flaxtally.feature_table import Table
-from flaxtally.ledger.book import Book
-from flaxtally.ledger.loans import Recall
+from flaxtally.ledger.cluster_state import Book
+from flaxtally.ledger.reclaims import Recall
 from flaxtally.lending.feature import LendingFeature
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
-from .world import NODES, World, batch
+from .simulated_cluster import NODES, World, batch
 
 FEATURE = LendingFeature.of(Table("features.toml", "lending", {}))
 CREW = Team("crew", 0.0, 0.0, 8.0, 64.0)
--- a/tests/upgrade_world.py
+++ b/tests/simulated_upgrade.py
@@ -6,11 +6,11 @@
 import tomllib
 from typing import Any
 
+from flaxtally.fakes.settings_text import settings_text
 from flaxtally.settings import StateLimits
-from flaxtally.standin.settings_text import settings_text
 
 from . import production
-from .world import NODES, World
+from .simulated_cluster import NODES, World
 
 NOW = StateLimits(write_rps=40.0, value_bytes=8192, txn_ops=32)
 LOWER = StateLimits(write_rps=15.0, value_bytes=2048, txn_ops=4)
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -20,12 +20,12 @@
     limit_of,
     share_as_team,
 )
-from flaxtally.clients.store import Store
+from flaxtally.clients.key_value_store import Store
+from flaxtally.fakes.key_value_store import StateService
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
-from flaxtally.standin.state import StateService
 
-from .sim import Sim
+from .simulation import Sim
 from .test_sockets import play
 
 TEAM = Team("crew", 10.0, 40.0, 4.0, 8.0)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from flaxtally.cluster.peers import FRAME_LIMIT, encode
+from flaxtally.cluster.peer_links import FRAME_LIMIT, encode
 from flaxtally.protocol import wire
 
 from .scenarios import term
-from .world import World, spec
+from .simulated_cluster import World, spec
 
 A_SECOND = 400
 
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -13,13 +13,13 @@
 from flaxtally.cells.map_keeper import MAP_KEY
 from flaxtally.cells.membership import CellSetup
 from flaxtally.cli import main
-from flaxtally.emulator.node_settings import settings_page
+from flaxtally.emulator.controller_settings import settings_page
 from flaxtally.emulator.plan import Plan
+from flaxtally.fakes.key_value_store import StateService
 from flaxtally.runtime.loop import Loop
 from flaxtally.settings import load
-from flaxtally.standin.state import StateService
 
-from .cell_world import cell_map
+from .simulated_cells import cell_map
 
 ROOT = Path(__file__).resolve().parent.parent
 NORTH = '[[cells.cell]]\nname = "north"\nzones = ["zone-0"]\ncontrollers = ["controller-0"]\n'
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -9,14 +9,14 @@
 from flaxtally.cells.directory import JOBS
 from flaxtally.cells.map import CellMap
 from flaxtally.cells.map_keeper import MAP_KEY
-from flaxtally.cluster.election import LEAD
+from flaxtally.cluster.leader_election import LEAD
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Request
 from flaxtally.settings import Team
 
-from .cell_world import CELL_NODES, NORTH, SOUTH, CellWorld, cell_map
 from .scenarios import ends_well
-from .world import batch, spec
+from .simulated_cells import CELL_NODES, NORTH, SOUTH, CellWorld, cell_map
+from .simulated_cluster import batch, spec
 
 IN_FORCE_S = 5.0
 """The operators' aim for a change of configuration."""
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,8 +14,10 @@
 
 from flaxtally.cells.map import CellIndex, read_file
 from flaxtally.cli import main
-from flaxtally.cluster.peers import encode
+from flaxtally.cluster.peer_links import encode
 from flaxtally.emulator import limits
+from flaxtally.emulator.controller_settings import cells_page, node_settings
+from flaxtally.emulator.fake_environment import RemoteCloud
 from flaxtally.emulator.fit import fit
 from flaxtally.emulator.history import History
 from flaxtally.emulator.hollow_worker import REPORT_GAP_S, HollowWorker
@@ -31,8 +33,6 @@
     Message,
     TakeMachines,
 )
-from flaxtally.emulator.node_settings import cells_page, node_settings
-from flaxtally.emulator.outside import RemoteCloud
 from flaxtally.emulator.plan import CPU_TYPE, HOST, URGENT_LANE, Plan
 from flaxtally.emulator.results import (
     Percentiles,
@@ -43,14 +43,14 @@
     percentiles,
 )
 from flaxtally.emulator.scale import ScaleResult, combine, save
+from flaxtally.fakes.key_value_store import StateService
+from flaxtally.fakes.settings_text import settings_text
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client, Reply, Request, Server
 from flaxtally.runtime.token_bucket import TokenBucket
 from flaxtally.settings import parse
-from flaxtally.standin.settings_text import settings_text
-from flaxtally.standin.state import StateService
 
-from .sim import Host, Sim
+from .simulation import Host, Sim
 from .test_sockets import play
 
 PLAN = Plan(workers=60, seed=3)
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -13,13 +13,13 @@
 
 from flaxtally.lending.accounts import TeamUse, loans, team_accounts
 from flaxtally.lending.entitlement import NOTHING, Amounts, Guarantee, Reclaimable, amounts_of
-from flaxtally.lending.giving_way import giving_way
-from flaxtally.lending.recall import Situation, Step, Times, next_step
+from flaxtally.lending.reclaim import Situation, Step, Times, next_step
+from flaxtally.lending.victim_selection import giving_way
 from flaxtally.planning.placement import Room
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
-from .world import spec
+from .simulated_cluster import spec
 
 TEAMS = {
     "north": Team("north", 0.0, 0.0, 8.0, 0.0),
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -12,12 +12,12 @@
 import msgspec
 import pytest
 
-from flaxtally.cluster.peers import encode
+from flaxtally.cluster.peer_links import encode
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
 from .scenarios import busy, change_leader, cut_zone, ends_well, leader_of, steady_work, term
-from .world import NODES, STATE, World, batch, spec
+from .simulated_cluster import NODES, STATE, World, batch, spec
 
 
 def test_more_work_than_room_urgent_and_not_over_slow_links() -> None:
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -12,14 +12,14 @@
 
 from flaxtally import cli
 from flaxtally.cli import main
+from flaxtally.fakes.settings_text import settings_text
 from flaxtally.feature_table import FeatureError
 from flaxtally.features import read_file
 from flaxtally.lending.feature import LendingFeature
 from flaxtally.runtime.loop import Loop
-from flaxtally.standin.settings_text import settings_text
 from flaxtally.tracing import FileExporter, Tracing
 
-from .world import World
+from .simulated_cluster import World
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -83,7 +83,7 @@
         text=True,
         check=True,
     ).stdout.split()
-    assert "flaxtally.node" in found
+    assert "flaxtally.controller" in found
     assert not [name for name in found if "opentelemetry" in name or name.endswith(".features")]
 
 
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -13,18 +13,18 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from flaxtally.cluster.formats import MemberFormats
-from flaxtally.cluster.mail import unfold
+from flaxtally.cluster.format_negotiation import MemberFormats
+from flaxtally.cluster.store_relay import unfold
 from flaxtally.ledger.batch import BATCH, BatchReader, pieces, size_of
-from flaxtally.ledger.book import Book
+from flaxtally.ledger.cluster_state import Book
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.protocol import formats, wire
 from flaxtally.protocol.formats import FormatRange, parse_range
 
 from . import production
 from .scenarios import change_leader
-from .upgrade_world import LOWER, UpgradeWorld
-from .world import NODES, World, batch, gang, spec
+from .simulated_cluster import NODES, World, batch, gang, spec
+from .simulated_upgrade import LOWER, UpgradeWorld
 
 FIXTURE = Path(__file__).parent / "fixtures" / "production_ledger.json"
 PAGE_BYTES = LOWER.value_bytes * 7 // 8
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -10,7 +10,9 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from flaxtally.gangs.life import (
+from flaxtally.gangs.gang_capacity import GangSearch, choose_all, choose_missing
+from flaxtally.gangs.gang_preemption import Candidate, Leaving, shares
+from flaxtally.gangs.lifecycle import (
     Member,
     Phase,
     Situation,
@@ -19,15 +21,13 @@
     next_step,
     phase_of,
 )
-from flaxtally.gangs.making_room import Candidate, Leaving, shares
-from flaxtally.gangs.room import GangSearch, choose_all, choose_missing
-from flaxtally.ledger.book import Book
+from flaxtally.ledger.cluster_state import Book
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.placement import GpuNeeds, Room
 from flaxtally.protocol import wire
 
-from .world import TYPES, ZONES, batch, gang
+from .simulated_cluster import TYPES, ZONES, batch, gang
 
 KINDS = {kind.name: kind for kind in TYPES}
 TIMES = Times(wait=20.0, peer=4.0)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -5,12 +5,12 @@
 
 import pytest
 
+from flaxtally.fakes.held_task import Held
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
-from flaxtally.standin.held_task import Held
 
 from .scenarios import change_leader, ends_well, leader_of
-from .world import World, batch, gang, spec
+from .simulated_cluster import World, batch, gang, spec
 
 
 def begun(world: World, ref: str) -> list[int]:
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -8,15 +8,15 @@
 import msgspec
 import pytest
 
-from flaxtally.lead.scheduler import Scheduler
-from flaxtally.lead.scheduling_pass import MOST_PLACED
-from flaxtally.ledger.book import Job
+from flaxtally.leader.scheduling.scheduler import Scheduler
+from flaxtally.leader.scheduling.scheduling_pass import MOST_PLACED
+from flaxtally.ledger.cluster_state import Job
 from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
 from .scenarios import ends_well, leader_of
-from .world import World, batch, spec
+from .simulated_cluster import World, batch, spec
 
 GUEST = Team("guests", 0.0, 0.0, 0.0, 0.0)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -15,10 +15,11 @@
 
 from flaxtally import cli
 from flaxtally.cli import main
-from flaxtally.cluster.mail import MOST_INFLATED, fold, unfold
-from flaxtally.lead.known_shapes import MOST_SHAPES, KnownShapes
-from flaxtally.lead.tracker import Tracker
-from flaxtally.ledger import finals
+from flaxtally.cluster.store_relay import MOST_INFLATED, fold, unfold
+from flaxtally.fakes.settings_text import settings_text
+from flaxtally.leader.reconciliation.reconciler import Tracker
+from flaxtally.leader.resource_shapes import MOST_SHAPES, KnownShapes
+from flaxtally.ledger import terminal_jobs
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.forecast import Arrivals
 from flaxtally.planning.machine_index import MachineIndex
@@ -29,10 +30,9 @@
 from flaxtally.runtime import open_files
 from flaxtally.runtime.http import Client, OpenConnections, Request, Server
 from flaxtally.settings import Team, parse, read_toml
-from flaxtally.standin.settings_text import settings_text
 
-from .sim import Sim
-from .world import TYPES, World, batch, spec
+from .simulated_cluster import TYPES, World, batch, spec
+from .simulation import Sim
 
 KINDS = {kind.name: kind for kind in TYPES}
 SAMPLE = 24
@@ -477,16 +477,16 @@
     known: dict[str, str], others: list[str], recent: int, most: int
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(finals, "_MOST_RECENT", recent)
-        patch.setattr(finals, "_MOST_IN_BLOCK", most)
-        states = finals.FinalStates()
+        patch.setattr(terminal_jobs, "_MOST_RECENT", recent)
+        patch.setattr(terminal_jobs, "_MOST_IN_BLOCK", most)
+        states = terminal_jobs.FinalStates()
         for ref, state in known.items():
             states.add(ref, state)
             states.add(ref, state)
         assert len(states) == len(known)
         assert {ref: states.get(ref) for ref in states} == known
         assert all(states.get(ref) == known.get(ref) for ref in others)
-        page = finals.PageOfFinals()
+        page = terminal_jobs.PageOfFinals()
         for ref in known:
             page.add(ref)
         assert list(page) == list(known)
@@ -498,7 +498,7 @@
 )
 def test_what_is_no_id_has_no_final_state(text: str) -> None:
     # Users ask for anything; a text that reads as the same number is not the same id.
-    states = finals.FinalStates()
+    states = terminal_jobs.FinalStates()
     states.add("j-12", wire.DONE)
     assert states.get("j-12") == wire.DONE
     assert states.get("j-012") is None
@@ -511,7 +511,7 @@
     # A text and an entry for each took 99 bytes for ever: a day of 4,000 machines filled a
     # controller.
     tracemalloc.start()
-    states, page = finals.FinalStates(), finals.PageOfFinals()
+    states, page = terminal_jobs.FinalStates(), terminal_jobs.PageOfFinals()
     for number in range(100_000):
         ref = f"j-{number:06d}"
         states.add(ref, wire.ABORTED if number % 50 == 0 else wire.DONE)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -13,18 +13,26 @@
 from flaxtally.cli import main
 from flaxtally.emulator.loan_audit import LoanAudit
 from flaxtally.emulator.rules import Rules
-from flaxtally.ledger.book import Book
-from flaxtally.ledger.loans import Borrowed, LoanAccount, Recall
+from flaxtally.fakes.settings_text import settings_text
+from flaxtally.ledger.cluster_state import Book
+from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Recall
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.lending.entitlement import Reclaimable
 from flaxtally.lending.page import LoansPage, text
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
-from flaxtally.standin.settings_text import settings_text
 
-from .lending_world import CREW, OTHERS, RECALL_S, LendingWorld, borrowed_world, until, work
 from .scenarios import change_leader
-from .world import CANCEL_S, TYPES, World, spec
+from .simulated_cluster import CANCEL_S, TYPES, World, spec
+from .simulated_lending import (
+    CREW,
+    OTHERS,
+    RECALL_S,
+    LendingWorld,
+    borrowed_world,
+    until,
+    work,
+)
 
 
 def ask(world: World, node: str) -> tuple[int, Any]:
@@ -54,7 +62,7 @@
 ) -> None:
     # A machine boots within 12.5 s here: its type takes 4 s.
     quick = [msgspec.structs.replace(kind, boot=4.0) if kind.gpus else kind for kind in TYPES]
-    monkeypatch.setattr("tests.world.TYPES", quick)
+    monkeypatch.setattr("tests.simulated_cluster.TYPES", quick)
     world = LendingWorld(1, capacity=2)
     world.submit(work("j-000100", 16, "others", zone="a"), run_time=300.0)
     until(world, lambda: world.count("j-000100") == 16, 60)
@@ -126,7 +134,7 @@
 
 
 def test_recalls_are_on_the_page_and_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
-    caplog.set_level(logging.INFO, logger="flaxtally.lead.lending")
+    caplog.set_level(logging.INFO, logger="flaxtally.leader.reclaim.quota_reclaim")
     world = borrowed_world()
     world.submit(work("j-000200", 2), run_time=30.0)
     until(world, lambda: len(world.recalls()) == 2, 5)
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -14,19 +14,28 @@
 import msgspec
 import pytest
 
-from flaxtally.lead.lending import Lending
-from flaxtally.lead.orders import Orders
-from flaxtally.lead.scheduler import Scheduler
-from flaxtally.lead.tracker import Tracker
-from flaxtally.ledger.book import Job, Placement
+from flaxtally.leader.commands import Orders
+from flaxtally.leader.reclaim.quota_reclaim import Lending
+from flaxtally.leader.reconciliation.reconciler import Tracker
+from flaxtally.leader.scheduling.scheduler import Scheduler
+from flaxtally.ledger.cluster_state import Job, Placement
 from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import formats, wire
 from flaxtally.settings import Settings, Team
 
-from .lending_world import CREW, FIVE, OTHERS, RECALL_S, LendingWorld, borrowed_world, until, work
 from .scenarios import change_leader, cut_zone, ends_well, leader_of
-from .upgrade_world import UpgradeWorld
-from .world import NODES, World, gang
+from .simulated_cluster import NODES, World, gang
+from .simulated_lending import (
+    CREW,
+    FIVE,
+    OTHERS,
+    RECALL_S,
+    LendingWorld,
+    borrowed_world,
+    until,
+    work,
+)
+from .simulated_upgrade import UpgradeWorld
 
 TAKEOVER_S = 8.0
 SLOW_SAVE: dict[str, Any] = {"save": 3.0}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from flaxtally.api.dispatch import Dispatch
-from flaxtally.cluster.peers import Peers
+from flaxtally.api.heartbeat_endpoint import Dispatch
+from flaxtally.cluster.peer_links import Peers
+from flaxtally.fakes.worker import Worker
 from flaxtally.protocol import wire
-from flaxtally.standin.worker import Worker
 
 from .scenarios import busy, cut_controllers, ends_well, leader_of, term
-from .world import World, batch
+from .simulated_cluster import World, batch
 
 
 def test_an_order_that_comes_by_two_ways_is_carried_out_once(
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,7 +11,7 @@
 from flaxtally.runtime.loop_delay import DelayMonitor, LoopDelay, callback_name
 
 from .scenarios import leader_of
-from .world import World, spec
+from .simulated_cluster import World, spec
 
 POLLS = 300
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,7 +12,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import busy, ends_well, leader_of, steady_work
-from .world import STATE, World, batch, spec
+from .simulated_cluster import STATE, World, batch, spec
 
 
 def poll_storm(world: World, refs: list[str], for_s: float, per_s: int = 200) -> dict[int, int]:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -14,25 +14,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flaxtally.api.dispatch import owner
+from flaxtally.api.heartbeat_endpoint import owner
 from flaxtally.cli import main
-from flaxtally.cluster.peers import Frames, encode
-from flaxtally.ledger.book import Book, BookError
+from flaxtally.cluster.peer_links import Frames, encode
+from flaxtally.ledger.cluster_state import Book, BookError
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.planning.choice import choose
 from flaxtally.planning.consolidate import pick
-from flaxtally.planning.fill import plan
 from flaxtally.planning.fleet import Machine, Pool
 from flaxtally.planning.forecast import Arrivals
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Bin, Demand, Rooms, pack
 from flaxtally.planning.placement import GpuNeeds, gpu_needs
+from flaxtally.planning.provisioning import plan
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.http import BadMessage, Parser
 from flaxtally.settings import SettingsError, StateLimits, parse
 
-from .world import TYPES, batch, spec
+from .simulated_cluster import TYPES, batch, spec
 
 KINDS = {kind.name: kind for kind in TYPES}
 NEEDS = GpuNeeds()
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -8,7 +8,7 @@
 from flaxtally.runtime.loop import Loop
 
 from .scenarios import busy, ends_well, leader_of, steady_work, term
-from .world import World, batch, spec
+from .simulated_cluster import World, batch, spec
 
 
 def test_the_loop_notices_a_pause_once_and_before_what_fell_due(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -11,9 +11,9 @@
 
 from flaxtally import policy
 from flaxtally.cli import main
+from flaxtally.fakes import demo
 from flaxtally.policy.language import PLAIN, TIME, Known, PolicyError, evaluate, parse
 from flaxtally.settings import load
-from flaxtally.standin import demo
 
 NAMES = {
     "a": Known(TIME, 0.0, 100.0),
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -20,7 +20,7 @@
 from flaxtally.runtime.loop import Loop
 
 from . import production
-from .world import gang, spec
+from .simulated_cluster import gang, spec
 
 ROOT = Path(__file__).resolve().parent.parent
 HOST, PORT = "127.0.0.1", 25500
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
-from .world import CANCEL_S, TYPES, batch, spec
+from .simulated_cluster import CANCEL_S, TYPES, batch, spec
 
 REF = "j-000001"
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,21 +6,21 @@
 
 import pytest
 
-from flaxtally.lead.planner import MOST_CHECKS, Planner
-from flaxtally.ledger.book import Job, Placement
+from flaxtally.leader.autoscaling.autoscaler import MOST_CHECKS, Planner
+from flaxtally.ledger.cluster_state import Job, Placement
 from flaxtally.planning.consolidate import takes
-from flaxtally.planning.fill import merged
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Demand
 from flaxtally.planning.placement import Exhausted
+from flaxtally.planning.provisioning import merged
 from flaxtally.planning.urgency import Due, levels
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.loop import Loop
 from flaxtally.settings import Team
 
-from .world import TYPES, World, batch, spec
+from .simulated_cluster import TYPES, World, batch, spec
 
 NAMES = tuple(f"hearth-{number}" for number in range(7))
 
--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -7,7 +7,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import busy, leader_of, term
-from .world import World, spec
+from .simulated_cluster import World, spec
 
 SERVICES = 4
 CALL_SECONDS = 0.01
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -7,7 +7,7 @@
 from flaxtally.clients.workers import Workers
 from flaxtally.runtime.http import Client, Request, Server
 
-from .sim import Host, Sim
+from .simulation import Host, Sim
 
 
 def answer(request: Request) -> None:
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,9 +9,9 @@
 import tomllib
 from pathlib import Path
 
-from flaxtally.standin.settings_text import settings_text
+from flaxtally.fakes.settings_text import settings_text
 
-from .world import World
+from .simulated_cluster import World
 
 ROOT = Path(__file__).resolve().parent.parent
 LIST_MODULES = """
@@ -40,7 +40,7 @@
     "email",
     "ssl",
     "subprocess",
-    "flaxtally.standin",
+    "flaxtally.fakes",
     "flaxtally.emulator",
     "tests",
 )
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -9,7 +9,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import busy, change_leader, ends_well, leader_of, steady_work, term
-from .world import NODES, World, batch, spec
+from .simulated_cluster import NODES, World, batch, spec
 
 
 def test_the_gap_between_a_refused_leader_and_an_outage() -> None:
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -13,12 +13,12 @@
 import msgspec
 
 from flaxtally.clients.workers import CALLED_SHARE
-from flaxtally.lead.probes import PROBING_SHARE
+from flaxtally.leader.reconciliation.health_checks import PROBING_SHARE
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client
 from flaxtally.settings import Settings, Team
 
-from .world import CANCEL_S, NODES, TYPES, World, batch, spec
+from .simulated_cluster import CANCEL_S, NODES, TYPES, World, batch, spec
 
 MACHINES = int(os.environ.get("FLAXTALLY_MACHINES", "120"))
 REPLICAS = 4
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from .world import NODES, World, batch, spec
+from .simulated_cluster import NODES, World, batch, spec
 
 TRACES = Path(__file__).parent / "traces"
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,8 +8,8 @@
 from flaxtally.settings import Team
 
 from .scenarios import change_leader, ends_well, leader_of
-from .upgrade_world import LOWER, UpgradeWorld
-from .world import NODES, World, batch, gang, spec
+from .simulated_cluster import NODES, World, batch, gang, spec
+from .simulated_upgrade import LOWER, UpgradeWorld
 
 
 def serving(seed: int = 1, upgraded: tuple[str, ...] = ()) -> UpgradeWorld:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,14 +3,14 @@
 
 from __future__ import annotations
 
-from flaxtally.cluster.election import LEAD
+from flaxtally.cluster.leader_election import LEAD
+from flaxtally.fakes.worker import Worker
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Request
 from flaxtally.settings import Objective, Team
-from flaxtally.standin.worker import Worker
 
 from .scenarios import cut_zone
-from .world import NODES, STATE, World, batch, spec
+from .simulated_cluster import NODES, STATE, World, batch, spec
 
 
 def serving(jobs: int = 4, seed: int = 1) -> World:
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -7,7 +7,7 @@
 from flaxtally.settings import Team
 
 from .scenarios import ends_well, leader_of
-from .world import ZONES, World, spec
+from .simulated_cluster import ZONES, World, spec
 
 
 def hosts_of(world: World, zone: str) -> list[str]:
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from flaxtally.ledger.batch import Record
-from flaxtally.ledger.book import Book
+from flaxtally.ledger.cluster_state import Book
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.protocol import wire
 
--- a/tools/production_fixture.py
+++ b/tools/production_fixture.py
@@ -14,9 +14,9 @@
 
 from tests import production
 from tests.scenarios import change_leader, cut_controllers
+from tests.simulated_cluster import batch, spec
+from tests.simulated_upgrade import UpgradeWorld
 from tests.test_formats import FIXTURE, meaning
-from tests.upgrade_world import UpgradeWorld
-from tests.world import batch, spec
 
 
 def day() -> UpgradeWorld:
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -30,48 +30,57 @@
 
 from flaxtally.protocol import wire
 from flaxtally.settings import Settings, Team
-from tests import sim, world
+from tests import simulated_cluster, simulation
 
 DUTIES: dict[str, list[str]] = {
     "reports": [
-        "api.dispatch:Dispatch.beat",
-        "api.dispatch:Dispatch.forwarded",
-        "lead.tracker:Tracker.on_report",
+        "api.heartbeat_endpoint:Dispatch.beat",
+        "api.heartbeat_endpoint:Dispatch.forwarded",
+        "leader.reconciliation.reconciler:Tracker.on_report",
     ],
     "users": [
-        "api.intake:Intake.handle",
-        "api.intake:Intake.asked",
-        "api.intake:Intake.answered",
-        "api.intake:Intake._renew",
+        "api.job_api:Intake.handle",
+        "api.job_api:Intake.asked",
+        "api.job_api:Intake.answered",
+        "api.job_api:Intake._renew",
     ],
     "peers": [
-        "cluster.peers:Peers.send",
-        "cluster.peers:Peers._flush",
-        "cluster.peers:Frames.feed",
+        "cluster.peer_links:Peers.send",
+        "cluster.peer_links:Peers._flush",
+        "cluster.peer_links:Frames.feed",
+    ],
+    "mail": ["cluster.store_relay:Mail._turn"],
+    "heartbeats": [
+        "cluster.leader_election:Election._beat",
+        "cluster.leader_election:Election.heartbeat",
+    ],
+    "leader key": [
+        "cluster.leader_election:Election._probe",
+        "cluster.leader_election:Election._read",
     ],
-    "mail": ["cluster.mail:Mail._turn"],
-    "heartbeats": ["cluster.election:Election._beat", "cluster.election:Election.heartbeat"],
-    "leader key": ["cluster.election:Election._probe", "cluster.election:Election._read"],
     "commit": [
-        "ledger.commit:Ledger.propose",
-        "ledger.commit:Ledger._commit",
-        "ledger.commit:Ledger._committed",
-        "ledger.confirmation:Confirmation._ask",
+        "ledger.write_ahead_log:Ledger.propose",
+        "ledger.write_ahead_log:Ledger._commit",
+        "ledger.write_ahead_log:Ledger._committed",
+        "ledger.leadership_barrier:Confirmation._ask",
     ],
-    "cleaning": ["ledger.commit:Ledger.clean"],
-    "replay": ["ledger.commit:Ledger.open", "lead.leader:Leader._ready"],
+    "cleaning": ["ledger.write_ahead_log:Ledger.clean"],
+    "replay": ["ledger.write_ahead_log:Ledger.open", "leader.leader:Leader._ready"],
     "orders": [
-        "lead.orders:Orders._send",
-        "api.dispatch:Dispatch.order",
-        "api.dispatch:Dispatch.carried",
+        "leader.commands:Orders._send",
+        "api.heartbeat_endpoint:Dispatch.order",
+        "api.heartbeat_endpoint:Dispatch.carried",
     ],
-    "pass": ["lead.scheduler:Scheduler._schedule"],
-    "plan": ["lead.planner:Planner.plan"],
+    "pass": ["leader.scheduling.scheduler:Scheduler._schedule"],
+    "plan": ["leader.autoscaling.autoscaler:Planner.plan"],
     "consolidation": [
-        "lead.consolidation:Consolidation.consolidate",
-        "lead.consolidation:Consolidation.continue_moves",
+        "leader.autoscaling.consolidation:Consolidation.consolidate",
+        "leader.autoscaling.consolidation:Consolidation.continue_moves",
+    ],
+    "watch": [
+        "leader.reconciliation.reconciler:Tracker.watch",
+        "leader.reconciliation.stragglers:Stragglers.watch",
     ],
-    "watch": ["lead.tracker:Tracker.watch", "lead.stragglers:Stragglers.watch"],
     "http server": [
         "runtime.http:ServerConn._data",
         "runtime.http:ServerConn.answer",
@@ -175,18 +184,20 @@
 
 def intercept_calls(role_of: Callable[[str], str], run_as: Callable[..., None]) -> None:
     """Has every call on a simulated host made by `run_as`, which is told the host's role."""
-    call = sim.Host.call
+    call = simulation.Host.call
 
-    def as_role(host: sim.Host, fn: Callable[..., None], *args: Any) -> None:
+    def as_role(host: simulation.Host, fn: Callable[..., None], *args: Any) -> None:
         run_as(role_of(host.ip), call, host, fn, *args)
 
-    sim.Host.call = as_role  # type: ignore[method-assign]
+    simulation.Host.call = as_role  # type: ignore[method-assign]
 
 
 class Load:
     """Users of the simulated deployment: gate services, arrays, and polls."""
 
-    def __init__(self, deployment: world.World, jobs_a_second: float, polls: float) -> None:
+    def __init__(
+        self, deployment: simulated_cluster.World, jobs_a_second: float, polls: float
+    ) -> None:
         self._world, self._rng = deployment, random.Random(7)
         self._jobs_a_second, self.polls = jobs_a_second, polls
         self._jobs = 0
@@ -202,14 +213,14 @@
         self._jobs += 1
         image = f"gate-{self._rng.randrange(REPLICA_IMAGES)}"
         tasks = self._rng.choice((2, 3, 6))
-        job = world.spec(f"j-{self._jobs:06d}", tasks=tasks, image=image)
+        job = simulated_cluster.spec(f"j-{self._jobs:06d}", tasks=tasks, image=image)
         self._world.submit(job, node=self._jobs)
 
     def _submit_array(self) -> None:
         self._jobs += 1
         ref, image = f"j-{self._jobs:06d}", f"batch-{self._rng.randrange(BATCH_IMAGES)}"
         length = self._rng.uniform(20.0, 50.0)
-        job = world.batch(ref, self._rng.choice(ARRAY_SIZES), image=image)
+        job = simulated_cluster.batch(ref, self._rng.choice(ARRAY_SIZES), image=image)
         self._world.submit(job, run_time=length, node=self._jobs)
 
     def _arrive(self) -> None:
@@ -226,7 +237,7 @@
         self._world.call(node, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
 
 
-class LargeWorld(world.World):
+class LargeWorld(simulated_cluster.World):
     """A deployment whose controllers are granted what its size needs."""
 
     def __init__(self, capacity: int, team: Team) -> None:
@@ -237,13 +248,16 @@
         return dataclasses.replace(super().settings_of(node), max_sockets=self._sockets)
 
 
-def deploy(capacity: int, running: int) -> tuple[world.World, Callable[[str], str]]:
+def deploy(capacity: int, running: int) -> tuple[simulated_cluster.World, Callable[[str], str]]:
     """A deployment, and what role a host plays in it. `running`: machines that it starts with."""
     pools = capacity * POOLS
     team = Team("crew", 0.0, max(20000.0, 19.0 * pools), 0.0, max(4000.0, 3.8 * pools))
     deployment = LargeWorld(capacity, team)
     for number in range(running):
-        kind, zone = world.TYPES[number % 2].name, world.ZONES[number // 2 % 2]
+        kind, zone = (
+            simulated_cluster.TYPES[number % 2].name,
+            simulated_cluster.ZONES[number // 2 % 2],
+        )
         deployment.cloud.add(kind, zone, number // 4 % 2 == 0, boot=1.0)
     names = {deployment.ip(name): name for name in deployment.names}
 
@@ -255,7 +269,9 @@
     return deployment, role_of
 
 
-def report_duties(deployment: world.World, meter: Meter, seconds: float, text: str) -> None:
+def report_duties(
+    deployment: simulated_cluster.World, meter: Meter, seconds: float, text: str
+) -> None:
     """Plays that many seconds and prints what the controllers did."""
     meter.reset()
     deployment.run(seconds)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -19,12 +19,12 @@
 
 import msgspec
 
-from flaxtally.api.dispatch import owner
+from flaxtally.api.heartbeat_endpoint import owner
 from flaxtally.cells.directory import Directory, Entry
 from flaxtally.cells.map import Cell, CellIndex, CellMap
 from flaxtally.cells.shares import Amount, TeamShares, equal_shares
 from flaxtally.emulator.fit import fit, table
-from flaxtally.ledger.book import FINAL, Book
+from flaxtally.ledger.cluster_state import FINAL, Book
 from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import pack
