--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -11,18 +11,18 @@
 import msgspec
 
 from ..clients.workers import Workers, decode_report
-from ..cluster.format_negotiation import MemberFormats
-from ..cluster.leader_election import Election
-from ..cluster.peer_links import Frame, Peers
+from ..cluster.format_negotiation import FormatNegotiation
+from ..cluster.leader_election import LeaderElection
+from ..cluster.peer_links import Frame, PeerLinks
 from ..cluster.store_relay import ORDERS_ANSWER
-from ..leader.commands import OrderCarrier
+from ..leader.commands import CommandTransport
 from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.http import Request
 from ..runtime.loop import Runtime, Timer
 from ..settings import Settings
-from .heartbeat_forwarding import ReportForwarding
+from .heartbeat_forwarding import HeartbeatForwarding
 
 log = logging.getLogger(__name__)
 
@@ -48,13 +48,13 @@
     return max(view, key=lambda node: rendezvous_weight(machine, node), default=None)
 
 
-class Home(NamedTuple):
+class ShardOwner(NamedTuple):
     """The controller that a machine of others is to report to, if one is known."""
 
     node: str | None
 
 
-class OrderNumbers:
+class CommandDeduplicator:
     """Tells orders that come a second time from those that come for the first.
 
     While a link is taken for silent a frame goes both over it and through the state service, and
@@ -80,7 +80,7 @@
         return True
 
 
-class Dispatch(Actor, OrderCarrier):
+class HeartbeatEndpoint(Actor, CommandTransport):
     """Owns what this node hears from machines and the orders that it carries."""
 
     def __init__(
@@ -88,15 +88,15 @@
         runtime: Runtime,
         settings: Settings,
         policy: Policy,
-        election: Election,
-        peers: Peers,
+        election: LeaderElection,
+        peers: PeerLinks,
         workers: Workers,
-        members: MemberFormats,
+        members: FormatNegotiation,
     ) -> None:
         super().__init__(runtime)
         self._settings, self._policy = settings, policy
         self._election, self._peers, self._workers = election, peers, workers
-        self._forwarding = ReportForwarding(
+        self._forwarding = HeartbeatForwarding(
             runtime,
             election,
             peers,
@@ -105,12 +105,12 @@
             settings.lease_s / 2,
             settings.state_limits.value_bytes,
         )
-        self._deliver: Callable[[str, wire.Report], None] = lambda *_: None
+        self._deliver: Callable[[str, wire.Heartbeat], None] = lambda *_: None
         self._signs_of_life: Callable[[str, list[str]], None] = lambda *_: None
-        self.home_of: Callable[[wire.Report], Home | None] = lambda _: None
+        self.home_of: Callable[[wire.Heartbeat], ShardOwner | None] = lambda _: None
         """Where a machine reports that is none of ours; None: it is ours."""
         self._started = runtime.now()
-        self._heard: dict[str, tuple[float, wire.Report]] = {}
+        self._heard: dict[str, tuple[float, wire.Heartbeat]] = {}
         self._sent_on: dict[str, float] = {}
         self._returned: dict[str, float] = {}
         self._kept: dict[str, float] = {}
@@ -124,7 +124,7 @@
         self._ids = itertools.count(election.life)
         self._carried: dict[int, tuple[str, Told, Timer]] = {}
         """By number: who was asked to carry the orders."""
-        self._order_numbers: dict[str, OrderNumbers] = {}
+        self._order_numbers: dict[str, CommandDeduplicator] = {}
         """By leader, for the present term: within it a leader has one life, and numbers rise."""
         self._order_term = 0
         self._orders_remembered = max(
@@ -134,7 +134,7 @@
 
     def deliver_to(
         self,
-        deliver: Callable[[str, wire.Report], None],
+        deliver: Callable[[str, wire.Heartbeat], None],
         signs_of_life: Callable[[str, list[str]], None],
     ) -> None:
         """Where reports go while this node leads, and the names of machines that reported."""
@@ -214,7 +214,7 @@
         elif self._election.leading and frame.get("t") == self._election.term:
             self._signs_of_life(sender, [name for name in names if isinstance(name, str)])
 
-    def _note(self, report: wire.Report) -> None:
+    def _note(self, report: wire.Heartbeat) -> None:
         """Keeps a machine's newest report for a term that begins here.
 
         Copies of older ones come later.
@@ -223,7 +223,7 @@
         if last is None or report.order > last.order:
             self._heard[report.machine] = (self.runtime.now(), report)
 
-    def known_machines(self) -> list[wire.Report]:
+    def known_machines(self) -> list[wire.Heartbeat]:
         now = self.runtime.now()
         return [report for at, report in self._heard.values() if now - at < self._settings.lease_s]
 
@@ -296,7 +296,9 @@
             return False
         if term != self._order_term:
             self._order_term, self._order_numbers = term, {}
-        numbers = self._order_numbers.setdefault(sender, OrderNumbers(self._orders_remembered))
+        numbers = self._order_numbers.setdefault(
+            sender, CommandDeduplicator(self._orders_remembered)
+        )
         return numbers.is_new(number)
 
     def carried(self, sender: str, frame: Frame) -> None:
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from ..cluster.format_negotiation import MemberFormats
-from ..cluster.leader_election import Election
-from ..cluster.peer_links import Peers
+from ..cluster.format_negotiation import FormatNegotiation
+from ..cluster.leader_election import LeaderElection
+from ..cluster.peer_links import PeerLinks
 from ..cluster.store_relay import ALIVE, REPORT
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
@@ -28,7 +28,7 @@
 """Of a value for each name of a list: names compress to a third of that."""
 
 
-def digest(report: wire.Report) -> bytes:
+def digest(report: wire.Heartbeat) -> bytes:
     """Equal for reports that differ in nothing but their number."""
     content = msgspec.msgpack.encode(msgspec.structs.replace(report, sequence=0))
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
@@ -43,15 +43,15 @@
     at: float
 
 
-class ReportForwarding(Actor):
+class HeartbeatForwarding(Actor):
     """Owns what was passed on while the link to the leader is silent."""
 
     def __init__(
         self,
         runtime: Runtime,
-        election: Election,
-        peers: Peers,
-        members: MemberFormats,
+        election: LeaderElection,
+        peers: PeerLinks,
+        members: FormatNegotiation,
         period: float,
         whole_every: float,
         value_bytes: int,
@@ -69,7 +69,7 @@
         """Machines that reported since they were last listed; who waits for longest first."""
         self.every(period, self._list_reported)
 
-    def forward(self, report: wire.Report, body: bytes) -> None:
+    def forward(self, report: wire.Heartbeat, body: bytes) -> None:
         """Passes a report, whose bytes are `body`, on to the leader that is followed."""
         if not self._by_mail():
             self._passed.pop(report.machine, None)
@@ -111,6 +111,6 @@
         if names:
             self._peers.send(leader, {"k": ALIVE, "t": self._election.term, "m": sorted(names)})
 
-    def _send_whole(self, report: wire.Report, body: bytes) -> None:
+    def _send_whole(self, report: wire.Heartbeat, body: bytes) -> None:
         frame = {"k": REPORT, "t": self._election.term, "m": report.machine, "b": body}
         self._peers.send(self._election.leader or "", frame)
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from ..cluster.format_negotiation import MemberFormats
-from ..cluster.leader_election import Election
-from ..cluster.peer_links import Frame, Peers
+from ..cluster.format_negotiation import FormatNegotiation
+from ..cluster.leader_election import LeaderElection
+from ..cluster.peer_links import Frame, PeerLinks
 from ..leader.leader import Leader
 from ..policy import Policy
 from ..protocol import formats, wire
@@ -25,7 +25,7 @@
 Answer = Callable[[int, Any], None]
 
 
-class _Question:
+class _PendingRequest:
     """A question passed to the leader of a term, until it is answered or its time is over.
 
     Each time it is passed it gets a new number: an answer counts only if it is the asked leader's
@@ -42,19 +42,19 @@
         self.timer: Timer | None = None
 
 
-class Intake(Actor):
+class JobApi(Actor):
     """Owns the questions under way between this node and the leader."""
 
     def __init__(
         self,
         runtime: Runtime,
         policy: Policy,
-        election: Election,
-        peers: Peers,
+        election: LeaderElection,
+        peers: PeerLinks,
         leader: Leader,
         beat: Callable[[Request], None],
         most: int,
-        member_formats: MemberFormats,
+        member_formats: FormatNegotiation,
     ) -> None:
         """`most`: questions under way at a time."""
         super().__init__(runtime)
@@ -68,7 +68,7 @@
             beat,
         )
         self._ids = itertools.count(election.life)
-        self._asked: dict[int, _Question] = {}
+        self._asked: dict[int, _PendingRequest] = {}
         self.route: Callable[[str, str | bytes, Answer], None] = self.ask_leader
         """How a user's question reaches who can answer it."""
         self.every(policy.heartbeat / 2, self._renew)
@@ -124,7 +124,7 @@
         answer = self._answer(request)
         try:
             spec = wire.parse_submission(request.body)
-        except wire.BadSubmission as fault:
+        except wire.InvalidSubmissionError as fault:
             self._malformed(request, str(fault), answer)
             return
         if spec.kind == wire.GANG and not self._leader_knows_gangs():
@@ -174,13 +174,13 @@
             answer(503, None)
             return
         patience = self._policy.ask
-        question = _Question(
+        question = _PendingRequest(
             what, subject, answer, self.runtime.now() + patience + self._policy.process_pause
         )
         question.timer = self.later(patience, self._unanswered, question)
         self._pass(question)
 
-    def _pass(self, question: _Question) -> None:
+    def _pass(self, question: _PendingRequest) -> None:
         election = self._election
         self._asked.pop(question.number, None)
         number = question.number = next(self._ids)
@@ -205,7 +205,7 @@
             ]:
                 self._pass(question)
 
-    def _unanswered(self, question: _Question) -> None:
+    def _unanswered(self, question: _PendingRequest) -> None:
         question.timer = None
         self._told(question.number, 503, None)
 
@@ -249,7 +249,7 @@
         if what == "submit" and isinstance(subject, bytes):
             try:
                 spec = wire.parse_submission(subject)
-            except wire.BadSubmission as fault:
+            except wire.InvalidSubmissionError as fault:
                 answer(400, {"error": str(fault)})
                 return
             self._leader.submit(spec, answer)
--- a/flaxtally/cells/allotment.py
+++ b/flaxtally/cells/allotment.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
@@ -69,7 +69,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        store: Store,
+        store: KeyValueStore,
         cell: str,
         cells: Callable[[], list[str]],
         teams: dict[str, Team],
--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import wire
 from ..runtime.loop import Loop
 from ..settings import address
@@ -17,7 +17,7 @@
 from .map_keeper import MAP_KEY
 from .shares import TeamShares
 
-DONE, NO_ANSWER, BAD_INPUT = 0, 1, 2
+DONE, NO_ANSWER, INVALID_INPUT = 0, 1, 2
 TIMEOUT_S = 5.0
 
 
@@ -31,7 +31,7 @@
     try:
         found = read_file(path)
     except CellMapError as fault:
-        return _fail(BAD_INPUT, str(fault))
+        return _fail(INVALID_INPUT, str(fault))
     print(f"{path}: {len(found.map.cells)} cells, version {found.map.version}")
     return DONE
 
@@ -45,7 +45,7 @@
         if found is None:
             raise CellMapError(f"--state {where}: not HOST:PORT")
         self._loop = Loop()
-        self._store = Store(self._loop, found, TIMEOUT_S, TIMEOUT_S)
+        self._store = KeyValueStore(self._loop, found, TIMEOUT_S, TIMEOUT_S)
 
     def _wait(self, ask: Callable[[Callable[..., None]], None]) -> tuple[Any, ...]:
         answers: list[tuple[Any, ...]] = []
@@ -80,7 +80,7 @@
     try:
         cell_map, calls = read_file(path).map, _Calls(where)
     except CellMapError as fault:
-        return _fail(BAD_INPUT, str(fault))
+        return _fail(INVALID_INPUT, str(fault))
     known, row = calls.get(MAP_KEY)
     if not known:
         return _fail(NO_ANSWER, f"no answer from {where}")
@@ -88,11 +88,11 @@
         if row is not None:
             CellIndex(decode(row.value)).followed_by(cell_map)
     except CellMapError as fault:
-        return _fail(BAD_INPUT, f"{path}: cells.{fault}")
+        return _fail(INVALID_INPUT, f"{path}: cells.{fault}")
     version = row.version if row is not None else 0
     outcome = calls.put(MAP_KEY, version, msgspec.to_builtins(cell_map))
     if outcome is Outcome.FAILED:
-        return _fail(BAD_INPUT, f"{path}: cells.version: another map came in between")
+        return _fail(INVALID_INPUT, f"{path}: cells.version: another map came in between")
     if outcome is not Outcome.DONE:
         return _fail(NO_ANSWER, f"{where} gave no answer: `cells show` tells which map is in force")
     print(f"cell map {cell_map.version} is in force at {where}")
--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import wire
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
 class Directory:
     """Owns what this controller knows of jobs' cells. Answers None when it can't tell."""
 
-    def __init__(self, store: Store, most: int = MOST_KEPT) -> None:
+    def __init__(self, store: KeyValueStore, most: int = MOST_KEPT) -> None:
         self._store, self._most = store, most
         self._kept: OrderedDict[str, str] = OrderedDict()
 
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from ..api.heartbeat_endpoint import rendezvous_weight
-from ..cluster.leader_election import Election
-from ..cluster.peer_links import Frame, Peers
+from ..cluster.leader_election import LeaderElection
+from ..cluster.peer_links import Frame, PeerLinks
 from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
@@ -76,7 +76,7 @@
 class CellStates:
     """What controllers have said of their cells lately."""
 
-    def __init__(self, links: Peers) -> None:
+    def __init__(self, links: PeerLinks) -> None:
         self._links = links
         self._said: dict[str, CellState] = {}
         self._pressure: dict[str, float] = {}
@@ -130,8 +130,8 @@
         node: str,
         cell: str,
         index: Callable[[], CellIndex],
-        election: Election,
-        links: Peers,
+        election: LeaderElection,
+        links: PeerLinks,
         directory: Directory,
         ask_here: Callable[[str, Any, Told], None],
         own_state: Callable[[], CellState],
@@ -345,7 +345,7 @@
             return
         try:
             named = wire.parse_submission(question.submission).ref
-        except wire.BadSubmission as fault:
+        except wire.InvalidSubmissionError as fault:
             log.warning("event=cell_frame_malformed sender=%s why=%s", sender, fault)
             answer(NOT_NOW, None)
             return
--- a/flaxtally/cells/map_keeper.py
+++ b/flaxtally/cells/map_keeper.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
@@ -29,7 +29,7 @@
     """
 
     def __init__(
-        self, runtime: Runtime, store: Store, node: str, first: CellMap, period: float
+        self, runtime: Runtime, store: KeyValueStore, node: str, first: CellMap, period: float
     ) -> None:
         """`first`: the deploy file's. It becomes the fleet's if there is none yet."""
         super().__init__(runtime)
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -12,12 +12,12 @@
 from dataclasses import replace
 from functools import cached_property
 
-from ..api.heartbeat_endpoint import Dispatch, Home, owner
-from ..api.job_api import Intake
+from ..api.heartbeat_endpoint import HeartbeatEndpoint, ShardOwner, owner
+from ..api.job_api import JobApi
 from ..clients.cloud import Cloud
-from ..clients.key_value_store import Store
-from ..cluster.leader_election import LEAD, Election
-from ..cluster.peer_links import Peers
+from ..clients.key_value_store import KeyValueStore
+from ..cluster.leader_election import LEAD, LeaderElection
+from ..cluster.peer_links import PeerLinks
 from ..leader.leader import Leader
 from ..policy import Policy
 from ..protocol import wire
@@ -105,7 +105,7 @@
     ) -> None:
         super().__init__(runtime)
         self._settings, self._policy, self._setup = settings, policy, setup
-        self._store = Store(runtime, setup.shared_state, policy.call, policy.first_call)
+        self._store = KeyValueStore(runtime, setup.shared_state, policy.call, policy.first_call)
         self.keeper = MapKeeper(runtime, self._store, settings.node, setup.file.map, policy.probe)
         self.directory = Directory(self._store)
         self.allotment = Allotment(
@@ -118,18 +118,18 @@
             policy.probe,
             settings.state_limits.write_rps,
         )
-        self._own_store = Store(runtime, settings.state, policy.call, policy.first_call)
+        self._own_store = KeyValueStore(runtime, settings.state, policy.call, policy.first_call)
         """The cell's state service, under keys without the cell's prefix."""
         self._warned = False
         self._leader: Leader | None = None
-        self._election: Election | None = None
+        self._election: LeaderElection | None = None
 
     def connect(
         self,
-        election: Election,
-        peers: Peers,
-        intake: Intake,
-        dispatch: Dispatch,
+        election: LeaderElection,
+        peers: PeerLinks,
+        intake: JobApi,
+        dispatch: HeartbeatEndpoint,
         leader: Leader,
     ) -> None:
         """Puts the cell's gateway between users and leader, and sends strange machines home."""
@@ -140,7 +140,7 @@
             for name, (_, address) in settings.peers.items()
             if name not in self._setup.cell.controllers
         }
-        self.links = Peers(
+        self.links = PeerLinks(
             self.runtime,
             settings.node,
             None,
@@ -194,13 +194,13 @@
         """The process stood still: other cells were not silent meanwhile."""
         self.links.on_pause(lost)
 
-    def _home_of(self, report: wire.Report) -> Home | None:
+    def _home_of(self, report: wire.Heartbeat) -> ShardOwner | None:
         index: CellIndex = self.keeper.index
         home = index.by_zone.get(report.zone)
         if home is None or home.name == self._setup.cell.name:
             return None
         known = self.gateway.cells.able(home) or list(home.controllers)
-        return Home(owner(report.machine, report.zone, known, {}))
+        return ShardOwner(owner(report.machine, report.zone, known, {}))
 
     def _state(self) -> CellState:
         election, leader = self._election, self._leader
--- a/flaxtally/cli.py
+++ b/flaxtally/cli.py
@@ -20,17 +20,17 @@
 
 if TYPE_CHECKING:
     from .cells.membership import CellSetup
-    from .controller import Node
+    from .controller import Controller
     from .features import Feature
     from .lending.feature import LendingFeature
     from .runtime.loop import Loop
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
-DONE, REFUSED, BAD_INPUT = 0, 1, 2
+DONE, REFUSED, INVALID_INPUT = 0, 1, 2
 EMULATE = "emulate"
 
 
-class BadInput(Exception):
+class InvalidInputError(Exception):
     """What the user gave can't be used; the text says what and why."""
 
 
@@ -45,22 +45,22 @@
     try:
         return load(arguments.config)
     except SettingsError as fault:
-        raise BadInput(f"{arguments.config}: {fault}") from None
+        raise InvalidInputError(f"{arguments.config}: {fault}") from None
 
 
 def _policy(arguments: argparse.Namespace, settings: Settings) -> list[policy.Setting]:
     try:
         return policy.explain(settings, arguments.policy)
     except policy.PolicyError as fault:
-        raise BadInput(str(fault)) from None
+        raise InvalidInputError(str(fault)) from None
 
 
-def import_runtime() -> tuple[type[Loop], type[Node]]:
+def import_runtime() -> tuple[type[Loop], type[Controller]]:
     """Imports what only a controller needs: `check` and `--help` do without its libraries."""
-    from .controller import Node
+    from .controller import Controller
     from .runtime.loop import Loop
 
-    return Loop, Node
+    return Loop, Controller
 
 
 def _serve(arguments: argparse.Namespace) -> int:
@@ -71,13 +71,13 @@
     ratios = policy.build(_policy(arguments, settings))
     features = _features(arguments, settings, ratios)
     _logging()
-    Loop, Node = import_runtime()
+    Loop, Controller = import_runtime()
     settings = _within_files(settings)
     loop = Loop()
     try:
         _start_features(features, loop, settings)
         cells = _cells(arguments, settings)
-        Node(loop, settings, ratios, random.Random(), cells, _lending(features))
+        Controller(loop, settings, ratios, random.Random(), cells, _lending(features))
     except OSError as fault:
         print(f"flaxtally: can't listen: {fault}", file=sys.stderr)
         return REFUSED
@@ -99,7 +99,7 @@
             feature.check(settings, ratios, has_cells=arguments.cells is not None)
         return found
     except FeatureError as fault:
-        raise BadInput(str(fault)) from None
+        raise InvalidInputError(str(fault)) from None
 
 
 def _lending(features: list[Feature]) -> LendingFeature | None:
@@ -120,7 +120,7 @@
         try:
             feature.start(loop, settings)
         except FeatureError as fault:
-            raise BadInput(str(fault)) from None
+            raise InvalidInputError(str(fault)) from None
 
 
 def _within_files(settings: Settings) -> Settings:
@@ -150,14 +150,14 @@
         # A single cell is the undivided fleet: nothing differs from one without the file.
         return CellSetup(cells, settings) if len(cells.map.cells) > 1 else None
     except CellMapError as fault:
-        raise BadInput(str(fault)) from None
+        raise InvalidInputError(str(fault)) from None
 
 
 def _check_files(path: str, settings: Settings) -> None:
     needed = open_files.files_needed(settings.max_sockets)
     allowed = open_files.most_allowed()
     if allowed is not None and needed > allowed:
-        raise BadInput(
+        raise InvalidInputError(
             f"{path}: params.limits.max_sockets: {settings.max_sockets} sockets need {needed} open "
             f"files, and a process may open {allowed} here (ulimit -Hn)"
         )
@@ -190,11 +190,11 @@
     try:
         text = sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
     except OSError as fault:
-        raise BadInput(f"{path}: {fault.strerror or fault}") from None
+        raise InvalidInputError(f"{path}: {fault.strerror or fault}") from None
     try:
         return msgspec.json.decode(text, type=dict[str, Any])
     except msgspec.DecodeError as fault:
-        raise BadInput(f"{path}: {fault}") from None
+        raise InvalidInputError(f"{path}: {fault}") from None
 
 
 def _submit(arguments: argparse.Namespace) -> int:
@@ -247,9 +247,9 @@
 
     controller = address(arguments.to)
     if controller is None:
-        raise BadInput(f"--to {arguments.to}: not HOST:PORT")
+        raise InvalidInputError(f"--to {arguments.to}: not HOST:PORT")
     if any(not 33 <= ord(sign) <= 126 for sign in path):
-        raise BadInput(f"{arguments.ref!r}: not a job's id")
+        raise InvalidInputError(f"{arguments.ref!r}: not a job's id")
     loop, replies = Loop(), list[Reply]()
 
     def told(reply: Reply) -> None:
@@ -297,7 +297,7 @@
     try:
         return run(Path(arguments.folder), arguments.port)
     except OSError as fault:
-        raise BadInput(f"{arguments.folder}: {fault}") from None
+        raise InvalidInputError(f"{arguments.folder}: {fault}") from None
 
 
 def _emulate(words: list[str]) -> int:
@@ -392,9 +392,9 @@
             return _emulate(words[1:])
         arguments = _parser().parse_args(words)
         code: int = arguments.run(arguments)
-    except BadInput as fault:
+    except InvalidInputError as fault:
         print(f"flaxtally: {fault}", file=sys.stderr)
-        return BAD_INPUT
+        return INVALID_INPUT
     except KeyboardInterrupt:
         return 130
     except BrokenPipeError:
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -22,7 +22,7 @@
 _row = msgspec.msgpack.Decoder(wire.Row)
 _rows = msgspec.msgpack.Decoder(wire.Rows)
 _revision = msgspec.msgpack.Decoder(wire.Revision)
-_hold = msgspec.msgpack.Decoder(wire.Hold)
+_hold = msgspec.msgpack.Decoder(wire.Lease)
 
 
 class Outcome(enum.Enum):
@@ -37,7 +37,7 @@
     UNKNOWN = "unknown"
 
 
-class Store:
+class KeyValueStore:
     """Keys, transactions and leases. `contact` is when the service last answered for real."""
 
     def __init__(
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -20,7 +20,7 @@
 """Of the sockets, for calls to workers."""
 A_WORKER = 2
 """Connections to one worker at a time."""
-decode_report = msgspec.msgpack.Decoder(wire.Report).decode
+decode_report = msgspec.msgpack.Decoder(wire.Heartbeat).decode
 
 
 def parse_address(text: str) -> Address | None:
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import formats, wire
 from ..protocol.formats import FormatRange
 from ..runtime.actor import Actor
@@ -27,10 +27,12 @@
 FORMATS_KEY = "formats"
 
 
-class MemberFormats(Actor):
+class FormatNegotiation(Actor):
     """Owns the evidence on the formats of this controller's peers."""
 
-    def __init__(self, runtime: Runtime, peers: Iterable[str], store: Store, retry: float) -> None:
+    def __init__(
+        self, runtime: Runtime, peers: Iterable[str], store: KeyValueStore, retry: float
+    ) -> None:
         """`retry`: seconds between two tries to keep the evidence at the state service."""
         super().__init__(runtime)
         self._peers, self._store, self._retry = sorted(peers), store, retry
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -14,12 +14,12 @@
 from functools import partial
 from typing import Any
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..policy import Policy
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
-from .peer_links import Frame, Peers
+from .peer_links import Frame, PeerLinks
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 ALIVE = "alive/"
 
 
-class Election(Actor):
+class LeaderElection(Actor):
     """Owns the node's belief about term, leader and live view."""
 
     def __init__(
@@ -35,8 +35,8 @@
         runtime: Runtime,
         node: str,
         policy: Policy,
-        store: Store,
-        peers: Peers,
+        store: KeyValueStore,
+        peers: PeerLinks,
         rng: random.Random,
         lead: Callable[[int, int], None],
         follow: Callable[[], None],
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -17,7 +17,7 @@
 from ..protocol import formats
 from ..runtime.actor import Actor
 from ..runtime.loop import Address, Runtime, Stream
-from .store_relay import Mail
+from .store_relay import StoreRelay
 
 log = logging.getLogger(__name__)
 
@@ -70,7 +70,7 @@
         self.gathered = bytearray()
 
 
-class Peers(Actor):
+class PeerLinks(Actor):
     """Owns the links. `heard[node]` is when a frame of that node last came."""
 
     def __init__(
@@ -83,14 +83,14 @@
         gather: float,
         receive: Callable[[str, Frame], None],
     ) -> None:
-        """`listen` None: another `Peers`, which has these beside it, accepts their connections."""
+        """Without `listen`, another `PeerLinks` (with these `beside` it) accepts connections."""
         super().__init__(runtime)
-        self.beside: Peers | None = None
+        self.beside: PeerLinks | None = None
         """Links to nodes that are no peers of ours, and speak on connections accepted here."""
         self._node, self._silence, self._gather, self._receive = node, silence, gather, receive
         self._links = {name: _Link(address) for name, address in others.items()}
         self.heard: dict[str, float] = {name: float("-inf") for name in others}
-        self.mail: Mail | None = None
+        self.mail: StoreRelay | None = None
         self.on_refused: Callable[[], None] = lambda: None
         self.on_hello: Callable[[str, int, Any], None] = lambda *_: None
         """Told of a peer's first frame on a connection: the peer, the connection's number in the
@@ -206,7 +206,7 @@
         frames = Frames()
         self._accepted += 1
         connection = self._accepted
-        speaker: list[tuple[Peers, str]] = []
+        speaker: list[tuple[PeerLinks, str]] = []
         """Once it said who it is: the links that it belongs to, and its name."""
 
         def data(piece: bytes) -> None:
@@ -232,7 +232,7 @@
 
         stream.on_data = data
 
-    def _links_of(self, node: Any) -> Peers | None:
+    def _links_of(self, node: Any) -> PeerLinks | None:
         """Whose peer the node is."""
         if node in self._links:
             return self
--- a/flaxtally/cluster/store_relay.py
+++ b/flaxtally/cluster/store_relay.py
@@ -19,7 +19,7 @@
 
 import cbor2
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
@@ -74,21 +74,21 @@
     return at, frames
 
 
-class _Waiting(NamedTuple):
+class _QueuedFrame(NamedTuple):
     """A frame that waits for a batch."""
 
     frame: Frame
     since: float
 
 
-class _Box:
+class _RelayQueue:
     """One direction to and one from a peer."""
 
     def __init__(self) -> None:
         self.heartbeat: Frame | None = None
         self.alive: Frame | None = None
         """The last list of machines that reported."""
-        self.frames: deque[_Waiting] = deque()
+        self.frames: deque[_QueuedFrame] = deque()
         """All but heartbeats and reports, the oldest first."""
         self.reports: dict[Any, Frame] = {}
         """The last one of each machine; who waits for longest first."""
@@ -137,7 +137,7 @@
         self.reports.clear()
 
 
-class Mail(Actor):
+class StoreRelay(Actor):
     """Owns this node's boxes. `silent(peer)` tells whether the direct link is."""
 
     def __init__(
@@ -145,7 +145,7 @@
         runtime: Runtime,
         node: str,
         peers: list[str],
-        store: Store,
+        store: KeyValueStore,
         period: float,
         most: int,
         silent: Callable[[str], bool],
@@ -155,7 +155,7 @@
         super().__init__(runtime)
         self._node, self._store, self._period, self._most = node, store, period, most
         self._silent, self._wanted, self._receive = silent, wanted, receive
-        self._boxes = {peer: _Box() for peer in peers}
+        self._boxes = {peer: _RelayQueue() for peer in peers}
         self.every(period / 2, self._turn)
 
     def fresh(self, peer: str) -> bool:
@@ -185,7 +185,7 @@
             if frame["k"] == ORDERS_ANSWER:
                 # It holds a newer report of the machine.
                 box.reports.pop(frame.get("m"), None)
-            box.frames.append(_Waiting(frame, self.runtime.now()))
+            box.frames.append(_QueuedFrame(frame, self.runtime.now()))
 
     def _turn(self) -> None:
         for peer, box in self._boxes.items():
@@ -198,7 +198,7 @@
             if box.holds_any and not box.writing and self.runtime.now() - box.posted_at >= pause:
                 self._write(peer, box)
 
-    def _write(self, peer: str, box: _Box) -> None:
+    def _write(self, peer: str, box: _RelayQueue) -> None:
         key = f"{MAIL}{self._node}/{peer}"
         box.writing = True
         if box.version is None:
@@ -225,7 +225,7 @@
 
         self._store.transact({key: box.version}, {key: text}, [], told)
 
-    def _read(self, peer: str, box: _Box) -> None:
+    def _read(self, peer: str, box: _RelayQueue) -> None:
         if box.reading:
             return
         box.reading = True
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -6,18 +6,18 @@
 import random
 from typing import TYPE_CHECKING
 
-from .api.heartbeat_endpoint import Dispatch
-from .api.job_api import Intake
+from .api.heartbeat_endpoint import HeartbeatEndpoint
+from .api.job_api import JobApi
 from .clients.cloud import Cloud
-from .clients.key_value_store import Store
+from .clients.key_value_store import KeyValueStore
 from .clients.workers import CALLED_SHARE, Workers
-from .cluster.format_negotiation import MemberFormats
-from .cluster.leader_election import Election
-from .cluster.peer_links import Frame, Peers
-from .cluster.store_relay import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, Mail
+from .cluster.format_negotiation import FormatNegotiation
+from .cluster.leader_election import LeaderElection
+from .cluster.peer_links import Frame, PeerLinks
+from .cluster.store_relay import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, StoreRelay
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
-from .ledger.write_ahead_log import PAGE_SHARE, Ledger
+from .ledger.write_ahead_log import PAGE_SHARE, WriteAheadLog
 from .policy import Policy
 from .runtime.http import Server
 from .runtime.loop import Runtime
@@ -36,7 +36,7 @@
 """
 
 
-class Node:
+class Controller:
     """All actors of one controller on one runtime."""
 
     def __init__(
@@ -62,9 +62,11 @@
             self.membership = self._join(runtime, settings, policy, cells)
             limits, cloud = self.membership.allotment, cells.cloud(runtime, policy)
             prefix, settings = cells.prefix, cells.own
-        store = self._store = Store(runtime, settings.state, policy.call, policy.first_call, prefix)
+        store = self._store = KeyValueStore(
+            runtime, settings.state, policy.call, policy.first_call, prefix
+        )
         workers = Workers(runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE))
-        self.peers = Peers(
+        self.peers = PeerLinks(
             runtime,
             settings.node,
             settings.peer_listen,
@@ -73,7 +75,7 @@
             policy.gather,
             self._receive,
         )
-        self.election = Election(
+        self.election = LeaderElection(
             runtime,
             settings.node,
             policy,
@@ -83,9 +85,9 @@
             lambda term, version: self.leader.tell("begin", term, version),
             lambda: self.leader.tell("end"),
         )
-        self.formats = MemberFormats(runtime, settings.peers, store, policy.retry)
+        self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
         self.peers.on_hello = self.formats.hello
-        self.peers.mail = Mail(
+        self.peers.mail = StoreRelay(
             runtime,
             settings.node,
             list(settings.peers),
@@ -96,10 +98,10 @@
             self._mails,
             self._receive_mailed,
         )
-        self.dispatch = Dispatch(
+        self.dispatch = HeartbeatEndpoint(
             runtime, settings, policy, self.election, self.peers, workers, self.formats
         )
-        self.ledger = Ledger(
+        self.ledger = WriteAheadLog(
             runtime,
             store,
             settings.state_limits,
@@ -123,7 +125,7 @@
             lending,
         )
         self.dispatch.deliver_to(self.leader.on_report, self.leader.on_signs_of_life)
-        self.intake = Intake(
+        self.intake = JobApi(
             runtime,
             policy,
             self.election,
--- a/flaxtally/emulator/child_process.py
+++ b/flaxtally/emulator/child_process.py
@@ -1,6 +1,7 @@
 """A process of the emulated environment.
 
-`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. It speaks to the coordinator over one connection, and ends when that closes: no part outlives it.
+`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. It speaks to the coordinator over
+one connection, and ends when that closes: no part outlives it.
 """
 
 from __future__ import annotations
--- a/flaxtally/emulator/command.py
+++ b/flaxtally/emulator/command.py
@@ -11,7 +11,7 @@
 
 from .plan import Plan
 
-DONE, FAILED, BAD_INPUT = 0, 1, 2
+DONE, FAILED, INVALID_INPUT = 0, 1, 2
 SMALLEST = 4
 DEFAULT = Plan(workers=250)
 
@@ -154,7 +154,7 @@
         result = scale.combine(arguments.folders)
     except (OSError, msgspec.DecodeError) as fault:
         print(f"flaxtally: {fault}", file=sys.stderr)
-        return BAD_INPUT
+        return INVALID_INPUT
     print("\n".join(scale.report(result)))
     return FAILED if result.rules_broken else DONE
 
@@ -164,7 +164,7 @@
         f"flaxtally: {fault.name} is missing: pip install -r requirements-emulator.txt",
         file=sys.stderr,
     )
-    return BAD_INPUT
+    return INVALID_INPUT
 
 
 def _terminated(*_: object) -> NoReturn:
@@ -176,7 +176,7 @@
 
     `refused`: what says that the machine, or an option, doesn't allow the run.
     """
-    from .processes import ProcessEnded
+    from .processes import ProcessEndedError
 
     # Set for both: in a background job of a shell an interrupt would be ignored.
     signal.signal(signal.SIGINT, _terminated)
@@ -186,8 +186,8 @@
         played = play()
     except refused as fault:
         print(f"flaxtally: {fault}", file=sys.stderr)
-        return BAD_INPUT
-    except ProcessEnded as fault:
+        return INVALID_INPUT
+    except ProcessEndedError as fault:
         print(f"flaxtally: {fault}", file=sys.stderr)
         return FAILED
     print("\n".join(played.report))
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -31,7 +31,7 @@
     TakeMachines,
 )
 from .plan import Plan, save
-from .processes import ProcessEnded, Processes
+from .processes import ProcessEndedError, Processes
 
 log = logging.getLogger(__name__)
 
@@ -109,7 +109,7 @@
     # Start and end
 
     def run(self) -> Recording:
-        """Plays the size; raises `ProcessEnded` if a process dies that should live."""
+        """Plays the size; raises `ProcessEndedError` if a process dies that should live."""
         plan_file = self._folder / "plan.json"
         save(self._plan, plan_file)
         self._loop.listen(self._plan.control, self._accept)
@@ -161,7 +161,7 @@
 
     def _closed(self, channel: Channel) -> None:
         self._channels.remove(channel)
-        self._fail(ProcessEnded(f"{channel.name} ended: see its log in {self._folder}"))
+        self._fail(ProcessEndedError(f"{channel.name} ended: see its log in {self._folder}"))
 
     def _send(self, message: Message, role: str) -> None:
         for channel in self._channels:
@@ -198,7 +198,7 @@
         self.processes.sample(now)
         try:
             self.processes.check()
-        except ProcessEnded as failure:
+        except ProcessEndedError as failure:
             self._fail(failure)
             return
         if not self._began:
@@ -217,7 +217,7 @@
             self._send(Begin(), USERS)
             self._progress(f"{self._plan.workers} workers: the load begins")
         elif now - self._started_at > CONNECT_PATIENCE_S:
-            self._fail(ProcessEnded(f"not all parts began in {CONNECT_PATIENCE_S:g} s"))
+            self._fail(ProcessEndedError(f"not all parts began in {CONNECT_PATIENCE_S:g} s"))
 
     def running(self) -> float:
         """Tasks that run, as the workers counted last."""
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -6,7 +6,7 @@
 import re
 
 from ..fakes.cloud import Cloud
-from ..fakes.key_value_store import StateService
+from ..fakes.key_value_store import FakeKeyValueStore
 from ..runtime.http import Request
 from ..runtime.loop import Address
 from ..runtime.token_bucket import TokenBucket
@@ -73,9 +73,11 @@
         self._cloud = RemoteCloud(loop, plan, link)
         self._cloud.limit = _bucket(loop, plan.cloud_rps, CLOUD_BURST_S)
 
-    def _state_service(self, where: Address) -> StateService:
+    def _state_service(self, where: Address) -> FakeKeyValueStore:
         plan = self._plan
-        service = StateService(self._loop, where, random.Random(f"{plan.seed}/state/{where[1]}"))
+        service = FakeKeyValueStore(
+            self._loop, where, random.Random(f"{plan.seed}/state/{where[1]}")
+        )
         service.txn_ops, service.value_bytes = plan.txn_ops, int(plan.value_kb * 1024)
         service.request_limit = _bucket(self._loop, plan.state_rps, STATE_BURST_S)
         service.change_limit = _bucket(self._loop, plan.state_write_rps, STATE_BURST_S)
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -91,7 +91,7 @@
         self._reported_at = self._runtime.now()
         super()._beat()
 
-    def _launch(self, order: wire.Order) -> None:
+    def _launch(self, order: wire.WorkerCommand) -> None:
         super()._launch(order)
         held = self.tasks[order.task, order.attempt]
         if held.timer is not None and held.state == wire.FETCHING:
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..fakes.cloud import Cloud
-from ..fakes.key_value_store import StateService
+from ..fakes.key_value_store import FakeKeyValueStore
 from ..fakes.settings_text import settings_text
 from ..fakes.worker import Worker
 from ..protocol import wire
@@ -23,7 +23,7 @@
 from ..settings import Settings, StateLimits, Team
 from .coordinator import newest_term
 from .loan_audit import LoanAudit
-from .processes import ProcessEnded, Processes
+from .processes import ProcessEndedError, Processes
 from .rules import Rules
 
 HOST = "127.0.0.1"
@@ -83,12 +83,12 @@
         self._turn = 0
         self._faults: list[str] = []
         self._recalled = 0
-        self._failure: ProcessEnded | None = None
+        self._failure: ProcessEndedError | None = None
         self.processes = Processes()
         self._rules = Rules(TEAMS, [KIND], CANCEL_S)
         self._audit = LoanAudit(self._rules, TEAMS, options.most_s)
         self._loans = (folder / "loans.jsonl").open("wb")
-        StateService(loop, self._address(0), random.Random(options.seed))
+        FakeKeyValueStore(loop, self._address(0), random.Random(options.seed))
         Cloud(
             loop,
             self._address(1),
@@ -109,7 +109,7 @@
         return self._address(2 + 2 * number)
 
     def run(self) -> Verdict:
-        """Plays the run; raises `ProcessEnded` if a controller ends by itself."""
+        """Plays the run; raises `ProcessEndedError` if a controller ends by itself."""
         features = self._folder / "features.toml"
         features.write_text("[lending]\n", encoding="utf-8")
         try:
@@ -228,7 +228,7 @@
         self._rules.look(self._now())
         try:
             self.processes.check()
-        except ProcessEnded as failure:
+        except ProcessEndedError as failure:
             self._failure = failure
             self._loop.stop()
 
--- a/flaxtally/emulator/processes.py
+++ b/flaxtally/emulator/processes.py
@@ -15,7 +15,7 @@
 END_PATIENCE_S = 5.0
 
 
-class Usage(NamedTuple):
+class ResourceUsage(NamedTuple):
     """What a process used until `at`, a time of the steady clock in seconds."""
 
     at: float
@@ -24,7 +24,7 @@
     files: int
 
 
-class ProcessEnded(Exception):
+class ProcessEndedError(Exception):
     """A process ended that should run; the text says which, how, and where its log is."""
 
 
@@ -32,7 +32,7 @@
     """A process that belongs to the run, and what it used over time."""
 
     def __init__(self, name: str, arguments: list[str], log: Path) -> None:
-        self.name, self.log, self.usages = name, log, list[Usage]()
+        self.name, self.log, self.usages = name, log, list[ResourceUsage]()
         self._arguments = arguments
         self._process: subprocess.Popen[bytes] | None = None
         self._watched: psutil.Process | None = None
@@ -53,9 +53,9 @@
         self._watched = psutil.Process(self._process.pid)
 
     def check(self) -> None:
-        """Raises `ProcessEnded` if it should run and doesn't."""
+        """Raises `ProcessEndedError` if it should run and doesn't."""
         if self._process is not None and self._process.poll() is not None:
-            raise ProcessEnded(
+            raise ProcessEndedError(
                 f"{self.name} ended with status {self._process.returncode}: see {self.log}"
             )
 
@@ -90,7 +90,9 @@
                 files = self._watched.num_fds()
         except psutil.Error:
             return
-        self.usages.append(Usage(now, self._before + times.user + times.system, memory, files))
+        self.usages.append(
+            ResourceUsage(now, self._before + times.user + times.system, memory, files)
+        )
 
 
 class Processes:
@@ -107,7 +109,7 @@
         return self._all[name]
 
     def check(self) -> None:
-        """Raises `ProcessEnded` for the first that ended by itself."""
+        """Raises `ProcessEndedError` for the first that ended by itself."""
         for process in self._all.values():
             process.check()
 
--- a/flaxtally/emulator/scale.py
+++ b/flaxtally/emulator/scale.py
@@ -43,7 +43,7 @@
 def run(plans: Sequence[Plan], folder: Path) -> ScaleResult:
     """Plays all plans; all limits are checked before the first begins.
 
-    Raises `limits.LimitError` or `processes.ProcessEnded`. A broken rule ends the run.
+    Raises `limits.LimitError` or `processes.ProcessEndedError`. A broken rule ends the run.
     """
     for plan in plans:
         limits.check(plan)
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -15,7 +15,7 @@
 from ..settings import Settings, StateLimits, Team
 from .cloud import Cloud, equal_pools
 from .gang_meeting import GangMeetings
-from .key_value_store import StateService
+from .key_value_store import FakeKeyValueStore
 from .settings_text import settings_text
 from .worker import Worker
 
@@ -99,7 +99,7 @@
 
     def __init__(self, loop: Loop, first: int) -> None:
         self._loop, self._first, self._rng = loop, first, random.Random()
-        self.state = StateService(loop, (HOST, first))
+        self.state = FakeKeyValueStore(loop, (HOST, first))
         self.cloud = Cloud(
             loop,
             (HOST, first + 1),
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -14,7 +14,7 @@
 from ..runtime.token_bucket import TokenBucket
 
 
-class StateService:
+class FakeKeyValueStore:
     """Keys with versions, transactions, leases. `down` answers 503 to everything."""
 
     def __init__(
@@ -92,7 +92,7 @@
             life = msgspec.msgpack.decode(request.body, type=wire.Life).milliseconds / 1000
             lease, self._next_lease = self._next_lease, self._next_lease + 1
             self._leases[lease] = (life, self._runtime.now() + life)
-            request.reply(200, wire.Hold(lease))
+            request.reply(200, wire.Lease(lease))
         else:
             lease = int(path.split("/")[2])
             if lease not in self._leases:
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -52,7 +52,7 @@
         """It reaches no controller; direct orders reach it."""
         self.fails: Callable[[str], bool] = lambda _: False
         """Whether a job's tasks fail here."""
-        self.copy: Callable[[str, wire.Report], None] = lambda *_: None
+        self.copy: Callable[[str, wire.Heartbeat], None] = lambda *_: None
         """Sees each report that is sent, and to which node."""
         self.slowness = 1.0
         self.saves = False
@@ -68,10 +68,10 @@
 
     # Reports
 
-    def report(self) -> wire.Report:
+    def report(self) -> wire.Heartbeat:
         self._sequence += 1
         machine = self.machine
-        return wire.Report(
+        return wire.Heartbeat(
             machine.machine,
             f"{self._address[0]}:{self._address[1]}",
             machine.type,
@@ -81,7 +81,7 @@
             self._sequence,
             self.token,
             [
-                wire.TaskReport(held.task, held.attempt, held.state, held.cause, held.kept)
+                wire.TaskStatus(held.task, held.attempt, held.state, held.cause, held.kept)
                 for held in self.tasks.values()
             ],
             self.notice,
@@ -115,7 +115,7 @@
                 reply = Reply(0)
             delay = self._report_s * self._rng.uniform(0.75, 1.25)
             if reply.status == 200 and not self.hung:
-                answer = msgspec.msgpack.decode(reply.body, type=wire.Orders)
+                answer = msgspec.msgpack.decode(reply.body, type=wire.WorkerCommands)
                 if answer.token >= self.token and session == self.session:
                     delay = 0.5 if answer.token > self.token else delay
                     self.token, self._renewed = answer.token, now
@@ -168,7 +168,7 @@
         if request.path == wire.STATUS:
             request.reply(200, self.report())
             return
-        orders = msgspec.msgpack.decode(request.body, type=wire.Orders)
+        orders = msgspec.msgpack.decode(request.body, type=wire.WorkerCommands)
         if orders.token < self.token or orders.session != self.session:
             request.reply(409, self.report())
             return
@@ -179,7 +179,7 @@
         if raised:
             self.changed()
 
-    def _execute(self, orders: list[wire.Order]) -> None:
+    def _execute(self, orders: list[wire.WorkerCommand]) -> None:
         for order in orders:
             held = self.tasks.get((order.task, order.attempt))
             if order.verb == wire.LAUNCH and held is None:
@@ -216,7 +216,7 @@
         held.kept = True
         self.exit(held, wire.CAUSE_HALTED)
 
-    def _launch(self, order: wire.Order) -> None:
+    def _launch(self, order: wire.WorkerCommand) -> None:
         held = self.tasks[order.task, order.attempt] = Held(
             order.task, order.attempt, wire.FETCHING
         )
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -15,13 +15,13 @@
 from ...planning.fleet import Machine, Pool
 from ...planning.packing import Bin, Demand, Rooms, pack
 from ...protocol import wire
-from ..commands import Orders
-from ..jobs import Jobs
-from ..reconciliation.reconciler import Tracker
+from ..commands import CommandSender
+from ..jobs import JobRegistry
+from ..reconciliation.reconciler import Reconciler
 from ..term import Term, TermActor
-from .capacity_forecast import RoomForecast
+from .capacity_forecast import CapacityForecast
 from .demand_forecast import DemandForecast
-from .scale_out import Rentals
+from .scale_out import ScaleOut
 
 log = logging.getLogger(__name__)
 
@@ -36,15 +36,17 @@
     return msgspec.structs.replace(kind, spot_price=0.0)
 
 
-class Planner(TermActor):
+class Autoscaler(TermActor):
     """Owns the plan of the fleet."""
 
-    def __init__(self, term: Term, jobs: Jobs, tracker: Tracker, orders: Orders) -> None:
+    def __init__(
+        self, term: Term, jobs: JobRegistry, tracker: Reconciler, orders: CommandSender
+    ) -> None:
         super().__init__(term)
         self.jobs, self.tracker, self.orders = jobs, tracker, orders
         self._turns = 0
-        self._rentals = Rentals(term, self.plan)
-        self._rooms = RoomForecast(term, self._rentals)
+        self._rentals = ScaleOut(term, self.plan)
+        self._rooms = CapacityForecast(term, self._rentals)
         self._demand = DemandForecast(term, jobs, self._rentals.is_resting)
 
     def is_resting(self, pool: Pool) -> bool:
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -9,13 +9,13 @@
 from ...planning.packing import Bin
 from ...protocol import wire
 from ..term import Term, TermActor
-from .scale_out import Rentals
+from .scale_out import ScaleOut
 
 
-class RoomForecast(TermActor):
+class CapacityForecast(TermActor):
     """Reckons the room of the plan's steps."""
 
-    def __init__(self, term: Term, rentals: Rentals) -> None:
+    def __init__(self, term: Term, rentals: ScaleOut) -> None:
         super().__init__(term)
         self._rentals = rentals
 
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -11,12 +11,12 @@
 from ...planning.machine_index import MachineIndex
 from ...planning.packing import Demand
 from ...protocol import wire
-from ..commands import Orders
-from ..jobs import Jobs
-from ..reconciliation.reconciler import Tracker
+from ..commands import CommandSender
+from ..jobs import JobRegistry
+from ..reconciliation.reconciler import Reconciler
 from ..scheduling.scheduler import Scheduler
 from ..term import Term, TermActor
-from .autoscaler import Planner
+from .autoscaler import Autoscaler
 
 log = logging.getLogger(__name__)
 
@@ -27,10 +27,10 @@
     def __init__(
         self,
         term: Term,
-        jobs: Jobs,
-        tracker: Tracker,
-        orders: Orders,
-        planner: Planner,
+        jobs: JobRegistry,
+        tracker: Reconciler,
+        orders: CommandSender,
+        planner: Autoscaler,
         scheduler: Scheduler,
     ) -> None:
         super().__init__(term)
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -14,7 +14,7 @@
 from ...planning.packing import Demand
 from ...protocol.shape import Shape
 from ..gang_scheduling.gang_zones import GangZones
-from ..jobs import Jobs
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
 UNLIMITED = 1e9
@@ -24,7 +24,7 @@
 class DemandForecast(TermActor):
     """Owns what the plan knows of each lane's running tasks and reserves."""
 
-    def __init__(self, term: Term, jobs: Jobs, is_resting: Callable[[Pool], bool]) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry, is_resting: Callable[[Pool], bool]) -> None:
         """`is_resting`: whether a pool refused a short while ago."""
         super().__init__(term)
         self.jobs = jobs
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -8,16 +8,16 @@
 from ...clients.cloud import MOST_RELEASED
 from ...planning.fleet import Machine
 from ...protocol import wire
-from ..commands import Orders
+from ..commands import CommandSender
 from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
 
-class Releases(TermActor):
+class ScaleIn(TermActor):
     """Owns the releases under way, and the list that was asked for."""
 
-    def __init__(self, term: Term, orders: Orders, gone: Callable[[Machine], None]) -> None:
+    def __init__(self, term: Term, orders: CommandSender, gone: Callable[[Machine], None]) -> None:
         """`gone`: a machine is proven gone."""
         super().__init__(term)
         self.orders, self._gone = orders, gone
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -25,7 +25,7 @@
     asked_at: float
 
 
-class Rentals(TermActor):
+class ScaleOut(TermActor):
     """Owns the rental requests under way. Each is sent under one name until its outcome is known.
 
     `replan` is called when a gap must be planned anew before the next step.
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -19,7 +19,7 @@
 MOST_ORDERS = 200
 
 
-class OrderCarrier:
+class CommandTransport:
     """How the leader's orders and questions reach machines; the dispatch actor implements it."""
 
     def carry(
@@ -37,18 +37,18 @@
         """The other live controllers that can carry, those of the zone first."""
         raise NotImplementedError
 
-    def known_machines(self) -> list[wire.Report]:
+    def known_machines(self) -> list[wire.Heartbeat]:
         """The last reports that this node took itself, for a leader that has just begun."""
         raise NotImplementedError
 
 
-class Orders(TermActor):
+class CommandSender(TermActor):
     """Owns what waits to be sent, and which launches may still arrive. Answers go to `deliver`."""
 
-    def __init__(self, term: Term, carrier: OrderCarrier) -> None:
+    def __init__(self, term: Term, carrier: CommandTransport) -> None:
         super().__init__(term)
         self.carrier = carrier
-        self.deliver: Callable[[str, wire.Report], None] = lambda *_: None
+        self.deliver: Callable[[str, wire.Heartbeat], None] = lambda *_: None
         self._stopping: dict[str, Amounts] = {}
         """What the tasks take that were told to stop and are not proven over, by team."""
         self._outbox: dict[str, list[tuple[dict[str, Any], Placement | None]]] = {}
@@ -160,7 +160,7 @@
         if not self.term.active:
             return
         try:
-            report = msgspec.msgpack.decode(body, type=wire.Report)
+            report = msgspec.msgpack.decode(body, type=wire.Heartbeat)
         except msgspec.DecodeError as fault:
             log.warning("a worker's answer: %s", fault)
             return
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -13,14 +13,14 @@
 from ...planning.fleet import Machine
 from ...planning.machine_index import MachineIndex
 from ...protocol import wire
-from ..jobs import Jobs
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True)
-class _Hold:
+class _GangReservation:
     """Machines on which nothing of the gang's rank or lower is placed, until a time."""
 
     no: int
@@ -29,17 +29,17 @@
     machines: frozenset[str]
 
 
-class GangHolds(TermActor):
+class GangReservations(TermActor):
     """Owns the machines held for gangs: for one gang of each rank at a time, and not for long.
 
     What runs there ends by itself; those whose tasks end first are held. A gang for which they were
     held in vain lets another go first.
     """
 
-    def __init__(self, term: Term, jobs: Jobs) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry) -> None:
         super().__init__(term)
         self.jobs = jobs
-        self._holds: dict[int, _Hold] = {}
+        self._holds: dict[int, _GangReservation] = {}
         """By rank."""
         self._rests: dict[int, float] = {}
         """Gangs that were held for in vain, and until when nothing is held for them."""
@@ -56,7 +56,7 @@
         if machines is None:
             return
         until = now + self.policy.keep_patience
-        self._holds[rank] = _Hold(job.no, rank, until, machines)
+        self._holds[rank] = _GangReservation(job.no, rank, until, machines)
         self._rests[job.no] = until + self.policy.keep_patience
         log.info(
             "event=gang_hold term=%d job=%s machines=%d",
@@ -99,7 +99,7 @@
                 self._end(hold)
         self._rests = {no: until for no, until in self._rests.items() if until > now}
 
-    def _end(self, hold: _Hold) -> None:
+    def _end(self, hold: _GangReservation) -> None:
         del self._holds[hold.rank]
         self._ended |= hold.machines
 
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -14,8 +14,8 @@
 from ...planning.fleet import Machine
 from ...planning.machine_index import MachineIndex
 from ...protocol import formats, wire
-from ..commands import Orders
-from ..jobs import Jobs
+from ..commands import CommandSender
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
@@ -48,14 +48,14 @@
         """Machines that may still list a task of the attempt that is over there."""
 
 
-class Gangs(TermActor):
+class GangScheduler(TermActor):
     """Owns the attempts of gangs in this term.
 
     An attempt is one batch of records: it is committed whole or not at all, and nothing of it is
     launched before. The next attempt begins when no task of the last one is on a machine any more.
     """
 
-    def __init__(self, term: Term, jobs: Jobs, orders: Orders) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry, orders: CommandSender) -> None:
         super().__init__(term)
         self.jobs, self.orders = jobs, orders
         self._times = Times(self.settings.gang_wait_s, self.settings.gang_peer_s)
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -11,7 +11,7 @@
 from ...planning.fleet import Pool
 from ...planning.packing import Bin, Demand, slots
 from ...protocol.shape import Shape
-from ..jobs import Jobs
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
 
@@ -22,7 +22,7 @@
     demand of a class into the zone that has most of it already, and keeps to that zone.
     """
 
-    def __init__(self, term: Term, jobs: Jobs, is_resting: Callable[[Pool], bool]) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry, is_resting: Callable[[Pool], bool]) -> None:
         """`is_resting`: whether a pool refused a short while ago."""
         super().__init__(term)
         self.jobs, self._is_resting = jobs, is_resting
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -13,9 +13,9 @@
 from ..planning import placement
 from ..planning.forecast import Arrivals
 from ..protocol import formats, wire
-from .commands import Orders
-from .resource_shapes import KnownShapes
-from .scheduling.pending_queue import WaitingQueue
+from .commands import CommandSender
+from .resource_shapes import ResourceShapes
+from .scheduling.pending_queue import PendingQueue
 from .term import Term, TermActor
 
 log = logging.getLogger(__name__)
@@ -25,15 +25,15 @@
 MOST_BACKLOG = 2000
 
 
-class Jobs(TermActor):
+class JobRegistry(TermActor):
     """Owns the jobs that are not over, and what is asked for by shape."""
 
-    def __init__(self, term: Term, orders: Orders) -> None:
+    def __init__(self, term: Term, orders: CommandSender) -> None:
         super().__init__(term)
         self.orders = orders
         self.live: dict[int, Job] = {}
         self.arrivals = Arrivals(self.policy.plan_horizon, self.policy.plan_step * 2)
-        self.shapes = KnownShapes()
+        self.shapes = ResourceShapes()
         self.backoff: dict[int, float] = {}
         self.suspects: set[int] = set()
         """Jobs that seem to be submitted with a mistake: one of their tasks at a time is tried."""
@@ -41,7 +41,7 @@
         """Who waits to hear that a job is cancelled. Those who wait for too long were answered 503
         by their node.
         """
-        self.queue = WaitingQueue(term, self.live, self.suspects)
+        self.queue = PendingQueue(term, self.live, self.suspects)
 
     def recall(self) -> None:
         """Takes up what the ledger holds."""
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -14,24 +14,24 @@
 import msgspec
 
 from ..clients.cloud import Cloud
-from ..cluster.format_negotiation import MemberFormats
-from ..cluster.leader_election import Election
-from ..ledger.cluster_state import Book
-from ..ledger.write_ahead_log import Ledger
+from ..cluster.format_negotiation import FormatNegotiation
+from ..cluster.leader_election import LeaderElection
+from ..ledger.cluster_state import ClusterState
+from ..ledger.write_ahead_log import WriteAheadLog
 from ..policy import Policy
 from ..protocol import wire
 from ..protocol.formats import GANGS, LENDING
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
 from ..settings import Settings
-from .autoscaling.autoscaler import Planner
+from .autoscaling.autoscaler import Autoscaler
 from .autoscaling.consolidation import Consolidation
-from .commands import OrderCarrier, Orders
-from .gang_scheduling.gang_scheduler import Gangs
-from .jobs import Answer, Jobs
-from .reclaim.quota_reclaim import Lending
-from .reconciliation.failure_attribution import Failures
-from .reconciliation.reconciler import Tracker
+from .commands import CommandSender, CommandTransport
+from .gang_scheduling.gang_scheduler import GangScheduler
+from .jobs import Answer, JobRegistry
+from .reclaim.quota_reclaim import QuotaReclaim
+from .reconciliation.failure_attribution import FailureAttribution
+from .reconciliation.reconciler import Reconciler
 from .reconciliation.stragglers import Stragglers
 from .scheduling.scheduler import Scheduler
 from .team_limits import TeamLimits
@@ -52,13 +52,13 @@
         runtime: Runtime,
         settings: Settings,
         policy: Policy,
-        ledger: Ledger,
+        ledger: WriteAheadLog,
         cloud: Cloud,
-        election: Election,
-        carrier: OrderCarrier,
+        election: LeaderElection,
+        carrier: CommandTransport,
         rng: random.Random,
         limits: TeamLimits,
-        formats: MemberFormats,
+        formats: FormatNegotiation,
         lending: LendingFeature | None = None,
     ) -> None:
         """`lending`: loans between teams are recalled; None: ranks alone decide."""
@@ -83,21 +83,21 @@
             kinds or {},
             self._limits,
         )
-        self.orders = Orders(term, self._carrier)
-        self.jobs = Jobs(term, self.orders)
+        self.orders = CommandSender(term, self._carrier)
+        self.jobs = JobRegistry(term, self.orders)
         self.stragglers = Stragglers(term, self.jobs, self.orders)
-        self.failures = Failures(term, self.jobs)
-        self.gangs = Gangs(term, self.jobs, self.orders)
-        self.tracker = Tracker(
+        self.failures = FailureAttribution(term, self.jobs)
+        self.gangs = GangScheduler(term, self.jobs, self.orders)
+        self.tracker = Reconciler(
             term, self.jobs, self.orders, self.stragglers, self.failures, self.gangs
         )
-        self.lending = Lending(term, self.jobs, self.orders, self.gangs, self._lending)
+        self.lending = QuotaReclaim(term, self.jobs, self.orders, self.gangs, self._lending)
         self.loan_accounts = self._accounts(self._lending)
         self.lending.is_usable = self.tracker.is_usable
         self.scheduler = Scheduler(
             term, self.jobs, self.tracker, self.orders, self.gangs, self.lending
         )
-        self.planner = Planner(term, self.jobs, self.tracker, self.orders)
+        self.planner = Autoscaler(term, self.jobs, self.tracker, self.orders)
         self.lending.is_resting = self.planner.is_resting
         self.consolidation = Consolidation(
             term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler
@@ -112,7 +112,7 @@
         return LoanAccounts(self.term, self.jobs, self.lending, lending.accounts_every_s)
 
     @property
-    def book(self) -> Book:
+    def book(self) -> ClusterState:
         return self._ledger.book
 
     # Leading begins and ends
@@ -223,7 +223,7 @@
         else:
             self.loan_accounts.answer(answer)
 
-    def on_report(self, server: str, report: wire.Report) -> None:
+    def on_report(self, server: str, report: wire.Heartbeat) -> None:
         """A worker's report, taken by the part `server`."""
         self.tracker.on_report(server, report)
 
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -12,9 +12,9 @@
 from ...lending.accounts import TeamAccount, TeamUse, team_accounts
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
 from ...lending.page import page
-from ..jobs import Jobs
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
-from .quota_reclaim import Lending
+from .quota_reclaim import QuotaReclaim
 
 Answer = Callable[[int, Any], None]
 
@@ -22,7 +22,9 @@
 class LoanAccounts(TermActor):
     """Owns what was borrowed and lent since the accounts were last kept in the ledger."""
 
-    def __init__(self, term: Term, jobs: Jobs, lending: Lending, every_s: float) -> None:
+    def __init__(
+        self, term: Term, jobs: JobRegistry, lending: QuotaReclaim, every_s: float
+    ) -> None:
         """`every_s`: how often what was summed up is kept, in seconds."""
         super().__init__(term)
         self.jobs, self.lending, self._every_s = jobs, lending, every_s
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -6,18 +6,18 @@
 from typing import Any
 
 from ...ledger.cluster_state import Job, Placement
-from ...ledger.reclaims import Borrowed, Recall
-from ...ledger.write_ahead_log import Ledger
+from ...ledger.reclaims import Borrowed, Reclaim
+from ...ledger.write_ahead_log import WriteAheadLog
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
 from ...protocol import wire
 
 
-class OpenRecall:
+class OpenReclaim:
     """A recall that is not over, and what this leader did about it."""
 
     __slots__ = ("is_committed", "is_forced", "is_late", "promised", "recall", "told_at")
 
-    def __init__(self, recall: Recall, is_committed: bool) -> None:
+    def __init__(self, recall: Reclaim, is_committed: bool) -> None:
         self.recall, self.is_committed = recall, is_committed
         self.promised = NOTHING
         """What it will give its lender."""
@@ -26,16 +26,16 @@
         self.is_forced = self.is_late = False
 
 
-class OpenRecalls:
+class OpenReclaims:
     """Owns the open recalls. What they have chosen counts as leaving before it is told."""
 
-    def __init__(self, ledger: Ledger) -> None:
+    def __init__(self, ledger: WriteAheadLog) -> None:
         self._ledger = ledger
-        self._all: dict[int, OpenRecall] = {}
-        self._of_job: dict[int, list[OpenRecall]] = {}
-        self._on_machine: dict[str, list[OpenRecall]] = {}
+        self._all: dict[int, OpenReclaim] = {}
+        self._of_job: dict[int, list[OpenReclaim]] = {}
+        self._on_machine: dict[str, list[OpenReclaim]] = {}
         self._promised: dict[str, Amounts] = {}
-        self._untold: dict[int, OpenRecall] = {}
+        self._untold: dict[int, OpenReclaim] = {}
         """Recalls whose borrowed tasks were not told yet."""
         self._chosen: set[Borrowed] = set()
         self._chosen_use: dict[str, Amounts] = {}
@@ -44,16 +44,16 @@
     def __len__(self) -> int:
         return len(self._all)
 
-    def __iter__(self) -> Iterator[OpenRecall]:
+    def __iter__(self) -> Iterator[OpenReclaim]:
         return iter(list(self._all.values()))
 
-    def has(self, each: OpenRecall) -> bool:
+    def has(self, each: OpenReclaim) -> bool:
         """Whether the recall is still open."""
         return self._all.get(each.recall.number) is each
 
     # Changes
 
-    def add(self, each: OpenRecall) -> None:
+    def add(self, each: OpenReclaim) -> None:
         """The recall begins, or goes on on another machine."""
         recall = each.recall
         job = self._ledger.book.jobs.get(recall.job)
@@ -65,7 +65,7 @@
         self._untold[recall.number] = each
         self._note_chosen()
 
-    def remove(self, each: OpenRecall) -> None:
+    def remove(self, each: OpenReclaim) -> None:
         """The recall is over, or leaves its machine."""
         recall = each.recall
         del self._all[recall.number]
@@ -74,7 +74,7 @@
         _drop(self._on_machine, recall.machine, each)
         self.told(each)
 
-    def told(self, each: OpenRecall) -> None:
+    def told(self, each: OpenReclaim) -> None:
         """The borrowed tasks were told: from now on they count as stopping."""
         if self._untold.pop(each.recall.number, None) is not None:
             self._note_chosen()
@@ -94,7 +94,7 @@
 
     # What they mean
 
-    def left(self, recall: Recall) -> list[Placement]:
+    def left(self, recall: Reclaim) -> list[Placement]:
         """The borrowed tasks that are not proven over."""
         left = []
         for borrowed in recall.borrowed:
@@ -121,7 +121,7 @@
         """Whether a recall that is not told yet has chosen the task."""
         return (placed.job.no, placed.task, placed.attempt) in self._chosen
 
-    def of(self, job: Job) -> list[OpenRecall]:
+    def of(self, job: Job) -> list[OpenReclaim]:
         """The recalls for a job, the oldest first."""
         return list(self._of_job.get(job.no, ()))
 
@@ -129,16 +129,16 @@
         """For how many tasks of the job room is being recalled."""
         return sum(each.recall.tasks for each in self._of_job.get(job.no, ()))
 
-    def tasks_before(self, each: OpenRecall) -> int:
+    def tasks_before(self, each: OpenReclaim) -> int:
         """For how many tasks of the same job room was recalled before this."""
         found = self._of_job[each.recall.job]
         return sum(other.recall.tasks for other in found[: found.index(each)])
 
-    def machines(self) -> dict[str, list[OpenRecall]]:
+    def machines(self) -> dict[str, list[OpenReclaim]]:
         """The recalls by machine; for reading only."""
         return self._on_machine
 
-    def kept(self, recalls: list[OpenRecall]) -> list[wire.Spec]:
+    def kept(self, recalls: list[OpenReclaim]) -> list[wire.Spec]:
         """The tasks for which these recalls keep room."""
         jobs = self._ledger.book.jobs
         return [
@@ -149,7 +149,7 @@
         ]
 
 
-def _drop(index: dict[Any, list[OpenRecall]], key: Any, each: OpenRecall) -> None:
+def _drop(index: dict[Any, list[OpenReclaim]], key: Any, each: OpenReclaim) -> None:
     found = index[key]
     found.remove(each)
     if not found:
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -13,18 +13,18 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ...ledger.cluster_state import Job, Placement
-from ...ledger.reclaims import Borrowed, LoanAccount, Recall
+from ...ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from ...lending.entitlement import Amounts, Reclaimable, amounts_of
 from ...lending.reclaim import Situation, Step, Times, next_step
 from ...planning import placement
 from ...planning.best_effort import dear_types
 from ...planning.fleet import Machine, Pool
 from ...protocol import formats, wire
-from ..commands import Orders
-from ..gang_scheduling.gang_scheduler import Gangs
-from ..jobs import Jobs
+from ..commands import CommandSender
+from ..gang_scheduling.gang_scheduler import GangScheduler
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
-from .open_reclaims import OpenRecall, OpenRecalls
+from .open_reclaims import OpenReclaim, OpenReclaims
 
 if TYPE_CHECKING:
     from ...lending.feature import LendingFeature
@@ -48,15 +48,20 @@
     tasks: int = 1
 
 
-class Lending(TermActor):
+class QuotaReclaim(TermActor):
     """Owns the recalls. Without the feature it begins none, and finishes those that it finds."""
 
     def __init__(
-        self, term: Term, jobs: Jobs, orders: Orders, gangs: Gangs, feature: LendingFeature | None
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        orders: CommandSender,
+        gangs: GangScheduler,
+        feature: LendingFeature | None,
     ) -> None:
         super().__init__(term)
         self.jobs, self.orders, self.gangs, self.feature = jobs, orders, gangs, feature
-        self.recalls = OpenRecalls(self.ledger)
+        self.recalls = OpenReclaims(self.ledger)
         self._wanted_since: dict[int, float] = {}
         """Jobs that are entitled to room and found none, and since when."""
         self._stops: deque[float] = deque()
@@ -78,7 +83,7 @@
     def recall(self) -> None:
         """Takes up the recalls of earlier leaders: their deadlines and borrowed tasks stand."""
         for recall in self.ledger.book.loans.recalls.values():
-            self.recalls.add(OpenRecall(recall, is_committed=True))
+            self.recalls.add(OpenReclaim(recall, is_committed=True))
         if self.recalls:
             log.info(
                 "event=recalls_taken_up term=%d open=%d lending=%s",
@@ -201,7 +206,7 @@
     def begin(self, job: Job, room: Room) -> None:
         """Recalls room for tasks of the job."""
         wall = self.runtime.wall()
-        recall = Recall(
+        recall = Reclaim(
             self.ledger.book.loans.next_number,
             job.spec.team,
             job.no,
@@ -211,12 +216,12 @@
             room.tasks,
             _borrowed(room),
         )
-        each = OpenRecall(recall, is_committed=False)
+        each = OpenReclaim(recall, is_committed=False)
         self.recalls.add(each)
         self._propose(each, "begin")
         self.term.request_pass()
 
-    def _propose(self, each: OpenRecall, how: str) -> None:
+    def _propose(self, each: OpenReclaim, how: str) -> None:
         """Proposes the recall as it is now; the borrowed tasks are told once that is committed."""
         recall = each.recall
         each.is_committed, each.told_at, each.is_forced = False, None, False
@@ -264,7 +269,7 @@
             if (job := live.get(no)) is not None and now - at < job.spec.checkpoint
         }
 
-    def _continue(self, each: OpenRecall) -> None:
+    def _continue(self, each: OpenReclaim) -> None:
         if not each.is_committed or not self.term.may_act:
             return
         recall = each.recall
@@ -283,7 +288,7 @@
         elif step in (Step.WITHDRAW, Step.GIVE_UP):
             self._end(each, step.value)
 
-    def _situation(self, each: OpenRecall, until_deadline: float) -> Situation:
+    def _situation(self, each: OpenReclaim, until_deadline: float) -> Situation:
         recall, now = each.recall, self.runtime.now()
         left = self.recalls.left(recall)
         return Situation(
@@ -296,7 +301,7 @@
             longest_save=max((_save(placed) for placed in left), default=0.0),
         )
 
-    def _may_answer(self, recall: Recall) -> bool:
+    def _may_answer(self, recall: Reclaim) -> bool:
         """Whether the machine can give the room; one that this term has not heard yet may."""
         machine = self.fleet.machines.get(recall.machine)
         job = self.ledger.book.jobs.get(recall.job)
@@ -306,7 +311,7 @@
             return self.runtime.now() - self.term.began < self.policy.machine_suspect
         return self.is_usable(machine)
 
-    def _is_wanted(self, each: OpenRecall) -> bool:
+    def _is_wanted(self, each: OpenReclaim) -> bool:
         """Whether a task of the job waits for this room and, before others stop, is entitled."""
         recall = each.recall
         job = self.ledger.book.jobs.get(recall.job)
@@ -317,7 +322,7 @@
         use = self.term.use(recall.lender).plus(amounts_of(job.spec, recall.tasks))
         return self.term.guarantee(recall.lender).covers(use)
 
-    def _stop(self, each: OpenRecall, is_forced: bool) -> None:
+    def _stop(self, each: OpenReclaim, is_forced: bool) -> None:
         now = self.runtime.now()
         for placed in self.recalls.left(each.recall):
             if placed.stopping_at is None:
@@ -331,7 +336,7 @@
         self.recalls.told(each)
         log.debug("event=recall_told id=%s forced=%s", each.recall.id, is_forced)
 
-    def _seek(self, each: OpenRecall) -> None:
+    def _seek(self, each: OpenReclaim) -> None:
         """Looks for the room elsewhere, under the same number and with the same deadline."""
         job = self.ledger.book.jobs[each.recall.job]
         room = self.find_room(job)
@@ -361,7 +366,7 @@
         for each in self.recalls.of(job):
             self._end(each, "met")
 
-    def _end(self, each: OpenRecall, how: str) -> None:
+    def _end(self, each: OpenReclaim, how: str) -> None:
         recall = each.recall
         self.recalls.remove(each)
         is_late = self.runtime.wall() > recall.deadline
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -6,7 +6,7 @@
 
 from ...ledger.cluster_state import Job
 from ...planning.fleet import Machine
-from ..jobs import Jobs
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
         self.rounds = 0
 
 
-class Failures(TermActor):
+class FailureAttribution(TermActor):
     """Owns the failures by job, and decides which machines are faulty.
 
     A job that fails on several machines and has nothing done was likely submitted with a mistake:
@@ -37,7 +37,7 @@
     machine on which several other jobs fail is faulty.
     """
 
-    def __init__(self, term: Term, jobs: Jobs) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry) -> None:
         super().__init__(term)
         self.jobs = jobs
         self._records: dict[int, _Record] = {}
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -6,17 +6,17 @@
 
 from ...clients.workers import CALLED_SHARE
 from ...planning.fleet import Machine
-from ..commands import Orders
+from ..commands import CommandSender
 from ..term import Term, TermActor
 
 PROBING_SHARE = 0.5
 """Of the connections for calls to workers: when a zone is silent, orders to the others go on."""
 
 
-class Probes(TermActor):
+class HealthChecks(TermActor):
     """Owns the probes under way."""
 
-    def __init__(self, term: Term, orders: Orders) -> None:
+    def __init__(self, term: Term, orders: CommandSender) -> None:
         super().__init__(term)
         self.orders = orders
         self._probing = 0
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -8,29 +8,29 @@
 from ...ledger.cluster_state import Placement
 from ...planning.fleet import Machine
 from ...protocol import wire
-from ..autoscaling.scale_in import Releases
-from ..commands import Orders
-from ..gang_scheduling.gang_scheduler import Gangs
-from ..jobs import Jobs
+from ..autoscaling.scale_in import ScaleIn
+from ..commands import CommandSender
+from ..gang_scheduling.gang_scheduler import GangScheduler
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
-from .failure_attribution import Failures
-from .health_checks import Probes
+from .failure_attribution import FailureAttribution
+from .health_checks import HealthChecks
 from .stragglers import Stragglers
 
 log = logging.getLogger(__name__)
 
 
-class Tracker(TermActor):
+class Reconciler(TermActor):
     """Owns the proofs: it alone says that a placement is over."""
 
     def __init__(
         self,
         term: Term,
-        jobs: Jobs,
-        orders: Orders,
+        jobs: JobRegistry,
+        orders: CommandSender,
         stragglers: Stragglers,
-        failures: Failures,
-        gangs: Gangs,
+        failures: FailureAttribution,
+        gangs: GangScheduler,
     ) -> None:
         super().__init__(term)
         self.jobs, self.orders, self.stragglers, self.failures = jobs, orders, stragglers, failures
@@ -38,11 +38,11 @@
         gangs.over = lambda placed, why: self.over(placed, False, why)
         self._exits: dict[str, dict[tuple[str, int], Placement]] = {}
         """Placements whose exit was reported, by machine and by task and attempt."""
-        self.probes = Probes(term, orders)
-        self.releases = Releases(term, orders, self._gone)
+        self.probes = HealthChecks(term, orders)
+        self.releases = ScaleIn(term, orders, self._gone)
         orders.deliver = self.on_report
 
-    def on_report(self, server: str, report: wire.Report) -> None:
+    def on_report(self, server: str, report: wire.Heartbeat) -> None:
         """A worker's report, taken by the part `server`, or the body of an orders' answer."""
         if not self.term.active or report.machine in self.fleet.gone:
             return
@@ -111,7 +111,7 @@
             if machine.server is None:
                 machine.server = server
 
-    def _compare_all(self, machine: Machine, tasks: list[wire.TaskReport]) -> None:
+    def _compare_all(self, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
         """What a believed report says of all placements there, and of what isn't placed there."""
         listed = {(task.task, task.attempt): task for task in tasks}
         placements = list(machine.placements.values())
@@ -124,7 +124,7 @@
 
     @staticmethod
     def _settles(
-        placements: list[Placement], listed: dict[tuple[str, int], wire.TaskReport]
+        placements: list[Placement], listed: dict[tuple[str, int], wire.TaskStatus]
     ) -> bool:
         """Whether a second report like this one would say nothing new.
 
@@ -137,7 +137,7 @@
             for placed in placements
         )
 
-    def _compare(self, machine: Machine, placed: Placement, task: wire.TaskReport | None) -> None:
+    def _compare(self, machine: Machine, placed: Placement, task: wire.TaskStatus | None) -> None:
         """What a believed report says of one placement."""
         now = self.runtime.now()
         if task is None:
@@ -197,7 +197,7 @@
         kind, spec = self.term.kinds.get(machine.kind), placed.job.spec
         machine.note_image(spec.image, spec.image_gb, kind.cache if kind else 0.0)
 
-    def _exited(self, machine: Machine, placed: Placement, task: wire.TaskReport) -> None:
+    def _exited(self, machine: Machine, placed: Placement, task: wire.TaskStatus) -> None:
         cause = task.cause
         if cause not in wire.CAUSES:
             log.warning("event=unknown_cause task=%s cause=%r", placed.name, cause)
@@ -219,7 +219,7 @@
         self._exits.setdefault(machine.name, {})[placed.name, placed.attempt] = placed
         self.over(placed, cause == wire.CAUSE_DONE, cause or "exited")
 
-    def _unplaced(self, machine: Machine, task: wire.TaskReport) -> None:
+    def _unplaced(self, machine: Machine, task: wire.TaskStatus) -> None:
         """A task on the machine that the ledger does not place there."""
         if task.state != wire.EXITED:
             log.warning(
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -8,8 +8,8 @@
 from ...ledger.cluster_state import Job, Placement
 from ...planning.fleet import Machine
 from ...protocol import wire
-from ..commands import Orders
-from ..jobs import Jobs
+from ..commands import CommandSender
+from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
 log = logging.getLogger(__name__)
@@ -29,7 +29,7 @@
     there goes on elsewhere.
     """
 
-    def __init__(self, term: Term, jobs: Jobs, orders: Orders) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry, orders: CommandSender) -> None:
         super().__init__(term)
         self.jobs, self.orders = jobs, orders
         self._lengths: dict[int, list[float]] = {}
--- a/flaxtally/leader/resource_shapes.py
+++ b/flaxtally/leader/resource_shapes.py
@@ -13,7 +13,7 @@
 """Of a lane: those first seen last stand for it. Where sizes vary freely, every job has its own."""
 
 
-class KnownShapes:
+class ResourceShapes:
     """A job of each shape that was seen lately."""
 
     def __init__(self) -> None:
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -21,7 +21,7 @@
 """Rank, whether beyond the team's guarantee, due time to be met, latest start for it, number."""
 
 
-class WaitingJob(NamedTuple):
+class PendingJob(NamedTuple):
     """A job in its place in the queue."""
 
     key: Key
@@ -32,7 +32,7 @@
     """
 
 
-class WaitingQueue(TermActor):
+class PendingQueue(TermActor):
     """Owns the jobs that may have waiting tasks, and who reaches beyond a guarantee.
 
     The order is reckoned anew every other retry; in between new jobs are put in their places.
@@ -48,7 +48,7 @@
         """Jobs that may have waiting tasks. A pass over all live jobs cost more than what it was
         for.
         """
-        self._order: list[WaitingJob] = []
+        self._order: list[PendingJob] = []
         self._ordered: set[int] = set()
         self._ordered_at = float("-inf")
         self._alike_numbers: dict[Hashable, int] = {}
@@ -101,7 +101,7 @@
 
     # Their order
 
-    def in_order(self) -> list[WaitingJob]:
+    def in_order(self) -> list[PendingJob]:
         """Jobs in the order in which they are placed; some may have no waiting tasks any more.
 
         By rank, those within their team's guarantee first, then those that can still be in time,
@@ -128,11 +128,11 @@
             self._ordered.add(job.no)
             insort(self._order, self._entry(job))
 
-    def _entry(self, job: Job) -> WaitingJob:
+    def _entry(self, job: Job) -> PendingJob:
         level, latest = self.urgency(job, self.runtime.wall())
         beyond = job.no in self.beyond
         key = wire.RANKS[job.spec.rank], beyond, level, latest, job.no
-        return WaitingJob(key, job, self._alike(job, beyond, self.runtime.now()))
+        return PendingJob(key, job, self._alike(job, beyond, self.runtime.now()))
 
     def _alike(self, job: Job, beyond: bool, now: float) -> int | None:
         """A number for what decides whether a task finds room, or somebody to stop for it."""
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -15,17 +15,17 @@
 from ...planning.fleet import Machine
 from ...planning.machine_index import MachineIndex
 from ...protocol import wire
-from ..commands import Orders
-from ..gang_scheduling.gang_scheduler import Gangs
-from ..jobs import Jobs
-from ..reclaim.quota_reclaim import Lending, Room
+from ..commands import CommandSender
+from ..gang_scheduling.gang_scheduler import GangScheduler
+from ..jobs import JobRegistry
+from ..reclaim.quota_reclaim import QuotaReclaim, Room
 from ..term import Term, TermActor
-from .reservations import Claim, Claims, TaskKey
+from .reservations import Reservation, Reservations, TaskKey
 
 log = logging.getLogger(__name__)
 
 
-class _Budget:
+class _PreemptionBudget:
     """What one decision may take of other teams; without lending, ranks alone decide."""
 
     def __init__(
@@ -57,11 +57,16 @@
     """Owns the claims on room for which others were stopped."""
 
     def __init__(
-        self, term: Term, jobs: Jobs, orders: Orders, gangs: Gangs, lending: Lending
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        orders: CommandSender,
+        gangs: GangScheduler,
+        lending: QuotaReclaim,
     ) -> None:
         super().__init__(term)
         self.jobs, self.orders, self.gangs, self.lending = jobs, orders, gangs, lending
-        self._claims = Claims()
+        self._claims = Reservations()
         self._preempted: dict[TaskKey, float] = {}
         """Tasks for which others were stopped, and until when their room is kept."""
         self._nobody = placement.Exhausted()
@@ -303,7 +308,7 @@
         saves = max((placed.job.spec.save for placed in victims), default=0.0)
         until = now + 2 * self.policy.order_call + saves
         rank = wire.RANKS[spec.rank]
-        self._claims.add(machine.name, key, Claim(rank, until, spec, moving))
+        self._claims.add(machine.name, key, Reservation(rank, until, spec, moving))
         for placed in victims:
             if placed.stopping_at is not None:
                 continue
@@ -387,9 +392,9 @@
         other = placed.job.spec
         return self.lending.is_enabled and other.kind == wire.SERVICE and other.team != spec.team
 
-    def _budget(self, spec: wire.Spec) -> _Budget:
+    def _budget(self, spec: wire.Spec) -> _PreemptionBudget:
         reclaimable = self.lending.reclaimable() if self.lending.is_enabled else None
-        return _Budget(spec.team, reclaimable, self._is_leaving)
+        return _PreemptionBudget(spec.team, reclaimable, self._is_leaving)
 
     def _is_leaving(self, placed: Placement) -> bool:
         return placed.stopping_at is not None or self.lending.recalls.is_chosen(placed)
--- a/flaxtally/leader/scheduling/reservations.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from ...ledger.cluster_state import Book
+from ...ledger.cluster_state import ClusterState
 from ...planning.fleet import Machine
 from ...protocol import wire
 
@@ -13,7 +13,7 @@
 """A job's number and a task's."""
 
 
-class Claim(NamedTuple):
+class Reservation(NamedTuple):
     """Room on a machine that is kept for a task until a time."""
 
     rank: int
@@ -23,22 +23,22 @@
     """The task still runs elsewhere, and moves when there is room."""
 
 
-class Claims:
+class Reservations:
     """Owns the claims by machine and task."""
 
     def __init__(self) -> None:
-        self._claims: dict[str, dict[TaskKey, Claim]] = {}
+        self._claims: dict[str, dict[TaskKey, Reservation]] = {}
         self._freed: set[str] = set()
         """Machines on which a claim was made good since the last `expire`."""
 
     def __bool__(self) -> bool:
         return bool(self._claims)
 
-    def add(self, machine: str, key: TaskKey, claim: Claim) -> None:
+    def add(self, machine: str, key: TaskKey, claim: Reservation) -> None:
         """Keeps room on the machine for the task."""
         self._claims.setdefault(machine, {})[key] = claim
 
-    def on(self, machine: str) -> Iterable[Claim]:
+    def on(self, machine: str) -> Iterable[Reservation]:
         """The claims on a machine."""
         return self._claims.get(machine, {}).values()
 
@@ -60,7 +60,7 @@
             if claims.pop(key, None) is not None:
                 self._freed.add(name)
 
-    def expire(self, now: float, book: Book) -> set[str]:
+    def expire(self, now: float, book: ClusterState) -> set[str]:
         """Drops claims that were made good or have waited too long; returns their machines."""
         kept, freed = {}, self._freed
         self._freed = set()
@@ -76,7 +76,7 @@
         return freed
 
     @staticmethod
-    def _is_live(key: TaskKey, claim: Claim, now: float, book: Book) -> bool:
+    def _is_live(key: TaskKey, claim: Reservation, now: float, book: ClusterState) -> bool:
         number, task = key
         job = book.jobs.get(number)
         return claim.until > now and job is not None and (claim.moving or task not in job.placed)
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -11,14 +11,14 @@
 from ...planning.fleet import Machine
 from ...planning.machine_index import Fit, MachineIndex
 from ...protocol import wire
-from ..commands import Orders
-from ..gang_scheduling.gang_reservations import GangHolds
-from ..gang_scheduling.gang_scheduler import Gangs
-from ..jobs import MOST_BACKLOG, Jobs
-from ..reclaim.quota_reclaim import Lending
-from ..reconciliation.reconciler import Tracker
+from ..commands import CommandSender
+from ..gang_scheduling.gang_reservations import GangReservations
+from ..gang_scheduling.gang_scheduler import GangScheduler
+from ..jobs import MOST_BACKLOG, JobRegistry
+from ..reclaim.quota_reclaim import QuotaReclaim
+from ..reconciliation.reconciler import Reconciler
 from ..term import Term, TermActor
-from .pending_queue import WaitingJob
+from .pending_queue import PendingJob
 from .preemption import Preemption
 from .scheduling_pass import SchedulingPass
 
@@ -35,18 +35,18 @@
     def __init__(
         self,
         term: Term,
-        jobs: Jobs,
-        tracker: Tracker,
-        orders: Orders,
-        gangs: Gangs,
-        lending: Lending,
+        jobs: JobRegistry,
+        tracker: Reconciler,
+        orders: CommandSender,
+        gangs: GangScheduler,
+        lending: QuotaReclaim,
     ) -> None:
         super().__init__(term)
         self.lending = lending
         lending.find_room = lambda job: self.preemption.find_room(job, self._index)
         self.jobs, self.tracker, self.orders, self.gangs = jobs, tracker, orders, gangs
         self.preemption = Preemption(term, jobs, orders, gangs, lending)
-        self.gang_holds = GangHolds(term, jobs)
+        self.gang_holds = GangReservations(term, jobs)
         self.looked = 0
         """Machines that the scheduler looked at, in all."""
         self._pass_requested = False
@@ -87,7 +87,7 @@
         if is_full:
             self.request_pass()
 
-    def _pass(self, queue: list[WaitingJob], now: float) -> bool:
+    def _pass(self, queue: list[PendingJob], now: float) -> bool:
         """Places what can be placed of all that waits; whether it ended before all were tried.
 
         Who found no room in an earlier pass looks only where there is more now.
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -13,9 +13,9 @@
 from ...planning.machine_index import Fit, MachineIndex
 from ...policy import Policy
 from ...protocol import wire
-from ..jobs import Jobs
+from ..jobs import JobRegistry
 from ..term import Term
-from .pending_queue import WaitingJob
+from .pending_queue import PendingJob
 from .preemption import Preemption
 
 MOST_PLACED = 400
@@ -27,7 +27,7 @@
 class Placer(Protocol):
     """What a pass needs of the scheduler."""
 
-    jobs: Jobs
+    jobs: JobRegistry
     preemption: Preemption
     policy: Policy
     term: Term
@@ -89,7 +89,7 @@
         """Whether the pass has placed as many tasks as one may."""
         return self.placed >= MOST_PLACED
 
-    def run(self, queue: list[WaitingJob], full: placement.Exhausted) -> placement.Exhausted:
+    def run(self, queue: list[PendingJob], full: placement.Exhausted) -> placement.Exhausted:
         """Places what it can; returns who is known to find no room from here on."""
         hopeless: set[Hashable] = set()
         backoff = self._jobs.backoff
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from ..clients.cloud import Cloud
-from ..ledger.write_ahead_log import Ledger
+from ..ledger.write_ahead_log import WriteAheadLog
 from ..lending.entitlement import NOTHING, Amounts, Guarantee
 from ..planning.fleet import Machine
 from ..policy import Policy
@@ -20,7 +20,7 @@
 class Fleet:
     """The machines that the leader knows in this term, and the names of those proven gone."""
 
-    def __init__(self, runtime: Runtime, ledger: Ledger, zones: tuple[str, ...]) -> None:
+    def __init__(self, runtime: Runtime, ledger: WriteAheadLog, zones: tuple[str, ...]) -> None:
         self._runtime, self._ledger = runtime, ledger
         self.machines: dict[str, Machine] = {}
         self.gone: set[str] = set()
@@ -48,7 +48,7 @@
         runtime: Runtime,
         settings: Settings,
         policy: Policy,
-        ledger: Ledger,
+        ledger: WriteAheadLog,
         cloud: Cloud,
         rng: random.Random,
         kinds: dict[str, wire.MachineType],
@@ -59,7 +59,7 @@
         self.limits = limits
         self.active = False
         self.isolated = False
-        """Others may well lead by now: see `Election.isolated`."""
+        """Others may well lead by now: see `LeaderElection.isolated`."""
         self.suspended = False
         """The process stood still, and leadership was not confirmed since."""
         self.pauses = 0
--- a/flaxtally/ledger/cluster_state.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -32,8 +32,8 @@
 from ..protocol import formats, wire
 from ..protocol.shape import Shape
 from .batch import BatchReader, Record
-from .reclaims import ACCOUNT, RECALL, RECALL_OVER, LoanBook
-from .terminal_jobs import FinalStates, PageOfFinals
+from .reclaims import ACCOUNT, RECALL, RECALL_OVER, LoanState
+from .terminal_jobs import TerminalJobPage, TerminalJobs
 
 JOB, TASKS, PLACED, ENDED = "J", "T", "P", "E"
 CANCELLED, FINAL, CATALOG, FORMAT = "C", "F", "K", "V"
@@ -187,7 +187,7 @@
         return self.zone_counts.get(zone, 0)
 
 
-class Usage:
+class ResourceUsage:
     """What a team's placements use."""
 
     __slots__ = ("cores", "gpus")
@@ -196,23 +196,23 @@
         self.cores = self.gpus = 0.0
 
 
-class BookError(Exception):
+class InvalidRecordError(Exception):
     """A record breaks an invariant; it must not be committed. On replay: a damaged ledger."""
 
 
-class FormatTooNew(Exception):
+class UnsupportedFormatError(Exception):
     """The ledger is of a format that this program does not read."""
 
 
-class Book:
+class ClusterState:
     """All jobs. Records that are final and without placements shrink to `finals`."""
 
     def __init__(self) -> None:
         self.jobs: dict[int, Job] = {}
         self.by_ref: dict[str, Job] = {}
-        self.finals = FinalStates()
-        self.final_home: dict[int, PageOfFinals] = {}
-        self.usage: dict[str, Usage] = {}
+        self.finals = TerminalJobs()
+        self.final_home: dict[int, TerminalJobPage] = {}
+        self.usage: dict[str, ResourceUsage] = {}
         self.on_machine: dict[str, dict[tuple[int, int], Placement]] = {}
         self.next_no = 1
         self.catalog: list[Any] = []
@@ -220,7 +220,7 @@
         self.format = formats.FIRST
         """What may be written: all controllers read it."""
         self.format_home = 0
-        self.loans = LoanBook()
+        self.loans = LoanState()
         self._reader = BatchReader()
         self._handlers: dict[str, Callable[..., None]] = {
             JOB: self._accept,
@@ -239,14 +239,15 @@
     # Records, live and on replay
 
     def apply(self, record: Record, page: int) -> None:
-        """Takes the record in, or raises `BookError`."""
+        """Takes the record in, or raises `InvalidRecordError`."""
         self._handlers[record[0]](page, *record[1:])
 
     def replay(self, record: Record, page: int) -> None:
         """Applies a record that was read back.
 
         Records of a job whose own record is not there yet belong to a page that was cleaned: a
-        later snapshot says what they meant. Raises `FormatTooNew`, or `BookError`.
+        later snapshot says what they meant. Raises `UnsupportedFormatError`, or
+        `InvalidRecordError`.
         """
         for home, certain in self._reader.read(page, record):
             if certain[0] not in OF_A_JOB or certain[1] in self.jobs:
@@ -265,7 +266,7 @@
         if old is not None:
             job.told, job.committed = old.told, old.committed
         elif job.spec.ref in self.by_ref or job.spec.ref in self.finals:
-            raise BookError(f"job {job.spec.ref} is known")
+            raise InvalidRecordError(f"job {job.spec.ref} is known")
         job.home = page
         self.jobs[no] = self.by_ref[job.spec.ref] = job
         self.next_no = max(self.next_no, no + 1)
@@ -291,7 +292,9 @@
             or job.cancelled
             or attempt < job.attempts.get(task, 0) + (job.spec.kind != wire.GANG)
         ):
-            raise BookError(f"task {job.spec.ref}/{task} can't be placed as attempt {attempt}")
+            raise InvalidRecordError(
+                f"task {job.spec.ref}/{task} can't be placed as attempt {attempt}"
+            )
         if job.requeued and job.requeued[0] == task:
             heapq.heappop(job.requeued)
         elif task in job.requeued:
@@ -307,7 +310,7 @@
         job.placed_bytes = PLACED_BYTES + len(machine) + len(zone)
         job.zone_counts[zone] = job.zone_counts.get(zone, 0) + 1
         self.on_machine.setdefault(machine, {})[no, task] = placement
-        usage = self.usage.setdefault(job.spec.team, Usage())
+        usage = self.usage.setdefault(job.spec.team, ResourceUsage())
         usage.cores += job.spec.cores
         usage.gpus += job.spec.gpus
 
@@ -315,7 +318,7 @@
         job = self.jobs[no]
         placement = job.placed.get(task)
         if placement is None or placement.attempt != attempt:
-            raise BookError(f"task {job.spec.ref}/{task} has no attempt {attempt} to end")
+            raise InvalidRecordError(f"task {job.spec.ref}/{task} has no attempt {attempt} to end")
         self._remove(placement)
         if done and job.spec.kind == wire.GANG:
             # They complete together.
@@ -329,7 +332,7 @@
     def _cancel(self, page: int, no: int) -> None:
         job = self.jobs[no]
         if job.done:
-            raise BookError(f"job {job.spec.ref} is done")
+            raise InvalidRecordError(f"job {job.spec.ref} is done")
         job.cancelled = True
 
     def _finish(self, page: int, no: int, ref: str, stage: str) -> None:
@@ -337,7 +340,7 @@
         if job is not None:
             self.by_ref.pop(ref, None)
         self.finals.add(ref, stage)
-        self.final_home.setdefault(page, PageOfFinals()).add(ref)
+        self.final_home.setdefault(page, TerminalJobPage()).add(ref)
         self.next_no = max(self.next_no, no + 1)
 
     def _keep_catalog(self, page: int, types: list[Any], more: bool = False) -> None:
@@ -348,7 +351,9 @@
 
     def _raise_format(self, page: int, version: int) -> None:
         if version > formats.OWN.newest:
-            raise FormatTooNew(f"format {version}; this program reads {formats.OWN.newest}")
+            raise UnsupportedFormatError(
+                f"format {version}; this program reads {formats.OWN.newest}"
+            )
         self.format, self.format_home = max(self.format, version), page
 
     def _remove(self, placement: Placement) -> None:
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..cluster.leader_election import LEAD
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
@@ -28,7 +28,7 @@
             done(leading)
 
 
-class Confirmation(Actor):
+class LeadershipBarrier(Actor):
     """Owns the requests to confirm leadership under one version of the leader key.
 
     One transaction is under way at a time and serves all who asked before it was sent. `lost` is
@@ -38,7 +38,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        store: Store,
+        store: KeyValueStore,
         version: int,
         first_call: float,
         gather: float,
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Recall:
+class Reclaim:
     """Room that is made for a waiting task of a job. Times are of the day, in seconds."""
 
     number: int
@@ -93,10 +93,10 @@
 
 
 @dataclass
-class LoanBook:
+class LoanState:
     """The recalls that are not over, the accounts, and the pages that hold their records."""
 
-    recalls: dict[int, Recall] = field(default_factory=dict)
+    recalls: dict[int, Reclaim] = field(default_factory=dict)
     accounts: dict[str, LoanAccount] = field(default_factory=dict)
     next_number: int = 1
     _homes: dict[int | str, int] = field(default_factory=dict)
@@ -115,7 +115,7 @@
     ) -> None:
         """A recall begins, goes on elsewhere, or is said anew."""
         chosen = tuple(Borrowed(*each) for each in borrowed)
-        self.recalls[number] = Recall(
+        self.recalls[number] = Reclaim(
             number, lender, job, machine, decided_at, deadline, tasks, chosen
         )
         self.next_number = max(self.next_number, number + 1)
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -6,7 +6,7 @@
 
 from ..protocol import formats, wire
 from .batch import PIECE_OVERHEAD, Record, size_of
-from .cluster_state import CANCELLED, CATALOG, FINAL, FORMAT, JOB, PLACED, TASKS, Book, Job
+from .cluster_state import CANCELLED, CATALOG, FINAL, FORMAT, JOB, PLACED, TASKS, ClusterState, Job
 
 RUNS_A_RECORD = 16
 """So that a record fits into a page, however many tasks its job has."""
@@ -56,7 +56,7 @@
     ]
 
 
-def page_records(book: Book, page: int, most_bytes: int) -> list[list[Record]]:
+def page_records(book: ClusterState, page: int, most_bytes: int) -> list[list[Record]]:
     """All that the records of a page still mean, in groups that are each a batch.
 
     `most_bytes`: of the records of a page.
--- a/flaxtally/ledger/terminal_jobs.py
+++ b/flaxtally/ledger/terminal_jobs.py
@@ -28,7 +28,7 @@
     return PREFIX + str(number)[1:]
 
 
-class FinalStates:
+class TerminalJobs:
     """By id, whether a job was done or cancelled. What is final never changes."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
         self._blocks.append(block)
 
 
-class PageOfFinals:
+class TerminalJobPage:
     """The ids of final jobs whose records stand in one page, in order."""
 
     __slots__ = ("_numbers",)
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from ..clients.key_value_store import Outcome, Store
+from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.http import pack
@@ -15,7 +15,7 @@
 from ..runtime.token_bucket import TokenBucket
 
 
-class Ending(enum.Enum):
+class CommitOutcome(enum.Enum):
     """How a transaction came out."""
 
     COMMITTED = "committed"
@@ -48,10 +48,10 @@
     def __init__(
         self,
         runtime: Runtime,
-        store: Store,
+        store: KeyValueStore,
         bucket: TokenBucket,
         retry: float,
-        done: Callable[[Ending, int], None],
+        done: Callable[[CommitOutcome, int], None],
     ) -> None:
         """`done(ending, revision)` is told of each transaction, unless the sender was closed."""
         super().__init__(runtime)
@@ -71,14 +71,14 @@
             if not self._open:
                 return
             if outcome is Outcome.DONE:
-                self._done(Ending.COMMITTED, revision)
+                self._done(CommitOutcome.COMMITTED, revision)
             elif outcome is Outcome.FAILED and unsure:
                 # The first copy may have been carried out although its answer was lost.
                 self._read_back(transaction)
             elif outcome is Outcome.FAILED:
-                self._done(Ending.LOST, 0)
+                self._done(CommitOutcome.LOST, 0)
             elif outcome is Outcome.INVALID:
-                self._done(Ending.TOO_LARGE, 0)
+                self._done(CommitOutcome.TOO_LARGE, 0)
             else:
                 self._bucket.take(transaction.changes)
                 delay = max(self._retry / 4, self._bucket.wait(transaction.changes))
@@ -108,10 +108,10 @@
                 and pack(row.value) == pack(transaction.puts.get(key))
             ):
                 # A transaction is atomic: one page tells for all.
-                self._done(Ending.COMMITTED, row.version)
+                self._done(CommitOutcome.COMMITTED, row.version)
             elif row is None and not transaction.puts:
-                self._done(Ending.COMMITTED, 0)
+                self._done(CommitOutcome.COMMITTED, 0)
             else:
-                self._done(Ending.LOST, 0)
+                self._done(CommitOutcome.LOST, 0)
 
         self._store.get(key, told)
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -3,9 +3,9 @@
 Records are appended to pages `p/00000001`, `p/00000002`, … in order; a transaction rewrites the
 page that is being filled and creates those that follow. One transaction is under way at a time,
 each guards the leader key's version and the versions of the pages it writes, so a late or repeated
-copy, or one of a deposed leader, fails. Memory (the `Book`) takes a record when it is proposed;
-whatever may be *seen* of it (answers, launches) waits for its `then`, which is called after the
-commit only.
+copy, or one of a deposed leader, fails. Memory (the `ClusterState`) takes a record when it is
+proposed; whatever may be *seen* of it (answers, launches) waits for its `then`, which is called
+after the commit only.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from ..clients.key_value_store import Store
+from ..clients.key_value_store import KeyValueStore
 from ..cluster.leader_election import LEAD
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
@@ -24,10 +24,10 @@
 from ..settings import StateLimits
 from . import snapshot
 from .batch import PIECE_OVERHEAD, Record, pieces, size_of
-from .cluster_state import CATALOG, FINAL, FORMAT, JOB, Book, FormatTooNew
-from .leadership_barrier import Confirmation
-from .terminal_jobs import PageOfFinals
-from .transaction import Ending, Transaction, TransactionSender
+from .cluster_state import CATALOG, FINAL, FORMAT, JOB, ClusterState, UnsupportedFormatError
+from .leadership_barrier import LeadershipBarrier
+from .terminal_jobs import TerminalJobPage
+from .transaction import CommitOutcome, Transaction, TransactionSender
 
 log = logging.getLogger(__name__)
 
@@ -60,13 +60,13 @@
     return f"{PAGES}{number:08d}"
 
 
-class Ledger(Actor):
+class WriteAheadLog(Actor):
     """Owns the pages. `lost` is called when somebody else leads."""
 
     def __init__(
         self,
         runtime: Runtime,
-        store: Store,
+        store: KeyValueStore,
         limits: StateLimits,
         retry: float,
         first: float,
@@ -104,7 +104,7 @@
     def _reset(self, version: int) -> None:
         self.generation += 1
         self._version = version
-        self.book = Book()
+        self.book = ClusterState()
         self._queue: deque[tuple[Record, int, Then | None]] = deque()
         self._thens: list[Then] = []
         self._pages: dict[int, int] = {}
@@ -119,7 +119,7 @@
         self._sender = TransactionSender(
             self.runtime, self._store, self._bucket, self._retry, self._ended
         )
-        self._confirmation = Confirmation(
+        self._confirmation = LeadershipBarrier(
             self.runtime, self._store, version, self._first, self._gather, self._lost
         )
         self._drops: list[int] = []
@@ -161,7 +161,7 @@
                     self._pages[number] = row.version
                     for record in row.value["r"]:
                         self.book.replay(record, number)
-            except FormatTooNew as fault:
+            except UnsupportedFormatError as fault:
                 log.error("event=ledger_format_unknown page=%s why=%r", row.key, str(fault))
                 self._restart(version)
                 self._format_too_new()
@@ -176,7 +176,8 @@
             for job in self.book.jobs.values():
                 job.committed = True
                 job.ending = job.cancelled
-                # A cancelled job is told as such when nothing of it is left; see `Jobs.settle`.
+                # A cancelled job is told as such when nothing of it is left; see
+                # `JobRegistry.settle`.
                 job.told = (
                     wire.DONE
                     if job.done
@@ -330,7 +331,7 @@
         elif record[0] == FINAL and record[1]:
             book.compact(book.jobs[record[1]], home)
         elif record[0] == FINAL:
-            book.final_home.setdefault(home, PageOfFinals()).add(next(finals))
+            book.final_home.setdefault(home, TerminalJobPage()).add(next(finals))
         else:
             book.loans.move_home(record, home)
 
@@ -398,11 +399,11 @@
         self._writing = numbers
         self._sender.send(Transaction(guards, puts, [page_key(page) for page in drops]))
 
-    def _ended(self, ending: Ending, revision: int) -> None:
+    def _ended(self, ending: CommitOutcome, revision: int) -> None:
         """The transaction under way came out."""
-        if ending is Ending.COMMITTED:
+        if ending is CommitOutcome.COMMITTED:
             self._committed(revision)
-        elif ending is Ending.TOO_LARGE:
+        elif ending is CommitOutcome.TOO_LARGE:
             self._too_large()
         else:
             log.info("event=commit_refused pages=%s", self._writing)
--- a/flaxtally/lending/page.py
+++ b/flaxtally/lending/page.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..ledger.reclaims import LoanAccount, Recall
+from ..ledger.reclaims import LoanAccount, Reclaim
 from .accounts import TeamAccount, loans
 from .entitlement import Amounts
 
@@ -66,7 +66,7 @@
     term: int,
     accounts: dict[str, TeamAccount],
     kept: dict[str, LoanAccount],
-    recalls: Iterable[tuple[Recall, str]],
+    recalls: Iterable[tuple[Reclaim, str]],
 ) -> LoansPage:
     """The page, from the teams' accounts, those in the ledger, and recalls with their job's id."""
     teams = [_team_row(account, kept.get(team)) for team, account in accounts.items()]
@@ -97,7 +97,7 @@
     )
 
 
-def _recall_row(recall: Recall, ref: str) -> RecallRow:
+def _recall_row(recall: Reclaim, ref: str) -> RecallRow:
     return RecallRow(
         recall.id,
         recall.lender,
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -98,7 +98,7 @@
         self.orders_failed = 0
         self.empty_order_at = float("-inf")
         """When it was last sent an order that only its answer is wanted of."""
-        self.settled_tasks: list[wire.TaskReport] | None = None
+        self.settled_tasks: list[wire.TaskStatus] | None = None
         """What it last reported of its tasks, if a report of the same says nothing new."""
         self.errors: set[str] = set()
         """Jobs whose tasks failed here since one last ended with its result; not those that fail
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -23,7 +23,7 @@
 """Of amounts that are compared: rooms are sums and differences of amounts."""
 
 
-class RoomTaken(NamedTuple):
+class CapacityTaken(NamedTuple):
     """What decides whether a machine has more room than before."""
 
     cores: float
@@ -34,11 +34,11 @@
     """Nothing but best-effort work is there, which may then find the machine too dear."""
 
     @classmethod
-    def of(cls, machine: Machine) -> RoomTaken:
+    def of(cls, machine: Machine) -> CapacityTaken:
         """What is taken of the machine now."""
         return cls(machine.cores, machine.gpus, machine.ram, machine.slow, not machine.anchors)
 
-    def leaves_more_than(self, before: RoomTaken) -> bool:
+    def leaves_more_than(self, before: CapacityTaken) -> bool:
         """Whether some task may fit now that did not fit before.
 
         A GPU that is taken needs no cores kept for it: then there is more room for what needs no
@@ -96,7 +96,7 @@
 
     def __init__(self, number: int, pool: _Pool) -> None:
         self.number, self.pool = number, pool
-        self.taken: RoomTaken | None = None
+        self.taken: CapacityTaken | None = None
         self.free_cores = self.free_gpus = 0.0
         self.images: frozenset[str] = frozenset()
 
@@ -160,7 +160,7 @@
             entry = self._entries[machine] = self._enter(machine)
         if self._by_image is not None and entry.images != machine.images.keys():
             self._update_images(machine, entry, self._by_image)
-        taken, before = RoomTaken.of(machine), entry.taken
+        taken, before = CapacityTaken.of(machine), entry.taken
         if taken == before:
             return False
         if before is not None:
--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -133,7 +133,7 @@
     whole: bool = False
 
 
-class _Syntax(Exception):
+class _SyntaxError(Exception):
     pass
 
 
@@ -151,11 +151,11 @@
         for match in _token.finditer(text):
             kind = str(match.lastgroup)
             if kind == "bad":
-                raise _Syntax(f"{match.group()!r} has no place here")
+                raise _SyntaxError(f"{match.group()!r} has no place here")
             if kind != "space":
                 self._tokens.append((kind, match.group()))
         if len(self._tokens) > LONGEST:
-            raise _Syntax(f"longer than {LONGEST} words and signs")
+            raise _SyntaxError(f"longer than {LONGEST} words and signs")
         self._at = 0
         self._depth = 0
 
@@ -164,29 +164,29 @@
 
     def _next(self) -> tuple[str, str]:
         if self._at >= len(self._tokens):
-            raise _Syntax("the expression ends too early")
+            raise _SyntaxError("the expression ends too early")
         self._at += 1
         return self._tokens[self._at - 1]
 
     def _expect(self, text: str) -> None:
         if self._peek() != text:
-            raise _Syntax(f"expected {text!r}, found {self._peek()!r}")
+            raise _SyntaxError(f"expected {text!r}, found {self._peek()!r}")
         self._at += 1
 
     def statement(self) -> tuple[str, Expression]:
         kind, name = self._next()
         if kind != "name" or name in KEYWORDS:
-            raise _Syntax(f"expected the name of a setting, found {name!r}")
+            raise _SyntaxError(f"expected the name of a setting, found {name!r}")
         self._expect("=")
         expression = self._expression()
         if self._at < len(self._tokens):
-            raise _Syntax(f"{self._peek()!r} is left over")
+            raise _SyntaxError(f"{self._peek()!r} is left over")
         return name, expression
 
     def _expression(self) -> Expression:
         self._depth += 1
         if self._depth > DEEPEST:
-            raise _Syntax("nested too deeply")
+            raise _SyntaxError("nested too deeply")
         try:
             if self._peek() != "if":
                 return self._sum()
@@ -194,7 +194,7 @@
             left = self._sum()
             _, compare = self._next()
             if compare not in COMPARE:
-                raise _Syntax(f"expected a comparison, found {compare!r}")
+                raise _SyntaxError(f"expected a comparison, found {compare!r}")
             right = self._sum()
             self._expect("then")
             then = self._expression()
@@ -226,7 +226,7 @@
         if text == "-":
             self._depth += 1
             if self._depth > DEEPEST:
-                raise _Syntax("nested too deeply")
+                raise _SyntaxError("nested too deeply")
             negative = Call("*", (Number(-1.0, PLAIN), self._factor()))
             self._depth -= 1
             return negative
@@ -244,7 +244,7 @@
             return Call(text, tuple(arguments))
         if kind == "name" and text not in KEYWORDS:
             return Name(text)
-        raise _Syntax(f"{text!r} has no place here")
+        raise _SyntaxError(f"{text!r} has no place here")
 
 
 def parse(text: str, file: str) -> list[Statement]:
@@ -268,7 +268,7 @@
                     name, expression, file, began, " ".join(pending.partition("=")[2].split())
                 )
             )
-        except _Syntax as fault:
+        except _SyntaxError as fault:
             faults.append(Fault(file, began, str(fault)))
         pending = ""
     if faults:
--- a/flaxtally/protocol/wire.py
+++ b/flaxtally/protocol/wire.py
@@ -131,7 +131,7 @@
     deadline: float | None = None
 
 
-class TaskReport(msgspec.Struct, rename={"task": "hand", "attempt": "try", "state": "stage"}):
+class TaskStatus(msgspec.Struct, rename={"task": "hand", "attempt": "try", "state": "stage"}):
     """One task in a worker's report."""
 
     task: str
@@ -141,7 +141,7 @@
     kept: bool = False
 
 
-class Report(
+class Heartbeat(
     msgspec.Struct,
     rename={
         "machine": "rig",
@@ -165,7 +165,7 @@
     session: int
     sequence: int
     token: int
-    tasks: list[TaskReport]
+    tasks: list[TaskStatus]
     notice: float | None = None
 
     @property
@@ -264,13 +264,13 @@
     revision: int
 
 
-class Hold(msgspec.Struct, rename={"lease": "tenure"}):
+class Lease(msgspec.Struct, rename={"lease": "tenure"}):
     """A lease that was granted."""
 
     lease: int
 
 
-class BadSubmission(Exception):
+class InvalidSubmissionError(Exception):
     """The submission is malformed; the text says which field."""
 
 
@@ -278,19 +278,19 @@
 
 
 def parse_submission(body: bytes) -> Spec:
-    """Decodes and checks a submission, or raises `BadSubmission`."""
+    """Decodes and checks a submission, or raises `InvalidSubmissionError`."""
     try:
         sent = _submission.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as fault:
-        raise BadSubmission(str(fault)) from None
+        raise InvalidSubmissionError(str(fault)) from None
     if not JOB_ID.match(sent.ref):
-        raise BadSubmission("ref: not of the form j-000412")
+        raise InvalidSubmissionError("ref: not of the form j-000412")
     if sent.kind not in (ARRAY, SERVICE, GANG):
-        raise BadSubmission("craft: unknown")
+        raise InvalidSubmissionError("craft: unknown")
     if sent.rank not in RANKS:
-        raise BadSubmission("rank: unknown")
+        raise InvalidSubmissionError("rank: unknown")
     if not 1 <= sent.tasks <= MOST_TASKS:
-        raise BadSubmission(f"hands: not within 1 to {MOST_TASKS}")
+        raise InvalidSubmissionError(f"hands: not within 1 to {MOST_TASKS}")
     amounts = [
         sent.cores,
         sent.gpus,
@@ -302,14 +302,14 @@
     ]
     amounts.append(sent.deadline or 0.0)
     if not all(math.isfinite(amount) and amount >= 0 for amount in amounts):
-        raise BadSubmission("an amount is negative or not finite")
+        raise InvalidSubmissionError("an amount is negative or not finite")
     if any(
         len(text) > 200
         for text in (sent.lane, sent.team, sent.image, sent.zone or "", *(sent.types or ()))
     ):
-        raise BadSubmission("a name is too long")
+        raise InvalidSubmissionError("a name is too long")
     if sent.types is not None and len(sent.types) > 50:
-        raise BadSubmission("breeds: too many")
+        raise InvalidSubmissionError("breeds: too many")
     return Spec(
         sent.ref,
         sent.lane,
@@ -421,7 +421,7 @@
 # The other side's view, for the stand-ins
 
 
-class Order(msgspec.Struct, rename={"task": "hand", "attempt": "try", "grace": "leewayS"}):
+class WorkerCommand(msgspec.Struct, rename={"task": "hand", "attempt": "try", "grace": "leewayS"}):
     """An order as a worker reads it."""
 
     verb: str
@@ -430,10 +430,10 @@
     grace: float = 0.0
 
 
-class Orders(msgspec.Struct, rename={"token": "baton", "session": "shift"}):
+class WorkerCommands(msgspec.Struct, rename={"token": "baton", "session": "shift"}):
     """What a worker gets, as direct orders or as the answer to its report."""
 
-    orders: list[Order] = []
+    orders: list[WorkerCommand] = []
     token: int = 0
     session: int = 0
 
--- a/flaxtally/runtime/http.py
+++ b/flaxtally/runtime/http.py
@@ -36,7 +36,7 @@
 pack = msgspec.msgpack.Encoder().encode
 
 
-class BadMessage(Exception):
+class MalformedMessageError(Exception):
     """The bytes are no HTTP we accept; `status` is the answer that they get."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -91,36 +91,36 @@
         end = self._buffer.find(b"\r\n\r\n")
         if end < 0 or end > HEAD_LIMIT:
             if len(self._buffer) > HEAD_LIMIT:
-                raise BadMessage(400, "head too long")
+                raise MalformedMessageError(400, "head too long")
             return False
         try:
             lines = self._buffer[:end].decode("latin-1").lstrip("\r\n").split("\r\n")
             start = lines[0].split(" ", 2)
             version = start[0] if self._response else start[2]
         except IndexError:
-            raise BadMessage(400, "no start line") from None
+            raise MalformedMessageError(400, "no start line") from None
         if not version.startswith("HTTP/1."):
-            raise BadMessage(400, "not HTTP/1")
+            raise MalformedMessageError(400, "not HTTP/1")
         length: int | None = None
         self._close = version == "HTTP/1.0"
         for line in lines[1:]:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
-                raise BadMessage(400, "bad header")
+                raise MalformedMessageError(400, "bad header")
             name, value = name.lower(), value.strip()
             if name == "content-length":
                 if not (value.isascii() and value.isdigit()) or length not in (None, int(value)):
-                    raise BadMessage(400, "bad length")
+                    raise MalformedMessageError(400, "bad length")
                 length = int(value)
             elif name == "transfer-encoding":
-                raise BadMessage(400, "transfer encodings are not taken")
+                raise MalformedMessageError(400, "transfer encodings are not taken")
             elif name == "connection":
                 self._close = "close" in value.lower()
         if self._response and (len(start) < 2 or not start[1].isdigit()):
-            raise BadMessage(400, "bad status")
+            raise MalformedMessageError(400, "bad status")
         self._length = length or 0
         if self._limit is not None and self._length > self._limit:
-            raise BadMessage(413, "body too large")
+            raise MalformedMessageError(413, "body too large")
         del self._buffer[: end + 4]
         self._start = start
         return True
@@ -175,7 +175,7 @@
     def _step(self) -> None:
         try:
             message = self._parser.next()
-        except BadMessage as fault:
+        except MalformedMessageError as fault:
             self._last = True
             self.answer(fault.status, {"error": str(fault)}, None)
             return
@@ -369,7 +369,7 @@
         parser.feed(data)
         try:
             message = parser.next()
-        except BadMessage as fault:
+        except MalformedMessageError as fault:
             log.warning("bad response from %s: %s", self._host, fault)
             stream.close()
             self._lost(stream)
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -6,14 +6,14 @@
 
 from flaxtally.protocol import wire
 
-from .simulated_cluster import World, batch, spec
+from .simulated_cluster import SimulatedCluster, batch, spec
 
 
 def busy(
     seed: int = 1, services: int = 4, arrays: int = 2, run_time: float = 25.0, **world_args: object
-) -> World:
+) -> SimulatedCluster:
     """A world whose services run and whose arrays have begun."""
-    world = World(seed, **world_args)  # type: ignore[arg-type]
+    world = SimulatedCluster(seed, **world_args)  # type: ignore[arg-type]
     for number in range(services):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
     for number in range(arrays):
@@ -22,12 +22,12 @@
     return world
 
 
-def leader_of(world: World, most: float = 15.0) -> str:
+def leader_of(world: SimulatedCluster, most: float = 15.0) -> str:
     assert world.until(lambda: world.leader() is not None, most), world.trace
     return world.leader() or ""
 
 
-def change_leader(world: World, back_after: float = 2.0) -> str:
+def change_leader(world: SimulatedCluster, back_after: float = 2.0) -> str:
     """Ends the leader's process; the next leader, once it is ready."""
     world.crash(leader_of(world), back_after=back_after)
     assert world.until(
@@ -36,11 +36,11 @@
     return leader_of(world)
 
 
-def term(world: World) -> int:
+def term(world: SimulatedCluster) -> int:
     return max(node.election.term for node in world.nodes.values())
 
 
-def steady_work(world: World, for_s: float, every: float = 0.5) -> None:
+def steady_work(world: SimulatedCluster, for_s: float, every: float = 0.5) -> None:
     """Small jobs come; each third is cancelled a little later."""
     for number in range(int(for_s / every)):
         ref = f"j-{5000 + number:06d}"
@@ -51,7 +51,7 @@
             world.after(number * every + 2.0 + number % 4, world.cancel, ref, number + 1)
 
 
-def ends_well(world: World, for_s: float = 110.0) -> None:
+def ends_well(world: SimulatedCluster, for_s: float = 110.0) -> None:
     """Once all is over every accepted job is known, arrays are done or run, services run."""
     world.calm(for_s)
     for ref, job in world.specs.items():
@@ -71,7 +71,7 @@
             assert world.count(ref) == job.tasks, (ref, world.ask(ref))
 
 
-def cut_zone(world: World, zone: str) -> Callable[[], None]:
+def cut_zone(world: SimulatedCluster, zone: str) -> Callable[[], None]:
     """Cuts a zone's controllers and machines off from everything; gives what heals it."""
     inside = {world.ip(name) for number, name in enumerate(world.names) if "ab"[number % 2] == zone}
     inside |= {
@@ -83,7 +83,7 @@
     return lambda: [world.sim.heal(*pair) for pair in pairs] and None
 
 
-def cut_controllers(world: World) -> Callable[[], None]:
+def cut_controllers(world: SimulatedCluster) -> Callable[[], None]:
     """Cuts all controllers off from each other, not from anything else; gives what heals it."""
     pairs = [(a, b) for a in world.names for b in world.names if a < b]
     for a, b in pairs:
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -15,7 +15,7 @@
 from flaxtally.protocol import wire
 from flaxtally.settings import Settings, Team
 
-from .simulated_cluster import STATE, World
+from .simulated_cluster import STATE, SimulatedCluster
 
 NORTH, SOUTH = "north", "south"
 CELL_NODES = ("north-0", "south-0", "north-1", "south-1", "north-2", "south-2")
@@ -31,7 +31,7 @@
     return CellMap(version, tuple(cells))
 
 
-class CellWorld(World):
+class SimulatedCells(SimulatedCluster):
     """Six controllers, three a cell, on one state service. Audits ledgers and shares all along."""
 
     def __init__(self, seed: int = 1, team: Team = TEAM, **more: Any) -> None:
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -12,11 +12,11 @@
 
 from flaxtally import policy
 from flaxtally.cells.membership import CellSetup
-from flaxtally.controller import Node
+from flaxtally.controller import Controller
 from flaxtally.emulator.rules import Rules
 from flaxtally.fakes.cloud import Cloud, equal_pools
 from flaxtally.fakes.gang_meeting import GangMeetings
-from flaxtally.fakes.key_value_store import StateService
+from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.fakes.worker import Worker
 from flaxtally.ledger import cluster_state as records
 from flaxtally.ledger.batch import BATCH, BatchReader
@@ -25,7 +25,7 @@
 from flaxtally.runtime.http import Client, Reply
 from flaxtally.settings import Objective, Settings, StateLimits, Team
 
-from .simulation import Sim
+from .simulation import Simulation
 
 STATE, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
 GANGS = "10.3.0.2"
@@ -98,7 +98,7 @@
     return spec(ref, tasks=tasks, **(usual | changes))
 
 
-class World:
+class SimulatedCluster:
     """Controllers, state service, cloud, workers, users."""
 
     def __init__(
@@ -114,7 +114,7 @@
     ) -> None:
         self.value_bytes, self.txn_ops = value_bytes, txn_ops
         self.names, self.objectives = nodes, objectives
-        self.sim = Sim(seed)
+        self.sim = Simulation(seed)
         self.rng = random.Random(seed)
         self.team = team or Team("crew", 0.0, 200.0, 0.0, 64.0)
         self.specs: dict[str, wire.Spec] = {}
@@ -126,7 +126,7 @@
         self.calm_since = float("inf")
         self.copies = 0
         self._copy_share, self._copy_for_next = 0.0, False
-        self._kept: list[tuple[int, wire.Report]] = []
+        self._kept: list[tuple[int, wire.Heartbeat]] = []
         self.broken: set[str] = set()
         """Jobs submitted with a mistake: they fail on every machine."""
         self.faulty: set[str] = set()
@@ -137,8 +137,8 @@
         self._refs: dict[tuple[str, int], str] = {}
         self.told_cancelled: dict[str, float] = {}
         self.accepted: set[str] = set()
-        self.nodes: dict[str, Node] = {}
-        self.state = StateService(self.sim.host(STATE[0]), STATE, random.Random(seed))
+        self.nodes: dict[str, Controller] = {}
+        self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE, random.Random(seed))
         self.cloud = Cloud(
             self.sim.host(CLOUD[0]),
             CLOUD,
@@ -214,7 +214,7 @@
 
     def start(self, node: str) -> None:
         settings = self.settings_of(node)
-        self.nodes[node] = Node(
+        self.nodes[node] = Controller(
             self.sim.host(self.ip(node)),
             settings,
             policy.default(settings),
@@ -382,7 +382,7 @@
         self._copy_share, self._copy_for_next = share, for_next
         self.after(for_s, setattr, self, "_copy_share", 0.0)
 
-    def _copied(self, node: str, report: wire.Report) -> None:
+    def _copied(self, node: str, report: wire.Heartbeat) -> None:
         if self._copy_share and self.rng.random() < self._copy_share:
             if self._copy_for_next:
                 self._kept.append((self._term_active(), report))
@@ -409,7 +409,7 @@
             for name in self.names:
                 self._deliver_copy(name, report)
 
-    def _deliver_copy(self, node: str, report: wire.Report) -> None:
+    def _deliver_copy(self, node: str, report: wire.Heartbeat) -> None:
         self.copies += 1
         Client(self.user, (self.ip(node), 8080)).request(
             "POST", wire.BEAT, report, 4.0, lambda _: None
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -9,13 +9,13 @@
 
 from flaxtally.emulator.loan_audit import LoanAudit
 from flaxtally.feature_table import Table
-from flaxtally.ledger.cluster_state import Book
-from flaxtally.ledger.reclaims import Recall
+from flaxtally.ledger.cluster_state import ClusterState
+from flaxtally.ledger.reclaims import Reclaim
 from flaxtally.lending.feature import LendingFeature
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
-from .simulated_cluster import NODES, World, batch
+from .simulated_cluster import NODES, SimulatedCluster, batch
 
 FEATURE = LendingFeature.of(Table("features.toml", "lending", {}))
 CREW = Team("crew", 0.0, 0.0, 8.0, 64.0)
@@ -31,7 +31,7 @@
     return msgspec.structs.replace(batch(ref, tasks), **(usual | changes))
 
 
-class LendingWorld(World):
+class SimulatedLendingCluster(SimulatedCluster):
     """Two GPU machines of 8 GPUs each; each of two teams is guaranteed 8."""
 
     def __init__(
@@ -49,7 +49,7 @@
         """Tasks that were told to stop, and did."""
         self.deadlines: dict[int, float] = {}
         """Of each recall that was seen in the ledger."""
-        self.seen: dict[int, Recall] = {}
+        self.seen: dict[int, Reclaim] = {}
         super().__init__(seed, team=teams[0], guests=teams[1:], nodes=nodes, capacity=capacity)
         self.audit = LoanAudit(self.rules, self.teams, most_s)
 
@@ -82,25 +82,27 @@
 
     # What the ledger says
 
-    def book(self) -> Book:
+    def book(self) -> ClusterState:
         """The ledger as a leader that begins now would read it."""
-        book = Book()
+        book = ClusterState()
         for key, (value, _, _) in sorted(self.state.rows.items()):
             if key.startswith("p/"):
                 for record in value["r"]:
                     book.replay(record, int(key[2:]))
         return book
 
-    def recalls(self) -> dict[int, Recall]:
+    def recalls(self) -> dict[int, Reclaim]:
         return self.book().loans.recalls
 
     def stops_of(self, ref: str) -> int:
         return sum(task.startswith(ref + "/") for _, task, _ in self.halted)
 
 
-def borrowed_world(seed: int = 1, run_time: float = 300.0, **world_args: Any) -> LendingWorld:
+def borrowed_world(
+    seed: int = 1, run_time: float = 300.0, **world_args: Any
+) -> SimulatedLendingCluster:
     """The team `others` uses all 16 GPUs, 8 of them borrowed from `crew`."""
-    world = LendingWorld(seed, **world_args)
+    world = SimulatedLendingCluster(seed, **world_args)
     world.submit(work("j-000100", 16, "others"), run_time=run_time)
     assert world.until(lambda: world.count("j-000100") == 16, 60), world.trace[-30:]
     assert world.until(lambda: world.book().format >= 3, 30)
@@ -109,5 +111,5 @@
     return world
 
 
-def until(world: World, condition: Callable[[], bool], most: float) -> None:
+def until(world: SimulatedCluster, condition: Callable[[], bool], most: float) -> None:
     assert world.until(condition, most), world.trace[-40:]
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -10,13 +10,13 @@
 from flaxtally.settings import StateLimits
 
 from . import production
-from .simulated_cluster import NODES, World
+from .simulated_cluster import NODES, SimulatedCluster
 
 NOW = StateLimits(write_rps=40.0, value_bytes=8192, txn_ops=32)
 LOWER = StateLimits(write_rps=15.0, value_bytes=2048, txn_ops=4)
 
 
-class UpgradeWorld(World):
+class UpgradingCluster(SimulatedCluster):
     """New controllers know the lower limits of the state service; it keeps the higher ones until
     `lower_limits`.
     """
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -60,7 +60,7 @@
 class Host:
     """A host's runtime (see `flaxtally.loop.Runtime`), for one life of its process."""
 
-    def __init__(self, sim: Sim, ip: str) -> None:
+    def __init__(self, sim: Simulation, ip: str) -> None:
         self.sim, self.ip, self.alive = sim, ip, True
         self.streams: list[SimStream] = []
         self.listening: dict[int, Callable[[Stream], None]] = {}
@@ -167,7 +167,7 @@
         return stream
 
 
-class Sim:
+class Simulation:
     """The clock, the events, the network."""
 
     def __init__(self, seed: int) -> None:
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -20,12 +20,12 @@
     limit_of,
     share_as_team,
 )
-from flaxtally.clients.key_value_store import Store
-from flaxtally.fakes.key_value_store import StateService
+from flaxtally.clients.key_value_store import KeyValueStore
+from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
-from .simulation import Sim
+from .simulation import Simulation
 from .test_sockets import play
 
 TEAM = Team("crew", 10.0, 40.0, 4.0, 8.0)
@@ -95,7 +95,7 @@
         runtime = world.sim.host(host)
         self.allotment = Allotment(
             runtime,
-            Store(runtime, STATE, 1.5, 0.5),
+            KeyValueStore(runtime, STATE, 1.5, 0.5),
             cell,
             lambda: ["north", "south"],
             world.teams,
@@ -116,8 +116,8 @@
 
     def __init__(self, *more: Team) -> None:
         self.teams = {team.name: team for team in (TEAM, *more)}
-        self.sim = Sim(1)
-        self.state = StateService(self.sim.host(STATE[0]), STATE)
+        self.sim = Simulation(1)
+        self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE)
         self.north, self.south = Cell(self, "north", "10.0.0.1"), Cell(self, "south", "10.0.0.2")
         self.north.allotment.begin(1)
         self.south.allotment.begin(1)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,20 +10,20 @@
 from flaxtally.protocol import wire
 
 from .scenarios import term
-from .simulated_cluster import World, spec
+from .simulated_cluster import SimulatedCluster, spec
 
 A_SECOND = 400
 
 
-def calm_world() -> World:
-    world = World()
+def calm_world() -> SimulatedCluster:
+    world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     world.run(15.0)
     assert world.count("j-000001") == 2
     return world
 
 
-def changes(world: World) -> int:
+def changes(world: SimulatedCluster) -> int:
     """Changes at the state service so far: revisions rise by one with each."""
     return max(stamp for _, stamp, _ in world.state.rows.values())
 
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -15,7 +15,7 @@
 from flaxtally.cli import main
 from flaxtally.emulator.controller_settings import settings_page
 from flaxtally.emulator.plan import Plan
-from flaxtally.fakes.key_value_store import StateService
+from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.runtime.loop import Loop
 from flaxtally.settings import load
 
@@ -190,7 +190,7 @@
 
     def __init__(self) -> None:
         self.loop = Loop()
-        self.state = StateService(self.loop, ("127.0.0.1", STATE_PORT))
+        self.state = FakeKeyValueStore(self.loop, ("127.0.0.1", STATE_PORT))
         self.where = f"127.0.0.1:{STATE_PORT}"
         self._thread = threading.Thread(target=self.loop.run)
         # The loop looks whether it is to stop at its next turn.
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -15,7 +15,7 @@
 from flaxtally.settings import Team
 
 from .scenarios import ends_well
-from .simulated_cells import CELL_NODES, NORTH, SOUTH, CellWorld, cell_map
+from .simulated_cells import CELL_NODES, NORTH, SOUTH, SimulatedCells, cell_map
 from .simulated_cluster import batch, spec
 
 IN_FORCE_S = 5.0
@@ -28,15 +28,15 @@
     return spec(ref, tasks=tasks, spread=False, **changes)
 
 
-def ready(seed: int = 1, **more: object) -> CellWorld:
-    world = CellWorld(seed, **more)  # type: ignore[arg-type]
+def ready(seed: int = 1, **more: object) -> SimulatedCells:
+    world = SimulatedCells(seed, **more)  # type: ignore[arg-type]
     assert world.until(world.both_lead, 15), world.trace
     # The first to lead writes how the limit is divided.
     assert world.until(lambda: SHARES + world.team.name in world.state.rows, 10)
     return world
 
 
-def busy_cells(seed: int = 1, jobs: int = 8) -> CellWorld:
+def busy_cells(seed: int = 1, jobs: int = 8) -> SimulatedCells:
     """Services and arrays that users submitted at all controllers."""
     world = ready(seed)
     for number in range(jobs):
@@ -356,7 +356,7 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     # Two leaders would command the zone's machines, with tokens of two sequences.
-    world = CellWorld()
+    world = SimulatedCells()
     north, south = cell_map().cells
     everything = msgspec.structs.replace(north, zones=("a", "b"))
     world.put_map(CellMap(1, (everything, msgspec.structs.replace(south, zones=("c",)))))
@@ -372,7 +372,7 @@
 def test_cells_do_not_begin_beside_a_fleet_that_is_led_as_a_whole(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    world = CellWorld()
+    world = SimulatedCells()
     world.put(LEAD, {"term": 4, "node": "hearth-0", "boot": "x"})
     world.run(20.0)
     assert world.leader_of(NORTH) is world.leader_of(SOUTH) is None
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -43,14 +43,14 @@
     percentiles,
 )
 from flaxtally.emulator.scale import ScaleResult, combine, save
-from flaxtally.fakes.key_value_store import StateService
+from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client, Reply, Request, Server
 from flaxtally.runtime.token_bucket import TokenBucket
 from flaxtally.settings import parse
 
-from .simulation import Host, Sim
+from .simulation import Host, Simulation
 from .test_sockets import play
 
 PLAN = Plan(workers=60, seed=3)
@@ -115,22 +115,22 @@
 class Controller:
     """Answers a worker's reports with the token, and notes when they came."""
 
-    def __init__(self, sim: Sim, plan: Plan) -> None:
+    def __init__(self, sim: Simulation, plan: Plan) -> None:
         self._sim = sim
-        self.reports: list[tuple[float, wire.Report]] = []
+        self.reports: list[tuple[float, wire.Heartbeat]] = []
         self.orders: list[dict[str, object]] = []
         host = sim.host(HOST)
         for where in plan.node_addresses.values():
             Server(host, where, self._answer, 100, 100.0, 0.2)
 
     def _answer(self, request: Request) -> None:
-        report = msgspec.msgpack.decode(request.body, type=wire.Report)
+        report = msgspec.msgpack.decode(request.body, type=wire.Heartbeat)
         self.reports.append((self._sim.time, report))
         orders, self.orders = self.orders, []
         request.reply(200, {"baton": 1, "orders": orders})
 
 
-def hollow(sim: Sim, events: list[str], number: int = 0) -> HollowWorker:
+def hollow(sim: Simulation, events: list[str], number: int = 0) -> HollowWorker:
     plan, machine = PLAN, PLAN.machines[number]
     return HollowWorker(
         sim.host("127.1.0.1"),
@@ -150,7 +150,7 @@
 
 
 def test_a_change_is_reported_at_once_but_not_more_often_than_the_protocol_says() -> None:
-    sim, events = Sim(1), list[str]()
+    sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
     play(sim, 10.0)
@@ -168,7 +168,7 @@
 
 
 def test_a_silent_worker_loses_its_tasks_with_its_lease_and_begins_a_new_session() -> None:
-    sim, events = Sim(1), list[str]()
+    sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
     task = f"{reference(1)}/0"
@@ -184,7 +184,7 @@
 
 
 def test_a_worker_that_restarts_reports_a_new_session_without_tasks() -> None:
-    sim, events = Sim(1), list[str]()
+    sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
     controller.orders = [wire.launch(f"{reference(1)}/0", 1)]
@@ -196,7 +196,7 @@
 
 
 def test_an_image_is_fetched_once_for_all_tasks_that_wait_for_it() -> None:
-    sim, events = Sim(1), list[str]()
+    sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events, number=1)
     assert worker.machine.type == CPU_TYPE
@@ -230,10 +230,10 @@
 
 
 def test_the_state_service_refuses_changes_above_its_rate_and_allows_one_seconds_burst() -> None:
-    sim = Sim(1)
+    sim = Simulation(1)
     where = ("10.2.0.1", 2379)
     host = sim.host(where[0])
-    service = StateService(host, where)
+    service = FakeKeyValueStore(host, where)
     service.change_limit = TokenBucket(host, 10.0, 10.0)
     user = Answers(sim.host("10.3.0.1"), where)
     for number in range(15):
@@ -259,7 +259,7 @@
 
 
 def test_a_release_is_answered_only_when_all_processes_say_that_the_machines_are_gone() -> None:
-    sim, told = Sim(1), Told()
+    sim, told = Simulation(1), Told()
     plan = msgspec.structs.replace(PLAN, workers_per_process=30)
     cloud = RemoteCloud(sim.host(HOST), plan, told)  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
@@ -276,7 +276,7 @@
 
 
 def test_the_clouds_list_comes_in_pages() -> None:
-    sim = Sim(1)
+    sim = Simulation(1)
     plan = msgspec.structs.replace(PLAN, workers=700)
     RemoteCloud(sim.host(HOST), plan, Told())  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -172,7 +172,7 @@
             task.saved_at = min(task.saved_at or self.now + grace, self.now + grace)
 
 
-class Lending(RuleBasedStateMachine):
+class QuotaReclaim(RuleBasedStateMachine):
     """Arrivals, ends, machine losses and lost answers, in any order."""
 
     def __init__(self) -> None:
@@ -247,7 +247,7 @@
         assert len(self.model.recalls) <= len(self.model.tasks)
 
 
-TestLending = Lending.TestCase
+TestLending = QuotaReclaim.TestCase
 TestLending.settings = examples(
     max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
 )
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -17,11 +17,11 @@
 from flaxtally.settings import Objective, Team
 
 from .scenarios import busy, change_leader, cut_zone, ends_well, leader_of, steady_work, term
-from .simulated_cluster import NODES, STATE, World, batch, spec
+from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
 
 def test_more_work_than_room_urgent_and_not_over_slow_links() -> None:
-    world = World(capacity=1)
+    world = SimulatedCluster(capacity=1)
     world.slow_links(0.4, 60.0)
     for number in range(12):
         world.submit(batch(f"j-{number:06d}", 6), run_time=25.0, node=number)
@@ -256,7 +256,7 @@
 
 
 def test_jobs_bound_to_one_zone_lose_machines_arrays_too() -> None:
-    world = World()
+    world = SimulatedCluster()
     for number, zone in enumerate("abab"):
         world.submit(spec(f"j-{number:06d}", tasks=2, zone=zone, spread=False), node=number)
         world.submit(batch(f"j-{100 + number:06d}", 4, zone=zone), run_time=20.0, node=number)
@@ -499,7 +499,7 @@
 def test_no_job_waits_beside_room_that_is_kept_for_others(kind: str) -> None:
     # Found by reading: where no machine without GPUs is to be had, tasks without GPUs waited for
     # ever beside the cores that are kept for GPU tasks.
-    world = World(3, capacity=1)
+    world = SimulatedCluster(3, capacity=1)
     for pool in list(world.cloud._capacity):
         if pool[0] == "c16":
             world.cloud._capacity[pool] = 0
@@ -517,7 +517,7 @@
 
 def test_the_largest_jobs_begin_well_within_four_minutes_of_too_much_work() -> None:
     # Left out for being large while small ones can be in time, a job must begin all the same.
-    world = World(capacity=1, objectives=(Objective("finished", "batch", 40.0, 1.0),))
+    world = SimulatedCluster(capacity=1, objectives=(Objective("finished", "batch", 40.0, 1.0),))
     for number in range(280):
         world.after(
             number * 1.0, world.submit, batch(f"j-{number:06d}", 2, deadline=30.0), 20.0, number
@@ -549,7 +549,7 @@
     ends_well(world, 150)
 
 
-def mixed(world: World, rng: random.Random) -> None:
+def mixed(world: SimulatedCluster, rng: random.Random) -> None:
     """One trouble, drawn; those before it may still last."""
     leader = world.leader() or NODES[0]
     machines = sorted(world.workers)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -13,18 +13,18 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from flaxtally.cluster.format_negotiation import MemberFormats
+from flaxtally.cluster.format_negotiation import FormatNegotiation
 from flaxtally.cluster.store_relay import unfold
 from flaxtally.ledger.batch import BATCH, BatchReader, pieces, size_of
-from flaxtally.ledger.cluster_state import Book
+from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.protocol import formats, wire
 from flaxtally.protocol.formats import FormatRange, parse_range
 
 from . import production
 from .scenarios import change_leader
-from .simulated_cluster import NODES, World, batch, gang, spec
-from .simulated_upgrade import LOWER, UpgradeWorld
+from .simulated_cluster import NODES, SimulatedCluster, batch, gang, spec
+from .simulated_upgrade import LOWER, UpgradingCluster
 
 FIXTURE = Path(__file__).parent / "fixtures" / "production_ledger.json"
 PAGE_BYTES = LOWER.value_bytes * 7 // 8
@@ -67,7 +67,7 @@
     kept = json.loads(FIXTURE.read_text())
     assert kept["commit"] == production.commit()
     assert len(kept["meaning"]) > 20
-    assert meaning(read(kept["rows"], Book())) == kept["meaning"]
+    assert meaning(read(kept["rows"], ClusterState())) == kept["meaning"]
 
 
 def test_keys_and_mail_that_production_wrote_are_read_today() -> None:
@@ -83,7 +83,7 @@
 def test_what_is_written_before_the_raise_means_the_same_to_production() -> None:
     # Needs production's sources: skipped where the clone lacks its commit.
     book = production.module("ledger.book").Book()
-    world = UpgradeWorld(seed=3, upgraded=NODES[:2])
+    world = UpgradingCluster(seed=3, upgraded=NODES[:2])
     while world.leader() not in NODES[:2]:
         change_leader(world) if world.leader() else world.run(0.5)
     for number in range(8):
@@ -99,7 +99,7 @@
     rows = {key: value for key, (value, _, _) in world.state.rows.items()}
     # Old pages were cleaned by today's code meanwhile.
     assert min(int(key[2:]) for key in rows if key.startswith("p/") and key != "p/00000000") > 1
-    assert meaning(read(rows, book)) == meaning(read(rows, Book()))
+    assert meaning(read(rows, book)) == meaning(read(rows, ClusterState()))
 
 
 # Batches
@@ -134,7 +134,7 @@
 
 
 def test_a_snapshot_of_any_job_fits_into_pages_of_the_lower_limits() -> None:
-    book = Book()
+    book = ClusterState()
     job = spec("j-000001", kind=wire.ARRAY, tasks=100_000, spread=False)
     book.apply(["J", 1, 1.0, *wire.msgspec.to_builtins(job)], 1)
     rng = random.Random(4)
@@ -146,7 +146,7 @@
     groups = page_records(book, 1, PAGE_BYTES)
     written = [piece for group in groups for piece in pieces(group, PAGE_BYTES)]
     assert max(map(size_of, written)) <= PAGE_BYTES
-    again = Book()
+    again = ClusterState()
     for piece in written:
         again.replay(piece, 2)
     assert meaning(again) == meaning(book)
@@ -154,13 +154,13 @@
 
 
 def test_a_gang_that_is_done_stays_done_in_a_snapshot_with_tasks_not_proven_over() -> None:
-    book = Book()
+    book = ClusterState()
     book.apply(["J", 1, 1.0, *wire.msgspec.to_builtins(gang("j-000001", 3))], 1)
     for task in range(3):
         book.apply(["P", 1, task, 1, f"n-{task}", "a"], 1)
     book.apply(["E", 1, 1, 1, True], 1)
     assert book.jobs[1].done
-    again = Book()
+    again = ClusterState()
     for group in page_records(book, 1, PAGE_BYTES):
         for record in group:
             again.replay(record, 2)
@@ -173,7 +173,7 @@
 
 
 def test_a_submission_with_names_longer_than_a_page_is_refused() -> None:
-    world = World(value_bytes=2048)
+    world = SimulatedCluster(value_bytes=2048)
     world.submit(spec("j-000009", tasks=1))
     world.run(15.0)
     long_names = tuple(f"{number:03d}" + "x" * 190 for number in range(20))
@@ -194,8 +194,8 @@
     assert parse_range(stated) == formats.UNSTATED
 
 
-def member_formats() -> MemberFormats:
-    world = World(nodes=NODES[:1])
+def member_formats() -> FormatNegotiation:
+    world = SimulatedCluster(nodes=NODES[:1])
     return world.nodes[NODES[0]].formats
 
 
@@ -223,7 +223,7 @@
 
 
 def test_what_all_read_is_what_every_configured_member_reads() -> None:
-    world = World()
+    world = SimulatedCluster()
     assert world.until(lambda: world.leader() is not None, 20.0)
     world.run(3.0)
     leader = world.nodes[world.leader() or ""]
@@ -235,7 +235,7 @@
 
 
 def test_the_evidence_costs_few_changes() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.run(60.0)
     _, stamp, _ = world.state.rows["formats"]
     world.run(60.0)
@@ -278,7 +278,7 @@
 
 
 def test_production_passes_over_frames_and_fields_that_it_does_not_know() -> None:
-    world = UpgradeWorld(seed=5)
+    world = UpgradingCluster(seed=5)
     world.submit(spec("j-000001", tasks=2))
     world.run(20.0)
     node = world.nodes[world.leader() or ""]
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -21,7 +21,7 @@
     next_step,
     phase_of,
 )
-from flaxtally.ledger.cluster_state import Book
+from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.placement import GpuNeeds, Room
@@ -167,7 +167,7 @@
 def test_room_is_made_for_all_tasks_or_nobody_leaves(seed: int, tasks: int) -> None:
     rng = random.Random(seed)
     job = gang("j-000001", tasks, cores=3.0, ram=1.0)
-    book = Book()
+    book = ClusterState()
     book.apply(["J", 1, 1.0, *wire.msgspec.to_builtins(batch("j-000002", 40, checkpoint=1.0))], 1)
     candidates, most = [], 0
     for number, machine in enumerate(fleet(rng, 5)):
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,5 +1,7 @@
-"""Gangs on a small deployment: whole or not at all, through failures. Rules are checked by `World`
-at every start and end of a task."""
+"""Gangs on a small deployment: whole or not at all, through failures.
+
+`SimulatedCluster` checks the rules at every start and end of a task.
+"""
 
 from __future__ import annotations
 
@@ -10,29 +12,31 @@
 from flaxtally.settings import Team
 
 from .scenarios import change_leader, ends_well, leader_of
-from .simulated_cluster import World, batch, gang, spec
+from .simulated_cluster import SimulatedCluster, batch, gang, spec
 
 
-def begun(world: World, ref: str) -> list[int]:
+def begun(world: SimulatedCluster, ref: str) -> list[int]:
     """The attempts of the gang that began."""
     return [attempt for started, attempt in world.gangs.begun if started == ref]
 
 
-def running_gang(seed: int = 1, tasks: int = 4, run_time: float = 30.0, **changes: object) -> World:
+def running_gang(
+    seed: int = 1, tasks: int = 4, run_time: float = 30.0, **changes: object
+) -> SimulatedCluster:
     """A world in which the gang j-000001 runs."""
-    world = World(seed)
+    world = SimulatedCluster(seed)
     world.submit(gang("j-000001", tasks, **changes), run_time=run_time)
     assert world.until(lambda: bool(begun(world, "j-000001")), 90), world.trace
     world.run(1.0)
     return world
 
 
-def ends_done(world: World, ref: str, most: float = 120.0) -> None:
+def ends_done(world: SimulatedCluster, ref: str, most: float = 120.0) -> None:
     assert world.until(lambda: ref in world.accepted, 30), world.trace[-30:]
     assert world.until(lambda: world.ask(ref)[1]["stage"] == wire.DONE, most), world.trace[-30:]
 
 
-def machines_of(world: World, ref: str) -> set[str]:
+def machines_of(world: SimulatedCluster, ref: str) -> set[str]:
     return {machine for task, (machine, _) in world.running.items() if task.startswith(ref + "/")}
 
 
@@ -53,7 +57,7 @@
 def test_a_gang_begins_soon_after_its_machines_are_up_though_nothing_else_happens() -> None:
     # Found with lower limits in the middle of a commit: a gang that found no room as the first of
     # its machines came up was not looked at again before it was overdue.
-    world = World(capacity=30)
+    world = SimulatedCluster(capacity=30)
     world.submit(spec("j-000009", tasks=2))
     world.run(25.0)
     world.submit(gang("j-000001", 390, cores=0.5, ram=0.5), run_time=5.0)
@@ -82,7 +86,7 @@
 
 
 def test_a_machine_lost_before_the_start_is_replaced_under_the_same_attempt() -> None:
-    world = World()
+    world = SimulatedCluster()
     # Large images: the tasks wait for the last of them for some seconds.
     world.submit(spec("j-000009", tasks=2, cores=12.0))
     world.run(25.0)
@@ -106,7 +110,7 @@
 
 def test_a_cancelled_gang_is_gone_in_every_phase() -> None:
     for wait in (0.0, 0.05, 0.3, 1.0, 5.0):
-        world = World()
+        world = SimulatedCluster()
         world.submit(spec("j-000009", tasks=2))
         world.run(20.0)
         world.submit(gang("j-000001", 8), run_time=20.0)
@@ -119,7 +123,7 @@
 
 @pytest.mark.parametrize("after", [0.02, 0.05, 0.2, 0.6, 1.2, 3.0, 9.0])
 def test_the_leader_ends_at_any_moment_of_a_gang(after: float) -> None:
-    world = World(seed=int(after * 100))
+    world = SimulatedCluster(seed=int(after * 100))
     world.submit(spec("j-000009", tasks=2))
     world.run(25.0)
     world.submit(gang("j-000001", 8), run_time=8.0)
@@ -131,7 +135,7 @@
 def test_attempts_larger_than_a_transaction_are_whole_or_nothing() -> None:
     # The lower limits: 200 placements take five pages of two kilobytes, a transaction has two.
     for after in (0.05, 0.2, 0.4, 0.8, 1.5):
-        world = World(value_bytes=2048, txn_ops=4, capacity=30, seed=int(after * 10))
+        world = SimulatedCluster(value_bytes=2048, txn_ops=4, capacity=30, seed=int(after * 10))
         world.submit(spec("j-000009", tasks=2))
         world.run(25.0)
         world.submit(gang("j-000001", 200, cores=0.5, ram=1.0), run_time=8.0)
@@ -142,7 +146,7 @@
 
 
 def test_two_gangs_that_want_the_last_room_never_hold_half_each() -> None:
-    world = World(capacity=1)
+    world = SimulatedCluster(capacity=1)
     for number in range(4):
         world.submit(gang(f"j-{number:06d}", 6, cores=4.0), run_time=6.0, node=number)
     for number in range(4):
@@ -151,7 +155,7 @@
 
 
 def test_critical_work_stops_a_gang_as_a_whole_and_its_progress_is_kept() -> None:
-    world = World(capacity=1)
+    world = SimulatedCluster(capacity=1)
     world.submit(gang("j-000001", 8, cores=8.0, ram=1.0, one_zone=False), run_time=60.0)
     assert world.until(lambda: bool(begun(world, "j-000001")), 90), world.trace
     world.run(12.0)
@@ -163,7 +167,7 @@
 
 
 def test_a_gang_that_no_zones_hold_is_refused() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2))
     world.run(20.0)
     for number, job in enumerate(
@@ -194,7 +198,7 @@
 # Two troubles at once
 
 
-def exits(world: World, ref: str, attempt: int) -> list[str]:
+def exits(world: SimulatedCluster, ref: str, attempt: int) -> list[str]:
     return [
         cause
         for task, number, cause in world.gangs.exits
@@ -267,7 +271,7 @@
 @pytest.mark.parametrize("for_s", [3.0, 30.0])
 def test_the_launch_of_one_task_does_not_reach_its_machine(for_s: float) -> None:
     # Shorter than the others wait, and longer: then they exit as incomplete, and all begins anew.
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2, cores=14.0))
     world.run(25.0)
     deaf = sorted(world.workers)[0]
@@ -278,7 +282,7 @@
 
 
 def test_every_controller_restarts_while_a_gang_waits_for_its_last_image() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2, cores=12.0))
     world.run(25.0)
     world.submit(gang("j-000001", 6, cores=8.0, image_gb=8.0, image="img-9"), run_time=5.0)
@@ -289,7 +293,7 @@
 
 
 def test_a_gang_cut_off_in_its_zone_starts_nowhere_else_before_it_is_proven_over() -> None:
-    # `World` checks that no task starts while another of its job is in another zone.
+    # `SimulatedCluster` checks that no task starts while another of its job is in another zone.
     world = running_gang(tasks=8, run_time=60.0)
     gone = sorted(machines_of(world, "j-000001"))
     world.machine_trouble("cut", gone, 45.0)
@@ -299,7 +303,7 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_gangs_through_random_troubles(seed: int) -> None:
-    world = World(seed, capacity=6)
+    world = SimulatedCluster(seed, capacity=6)
     rng = world.rng
     world.submit(spec("j-000009", tasks=4))
     world.run(20.0)
@@ -337,7 +341,7 @@
 
 
 def test_a_gang_of_high_rank_stops_lower_work_only_where_it_then_starts_whole() -> None:
-    world = World(capacity=1)
+    world = SimulatedCluster(capacity=1)
     for number in range(4):
         world.submit(batch(f"j-{200 + number:06d}", 8, checkpoint=2.0, save=1.0), 200.0, number)
     world.run(60.0)
@@ -357,7 +361,7 @@
 def test_small_work_does_not_overtake_a_waiting_gang_for_ever() -> None:
     # Every machine is full of small tasks that end at different times, and more of them come all
     # the time: without room held for it the gang found none as long as that lasted.
-    world = World(capacity=1, team=Team("crew", 0.0, 500.0, 0.0, 64.0))
+    world = SimulatedCluster(capacity=1, team=Team("crew", 0.0, 500.0, 0.0, 64.0))
     for number in range(400):
         job = spec(
             f"j-{1000 + number:06d}",
@@ -378,7 +382,7 @@
 def test_an_unknown_reason_is_one_log_line_and_the_other_tasks_count(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2, spread=False, cores=1.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     worker = world.workers[world.machine_of("j-000001/0")]
@@ -394,8 +398,8 @@
 
 
 def test_a_gang_that_fits_its_teams_limit_only_once_another_is_proven_over() -> None:
-    # `World` checks the limit at every start.
-    world = World(team=Team("crew", 0.0, 20.0, 0.0, 8.0), capacity=6)
+    # `SimulatedCluster` checks the limit at every start.
+    world = SimulatedCluster(team=Team("crew", 0.0, 20.0, 0.0, 8.0), capacity=6)
     world.submit(gang("j-000001", 8, cores=2.0), run_time=60.0)
     assert world.until(lambda: begun(world, "j-000001") == [1], 90)
     world.submit(gang("j-000002", 6, cores=2.0), run_time=3.0)
@@ -409,7 +413,7 @@
 
 
 def test_lower_limits_in_the_middle_of_a_gangs_commit() -> None:
-    world = World(value_bytes=8192, capacity=30)
+    world = SimulatedCluster(value_bytes=8192, capacity=30)
     world.state.enforce(8192, 32)
     world.submit(spec("j-000009", tasks=2))
     world.run(25.0)
@@ -421,7 +425,7 @@
 
 
 def test_copies_of_a_gangs_submission_at_several_nodes_are_one_gang() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2))
     world.run(20.0)
     for node in range(3):
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -16,7 +16,7 @@
 from flaxtally.settings import Objective, Team
 
 from .scenarios import ends_well, leader_of
-from .simulated_cluster import World, batch, spec
+from .simulated_cluster import SimulatedCluster, batch, spec
 
 GUEST = Team("guests", 0.0, 0.0, 0.0, 0.0)
 
@@ -30,7 +30,7 @@
 def test_a_team_without_a_guarantee_is_beyond_it_with_its_first_task() -> None:
     # Found: "0 means none" was read as "no bound", so guests' jobs went before those of teams that
     # reach beyond their guarantee, and stopped their tasks.
-    world = World(guests=(GUEST,), team=Team("crew", 10.0, 200.0, 4.0, 64.0))
+    world = SimulatedCluster(guests=(GUEST,), team=Team("crew", 10.0, 200.0, 4.0, 64.0))
     world.submit(batch("j-000001", 4), run_time=30.0)
     world.submit(guest("j-000002", 4, rank="standard"), run_time=30.0)
     world.submit(spec("j-000003", team="strangers"))
@@ -46,7 +46,9 @@
 def test_guests_run_on_what_is_left_and_on_cheap_machines() -> None:
     # Found on the days with guests: when the cheap pools were empty the plan rented GPU machines
     # for guests' tasks, and kept those whose GPUs nobody used any more for hundreds of seconds.
-    world = World(guests=(GUEST,), capacity=2, team=Team("crew", 100.0, 200.0, 32.0, 64.0))
+    world = SimulatedCluster(
+        guests=(GUEST,), capacity=2, team=Team("crew", 100.0, 200.0, 32.0, 64.0)
+    )
     for number in range(4):
         world.submit(batch(f"j-{100 + number:06d}", 8), run_time=45.0, node=number)
     assert world.until(lambda: len(world.running) == 32, 60), world.trace[-20:]
@@ -69,7 +71,9 @@
 def test_replicas_leave_dear_machines_for_cheap_ones_full_of_guests() -> None:
     # Found in an incident: small replicas that stood on GPU machines kept all of these for the rest
     # of the day, since guests' tasks filled the cheap machines that they would have moved to.
-    world = World(guests=(GUEST,), capacity=1, team=Team("crew", 100.0, 200.0, 32.0, 64.0))
+    world = SimulatedCluster(
+        guests=(GUEST,), capacity=1, team=Team("crew", 100.0, 200.0, 32.0, 64.0)
+    )
     world.submit(batch("j-000100", 32), run_time=40.0)
     assert world.until(lambda: world.count("j-000100") >= 16, 60), world.trace[-20:]
     world.submit(guest("j-000200", 100, checkpoint=5.0, save=0.5), run_time=400.0)
@@ -92,7 +96,7 @@
     # Found by a hunt: 25,000 short tasks with an aim stood behind 2,670 long ones without any that
     # were older, and kept going first long after they had begun.
     aims = (Objective("finished", "archive", 160.0, 0.9),)
-    world = World(guests=(GUEST,), capacity=1, objectives=aims)
+    world = SimulatedCluster(guests=(GUEST,), capacity=1, objectives=aims)
     world.submit(guest("j-000200", 260, checkpoint=5.0, save=0.5), run_time=40.0)
     world.run(60)
     assert world.count("j-000200") > 8
@@ -106,7 +110,7 @@
 
 def test_guaranteed_work_takes_the_room_of_guests_in_time() -> None:
     # Also for standard work of a team beyond its guarantee: a lower rank always gives way.
-    world = World(guests=(GUEST,), capacity=1, team=Team("crew", 4.0, 200.0, 1.0, 64.0))
+    world = SimulatedCluster(guests=(GUEST,), capacity=1, team=Team("crew", 4.0, 200.0, 1.0, 64.0))
     world.submit(guest("j-000200", 60, checkpoint=5.0, save=0.5, cores=4.0), run_time=60.0)
     world.run(45)
     assert world.count("j-000200") > 8, world.trace[-10:]
@@ -129,7 +133,7 @@
         place(scheduler, job, machine)
 
     monkeypatch.setattr(Scheduler, "place", counted)
-    world = World(guests=(GUEST,), capacity=3)
+    world = SimulatedCluster(guests=(GUEST,), capacity=3)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     spare = [world.cloud.add("c16", zone, False, boot=1.0) for zone in "ab" * 6]
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -17,8 +17,8 @@
 from flaxtally.cli import main
 from flaxtally.cluster.store_relay import MOST_INFLATED, fold, unfold
 from flaxtally.fakes.settings_text import settings_text
-from flaxtally.leader.reconciliation.reconciler import Tracker
-from flaxtally.leader.resource_shapes import MOST_SHAPES, KnownShapes
+from flaxtally.leader.reconciliation.reconciler import Reconciler
+from flaxtally.leader.resource_shapes import MOST_SHAPES, ResourceShapes
 from flaxtally.ledger import terminal_jobs
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.forecast import Arrivals
@@ -31,8 +31,8 @@
 from flaxtally.runtime.http import Client, OpenConnections, Request, Server
 from flaxtally.settings import Team, parse, read_toml
 
-from .simulated_cluster import TYPES, World, batch, spec
-from .simulation import Sim
+from .simulated_cluster import TYPES, SimulatedCluster, batch, spec
+from .simulation import Simulation
 
 KINDS = {kind.name: kind for kind in TYPES}
 SAMPLE = 24
@@ -220,7 +220,7 @@
 def test_shapes_that_vary_freely_are_kept_in_bounds() -> None:
     # Where sizes vary, every job had a shape of its own, for ever, and each new one had all of them
     # looked at.
-    known = KnownShapes()
+    known = ResourceShapes()
     for number in range(4 * MOST_SHAPES):
         job = with_ram(16.0 + number / 100)
         known.note(Shape.of(job), job)
@@ -292,7 +292,7 @@
 def test_a_frame_that_fits_no_batch_is_told_and_holds_up_no_other() -> None:
     noise = random.Random(1).randbytes(9000)
     assert fold([{"k": "ord", "o": noise}], 7000, 1.0)[1] == 0
-    world = World()
+    world = SimulatedCluster()
     assert world.until(lambda: world.leader() is not None, 10)
     one = world.nodes["hearth-0"].peers.mail
     assert one is not None
@@ -318,7 +318,7 @@
 def test_one_list_of_the_cloud_at_a_time_and_half_the_calls_for_others() -> None:
     # At 6,000 machines a list is twelve calls, and took longer than the step between two: lists
     # were asked for faster than they came.
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     tracker = world.nodes[world.leader() or ""].leader.tracker
@@ -341,7 +341,7 @@
 
 
 def test_a_settings_file_of_the_largest_deployment_is_sound(tmp_path: Path) -> None:
-    world = World(nodes=tuple(f"hearth-{number}" for number in range(27)))
+    world = SimulatedCluster(nodes=tuple(f"hearth-{number}" for number in range(27)))
     settings_of_one = world.settings_of("hearth-0")
     teams = {f"t-{n}": Team(f"t-{n}", 10.0, 20.0, 1.0, 2.0) for n in range(750)}
     zones = tuple(f"zone-{number}" for number in range(23))
@@ -359,7 +359,7 @@
 
 
 def write_settings(folder: Path, sockets: int) -> str:
-    world = World()
+    world = SimulatedCluster()
     path = folder / "node.toml"
     settings = dataclasses.replace(world.settings_of("hearth-0"), max_sockets=sockets)
     path.write_text(settings_text(settings))
@@ -391,7 +391,7 @@
     assert open_files.raise_limit(900) == 900
     assert limits[0] == 900
     assert open_files.raise_limit(5000) == 1024
-    settings = dataclasses.replace(World().settings_of("hearth-0"), max_sockets=5000)
+    settings = dataclasses.replace(SimulatedCluster().settings_of("hearth-0"), max_sockets=5000)
     assert cli._within_files(settings).max_sockets == 1024 - open_files.OTHER_FILES
     assert cli._within_files(dataclasses.replace(settings, max_sockets=700)).max_sockets == 700
 
@@ -402,18 +402,18 @@
 def test_a_report_like_the_last_one_is_compared_only_while_something_is_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     world.run(5.0)
     compared: list[str] = []
-    compare = Tracker._compare_all
+    compare = Reconciler._compare_all
 
-    def counted(tracker: Tracker, machine: Machine, tasks: list[wire.TaskReport]) -> None:
+    def counted(tracker: Reconciler, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
         compared.append(machine.name)
         compare(tracker, machine, tasks)
 
-    monkeypatch.setattr(Tracker, "_compare_all", counted)
+    monkeypatch.setattr(Reconciler, "_compare_all", counted)
     world.run(10.0)
     assert compared == []
     # Its order to stop is lost: the reports go on as before, and the stop must be sent again.
@@ -430,7 +430,7 @@
 
 def test_connections_to_workers_are_counted_as_they_come_and_go() -> None:
     # Their number was summed over all clients for each call to a machine that had none.
-    sim = Sim(1)
+    sim = Simulation(1)
 
     def reply(request: Request) -> None:
         request.reply(200, {})
@@ -479,14 +479,14 @@
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(terminal_jobs, "_MOST_RECENT", recent)
         patch.setattr(terminal_jobs, "_MOST_IN_BLOCK", most)
-        states = terminal_jobs.FinalStates()
+        states = terminal_jobs.TerminalJobs()
         for ref, state in known.items():
             states.add(ref, state)
             states.add(ref, state)
         assert len(states) == len(known)
         assert {ref: states.get(ref) for ref in states} == known
         assert all(states.get(ref) == known.get(ref) for ref in others)
-        page = terminal_jobs.PageOfFinals()
+        page = terminal_jobs.TerminalJobPage()
         for ref in known:
             page.add(ref)
         assert list(page) == list(known)
@@ -498,7 +498,7 @@
 )
 def test_what_is_no_id_has_no_final_state(text: str) -> None:
     # Users ask for anything; a text that reads as the same number is not the same id.
-    states = terminal_jobs.FinalStates()
+    states = terminal_jobs.TerminalJobs()
     states.add("j-12", wire.DONE)
     assert states.get("j-12") == wire.DONE
     assert states.get("j-012") is None
@@ -511,7 +511,7 @@
     # A text and an entry for each took 99 bytes for ever: a day of 4,000 machines filled a
     # controller.
     tracemalloc.start()
-    states, page = terminal_jobs.FinalStates(), terminal_jobs.PageOfFinals()
+    states, page = terminal_jobs.TerminalJobs(), terminal_jobs.TerminalJobPage()
     for number in range(100_000):
         ref = f"j-{number:06d}"
         states.add(ref, wire.ABORTED if number % 50 == 0 else wire.DONE)
@@ -526,7 +526,7 @@
 
 
 def test_any_text_may_be_asked_for() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(batch("j-000001", 1), run_time=1.0)
     world.run(40.0)
     assert world.ask("j-000001")[1]["stage"] == "done"
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -14,8 +14,8 @@
 from flaxtally.emulator.loan_audit import LoanAudit
 from flaxtally.emulator.rules import Rules
 from flaxtally.fakes.settings_text import settings_text
-from flaxtally.ledger.cluster_state import Book
-from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Recall
+from flaxtally.ledger.cluster_state import ClusterState
+from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.lending.entitlement import Reclaimable
 from flaxtally.lending.page import LoansPage, text
@@ -23,19 +23,19 @@
 from flaxtally.settings import Objective, Team
 
 from .scenarios import change_leader
-from .simulated_cluster import CANCEL_S, TYPES, World, spec
+from .simulated_cluster import CANCEL_S, TYPES, SimulatedCluster, spec
 from .simulated_lending import (
     CREW,
     OTHERS,
     RECALL_S,
-    LendingWorld,
+    SimulatedLendingCluster,
     borrowed_world,
     until,
     work,
 )
 
 
-def ask(world: World, node: str) -> tuple[int, Any]:
+def ask(world: SimulatedCluster, node: str) -> tuple[int, Any]:
     answers: list[tuple[int, Any]] = []
     world.call(node, "GET", wire.LOANS, None, lambda status, body: answers.append((status, body)))
     until(world, lambda: bool(answers), 5)
@@ -63,7 +63,7 @@
     # A machine boots within 12.5 s here: its type takes 4 s.
     quick = [msgspec.structs.replace(kind, boot=4.0) if kind.gpus else kind for kind in TYPES]
     monkeypatch.setattr("tests.simulated_cluster.TYPES", quick)
-    world = LendingWorld(1, capacity=2)
+    world = SimulatedLendingCluster(1, capacity=2)
     world.submit(work("j-000100", 16, "others", zone="a"), run_time=300.0)
     until(world, lambda: world.count("j-000100") == 16, 60)
     world.run(5.0)
@@ -78,7 +78,9 @@
 ) -> None:
     # Found on a scarce day on which all teams were within their guarantees: each search tried every
     # task of every team, and passes took eight times as long.
-    world = LendingWorld(1, teams=(CREW, Team("others", 0.0, 0.0, 16.0, 64.0)), most_s=0.0)
+    world = SimulatedLendingCluster(
+        1, teams=(CREW, Team("others", 0.0, 0.0, 16.0, 64.0)), most_s=0.0
+    )
     world.submit(work("j-000100", 16, "others"), run_time=300.0)
     until(world, lambda: world.count("j-000100") == 16, 60)
     tried = []
@@ -90,7 +92,7 @@
 
 
 def test_replicas_give_way_last_and_never_to_a_lower_rank() -> None:
-    world = LendingWorld(3)
+    world = SimulatedLendingCluster(3)
     replica = {"team": "others", "gpus": 1.0, "cores": 3.0, "ram": 16.0, "spread": False}
     world.submit(spec("j-000150", tasks=4, rank="standard", **replica))
     world.submit(spec("j-000160", tasks=4, rank="critical", **replica))
@@ -150,20 +152,20 @@
 
 
 def test_without_the_feature_there_is_no_page_and_no_new_format() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.run(10.0)
     assert ask(world, world.names[0])[0] == 404
     assert all(node.leader.book.format < 3 for node in world.nodes.values())
 
 
 def test_open_recalls_and_accounts_outlive_the_cleaning_of_their_pages() -> None:
-    book = Book()
-    recall = Recall(4, "crew", 1, "n-1", 10.0, 20.0, 1, (Borrowed(2, 0, 1), Borrowed(2, 1, 1)))
+    book = ClusterState()
+    recall = Reclaim(4, "crew", 1, "n-1", 10.0, 20.0, 1, (Borrowed(2, 0, 1), Borrowed(2, 1, 1)))
     account = LoanAccount("crew", 5.0, 1.0, 2.0, 3.0, 4.0, 5, 6)
-    book.apply(Recall(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).record(), 1)
+    book.apply(Reclaim(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).record(), 1)
     for record in (recall.record(), account.record(), ["X", 3]):
         book.apply(record, 1)
-    again = Book()
+    again = ClusterState()
     for group in page_records(book, 1, 4096):
         for record in group:
             again.replay(record, 2)
@@ -177,7 +179,9 @@
 
 
 def config(folder: Path, objectives: tuple[Objective, ...] = ()) -> str:
-    world = World(team=CREW, guests=(Team("guests", 0.0, 0.0, 0.0, 0.0),), objectives=objectives)
+    world = SimulatedCluster(
+        team=CREW, guests=(Team("guests", 0.0, 0.0, 0.0, 0.0),), objectives=objectives
+    )
     path = folder / "node.toml"
     path.write_text(settings_text(world.settings_of("hearth-0")))
     return str(path)
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -14,9 +14,9 @@
 import msgspec
 import pytest
 
-from flaxtally.leader.commands import Orders
-from flaxtally.leader.reclaim.quota_reclaim import Lending
-from flaxtally.leader.reconciliation.reconciler import Tracker
+from flaxtally.leader.commands import CommandSender
+from flaxtally.leader.reclaim.quota_reclaim import QuotaReclaim
+from flaxtally.leader.reconciliation.reconciler import Reconciler
 from flaxtally.leader.scheduling.scheduler import Scheduler
 from flaxtally.ledger.cluster_state import Job, Placement
 from flaxtally.planning.fleet import Machine
@@ -24,34 +24,36 @@
 from flaxtally.settings import Settings, Team
 
 from .scenarios import change_leader, cut_zone, ends_well, leader_of
-from .simulated_cluster import NODES, World, gang
+from .simulated_cluster import NODES, SimulatedCluster, gang
 from .simulated_lending import (
     CREW,
     FIVE,
     OTHERS,
     RECALL_S,
-    LendingWorld,
+    SimulatedLendingCluster,
     borrowed_world,
     until,
     work,
 )
-from .simulated_upgrade import UpgradeWorld
+from .simulated_upgrade import UpgradingCluster
 
 TAKEOVER_S = 8.0
 SLOW_SAVE: dict[str, Any] = {"save": 3.0}
 
 
-def lending_of(world: World) -> Lending:
+def lending_of(world: SimulatedCluster) -> QuotaReclaim:
     return world.nodes[leader_of(world)].leader.lending
 
 
-def returns(world: LendingWorld, tasks: int = 8, node: int = 1) -> float:
+def returns(world: SimulatedLendingCluster, tasks: int = 8, node: int = 1) -> float:
     """The lender has work again; returns when."""
     world.submit(work("j-000200", tasks), run_time=400.0, node=node)
     return world.sim.time
 
 
-def gets_room(world: LendingWorld, since: float, tasks: int = 8, more: float = 0.0) -> None:
+def gets_room(
+    world: SimulatedLendingCluster, since: float, tasks: int = 8, more: float = 0.0
+) -> None:
     """The lender has all its room within the recall time, or as much later as is said."""
     until(
         world,
@@ -60,7 +62,7 @@
     )
 
 
-def no_recall_is_left(world: LendingWorld) -> None:
+def no_recall_is_left(world: SimulatedLendingCluster) -> None:
     until(world, lambda: not world.recalls(), 3 * RECALL_S)
 
 
@@ -70,11 +72,11 @@
 Step = tuple[type, str, bool, Callable[..., bool]]
 
 
-def is_stop(_: Orders, __: Machine, orders: list[dict[str, Any]], ___: Any) -> bool:
+def is_stop(_: CommandSender, __: Machine, orders: list[dict[str, Any]], ___: Any) -> bool:
     return any(order["verb"] == wire.STOP for order in orders)
 
 
-def of_borrower(_: Tracker, placed: Placement, *__: Any) -> bool:
+def of_borrower(_: Reconciler, placed: Placement, *__: Any) -> bool:
     return placed.job.spec.ref == "j-000100"
 
 
@@ -87,17 +89,17 @@
 
 
 STEPS: dict[str, Step] = {
-    "decided": (Lending, "_propose", True, always),
-    "committed": (Lending, "_stop", False, always),
-    "ordered": (Orders, "_carry", True, is_stop),
-    "proven": (Tracker, "over", True, of_borrower),
+    "decided": (QuotaReclaim, "_propose", True, always),
+    "committed": (QuotaReclaim, "_stop", False, always),
+    "ordered": (CommandSender, "_carry", True, is_stop),
+    "proven": (Reconciler, "over", True, of_borrower),
     "placing": (Scheduler, "place", False, of_lender),
 }
 """What is called, and whether the leader ends after or in place of the call."""
 
 
 def crash_at(
-    world: World, step: Step, nth: int, monkeypatch: pytest.MonkeyPatch
+    world: SimulatedCluster, step: Step, nth: int, monkeypatch: pytest.MonkeyPatch
 ) -> Callable[[], bool]:
     """The leader's process ends at the nth such call; gives whether it did."""
     owner, name, is_after, counts = step
@@ -163,7 +165,7 @@
 def test_the_state_service_refuses_the_leader_and_then_all_for_longer_than_the_recall(
     seed: int,
 ) -> None:
-    world = LendingWorld(seed, most_s=3 * RECALL_S + TAKEOVER_S)
+    world = SimulatedLendingCluster(seed, most_s=3 * RECALL_S + TAKEOVER_S)
     borrow(world, **SLOW_SAVE)
     returns(world, 4)
     until(world, lambda: len(world.recalls()) == 4, 5)
@@ -178,7 +180,9 @@
     assert world.stops_of("j-000100") == 4
 
 
-def borrow(world: LendingWorld, tasks: int = 16, run_time: float = 300.0, **changes: Any) -> None:
+def borrow(
+    world: SimulatedLendingCluster, tasks: int = 16, run_time: float = 300.0, **changes: Any
+) -> None:
     """The team `others` takes all there is."""
     world.submit(work("j-000100", tasks, "others", **changes), run_time=run_time)
     until(world, lambda: world.count("j-000100") == tasks, 60)
@@ -191,7 +195,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_leader_without_the_feature_finishes_recalls_and_begins_none(seed: int) -> None:
-    world = LendingWorld(seed, most_s=200.0)
+    world = SimulatedLendingCluster(seed, most_s=200.0)
     borrow(world, **SLOW_SAVE)
     returns(world, 4)
     until(world, lambda: len(world.recalls()) == 4, 5)
@@ -220,7 +224,7 @@
     assert world.stops_of("j-000100") == 8
 
 
-class RollingWorld(UpgradeWorld, LendingWorld):
+class RollingWorld(UpgradingCluster, SimulatedLendingCluster):
     """Controllers of the version in production until their turn; then with lending."""
 
 
@@ -258,7 +262,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_two_teams_borrow_the_same_guarantee_as_the_lender_returns(seed: int) -> None:
-    world = LendingWorld(seed, teams=THREE, most_s=RECALL_S + TAKEOVER_S)
+    world = SimulatedLendingCluster(seed, teams=THREE, most_s=RECALL_S + TAKEOVER_S)
     warm_up(world)
     world.submit(work("j-000100", 16, "others"), run_time=300.0, node=0)
     world.submit(work("j-000101", 16, "third"), run_time=300.0, node=1)
@@ -272,7 +276,7 @@
     no_recall_is_left(world)
 
 
-def warm_up(world: LendingWorld) -> None:
+def warm_up(world: SimulatedLendingCluster) -> None:
     """All machines are there and idle, with the image."""
     world.submit(work("j-000001", 16), run_time=1.0)
     until(world, lambda: len(world.rules.jobs["j-000001"].done) == 16, 90)
@@ -281,7 +285,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_lender_and_borrower_return_as_the_leader_stands_still(seed: int) -> None:
-    world = LendingWorld(seed, most_s=RECALL_S + 2 * TAKEOVER_S)
+    world = SimulatedLendingCluster(seed, most_s=RECALL_S + 2 * TAKEOVER_S)
     borrow(world, run_time=30.0)
     frozen = leader_of(world)
     world.freeze(frozen, 11.0)
@@ -299,7 +303,7 @@
 # 7. The borrowed machine
 
 
-TROUBLES: dict[str, Callable[[LendingWorld, str], None]] = {
+TROUBLES: dict[str, Callable[[SimulatedLendingCluster, str], None]] = {
     "dies": lambda world, name: world.cloud.take(name),
     "hangs": lambda world, name: world.machine_trouble("hung", [name], 25.0),
     "is cut": lambda world, name: world.machine_trouble("cut", [name], 25.0),
@@ -312,7 +316,7 @@
 
 @pytest.mark.parametrize("trouble", list(TROUBLES))
 def test_the_borrowed_machine_fails_during_the_recall(trouble: str) -> None:
-    world = LendingWorld(2, capacity=2, most_s=RECALL_S + TAKEOVER_S)
+    world = SimulatedLendingCluster(2, capacity=2, most_s=RECALL_S + TAKEOVER_S)
     borrow(world, 32, **SLOW_SAVE)
     since = returns(world, 2)
     until(world, lambda: len(world.recalls()) == 2, 5)
@@ -331,7 +335,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_late_stop_and_late_reports_meet_the_next_attempt(seed: int) -> None:
-    world = LendingWorld(seed, most_s=RECALL_S + 20.0)
+    world = SimulatedLendingCluster(seed, most_s=RECALL_S + 20.0)
     borrow(world)
     world.copy_reports(0.5, 30.0)
     # The machine's answers are late: its stops are sent again and again, and held.
@@ -354,7 +358,7 @@
 
 
 def test_a_stop_that_gets_lost_is_sent_again() -> None:
-    world = LendingWorld(1)
+    world = SimulatedLendingCluster(1)
     borrow(world)
     # One order to each machine, and its answer, are lost.
     world.machine_trouble("deaf", sorted(world.workers), 2.3)
@@ -372,10 +376,10 @@
 def test_nobody_is_stopped_for_a_demand_that_went_away(
     how: str, seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    world = LendingWorld(seed)
+    world = SimulatedLendingCluster(seed)
     borrow(world)
     may_begin = [False]
-    monkeypatch.setattr(Lending, "may_begin", lambda *_: may_begin[0])
+    monkeypatch.setattr(QuotaReclaim, "may_begin", lambda *_: may_begin[0])
     returns(world, 2)
     world.run(3.5)
     world.slow_state(1.0, 6.0)
@@ -400,7 +404,7 @@
 
 @pytest.mark.parametrize("ran", [4.5, 5.0, 5.5])
 def test_a_loan_is_recalled_around_a_checkpoint(ran: float) -> None:
-    world = LendingWorld(1, most_s=RECALL_S + 1.0)
+    world = SimulatedLendingCluster(1, most_s=RECALL_S + 1.0)
     warm_up(world)
     world.submit(work("j-000100", 16, "others", checkpoint=10.0, **SLOW_SAVE), run_time=300.0)
     until(world, lambda: world.count("j-000100") == 16, 30)
@@ -420,7 +424,7 @@
 
 
 def test_a_gang_as_borrower_whose_machines_answer_only_in_part() -> None:
-    world = LendingWorld(2, most_s=2 * RECALL_S)
+    world = SimulatedLendingCluster(2, most_s=2 * RECALL_S)
     warm_up(world)
     both = gang("j-000100", 16, team="others", gpus=1.0, one_zone=False, rank="standard")
     world.submit(msgspec.structs.replace(both, cores=3.0, ram=16.0), run_time=300.0)
@@ -443,7 +447,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_three_teams_in_a_circle_and_one_without_a_guarantee(seed: int) -> None:
-    world = LendingWorld(seed, teams=(*CIRCLE, GUESTS), most_s=RECALL_S)
+    world = SimulatedLendingCluster(seed, teams=(*CIRCLE, GUESTS), most_s=RECALL_S)
     warm_up(world)
     for turn in range(6):
         # In each turn another team has all demand, then the next one comes back.
@@ -458,7 +462,7 @@
     assert len(world.deadlines) > 4
 
 
-class LoweredWorld(LendingWorld):
+class LoweredWorld(SimulatedLendingCluster):
     """Some controllers have a settings file in which `crew` is guaranteed less."""
 
     lowered: frozenset[str] = frozenset()
@@ -510,7 +514,7 @@
 
 
 def test_small_jobs_of_a_borrower_come_and_go_while_its_loans_are_recalled() -> None:
-    world = LendingWorld(1, teams=(CREW, OTHERS), most_s=RECALL_S + 4.0)
+    world = SimulatedLendingCluster(1, teams=(CREW, OTHERS), most_s=RECALL_S + 4.0)
     warm_up(world)
     most_pages = most_recalls = 0
     writes = world.state.changes
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from flaxtally.api.heartbeat_endpoint import Dispatch
-from flaxtally.cluster.peer_links import Peers
+from flaxtally.api.heartbeat_endpoint import HeartbeatEndpoint
+from flaxtally.cluster.peer_links import PeerLinks
 from flaxtally.fakes.worker import Worker
 from flaxtally.protocol import wire
 
 from .scenarios import busy, cut_controllers, ends_well, leader_of, term
-from .simulated_cluster import World, batch
+from .simulated_cluster import SimulatedCluster, batch
 
 
 def test_an_order_that_comes_by_two_ways_is_carried_out_once(
@@ -22,20 +22,20 @@
     # While a link is taken for silent frames go over it and through the state service. A launch
     # that came again after its attempt was forgotten on the machine started that anew.
     launched: Counter[tuple[str, int]] = Counter()
-    launch, send = Worker._launch, Peers.send
+    launch, send = Worker._launch, PeerLinks.send
 
-    def counted(worker: Worker, order: wire.Order) -> None:
+    def counted(worker: Worker, order: wire.WorkerCommand) -> None:
         launched[order.task, order.attempt] += 1
         launch(worker, order)
 
-    def doubled(peers: Peers, node: str, frame: dict[str, Any]) -> None:
+    def doubled(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
         send(peers, node, frame)
         if frame["k"] == "ord":
             peers.later(4.0, send, peers, node, frame)
 
     monkeypatch.setattr(Worker, "_launch", counted)
-    monkeypatch.setattr(Peers, "send", doubled)
-    world = World()
+    monkeypatch.setattr(PeerLinks, "send", doubled)
+    world = SimulatedCluster()
     for number in range(8):
         world.submit(batch(f"j-{100 + number:06d}", 4), run_time=1.0, node=number)
     world.run(40)
@@ -52,20 +52,20 @@
     # second began, 70 s later, and its launches were carried out again; a task ran twice.
     sent: dict[tuple[str, int], float] = {}
     ages: list[float] = []
-    send, order = Peers.send, Dispatch.order
+    send, order = PeerLinks.send, HeartbeatEndpoint.order
 
-    def noted(peers: Peers, node: str, frame: dict[str, Any]) -> None:
+    def noted(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
         if frame["k"] == "ord":
             sent.setdefault((peers._node, frame["i"]), peers.runtime.now())
         send(peers, node, frame)
 
-    def checked(dispatch: Dispatch, sender: str, frame: dict[str, Any]) -> None:
+    def checked(dispatch: HeartbeatEndpoint, sender: str, frame: dict[str, Any]) -> None:
         ages.append(dispatch.runtime.now() - sent[sender, frame["i"]])
         order(dispatch, sender, frame)
 
-    monkeypatch.setattr(Peers, "send", noted)
-    monkeypatch.setattr(Dispatch, "order", checked)
-    world = World(3)
+    monkeypatch.setattr(PeerLinks, "send", noted)
+    monkeypatch.setattr(HeartbeatEndpoint, "order", checked)
+    world = SimulatedCluster(3)
     for turn in range(3):
         for number in range(12):
             ref = f"j-{100 * turn + number:06d}"
