--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -11,7 +11,7 @@
 from flaxtally.runtime.loop_delay import DelayMonitor, LoopDelay, callback_name
 
 from .scenarios import leader_of
-from .simulated_cluster import World, spec
+from .simulated_cluster import SimulatedCluster, spec
 
 POLLS = 300
 
@@ -51,7 +51,7 @@
 def test_polls_leave_no_garbage_for_the_cyclic_collector() -> None:
     # In a storm of polls its passes, over all that a leader knows, held up heartbeats and reports
     # for up to a second.
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000001"))
     world.run(15.0)
     gc.collect()
@@ -77,7 +77,7 @@
 
 
 def test_requests_on_a_kept_connection_set_no_timer_each() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.run(5.0)
     host, set_now = world.sim.hosts[world.ip(world.names[0])], list[str]()
     after = host.after
@@ -98,7 +98,7 @@
 
 
 def test_a_connection_without_a_whole_request_is_closed_in_time() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.run(5.0)
     stream = world.user.connect((world.ip(world.names[0]), 8080))
     closed: list[float] = []
@@ -167,7 +167,7 @@
 
 def test_who_sends_without_waiting_for_answers_is_cut_off() -> None:
     # Of a connection with a request under way everything that came was kept, whatever its size.
-    world = World()
+    world = SimulatedCluster()
     world.run(5.0)
     leader = leader_of(world)
     follower = next(name for name in world.names if name != leader)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,10 +12,12 @@
 from flaxtally.protocol import wire
 
 from .scenarios import busy, ends_well, leader_of, steady_work
-from .simulated_cluster import STATE, World, batch, spec
+from .simulated_cluster import STATE, SimulatedCluster, batch, spec
 
 
-def poll_storm(world: World, refs: list[str], for_s: float, per_s: int = 200) -> dict[int, int]:
+def poll_storm(
+    world: SimulatedCluster, refs: list[str], for_s: float, per_s: int = 200
+) -> dict[int, int]:
     """Users ask about these jobs that many times a second, at all nodes; the answers by status."""
     answers: dict[int, int] = {}
 
@@ -74,7 +76,7 @@
 def test_jobs_that_fail_everywhere_cost_little_and_block_nobody() -> None:
     # Found: all tasks of such a job were tried at each retry (656 failures on a recorded day), and
     # its waiting tasks were demand for which the plan rented machines.
-    world = World(capacity=2)
+    world = SimulatedCluster(capacity=2)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     refs = [f"j-{100 + number:06d}" for number in range(8)]
@@ -105,7 +107,7 @@
 def test_a_job_that_failed_on_faulty_machines_is_no_suspect_for_long() -> None:
     # The other side of it: two faulty machines are no mistake of the job's. A replica that runs, or
     # a task that ends, acquits it.
-    world = World(capacity=4)
+    world = SimulatedCluster(capacity=4)
     for number in range(2):
         world.submit(spec(f"j-{number:06d}", tasks=4, gpus=1.0))
     assert world.until(lambda: len(world.running) == 8, 60)
@@ -124,7 +126,7 @@
 def test_machines_late_or_never_up_are_no_capacity_for_ever(boot: float | None) -> None:
     # Many at once never come up (their pools are given up for a while, the jobs go elsewhere), or
     # all are up within a second.
-    world = World(capacity=6)
+    world = SimulatedCluster(capacity=6)
     world.cloud.boot = boot
     world.cloud.boots_fail = boot is None
     for number in range(6):
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -17,7 +17,7 @@
 from flaxtally.api.heartbeat_endpoint import owner
 from flaxtally.cli import main
 from flaxtally.cluster.peer_links import Frames, encode
-from flaxtally.ledger.cluster_state import Book, BookError
+from flaxtally.ledger.cluster_state import ClusterState, InvalidRecordError
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.planning.choice import choose
 from flaxtally.planning.consolidate import pick
@@ -29,7 +29,7 @@
 from flaxtally.planning.provisioning import plan
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
-from flaxtally.runtime.http import BadMessage, Parser
+from flaxtally.runtime.http import MalformedMessageError, Parser
 from flaxtally.settings import SettingsError, StateLimits, parse
 
 from .simulated_cluster import TYPES, batch, spec
@@ -72,7 +72,7 @@
 def test_parser_refuses_what_is_broken(data: bytes, status: int) -> None:
     parser = Parser(False, 100)
     parser.feed(data)
-    with pytest.raises(BadMessage) as caught:
+    with pytest.raises(MalformedMessageError) as caught:
         parser.next()
     assert caught.value.status == status
 
@@ -193,9 +193,9 @@
 # The ledger
 
 
-def fill_book(rng: random.Random, steps: int) -> tuple[Book, list[list[object]]]:
+def fill_book(rng: random.Random, steps: int) -> tuple[ClusterState, list[list[object]]]:
     """A book after random proper records, and those records."""
-    book, records = Book(), []
+    book, records = ClusterState(), []
 
     def apply(*record: object) -> None:
         book.apply(list(record), 1)
@@ -226,7 +226,7 @@
     return book, records
 
 
-def picture(book: Book) -> object:
+def picture(book: ClusterState) -> object:
     """All that a book means, comparable."""
     finals = {ref: book.finals.get(ref) for ref in book.finals}
     jobs = {}
@@ -245,7 +245,7 @@
     return finals, jobs, usage
 
 
-def said_anew(book: Book) -> list[list[Any]]:
+def said_anew(book: ClusterState) -> list[list[Any]]:
     """The records by which the first page is cleaned."""
     return list(itertools.chain.from_iterable(page_records(book, 1, 2000)))
 
@@ -256,7 +256,7 @@
     # What a takeover reads, whether first written or rewritten by cleaning, is what the leader
     # knew.
     book, records = fill_book(random.Random(seed), steps)
-    replayed, rewritten = Book(), Book()
+    replayed, rewritten = ClusterState(), ClusterState()
     for record in records:
         replayed.replay(record, 1)
     # The first page is cleaned and gone; what was written since, before the snapshot, is still
@@ -282,7 +282,7 @@
 def test_the_book_refuses_what_breaks_an_invariant() -> None:
     # A second placement, an attempt used twice, a placement after a cancellation, an end of
     # nothing.
-    book = Book()
+    book = ClusterState()
     book.apply(["J", 1, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))], 1)
     book.apply(["P", 1, 0, 1, "n-1", "a"], 1)
     for record in (
@@ -291,13 +291,13 @@
         ["E", 1, 1, 1, True],
         ["J", 2, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))],
     ):
-        with pytest.raises(BookError):
+        with pytest.raises(InvalidRecordError):
             book.apply(record, 1)
     book.apply(["E", 1, 0, 1, False], 1)
-    with pytest.raises(BookError):
+    with pytest.raises(InvalidRecordError):
         book.apply(["P", 1, 0, 1, "n-2", "a"], 1)
     book.apply(["C", 1], 1)
-    with pytest.raises(BookError):
+    with pytest.raises(InvalidRecordError):
         book.apply(["P", 1, 0, 2, "n-2", "a"], 1)
 
 
@@ -411,7 +411,10 @@
 
 def test_emptying_counts_the_room_that_machines_being_emptied_will_need() -> None:
     # Several machines are emptied at a time in a large fleet: two must not count on the same room.
-    book, fleet = Book(), [Machine(name, "c16", "a", False, 0.0) for name in ("x", "y", "z")]
+    book, fleet = (
+        ClusterState(),
+        [Machine(name, "c16", "a", False, 0.0) for name in ("x", "y", "z")],
+    )
     for number, machine in enumerate(fleet, 1):
         book.apply(["J", number, 0.0, *msgspec.to_builtins(spec(f"j-{number:06d}", cores=7.0))], 1)
         book.apply(["P", number, 0, 1, machine.name, "a"], 1)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -8,7 +8,7 @@
 from flaxtally.runtime.loop import Loop
 
 from .scenarios import busy, ends_well, leader_of, steady_work, term
-from .simulated_cluster import World, batch, spec
+from .simulated_cluster import SimulatedCluster, batch, spec
 
 
 def test_the_loop_notices_a_pause_once_and_before_what_fell_due(
@@ -110,7 +110,7 @@
 
 
 def test_a_takeover_that_a_pause_falls_into_is_judged_anew() -> None:
-    world: World = busy(arrays=0)
+    world: SimulatedCluster = busy(arrays=0)
     old = leader_of(world)
     others = [name for name in world.names if name != old]
     world.crash(old, back_after=3.0)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flaxtally.leader.autoscaling.autoscaler import MOST_CHECKS, Planner
+from flaxtally.leader.autoscaling.autoscaler import MOST_CHECKS, Autoscaler
 from flaxtally.ledger.cluster_state import Job, Placement
 from flaxtally.planning.consolidate import takes
 from flaxtally.planning.fleet import Machine
@@ -20,7 +20,7 @@
 from flaxtally.runtime.loop import Loop
 from flaxtally.settings import Team
 
-from .simulated_cluster import TYPES, World, batch, spec
+from .simulated_cluster import TYPES, SimulatedCluster, batch, spec
 
 NAMES = tuple(f"hearth-{number}" for number in range(7))
 
@@ -30,7 +30,7 @@
     # none, in each pass of the scheduler; a leader with a share of a core fell seconds behind at
     # the start. The world checks at each start of a task: run once, committed first, in its place,
     # within quota.
-    world = World(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
+    world = SimulatedCluster(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
     jobs = 0
     for number in range(90):
         jobs += 1
@@ -103,14 +103,14 @@
 def test_idle_machines_are_checked_together(monkeypatch: pytest.MonkeyPatch) -> None:
     # Fifty idle machines, checked one by one, kept the leader's loop busy for longer than a peer
     # may be silent.
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     used = {world.machine_of(f"j-000001/{task}") for task in range(2)}
     spare = {world.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)}
     packed: list[int] = []
-    left = Planner._left
-    monkeypatch.setattr(Planner, "_left", lambda *args: packed.append(1) or left(*args))
+    left = Autoscaler._left
+    monkeypatch.setattr(Autoscaler, "_left", lambda *args: packed.append(1) or left(*args))
     most = 0
     for _ in range(60):
         packed.clear()
@@ -167,7 +167,7 @@
     # start and end of a task; here: every job is known and answered, what ran runs on, and no
     # controller holds more sockets than it may. (Played at half as many machines again only by the
     # bench: here it would take half of the suite's time.)
-    world = World(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
+    world = SimulatedCluster(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
     for number in range(150):
         world.submit(spec(f"j-{number:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
     for number in range(150, 178):
@@ -226,7 +226,7 @@
     # More is asked at once than the state service's limit lets through: each is answered in time,
     # accepted or 503, no worker loses its lease, the leader stays, and the limit on changes is
     # kept.
-    world = World(nodes=NAMES, capacity=20)
+    world = SimulatedCluster(nodes=NAMES, capacity=20)
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
     assert world.until(lambda: len(world.running) == 8, 60)
--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -7,7 +7,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import busy, leader_of, term
-from .simulated_cluster import World, spec
+from .simulated_cluster import SimulatedCluster, spec
 
 SERVICES = 4
 CALL_SECONDS = 0.01
@@ -15,11 +15,11 @@
 POLLS_A_SECOND = 150
 
 
-def busy_world(seed: int) -> World:
+def busy_world(seed: int) -> SimulatedCluster:
     return busy(seed, services=SERVICES, arrays=1, run_time=40.0)
 
 
-def storm(world: World, nodes: list[str], seconds: float) -> list[int]:
+def storm(world: SimulatedCluster, nodes: list[str], seconds: float) -> list[int]:
     """Polls at these controllers; the statuses that come are added to what is returned."""
     statuses: list[int] = []
     for number in range(int(seconds * POLLS_A_SECOND)):
@@ -37,12 +37,12 @@
     return statuses
 
 
-def backlog(world: World) -> int:
+def backlog(world: SimulatedCluster) -> int:
     """Calls that wait at the controller that is furthest behind."""
     return max(len(world.sim.hosts[world.ip(name)].queue) for name in world.names)
 
 
-def all_replicas_run(world: World) -> bool:
+def all_replicas_run(world: SimulatedCluster) -> bool:
     return all(world.count(f"j-{number:06d}") == 2 for number in range(SERVICES))
 
 
@@ -96,7 +96,7 @@
     # The former leader, cut off from its peers, learned of its successor by the leader key, found
     # no lease of it yet (it was still reading the ledger), and took the lead back: three times
     # within a second.
-    world = World(seed=seed)
+    world = SimulatedCluster(seed=seed)
     for number in range(1, 6):
         world.submit(spec(f"j-{number:06d}", tasks=2))
     world.run(25.0)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -7,14 +7,14 @@
 from flaxtally.clients.workers import Workers
 from flaxtally.runtime.http import Client, Request, Server
 
-from .simulation import Host, Sim
+from .simulation import Host, Simulation
 
 
 def answer(request: Request) -> None:
     request.reply(200, {"path": request.path})
 
 
-def play(sim: Sim, seconds: float) -> None:
+def play(sim: Simulation, seconds: float) -> None:
     end = sim.time + seconds
     while sim.next_time() <= end:
         sim.step()
@@ -27,7 +27,7 @@
 
 def test_more_workers_than_connections_are_all_answered() -> None:
     # A controller that is alone refused the workers beyond its connections; they lost their leases.
-    sim = Sim(1)
+    sim = Simulation(1)
     host = sim.host("10.0.0.1")
     server = Server(host, ("10.0.0.1", 8080), answer, 10, 30.0, 0.2)
     clients = [Client(sim.host(f"10.1.0.{number}"), ("10.0.0.1", 8080)) for number in range(40)]
@@ -53,7 +53,7 @@
 
 def test_calls_to_many_workers_share_few_connections() -> None:
     # A new leader speaks to every worker at once; each connection was kept for ever.
-    sim = Sim(1)
+    sim = Simulation(1)
     for number in range(30):
         ip = f"10.1.0.{number}"
         Server(sim.host(ip), (ip, 9000), answer, 10, 300.0, 0.2)
@@ -79,7 +79,7 @@
 
 def test_calls_that_wait_for_a_connection_end_in_their_time() -> None:
     # Workers that hang hold all connections: the others' calls must not wait beyond their own time.
-    sim = Sim(1)
+    sim = Simulation(1)
 
     def hang(request: Request) -> None:
         """A machine that hangs says nothing."""
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -9,7 +9,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import busy, change_leader, ends_well, leader_of, steady_work, term
-from .simulated_cluster import NODES, World, batch, spec
+from .simulated_cluster import NODES, SimulatedCluster, batch, spec
 
 
 def test_the_gap_between_a_refused_leader_and_an_outage() -> None:
@@ -115,7 +115,7 @@
 def test_one_task_jobs_four_a_second_for_minutes_a_quarter_cancelled() -> None:
     # Also while a cancelled job's machine is silent: found that cleaning then stood still, and
     # pages grew with the day.
-    world = World(value_bytes=2048)
+    world = SimulatedCluster(value_bytes=2048)
     world.submit(spec("j-900000", tasks=2))
     assert world.until(lambda: world.count("j-900000") == 2, 60)
     for number in range(480):
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(seed: int) -> None:
     # Found: the next leader released machines that worked and were not listed yet.
-    world = World(seed)
+    world = SimulatedCluster(seed)
     world.cloud.boot, world.cloud.lag = 1.0, 4.0
     world.run(3)
     world.slow_state(0.3, 30.0)
@@ -165,7 +165,7 @@
     # Found by reading: the guard "does not exist" holds again once the page that a transaction
     # created is cleaned away; its late copy, under the same term, would have brought old records
     # back for the next leader to read.
-    world = World(value_bytes=512)
+    world = SimulatedCluster(value_bytes=512)
     sent: list[wire.Txn] = []
     transact = world.state.transact
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -18,7 +18,7 @@
 from flaxtally.runtime.http import Client
 from flaxtally.settings import Settings, Team
 
-from .simulated_cluster import CANCEL_S, NODES, TYPES, World, batch, spec
+from .simulated_cluster import CANCEL_S, NODES, TYPES, SimulatedCluster, batch, spec
 
 MACHINES = int(os.environ.get("FLAXTALLY_MACHINES", "120"))
 REPLICAS = 4
@@ -26,7 +26,7 @@
 LEASE_S = 10.0
 
 
-class Crowd(World):
+class Crowd(SimulatedCluster):
     """A deployment with many machines that are up from the start, all of them in use."""
 
     def __init__(self, sockets: int | None = None) -> None:
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -13,13 +13,13 @@
 
 import pytest
 
-from .simulated_cluster import NODES, World, batch, spec
+from .simulated_cluster import NODES, SimulatedCluster, batch, spec
 
 TRACES = Path(__file__).parent / "traces"
 
 
-def quiet_start() -> World:
-    world = World(seed=3)
+def quiet_start() -> SimulatedCluster:
+    world = SimulatedCluster(seed=3)
     world.submit(spec("j-000001", tasks=2))
     world.submit(batch("j-000002", 3), run_time=4.0, node=1)
     world.run(30)
@@ -28,8 +28,8 @@
     return world
 
 
-def leader_crash() -> World:
-    world = World(seed=3)
+def leader_crash() -> SimulatedCluster:
+    world = SimulatedCluster(seed=3)
     world.submit(spec("j-000001", tasks=2))
     world.submit(batch("j-000002", 2), run_time=20.0, node=1)
     world.until(lambda: len(world.running) == 4, 60)
@@ -40,8 +40,8 @@
     return world
 
 
-def hung_machine() -> World:
-    world = World(seed=3)
+def hung_machine() -> SimulatedCluster:
+    world = SimulatedCluster(seed=3)
     world.submit(spec("j-000001", tasks=2))
     world.until(lambda: len(world.running) == 2, 60)
     machine = world.machine_of("j-000001/0")
@@ -51,8 +51,8 @@
     return world
 
 
-def all_crash_and_state_outage() -> World:
-    world = World(seed=3)
+def all_crash_and_state_outage() -> SimulatedCluster:
+    world = SimulatedCluster(seed=3)
     world.submit(spec("j-000001", tasks=2))
     world.until(lambda: len(world.running) == 2, 60)
     for name in NODES:
@@ -70,7 +70,7 @@
 @pytest.mark.parametrize(
     "story", [quiet_start, leader_crash, hung_machine, all_crash_and_state_outage]
 )
-def test_the_story_is_the_kept_one(story: Callable[[], World]) -> None:
+def test_the_story_is_the_kept_one(story: Callable[[], SimulatedCluster]) -> None:
     told = "\n".join(story().trace) + "\n"
     path = TRACES / f"{story.__name__}.txt"
     if os.environ.get("FLAXTALLY_KEEP_TRACES"):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -8,13 +8,13 @@
 from flaxtally.settings import Team
 
 from .scenarios import change_leader, ends_well, leader_of
-from .simulated_cluster import NODES, World, batch, gang, spec
-from .simulated_upgrade import LOWER, UpgradeWorld
+from .simulated_cluster import NODES, SimulatedCluster, batch, gang, spec
+from .simulated_upgrade import LOWER, UpgradingCluster
 
 
-def serving(seed: int = 1, upgraded: tuple[str, ...] = ()) -> UpgradeWorld:
+def serving(seed: int = 1, upgraded: tuple[str, ...] = ()) -> UpgradingCluster:
     """A world with services and arrays that run."""
-    world = UpgradeWorld(seed, upgraded)
+    world = UpgradingCluster(seed, upgraded)
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
     for number in range(3):
@@ -23,7 +23,7 @@
     return world
 
 
-def work_goes_on(world: UpgradeWorld) -> None:
+def work_goes_on(world: UpgradingCluster) -> None:
     """Small jobs for as long as the test plays, some of them cancelled."""
     for number in range(40):
         ref = f"j-{5000 + number:06d}"
@@ -183,7 +183,7 @@
 
 
 def test_limits_that_fall_unannounced_end_a_term_and_nothing_else() -> None:
-    world = World()
+    world = SimulatedCluster()
     world.state.enforce(8192, 32)
     for number in range(12):
         world.submit(spec(f"j-{number:06d}", tasks=4), node=number)
@@ -201,7 +201,7 @@
 
 
 def test_no_program_reads_a_ledger_of_a_newer_format(caplog: pytest.LogCaptureFixture) -> None:
-    world = World()
+    world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     world.run(20.0)
     newest = max(key for key in world.state.rows if key.startswith("p/"))
@@ -234,7 +234,9 @@
     # Found on a drawn day at the lower limits: pages were cleaned over and over, 3,900 of them, and
     # the state service had three times the usual changes. Here each page is half empty, since each
     # job is written into one, so what pages hold is well above what they mean.
-    world = World(value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2e3))
+    world = SimulatedCluster(
+        value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2e3)
+    )
     for number in range(100):
         # Long names: somewhat more than half a page each.
         job = spec(f"j-{number:06d}", tasks=14, cores=0.3, ram=0.2, lane="l" * 190, image="i" * 190)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,5 +1,5 @@
 """Days of a small deployment. Each names the failure it guards against; the rules are checked in
-`World` at every start and end of a task, and a broken one ends the test."""
+`SimulatedCluster` at every start and end of a task, and a broken one ends the test."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from flaxtally.settings import Objective, Team
 
 from .scenarios import cut_zone
-from .simulated_cluster import NODES, STATE, World, batch, spec
+from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
 
-def serving(jobs: int = 4, seed: int = 1) -> World:
+def serving(jobs: int = 4, seed: int = 1) -> SimulatedCluster:
     """A world with a few services of two replicas running."""
-    world = World(seed)
+    world = SimulatedCluster(seed)
     for number in range(jobs):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
     assert world.until(lambda: len(world.running) == 2 * jobs, 60), world.trace
@@ -145,7 +145,7 @@
     assert terms == {world.nodes[world.leader() or ""].election.term}
 
 
-def world_row(world: World, key: str) -> wire.Row:
+def world_row(world: SimulatedCluster, key: str) -> wire.Row:
     value, version, _ = world.state.rows[key]
     return wire.Row(key, value, version)
 
@@ -200,7 +200,7 @@
     # term and answered its workers 503; 956 tasks were killed by their leases. With more
     # controllers than two a worker's tries of those beyond the cut alone outlast this world's
     # lease.
-    world = World(nodes=NODES[:2])
+    world = SimulatedCluster(nodes=NODES[:2])
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2))
     assert world.until(lambda: len(world.running) == 8, 60), world.trace
@@ -290,7 +290,7 @@
 def test_late_launch_is_waited_for() -> None:
     # Reports that don't list a launched task arrive before the launch does: no proof that it never
     # will.
-    world = World()
+    world = SimulatedCluster()
     for zone in "ab":
         world.cloud.add("c16", zone, False, boot=0.5)
     world.run(5)
@@ -323,7 +323,7 @@
 def test_an_attempt_whose_launch_is_unanswered_is_not_forgotten() -> None:
     # The launch arrived, its answer did not: another copy of it may come and would run the task
     # again.
-    world = World()
+    world = SimulatedCluster()
     name = world.cloud.add("g8", "a", False, boot=0.5)
     world.run(5)
     leader = world.nodes[world.leader() or ""].leader
@@ -382,7 +382,7 @@
 
 def test_spot_wave() -> None:
     # All spot machines go at once without notice: the work restarts elsewhere, nothing runs twice.
-    world = World()
+    world = SimulatedCluster()
     world.submit(batch("j-000100", 24), run_time=12.0)
     assert world.until(lambda: world.count("j-000100") >= 20, 60)
     for name in [name for name, worker in world.workers.items() if worker.machine.spot]:
@@ -394,7 +394,7 @@
 
 def test_quota_is_kept_under_a_flood() -> None:
     # There is room for 16 tasks on the two machines that the limit of 10 GPUs asks for.
-    world = World(team=Team("crew", 0.0, 200.0, 0.0, 10.0))
+    world = SimulatedCluster(team=Team("crew", 0.0, 200.0, 0.0, 10.0))
     for number in range(6):
         world.submit(batch(f"j-{number:06d}", 30), run_time=4.0, node=number)
     assert world.until(lambda: len(world.running) == 10, 60)
@@ -482,9 +482,9 @@
     assert len(world.running) == 10
 
 
-def crowded() -> World:
+def crowded() -> SimulatedCluster:
     """A world whose only GPU machine is full of batch tasks."""
-    world = World()
+    world = SimulatedCluster()
     for key in world.cloud._capacity:
         world.cloud._capacity[key] = 1 if key == ("g8", "a", False) else 0
     world.submit(batch("j-000100", 8), run_time=300.0)
@@ -505,7 +505,7 @@
 def test_thinly_used_machines_are_emptied_and_returned() -> None:
     # Found by the fleet's log: replicas that stay kept machines used by a tenth from ever falling
     # idle.
-    world = World()
+    world = SimulatedCluster()
     for number in range(16):
         world.submit(spec(f"j-{number:06d}", gpus=2.0, cores=6.0))
     assert world.until(lambda: len(world.running) == 16, 60)
@@ -530,7 +530,7 @@
 
 def test_old_pages_are_cleaned_and_nothing_is_forgotten() -> None:
     # Pages must not grow with the days; final states are kept for ever, through takeovers too.
-    world = World(value_bytes=1024)
+    world = SimulatedCluster(value_bytes=1024)
     world.submit(spec("j-900000", tasks=2))
     for number in range(120):
         world.sim.at(number * 0.5, world.submit, batch(f"j-{number:06d}", 1), 1.0, number)
@@ -569,7 +569,7 @@
 def test_a_zone_that_falls_silent_at_once_is_waited_for() -> None:
     # Found on a drawn day: beyond a cut the only controller crashed. The leader took the whole
     # zone's machines for dead, and released them just as that controller was back.
-    world = World()
+    world = SimulatedCluster()
     for number in range(24):
         world.submit(spec(f"j-{number:06d}", tasks=2, cores=8.0))
     assert world.until(lambda: len(world.running) == 2 * 12, 90), len(world.running)
@@ -640,7 +640,7 @@
 def test_a_machine_that_runs_its_tasks_slower_is_found_and_left_alone() -> None:
     # Found on a quiet day: two machines of three hundred were faulty and slow; each job with a task
     # there ended minutes after its others. What saves is moved, and new batch tasks go elsewhere.
-    world = World()
+    world = SimulatedCluster()
     world.submit(batch("j-000001", 24, checkpoint=1.0, save=0.2), run_time=10.0)
     assert world.until(lambda: world.count("j-000001") == 24, 60)
     slow = max(world.workers.values(), key=lambda worker: len(worker.tasks))
@@ -666,7 +666,7 @@
     # Found in an incident: two such jobs failed on the same machines, which were then taken for
     # faulty. With services on them they drained for the rest of the day: half of the GPUs; three
     # quarters of the array jobs weren't served.
-    world = World(capacity=1)
+    world = SimulatedCluster(capacity=1)
     world.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60), world.trace
     for number in range(3):
@@ -686,7 +686,7 @@
 def test_a_machine_that_fails_for_a_spell_is_used_again() -> None:
     # Found in the same incident: two of four GPU machines failed all tasks for a moment, and, with
     # services on them, were left alone for three minutes.
-    world = World(capacity=1)
+    world = SimulatedCluster(capacity=1)
     world.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60), world.trace
     held = world.machine_of("j-000001/0")
@@ -707,7 +707,7 @@
 def test_a_machine_on_which_several_jobs_fail_is_left_alone() -> None:
     # Also when one of them has failed elsewhere before: what it has done shows that the mistake
     # isn't its own.
-    world = World()
+    world = SimulatedCluster()
     for number in range(4):
         world.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
     assert world.until(lambda: len(world.running) > 8, 60), world.trace
@@ -727,7 +727,7 @@
 def test_a_job_that_lost_its_deadline_goes_before_one_that_lost_its_multiple_too() -> None:
     # Found on a grown deployment: in a queue that nothing can meet, jobs past their deadline went
     # by age, though some could still be done by the multiple of it that is asked for as well.
-    world = World(
+    world = SimulatedCluster(
         objectives=(
             Objective("deadline", "batch", 0.0, 0.9),
             Objective("deadline", "batch", 0.0, 0.9, 3.0),
@@ -751,7 +751,7 @@
     # Found on a rough day: during an outage each plan's requests were kept and sent again and
     # again. When it was over they took up all calls for 38 s, and what was needed by then had to
     # wait.
-    world = World()
+    world = SimulatedCluster()
     world.run(2)
     world.cloud.down = True
     world.submit(spec("j-000001", tasks=2))
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -7,10 +7,10 @@
 from flaxtally.settings import Team
 
 from .scenarios import ends_well, leader_of
-from .simulated_cluster import ZONES, World, spec
+from .simulated_cluster import ZONES, SimulatedCluster, spec
 
 
-def hosts_of(world: World, zone: str) -> list[str]:
+def hosts_of(world: SimulatedCluster, zone: str) -> list[str]:
     """Controllers and machines of the zone."""
     controllers = [
         world.ip(name) for number, name in enumerate(world.names) if ZONES[number % 2] == zone
@@ -20,7 +20,7 @@
     ]
 
 
-def longest_silence(world: World) -> float:
+def longest_silence(world: SimulatedCluster) -> float:
     """For how long the leader has not heard one of its machines, in seconds."""
     leader = world.nodes[leader_of(world)].leader
     return max(
@@ -33,7 +33,7 @@
 def test_machines_beyond_a_cut_stay_in_touch_with_small_values() -> None:
     # Found on a day of troubles at the lower limits: whole reports of busy machines filled the
     # values, most machines of the far zone were silent, and the leader released them one by one.
-    world = World(
+    world = SimulatedCluster(
         value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2400.0)
     )
     for number in range(100):
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from flaxtally.ledger.batch import Record
-from flaxtally.ledger.cluster_state import Book
+from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.protocol import wire
 
@@ -64,8 +64,8 @@
     return found
 
 
-def fill(found: list[Record]) -> Book:
-    book = Book()
+def fill(found: list[Record]) -> ClusterState:
+    book = ClusterState()
     for number, record in enumerate(found):
         book.replay(record, number // 100 + 1)
     return book
@@ -90,7 +90,7 @@
         timed(f"  replay of {len(found)} records", lambda found=found: fill(found))  # type: ignore[misc]
         timed("  a snapshot of one page", lambda book=book: page_records(book, 1, PAGE_BYTES))  # type: ignore[misc]
         timed("  weight of everything", book.weight)
-    final = Book()
+    final = ClusterState()
     tracemalloc.start()
     for number in range(1, jobs + 1):
         final.replay(["F", number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
--- a/tools/production_fixture.py
+++ b/tools/production_fixture.py
@@ -15,13 +15,13 @@
 from tests import production
 from tests.scenarios import change_leader, cut_controllers
 from tests.simulated_cluster import batch, spec
-from tests.simulated_upgrade import UpgradeWorld
+from tests.simulated_upgrade import UpgradingCluster
 from tests.test_formats import FIXTURE, meaning
 
 
-def day() -> UpgradeWorld:
+def day() -> UpgradingCluster:
     """Services, arrays, cancellations, three leaders, a cut between the controllers."""
-    world = UpgradeWorld(seed=7)
+    world = UpgradingCluster(seed=7)
     for number in range(10):
         world.submit(spec(f"j-{number:06d}", tasks=3), node=number)
         world.submit(batch(f"j-{100 + number:06d}", 12), run_time=9.0, node=number)
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -196,7 +196,7 @@
     """Users of the simulated deployment: gate services, arrays, and polls."""
 
     def __init__(
-        self, deployment: simulated_cluster.World, jobs_a_second: float, polls: float
+        self, deployment: simulated_cluster.SimulatedCluster, jobs_a_second: float, polls: float
     ) -> None:
         self._world, self._rng = deployment, random.Random(7)
         self._jobs_a_second, self.polls = jobs_a_second, polls
@@ -237,7 +237,7 @@
         self._world.call(node, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
 
 
-class LargeWorld(simulated_cluster.World):
+class LargeWorld(simulated_cluster.SimulatedCluster):
     """A deployment whose controllers are granted what its size needs."""
 
     def __init__(self, capacity: int, team: Team) -> None:
@@ -248,7 +248,9 @@
         return dataclasses.replace(super().settings_of(node), max_sockets=self._sockets)
 
 
-def deploy(capacity: int, running: int) -> tuple[simulated_cluster.World, Callable[[str], str]]:
+def deploy(
+    capacity: int, running: int
+) -> tuple[simulated_cluster.SimulatedCluster, Callable[[str], str]]:
     """A deployment, and what role a host plays in it. `running`: machines that it starts with."""
     pools = capacity * POOLS
     team = Team("crew", 0.0, max(20000.0, 19.0 * pools), 0.0, max(4000.0, 3.8 * pools))
@@ -270,7 +272,7 @@
 
 
 def report_duties(
-    deployment: simulated_cluster.World, meter: Meter, seconds: float, text: str
+    deployment: simulated_cluster.SimulatedCluster, meter: Meter, seconds: float, text: str
 ) -> None:
     """Plays that many seconds and prints what the controllers did."""
     meter.reset()
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -24,7 +24,7 @@
 from flaxtally.cells.map import Cell, CellIndex, CellMap
 from flaxtally.cells.shares import Amount, TeamShares, equal_shares
 from flaxtally.emulator.fit import fit, table
-from flaxtally.ledger.cluster_state import FINAL, Book
+from flaxtally.ledger.cluster_state import FINAL, ClusterState
 from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import pack
@@ -77,9 +77,11 @@
     return Machine(f"n-{number:06d}", "g8", "zone-1", False, 1.0)
 
 
-def report(tasks: int) -> wire.Report:
-    held = [wire.TaskReport(f"j-{number:06d}/{number}", 1, "running") for number in range(tasks)]
-    return wire.Report("n-000231", "10.1.0.232:9000", "g8", "zone-1", False, 1, 88, 41, held, None)
+def report(tasks: int) -> wire.Heartbeat:
+    held = [wire.TaskStatus(f"j-{number:06d}/{number}", 1, "running") for number in range(tasks)]
+    return wire.Heartbeat(
+        "n-000231", "10.1.0.232:9000", "g8", "zone-1", False, 1, 88, 41, held, None
+    )
 
 
 def shares(teams: int) -> list[bytes]:
@@ -156,8 +158,8 @@
 
 
 def _final_memory(jobs: int) -> float:
-    def build() -> Book:
-        book = Book()
+    def build() -> ClusterState:
+        book = ClusterState()
         for number in range(1, jobs + 1):
             book.replay([FINAL, number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
         return book
@@ -171,7 +173,7 @@
 
 
 def _decode(tasks: int) -> float:
-    body, decoder = pack(report(tasks)), msgspec.msgpack.Decoder(wire.Report)
+    body, decoder = pack(report(tasks)), msgspec.msgpack.Decoder(wire.Heartbeat)
 
     def act() -> None:
         for _ in range(1000):
