--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -121,7 +121,7 @@
         }
         self._owners: dict[str, str | None] = {}
         self._owners_of: list[str] = []
-        self._ids = itertools.count(election.life)
+        self._ids = itertools.count(election.incarnation)
         self._carried: dict[int, tuple[str, Told, Timer]] = {}
         """By number: who was asked to carry the orders."""
         self._order_numbers: dict[str, CommandDeduplicator] = {}
@@ -163,11 +163,13 @@
             # Somebody with a higher term commands it: we are not entitled to act.
             request.reply(421, wire.report_elsewhere(None))
             return
-        if election.term == 0 or election.leader_in_touch > self._policy.unattended:
+        if election.term == 0 or election.seconds_since_leader_contact > self._policy.unattended:
             request.reply(503, None)
             return
         theirs = self._owner(name, report.zone)
-        if theirs not in (None, self._settings.node) and self._peers.direct(theirs or ""):
+        if theirs not in (None, self._settings.node) and self._peers.is_directly_reachable(
+            theirs or ""
+        ):
             lease = self._settings.lease_s
             if now - self._sent_on.get(name, float("-inf")) < lease:
                 # Sent on and back again: evidently it can't reach its owner.
@@ -182,13 +184,13 @@
                 return
         request.reply(200, wire.beat_answer(election.term))
         self._note(report)
-        if election.leading:
+        if election.is_leader:
             self._deliver(self._settings.node, report)
         elif election.leader is not None:
             self._forwarding.forward(report, request.body)
 
     def _owner(self, name: str, zone: str) -> str | None:
-        view = self._election.view
+        view = self._election.live_members
         if view != self._owners_of:
             self._owners, self._owners_of = {}, list(view)
         if name not in self._owners:
@@ -197,7 +199,7 @@
 
     def forwarded(self, sender: str, frame: Frame) -> None:
         """A report that another part took."""
-        if self._election.leading and frame.get("t") == self._election.term:
+        if self._election.is_leader and frame.get("t") == self._election.term:
             try:
                 report = decode_report(frame["b"])
             except (msgspec.DecodeError, KeyError, TypeError) as fault:
@@ -211,7 +213,7 @@
         names = frame.get("m")
         if not isinstance(names, list):
             log.warning("a list of machines of %s is none", sender)
-        elif self._election.leading and frame.get("t") == self._election.term:
+        elif self._election.is_leader and frame.get("t") == self._election.term:
             self._signs_of_life(sender, [name for name in names if isinstance(name, str)])
 
     def _note(self, report: wire.Heartbeat) -> None:
@@ -245,7 +247,7 @@
         body: dict[str, Any] | None,
         done: Told,
     ) -> None:
-        if server is None or server == self._settings.node or not self._peers.fresh(server):
+        if server is None or server == self._settings.node or not self._peers.is_reachable(server):
             self._send(address, body, done)
             return
         number = next(self._ids)
@@ -255,14 +257,18 @@
 
     def others(self, zone: str) -> list[str]:
         here = self._settings.node
-        live = [node for node in self._election.view if node != here and self._peers.direct(node)]
+        live = [
+            node
+            for node in self._election.live_members
+            if node != here and self._peers.is_directly_reachable(node)
+        ]
         return sorted(live, key=lambda node: self._zones.get(node) != zone)
 
     def _send(self, address: str, body: dict[str, Any] | None, done: Told) -> None:
         if body is None:
-            self._workers.status(address, done)
+            self._workers.query_status(address, done)
         else:
-            self._workers.orders(address, body, done)
+            self._workers.send_commands(address, body, done)
 
     def _carry_timed_out(self, number: int) -> None:
         entry = self._carried.pop(number, None)
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -95,9 +95,9 @@
         leader = self._election.leader
         return (
             leader is not None
-            and not self._election.leading
-            and self._peers.silent(leader)
-            and self._members.newest_of(leader) >= formats.GANGS
+            and not self._election.is_leader
+            and self._peers.is_silent(leader)
+            and self._members.newest_format_of(leader) >= formats.GANGS
         )
 
     def _list_reported(self) -> None:
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -67,7 +67,7 @@
             leader,
             beat,
         )
-        self._ids = itertools.count(election.life)
+        self._ids = itertools.count(election.incarnation)
         self._asked: dict[int, _PendingRequest] = {}
         self.route: Callable[[str, str | bytes, Answer], None] = self.ask_leader
         """How a user's question reaches who can answer it."""
@@ -79,7 +79,9 @@
             self._only("POST", request, self._beat)
         elif path == wire.UP:
             self._only(
-                "GET", request, lambda request: request.reply(200 if self._election.able else 503)
+                "GET",
+                request,
+                lambda request: request.reply(200 if self._election.is_available else 503),
             )
         elif path == wire.WORK:
             self._only("POST", request, self._submit)
@@ -135,10 +137,10 @@
     def _leader_knows_gangs(self) -> bool:
         """A leader of an older version would place a gang task by task."""
         election = self._election
-        if election.leading:
+        if election.is_leader:
             return True
         leader = election.leader
-        return leader is not None and self._formats.newest_of(leader) >= formats.GANGS
+        return leader is not None and self._formats.newest_format_of(leader) >= formats.GANGS
 
     def _malformed(self, request: Request, why: str, answer: Answer) -> None:
         """A known job's submission is answered with its state, whatever its body has become."""
@@ -167,8 +169,8 @@
         leader = election.leader
         if (
             leader is None
-            or not self._peers.direct(leader)
-            or not election.able
+            or not self._peers.is_directly_reachable(leader)
+            or not election.is_available
             or len(self._asked) >= self._most
         ):
             answer(503, None)
@@ -186,7 +188,7 @@
         number = question.number = next(self._ids)
         self._asked[number] = question
         question.term, question.asked = election.term, election.leader
-        if election.leading:
+        if election.is_leader:
             self._serve(
                 question.what,
                 question.subject,
@@ -231,7 +233,7 @@
         def answer(status: int, body: Any) -> None:
             self._peers.send(sender, {"k": "ans", "i": number, "s": status, "b": body})
 
-        if self._election.leading:
+        if self._election.is_leader:
             self._serve(str(frame.get("w")), frame.get("s"), answer)
         else:
             answer(503, None)
--- a/flaxtally/cells/allotment.py
+++ b/flaxtally/cells/allotment.py
@@ -146,7 +146,7 @@
         if self._claim is None:
             self._store.get(CLAIMS + self._cell, self._guarded(self._read_claim))
         else:
-            self._store.rows(SHARES, self._guarded(self._take_rows))
+            self._store.list_prefix(SHARES, self._guarded(self._take_rows))
 
     def _guarded(self, handler: Callable[..., None]) -> Callable[..., None]:
         """The handler, unless another term has begun or this one has ended meanwhile."""
@@ -175,17 +175,19 @@
         version = row.version if row is not None else 0
 
         def told(outcome: Outcome, revision: int) -> None:
-            if outcome is Outcome.DONE:
+            if outcome is Outcome.COMMITTED:
                 self._claim = revision
                 log.info("event=claimed cell=%s term=%d", self._cell, self._term)
                 self._read_now()
 
         self._busy = True
-        self._store.transact({key: version}, {key: self._term}, [], self._guarded(told), first=True)
+        self._store.compare_and_swap(
+            {key: version}, {key: self._term}, [], self._guarded(told), first=True
+        )
 
     def _read_now(self) -> None:
         self._busy = True
-        self._store.rows(SHARES, self._guarded(self._take_rows))
+        self._store.list_prefix(SHARES, self._guarded(self._take_rows))
 
     def _take_rows(self, rows: list[wire.Row] | None) -> None:
         if rows is None:
@@ -276,14 +278,14 @@
                 self._limits.pop(name, None)
 
         def told(outcome: Outcome, revision: int) -> None:
-            if outcome is Outcome.DONE:
+            if outcome is Outcome.COMMITTED:
                 for name, shares in changes.items():
                     self._note(name, _Row(shares, revision))
-            elif outcome is Outcome.FAILED:
+            elif outcome is Outcome.CONFLICT:
                 # The claim or a row has changed: both are read again. An earlier copy may have been
                 # applied, which the rows' versions tell.
                 self._claim = None
             # Not executed, or not known: written again in the next turn.
 
         self._busy = True
-        self._store.transact(guards, puts, [], self._guarded(told))
+        self._store.compare_and_swap(guards, puts, [], self._guarded(told))
--- a/flaxtally/cells/cell_cloud.py
+++ b/flaxtally/cells/cell_cloud.py
@@ -20,11 +20,11 @@
         super().__init__(runtime, address, rps, timeout)
         self._zones = zones
 
-    def catalog(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
+    def list_machine_types(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
         def told(kinds: list[wire.MachineType] | None) -> None:
             done(None if kinds is None else self._own_types(kinds))
 
-        super().catalog(told)
+        super().list_machine_types(told)
 
     def _own_types(self, kinds: list[wire.MachineType]) -> list[wire.MachineType]:
         found = []
@@ -34,10 +34,10 @@
                 found.append(msgspec.structs.replace(kind, zones=zones))
         return found
 
-    def listing(self, done: Callable[[list[wire.Listed] | None], None]) -> None:
+    def list_machines(self, done: Callable[[list[wire.Listed] | None], None]) -> None:
         def told(listed: list[wire.Listed] | None) -> None:
             if listed is not None:
                 listed = [machine for machine in listed if machine.zone in self._zones]
             done(listed)
 
-        super().listing(told)
+        super().list_machines(told)
--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -63,13 +63,13 @@
         return known, row
 
     def rows(self, prefix: str) -> list[wire.Row] | None:
-        (rows,) = self._wait(lambda told: self._store.rows(prefix, told))
+        (rows,) = self._wait(lambda told: self._store.list_prefix(prefix, told))
         found: list[wire.Row] | None = rows
         return found
 
     def put(self, key: str, version: int, value: Any) -> Outcome:
         (outcome, _) = self._wait(
-            lambda told: self._store.transact({key: version}, {key: value}, [], told)
+            lambda told: self._store.compare_and_swap({key: version}, {key: value}, [], told)
         )
         found: Outcome = outcome
         return found
@@ -91,9 +91,9 @@
         return _fail(INVALID_INPUT, f"{path}: cells.{fault}")
     version = row.version if row is not None else 0
     outcome = calls.put(MAP_KEY, version, msgspec.to_builtins(cell_map))
-    if outcome is Outcome.FAILED:
+    if outcome is Outcome.CONFLICT:
         return _fail(INVALID_INPUT, f"{path}: cells.version: another map came in between")
-    if outcome is not Outcome.DONE:
+    if outcome is not Outcome.COMMITTED:
         return _fail(NO_ANSWER, f"{where} gave no answer: `cells show` tells which map is in force")
     print(f"cell map {cell_map.version} is in force at {where}")
     return DONE
--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -68,17 +68,17 @@
         """
 
         def told(outcome: Outcome, revision: int) -> None:
-            if outcome is Outcome.DONE:
+            if outcome is Outcome.COMMITTED:
                 self._note(ref, entry)
                 done(Found(entry, revision))
-            elif outcome is Outcome.FAILED:
+            elif outcome is Outcome.CONFLICT:
                 self.look_up(ref, done)
             else:
                 done(None)
 
         key = JOBS + ref
         value = msgspec.to_builtins(entry)
-        self._store.transact({key: version}, {key: value}, [], told, first=True)
+        self._store.compare_and_swap({key: version}, {key: value}, [], told, first=True)
 
     def _read(self, ref: str, row: wire.Row | None) -> Found | None:
         if row is None:
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -93,7 +93,9 @@
         return [
             name
             for name in cell.controllers
-            if name in self._said and self._said[name].able and self._links.direct(name)
+            if name in self._said
+            and self._said[name].able
+            and self._links.is_directly_reachable(name)
         ]
 
     def pressure(self, cell: Cell) -> float:
@@ -149,7 +151,7 @@
         self._ask_here, self._own_state, self._most = ask_here, own_state, most
         self._tell_peers = tell_peers
         self.cells = CellStates(links)
-        self._numbers = itertools.count(election.life)
+        self._numbers = itertools.count(election.incarnation)
         self._passed: dict[int, _Passed] = {}
         self._open = 0
         """Users' questions that came here and are not answered."""
@@ -263,7 +265,7 @@
 
     def _able_cells(self) -> set[str]:
         able = {cell.name for cell in self._index().cells.values() if self.cells.able(cell)}
-        if self._election.able:
+        if self._election.is_available:
             able.add(self._cell)
         return able
 
--- a/flaxtally/cells/map_keeper.py
+++ b/flaxtally/cells/map_keeper.py
@@ -60,10 +60,12 @@
 
     def _create(self) -> None:
         def told(outcome: Outcome, _: int) -> None:
-            if outcome is Outcome.DONE:
+            if outcome is Outcome.COMMITTED:
                 log.info("event=cell_map_created version=%d", self.index.version)
 
-        self._store.transact({MAP_KEY: 0}, {MAP_KEY: msgspec.to_builtins(self.index.map)}, [], told)
+        self._store.compare_and_swap(
+            {MAP_KEY: 0}, {MAP_KEY: msgspec.to_builtins(self.index.map)}, [], told
+        )
 
     def _take(self, value: Any) -> None:
         try:
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -16,7 +16,7 @@
 from ..api.job_api import JobApi
 from ..clients.cloud import Cloud
 from ..clients.key_value_store import KeyValueStore
-from ..cluster.leader_election import LEAD, LeaderElection
+from ..cluster.leader_election import LEADER_KEY, LeaderElection
 from ..cluster.peer_links import PeerLinks
 from ..leader.leader import Leader
 from ..policy import Policy
@@ -149,7 +149,7 @@
             self._policy.gather,
             lambda sender, frame: self.gateway.receive(sender, frame),
         )
-        peers.beside = self.links
+        peers.sibling = self.links
         self.gateway = Gateway(
             self.runtime,
             self._policy,
@@ -188,7 +188,7 @@
                 )
             self.later(self._policy.call, self._look_for_undivided, start)
 
-        self._own_store.get(LEAD, told)
+        self._own_store.get(LEADER_KEY, told)
 
     def on_pause(self, lost: float) -> None:
         """The process stood still: other cells were not silent meanwhile."""
@@ -208,22 +208,22 @@
         assert leader is not None
         cell = self._setup.cell.name
         if not leader.term.active:
-            return CellState(cell, election.able)
+            return CellState(cell, election.is_available)
         machines = max(1, len(leader.term.fleet.machines))
-        waiting = sum(job.waiting for job in leader.jobs.queue.waiting())
+        waiting = sum(job.pending_count for job in leader.jobs.queue.waiting())
         kinds = [
             Kind(kind.name, kind.cores, kind.gpus, kind.ram) for kind in leader.term.kinds.values()
         ]
-        return CellState(cell, election.able, waiting / machines, kinds)
+        return CellState(cell, election.is_available, waiting / machines, kinds)
 
     def _demand(self) -> dict[str, Amount]:
         """What each team uses and waits for in this cell."""
         assert self._leader is not None
-        usages = self._leader.book.usage
+        usages = self._leader.book.usage_by_team
         found = {team: Amount(usage.cores, usage.gpus) for team, usage in usages.items()}
         if self._leader.term.active:
             for job in self._leader.jobs.queue.waiting():
                 spec = job.spec
-                needed = Amount(spec.cores * job.waiting, spec.gpus * job.waiting)
+                needed = Amount(spec.cores * job.pending_count, spec.gpus * job.pending_count)
                 found[spec.team] = found.get(spec.team, ZERO) + needed
         return found
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -41,9 +41,9 @@
         self._order = itertools.count()
         self._armed = self._held = False
         self.troubled_at = float("-inf")
-        self.contact = float("-inf")
+        self.last_contact_at = float("-inf")
 
-    def catalog(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
+    def list_machine_types(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
         self._call(
             ROUTINE,
             "GET",
@@ -52,7 +52,7 @@
             lambda reply: done(self._read(reply, _catalog, "types")),
         )
 
-    def rent(
+    def provision(
         self,
         request: str,
         kind: str,
@@ -72,7 +72,7 @@
             if machines is not None:
                 done("rented", machines)
             elif reply.status == 503 and b"capacity" in reply.body:
-                self.contact = self._runtime.now()
+                self.last_contact_at = self._runtime.now()
                 done("none", [])
             elif reply.status in (429, 503):
                 done("trouble", [])
@@ -81,17 +81,17 @@
 
         self._call(RENT, "POST", wire.RENTALS, wire.rental(request, kind, zone, spot, count), told)
 
-    def release(self, machines: list[str], done: Callable[[bool], None]) -> None:
+    def terminate(self, machines: list[str], done: Callable[[bool], None]) -> None:
         """`done(True)` only on a 200: then the machines and everything on them are gone."""
 
         def told(reply: Reply) -> None:
             if reply.status == 200:
-                self.contact = self._runtime.now()
+                self.last_contact_at = self._runtime.now()
             done(reply.status == 200)
 
         self._call(URGENT, "POST", wire.RELEASE, wire.release(machines), told)
 
-    def listing(self, done: Callable[[list[wire.Listed] | None], None]) -> None:
+    def list_machines(self, done: Callable[[list[wire.Listed] | None], None]) -> None:
         found: list[wire.Listed] = []
 
         def told(reply: Reply) -> None:
@@ -111,9 +111,9 @@
         ask(None)
 
     @property
-    def troubled(self) -> bool:
+    def is_troubled(self) -> bool:
         """Whether its last answer was none, or of no use."""
-        return self.troubled_at > self.contact
+        return self.troubled_at > self.last_contact_at
 
     def forget(self) -> None:
         """Drops what still waits to be called; for a leader that is one no more."""
@@ -132,7 +132,7 @@
     def _read(self, reply: Reply, decoder: Any, field: str | None) -> Any:
         if reply.status != 200:
             return None
-        self.contact = self._runtime.now()
+        self.last_contact_at = self._runtime.now()
         try:
             message = decoder.decode(reply.body)
         except msgspec.DecodeError as fault:
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -55,12 +55,12 @@
         """By address, the one called longest ago first."""
         self._waiting: deque[_Call] = deque()
 
-    def orders(
+    def send_commands(
         self, address: str, body: dict[str, Any], done: Callable[[int, bytes], None]
     ) -> None:
         self._call(address, "POST", wire.ORDERS, body, done)
 
-    def status(self, address: str, done: Callable[[int, bytes], None]) -> None:
+    def query_status(self, address: str, done: Callable[[int, bytes], None]) -> None:
         self._call(address, "GET", wire.STATUS, None, done)
 
     def _call(
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -20,7 +20,7 @@
 from ..protocol.formats import FormatRange
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
-from .leader_election import LEAD
+from .leader_election import LEADER_KEY
 
 log = logging.getLogger(__name__)
 
@@ -50,17 +50,17 @@
 
     # Evidence
 
-    def hello(self, peer: str, connection: int, stated: Any) -> None:
+    def on_hello(self, peer: str, connection: int, stated: Any) -> None:
         """A peer's first frame on a connection; later connections have higher numbers."""
         if connection < self._connections.get(peer, -1):
             return
         self._connections[peer] = connection
         self._note(peer, formats.parse_range(stated))
 
-    def mailed(self, peer: str, stated: Any) -> None:
+    def on_relayed_heartbeat(self, peer: str, stated: Any) -> None:
         """A peer's heartbeat that came through the state service."""
         found = formats.parse_range(stated)
-        if found.newest > self.newest_of(peer):
+        if found.newest > self.newest_format_of(peer):
             self._note(peer, found)
 
     def _note(self, peer: str, found: FormatRange) -> None:
@@ -70,15 +70,15 @@
             log.info("event=member_format peer=%s newest=%d", peer, found.newest)
             self._keep()
 
-    def newest_of(self, peer: str) -> int:
+    def newest_format_of(self, peer: str) -> int:
         """The newest format that the peer is known to read."""
         heard = self._heard.get(peer)
         return heard.newest if heard is not None else self._kept.get(peer, formats.FIRST)
 
     @property
-    def common(self) -> int:
+    def common_format(self) -> int:
         """The newest format that all configured controllers are known to read."""
-        return min([formats.OWN.newest, *(self.newest_of(peer) for peer in self._peers)])
+        return min([formats.OWN.newest, *(self.newest_format_of(peer) for peer in self._peers)])
 
     # The key
 
@@ -93,7 +93,7 @@
         self._leader_version = None
 
     def _known(self) -> dict[str, int]:
-        newest = {peer: self.newest_of(peer) for peer in self._peers}
+        newest = {peer: self.newest_format_of(peer) for peer in self._peers}
         return {peer: version for peer, version in newest.items() if version > formats.FIRST}
 
     def _keep(self) -> None:
@@ -126,14 +126,14 @@
 
         def told(outcome: Outcome, revision: int) -> None:
             self._busy = False
-            if outcome is Outcome.DONE and self._leader_version == leader_version:
+            if outcome is Outcome.COMMITTED and self._leader_version == leader_version:
                 self._kept, self._key_version = known, revision
             else:
                 self._key_version = None
             self.later(self._retry, self._keep)
 
-        guards = {LEAD: leader_version, FORMATS_KEY: key_version}
-        self._store.transact(guards, {FORMATS_KEY: {"newest": known}}, [], told)
+        guards = {LEADER_KEY: leader_version, FORMATS_KEY: key_version}
+        self._store.compare_and_swap(guards, {FORMATS_KEY: {"newest": known}}, [], told)
 
 
 def _parse_kept(value: Any) -> dict[str, int]:
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -23,8 +23,8 @@
 
 log = logging.getLogger(__name__)
 
-LEAD = "lead"
-ALIVE = "alive/"
+LEADER_KEY = "lead"
+LEADER_LEASE_PREFIX = "alive/"
 
 
 class LeaderElection(Actor):
@@ -52,7 +52,7 @@
         self._lead, self._follow = lead, follow
         self._boot = f"{rng.getrandbits(64):016x}"
         self._started = runtime.now()
-        self.life = int(self._boot, 16) >> 2
+        self.incarnation = int(self._boot, 16) >> 2
         """A number of this life of the process alone: what it numbers begins there, so that no
         answer to a former life is taken for one to this.
         """
@@ -63,10 +63,10 @@
         would prove nothing.
         """
         self.leader: str | None = None
-        self.leading = False
-        self.ready = False
+        self.is_leader = False
+        self.is_ready = False
         self.version = 0
-        self.view: list[str] = []
+        self.live_members: list[str] = []
         self._key_known = False
         self._key_mine_of_old = False
         self._leader_heard = float("-inf")
@@ -102,46 +102,49 @@
     # What others ask
 
     @property
-    def store_answers(self) -> bool:
-        return self.runtime.now() - self._store.contact < 2.2 * self._policy.probe
+    def is_store_reachable(self) -> bool:
+        return self.runtime.now() - self._store.last_contact_at < 2.2 * self._policy.probe
 
     @property
-    def isolated(self) -> bool:
+    def may_be_superseded(self) -> bool:
         """Whether others may well lead by now.
 
         The state service doesn't answer, and some other controller is neither heard nor dead. (In
         an outage of the state service the others are heard, and nobody can take over.)
         """
         peers = self._peers
-        return not self.store_answers and not all(
-            peers.fresh(peer) or peers.refuses(peer) for peer in peers.heard
+        return not self.is_store_reachable and not all(
+            peers.is_reachable(peer) or peers.refuses_connections(peer)
+            for peer in peers.last_heard_at
         )
 
     @property
-    def leader_in_touch(self) -> float:
+    def seconds_since_leader_contact(self) -> float:
         """Seconds since the leader of our term was last heard (0 for the leader itself)."""
-        if self.leading:
-            return max(0.0, self.runtime.now() - self._store.contact - self._policy.probe)
+        if self.is_leader:
+            return max(0.0, self.runtime.now() - self._store.last_contact_at - self._policy.probe)
         return self.runtime.now() - self._leader_heard
 
     @property
     def served_term(self) -> int:
         """The term whose leader is ready for requests, as far as this node knows; 0 for none."""
-        ready = self.ready if self.leading else self._leader_ready and self._sees_leader()
+        ready = self.is_ready if self.is_leader else self._leader_ready and self._sees_leader()
         return self.term if ready else 0
 
     @property
-    def able(self) -> bool:
+    def is_available(self) -> bool:
         """Whether this node reaches, or is, a leader that can commit.
 
         Damped, since a node that was marked down comes back slowly.
         """
         now = self.runtime.now()
-        if self.leading:
-            able = self.ready and self.store_answers
+        if self.is_leader:
+            able = self.is_ready and self.is_store_reachable
         else:
             able = (
-                self._peers.direct(self.leader or "") and self._leader_able and self._leader_ready
+                self._peers.is_directly_reachable(self.leader or "")
+                and self._leader_able
+                and self._leader_ready
             )
         if able:
             self._able_at = now
@@ -150,55 +153,58 @@
     # Heartbeats
 
     def _beat(self) -> None:
-        if self.leading:
-            self.view = sorted(
-                [self._node, *(peer for peer in self._peers.heard if self._peers.fresh(peer))]
+        if self.is_leader:
+            self.live_members = sorted(
+                [
+                    self._node,
+                    *(peer for peer in self._peers.last_heard_at if self._peers.is_reachable(peer)),
+                ]
             )
         self._peers.broadcast(
             {
                 "k": "hb",
                 "term": self.term,
                 "leader": self.leader,
-                "able": self.leading and self.store_answers,
-                "ready": self.ready,
+                "able": self.is_leader and self.is_store_reachable,
+                "ready": self.is_ready,
                 "sees": self._sees_leader(),
-                "view": self.view if self.leading else [],
+                "view": self.live_members if self.is_leader else [],
                 "formats": list(formats.OWN),
             }
         )
         self._consider()
 
-    def heartbeat(self, sender: str, frame: Frame) -> None:
+    def on_heartbeat(self, sender: str, frame: Frame) -> None:
         term, leader = frame.get("term"), frame.get("leader")
         if not isinstance(term, int) or not isinstance(leader, str | None):
             return
         self._sees[sender] = frame.get("sees") is True and term == self.term
         if term > self.term and leader is not None:
             self._adopt(term, leader)
-        if sender == leader == self.leader and term == self.term and not self.leading:
+        if sender == leader == self.leader and term == self.term and not self.is_leader:
             self._leader_heard = self.runtime.now()
             self._leader_able = frame.get("able") is True
             self._leader_ready = frame.get("ready") is True
             view = frame.get("view")
             if isinstance(view, list) and all(isinstance(name, str) for name in view):
-                self.view = view
+                self.live_members = view
 
     def _sees_leader(self) -> bool:
-        if self.leading:
+        if self.is_leader:
             return True
         return (
             self.leader is not None
-            and self._peers.fresh(self.leader)
+            and self._peers.is_reachable(self.leader)
             and self._leader_able
-            and not self._peers.refuses(self.leader)
+            and not self._peers.refuses_connections(self.leader)
         )
 
     def _adopt(self, term: int, leader: str) -> None:
         log.info("event=follow node=%s term=%d leader=%s", self._node, term, leader)
-        was = self.leading
+        was = self.is_leader
         if self.term:
             self._replaced_at = self.runtime.now()
-        self.term, self.leader, self.leading, self.ready = term, leader, False, False
+        self.term, self.leader, self.is_leader, self.is_ready = term, leader, False, False
         self._key_known = False
         self._lease = None
         self._leader_heard, self._leader_able, self._leader_ready = self.runtime.now(), True, False
@@ -206,11 +212,11 @@
         if was:
             self._follow()
 
-    def depose(self) -> None:
+    def step_down(self) -> None:
         """A guarded write failed: somebody else leads. The key will say who."""
-        if self.leading:
+        if self.is_leader:
             log.info("event=deposed node=%s term=%d", self._node, self.term)
-            self.leading = self.ready = False
+            self.is_leader = self.is_ready = False
             self.leader = None
             self._lease = None
             self._follow()
@@ -220,12 +226,12 @@
         """Gives up leading for good: the ledger was raised to a format that others read."""
         log.error("event=refuses_to_lead node=%s term=%d", self._node, self.term)
         self._barred = True
-        self.depose()
+        self.step_down()
 
     # The key
 
     def _probe(self) -> None:
-        if self.leading:
+        if self.is_leader:
             self._keep_lease()
         if self._reading:
             return
@@ -236,7 +242,7 @@
             if known:
                 self._read(row)
 
-        self._store.get(LEAD, told)
+        self._store.get(LEADER_KEY, told)
 
     def _read(self, row: wire.Row | None) -> None:
         if row is None:
@@ -250,9 +256,9 @@
             return
         term, node = value["term"], str(value.get("node"))
         mine = value.get("boot") == self._boot
-        if self.leading:
+        if self.is_leader:
             if term > self.term or (term == self.term and not mine):
-                self.depose()
+                self.step_down()
             return
         if term < self.term:
             return
@@ -268,12 +274,12 @@
 
     def _refused(self) -> None:
         """Told at once to those who would otherwise still trust our last word on the leader."""
-        if self.leader is not None and self._peers.refuses(self.leader):
+        if self.leader is not None and self._peers.refuses_connections(self.leader):
             self._beat()
 
     def _consider(self) -> None:
         """Takes over when the leader is lost, and nobody whom we hear still sees it."""
-        if self.leading or self._taking or self._barred or not self.store_answers:
+        if self.is_leader or self._taking or self._barred or not self.is_store_reachable:
             return
         if not self._key_known:
             if not self._sees_leader():
@@ -292,15 +298,17 @@
             self._lost_since = now
         others = [
             peer
-            for peer in self._peers.heard
-            if peer != self.leader and self._peers.fresh(peer) and not self._peers.refuses(peer)
+            for peer in self._peers.last_heard_at
+            if peer != self.leader
+            and self._peers.is_reachable(peer)
+            and not self._peers.refuses_connections(peer)
         ]
         rank = sorted([self._node, *others]).index(self._node)
         pause = policy.heartbeat * (0.25 + rank)
         if now - self._lost_since < pause:
             self.later(pause, self._consider)
             return
-        refused = self.leader is not None and self._peers.refuses(self.leader)
+        refused = self.leader is not None and self._peers.refuses_connections(self.leader)
         alone = not others
         if alone and refused and now - self._lost_since < policy.refused_patience:
             # All refuse us: they died together, or a filter stands between us. A live leader's mail
@@ -313,7 +321,7 @@
             # Alone, or others disagree: the leader's lease at the state service decides. A leader
             # that has just begun, on a slow processor, is reading the ledger and has none yet.
             self._checking = True
-            self._store.rows(ALIVE, partial(self._checked, self._attempt))
+            self._store.list_prefix(LEADER_LEASE_PREFIX, partial(self._checked, self._attempt))
 
     def _checked(self, attempt: int, rows: list[wire.Row] | None) -> None:
         self._checking = False
@@ -331,7 +339,7 @@
     def _take(self, attempt: int) -> None:
         if attempt != self._attempt:
             return
-        if self.leading or not self._key_known:
+        if self.is_leader or not self._key_known:
             self._taking = False
             return
         term, version = self.term + 1, self.version
@@ -343,19 +351,21 @@
                 self._probe()
                 return
             self._taking = False
-            if outcome is Outcome.DONE and term > self.term:
+            if outcome is Outcome.COMMITTED and term > self.term:
                 self._won(term, revision)
-            elif outcome is not Outcome.DONE:
+            elif outcome is not Outcome.COMMITTED:
                 self._key_known = False
                 self._probe()
 
-        self._store.transact({LEAD: version}, {LEAD: value}, [], told, first=True)
+        self._store.compare_and_swap(
+            {LEADER_KEY: version}, {LEADER_KEY: value}, [], told, first=True
+        )
 
     def _won(self, term: int, version: int) -> None:
         log.info("event=lead node=%s term=%d", self._node, term)
         self._led = term
         self.term, self.leader, self.version = term, self._node, version
-        self.leading, self.ready, self._key_mine_of_old = True, False, False
+        self.is_leader, self.is_ready, self._key_mine_of_old = True, False, False
         self._key_known = False
         self._lost_since = None
         self._lease = None
@@ -376,22 +386,22 @@
                 if alive is False and self._lease == lease:
                     self._lease = None
 
-            self._store.extend(lease, extended)
+            self._store.renew_lease(lease, extended)
             return
 
         def held(lease: int | None) -> None:
             self._leasing = False
-            if lease is None or not self.leading or self.term != term:
+            if lease is None or not self.is_leader or self.term != term:
                 return
             self._lease = lease
             self._lease_turn += 1
-            key = f"{ALIVE}{term}-{self._lease_turn}"
-            self._store.transact(
-                {LEAD: self.version, key: 0}, {key: term}, [], self._noted, lease=lease
+            key = f"{LEADER_LEASE_PREFIX}{term}-{self._lease_turn}"
+            self._store.compare_and_swap(
+                {LEADER_KEY: self.version, key: 0}, {key: term}, [], self._noted, lease=lease
             )
 
-        self._store.hold(self._policy.leader_hold, held)
+        self._store.grant_lease(self._policy.leader_hold, held)
 
     def _noted(self, outcome: Outcome, _: int) -> None:
-        if outcome in (Outcome.REFUSED, Outcome.INVALID, Outcome.UNKNOWN):
+        if outcome in (Outcome.UNAVAILABLE, Outcome.INVALID, Outcome.INDETERMINATE):
             self._lease = None
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -66,7 +66,7 @@
         self.stream: Stream | None = None
         self.dialled_at = float("-inf")
         self.refused_at = float("-inf")
-        self.deaf = False
+        self.is_unresponsive = False
         self.gathered = bytearray()
 
 
@@ -83,14 +83,14 @@
         gather: float,
         receive: Callable[[str, Frame], None],
     ) -> None:
-        """Without `listen`, another `PeerLinks` (with these `beside` it) accepts connections."""
+        """Without `listen`, another `PeerLinks` (with these `sibling` it) accepts connections."""
         super().__init__(runtime)
-        self.beside: PeerLinks | None = None
+        self.sibling: PeerLinks | None = None
         """Links to nodes that are no peers of ours, and speak on connections accepted here."""
         self._node, self._silence, self._gather, self._receive = node, silence, gather, receive
         self._links = {name: _Link(address) for name, address in others.items()}
-        self.heard: dict[str, float] = {name: float("-inf") for name in others}
-        self.mail: StoreRelay | None = None
+        self.last_heard_at: dict[str, float] = {name: float("-inf") for name in others}
+        self.relay: StoreRelay | None = None
         self.on_refused: Callable[[], None] = lambda: None
         self.on_hello: Callable[[str, int, Any], None] = lambda *_: None
         """Told of a peer's first frame on a connection: the peer, the connection's number in the
@@ -100,39 +100,42 @@
         if listen is not None:
             runtime.listen(listen, self._accept)
 
-    def direct(self, node: str) -> bool:
+    def is_directly_reachable(self, node: str) -> bool:
         """Whether the node was lately heard over its link."""
         return (
             node == self._node
-            or self.runtime.now() - self.heard.get(node, float("-inf")) < self._silence
+            or self.runtime.now() - self.last_heard_at.get(node, float("-inf")) < self._silence
         )
 
-    def fresh(self, node: str) -> bool:
+    def is_reachable(self, node: str) -> bool:
         """Whether the node was lately heard at all, over its link or by mail."""
-        return self.direct(node) or (self.mail is not None and self.mail.fresh(node))
+        return self.is_directly_reachable(node) or (
+            self.relay is not None and self.relay.is_reachable(node)
+        )
 
     def on_pause(self, lost: float) -> None:
         """The process stood still: peers were not silent meanwhile, nor are links stale for it."""
         now = self.runtime.now()
         for node, link in self._links.items():
-            self.heard[node] = min(now, self.heard[node] + lost)
+            self.last_heard_at[node] = min(now, self.last_heard_at[node] + lost)
             link.refused_at = min(now, link.refused_at + lost)
             link.dialled_at = min(now, link.dialled_at + lost)
-        if self.mail is not None:
-            self.mail.on_pause(lost)
+        if self.relay is not None:
+            self.relay.on_pause(lost)
 
     def send(self, node: str, frame: Frame) -> None:
         """Sends if the link is up or can be dialled; no promise that it arrives."""
         link = self._links.get(node)
         if link is None:
             return
-        if self.mail is not None and self.silent(node):
-            self.mail.post(node, frame)
+        if self.relay is not None and self.is_silent(node):
+            self.relay.enqueue(node, frame)
         now = self.runtime.now()
         stale = (
-            now - self.heard[node] > 2 * self._silence and now - link.dialled_at > 2 * self._silence
+            now - self.last_heard_at[node] > 2 * self._silence
+            and now - link.dialled_at > 2 * self._silence
         )
-        unheard = link.deaf and now - link.dialled_at > 2 * self._silence
+        unheard = link.is_unresponsive and now - link.dialled_at > 2 * self._silence
         if link.stream is not None and (stale or unheard):
             # A cut may hold packets for minutes: what waits in the old connection is better lost.
             # And the peer may have begun anew during a cut: then this connection leads nowhere, and
@@ -166,17 +169,17 @@
         hello = {"k": "hello", "node": self._node, "formats": list(formats.OWN)}
         link.stream.send(encode(hello))
 
-    def silent(self, node: str) -> bool:
+    def is_silent(self, node: str) -> bool:
         """Whether one of the two directions of the link seems dead."""
         link = self._links.get(node)
-        return not self.direct(node) or (
-            link is not None and (link.deaf or self._refused(node, link))
+        return not self.is_directly_reachable(node) or (
+            link is not None and (link.is_unresponsive or self._refused(node, link))
         )
 
     def broadcast(self, frame: Frame) -> None:
         """To every peer, with word on whether we hear it."""
         for node in self._links:
-            self.send(node, frame | {"hears": self.direct(node)})
+            self.send(node, frame | {"hears": self.is_directly_reachable(node)})
 
     def _lost(self, node: str, link: _Link) -> None:
         link.stream = None
@@ -188,7 +191,7 @@
             # Dialled again at once: a dead process refuses at once, a cut hangs.
             self._dial(node, link)
 
-    def refuses(self, node: str) -> bool:
+    def refuses_connections(self, node: str) -> bool:
         """Whether the node's process is likely dead.
 
         Its address refused a connection after it was last heard, and no mail of it comes. A cut
@@ -197,10 +200,10 @@
         link = self._links.get(node)
         if link is None or not self._refused(node, link):
             return False
-        return self.mail is None or not self.mail.fresh(node)
+        return self.relay is None or not self.relay.is_reachable(node)
 
     def _refused(self, node: str, link: _Link) -> bool:
-        return link.refused_at > self.heard[node]
+        return link.refused_at > self.last_heard_at[node]
 
     def _accept(self, stream: Stream) -> None:
         frames = Frames()
@@ -228,7 +231,7 @@
                     owner.on_hello(str(node), connection, frame.get("formats"))
                     continue
                 links, name = speaker[0]
-                links.take(name, frame)
+                links.handle_frame(name, frame)
 
         stream.on_data = data
 
@@ -236,13 +239,17 @@
         """Whose peer the node is."""
         if node in self._links:
             return self
-        return self.beside if self.beside is not None and node in self.beside.heard else None
+        return (
+            self.sibling
+            if self.sibling is not None and node in self.sibling.last_heard_at
+            else None
+        )
 
-    def take(self, sender: str, frame: Frame) -> None:
+    def handle_frame(self, sender: str, frame: Frame) -> None:
         """A frame of a peer, as it came."""
-        self.heard[sender] = self.runtime.now()
+        self.last_heard_at[sender] = self.runtime.now()
         if "hears" in frame:
-            self._links[sender].deaf = frame["hears"] is False
+            self._links[sender].is_unresponsive = frame["hears"] is False
         try:
             self._receive(sender, frame)
         except Exception:
--- a/flaxtally/cluster/store_relay.py
+++ b/flaxtally/cluster/store_relay.py
@@ -42,7 +42,7 @@
 Frame = dict[str, Any]
 
 
-def fold(frames: Sequence[Frame], most: int, at: float) -> tuple[str, int]:
+def encode_batch(frames: Sequence[Frame], most: int, at: float) -> tuple[str, int]:
     """A batch as text of at most `most` characters, and how many of the first frames are in it.
 
     `at`: the time of day, since a batch lies there until the next silence of the link.
@@ -58,7 +58,7 @@
         count = min(count - 1, int(count * share * SAFE_SHARE))
 
 
-def unfold(text: str) -> tuple[float, list[Frame]]:
+def decode_batch(text: str) -> tuple[float, list[Frame]]:
     """The time of day of a batch and its frames, or ValueError."""
     try:
         inflater = zlib.decompressobj()
@@ -158,7 +158,7 @@
         self._boxes = {peer: _RelayQueue() for peer in peers}
         self.every(period / 2, self._turn)
 
-    def fresh(self, peer: str) -> bool:
+    def is_reachable(self, peer: str) -> bool:
         box = self._boxes.get(peer)
         return box is not None and self.runtime.now() - box.heard < FRESH_PERIODS * self._period
 
@@ -168,7 +168,7 @@
         for box in self._boxes.values():
             box.heard = min(now, box.heard + lost)
 
-    def post(self, peer: str, frame: Frame) -> None:
+    def enqueue(self, peer: str, frame: Frame) -> None:
         """Keeps the frame for a batch.
 
         Of heartbeats, and of one machine's reports, the last is enough.
@@ -194,7 +194,7 @@
                 continue
             self._read(peer, box)
             box.forget(self.runtime.now() - FRESH_PERIODS * self._period)
-            pause = self._period if self.fresh(peer) else 2 * self._period
+            pause = self._period if self.is_reachable(peer) else 2 * self._period
             if box.holds_any and not box.writing and self.runtime.now() - box.posted_at >= pause:
                 self._write(peer, box)
 
@@ -213,17 +213,17 @@
         box.posted_at = self.runtime.now()
         frames = box.in_order()
         now = self.runtime.wall()
-        text, count = fold(frames, self._most, now)
+        text, count = encode_batch(frames, self._most, now)
         box.sent(count)
-        if count < len(frames) and fold([frames[count]], self._most, now)[1] == 0:
+        if count < len(frames) and encode_batch([frames[count]], self._most, now)[1] == 0:
             log.warning("a frame of kind %s is too long for mail", frames[count]["k"])
             box.sent(1)
 
         def told(outcome: Outcome, revision: int) -> None:
             box.writing = False
-            box.version = revision if outcome is Outcome.DONE else None
+            box.version = revision if outcome is Outcome.COMMITTED else None
 
-        self._store.transact({key: box.version}, {key: text}, [], told)
+        self._store.compare_and_swap({key: box.version}, {key: text}, [], told)
 
     def _read(self, peer: str, box: _RelayQueue) -> None:
         if box.reading:
@@ -242,7 +242,7 @@
             if first or row is None or not self._silent(peer):
                 return
             try:
-                at, frames = unfold(row.value)
+                at, frames = decode_batch(row.value)
             except ValueError as fault:
                 log.warning("mail of %s: %s", peer, fault)
                 return
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -86,15 +86,15 @@
             lambda: self.leader.tell("end"),
         )
         self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
-        self.peers.on_hello = self.formats.hello
-        self.peers.mail = StoreRelay(
+        self.peers.on_hello = self.formats.on_hello
+        self.peers.relay = StoreRelay(
             runtime,
             settings.node,
             list(settings.peers),
             store,
             policy.mail,
             int(settings.state_limits.value_bytes * PAGE_SHARE),
-            self.peers.silent,
+            self.peers.is_silent,
             self._mails,
             self._receive_mailed,
         )
@@ -108,7 +108,7 @@
             policy.retry,
             policy.first_call,
             policy.gather,
-            self.election.depose,
+            self.election.step_down,
             self.election.refuse_to_lead,
         )
         self.leader = Leader(
@@ -140,7 +140,7 @@
                 self.election, self.peers, self.intake, self.dispatch, self.leader
             )
         self._frames = {
-            HEARTBEAT: self.election.heartbeat,
+            HEARTBEAT: self.election.on_heartbeat,
             REPORT: self.dispatch.forwarded,
             ALIVE: self.dispatch.alive,
             "ord": self.dispatch.order,
@@ -179,7 +179,7 @@
         Only a leader and its followers write to each other: changes there are few.
         """
         election = self.election
-        return election.store_answers and (election.leading or election.leader == peer)
+        return election.is_store_reachable and (election.is_leader or election.leader == peer)
 
     def _on_delay(self, delay: LoopDelay) -> None:
         """For operators: this controller has more to do than its share of a processor allows."""
@@ -203,7 +203,7 @@
 
     def _receive_mailed(self, sender: str, frame: Frame) -> None:
         if frame["k"] == HEARTBEAT:
-            self.formats.mailed(sender, frame.get("formats"))
+            self.formats.on_relayed_heartbeat(sender, frame.get("formats"))
         self._receive(sender, frame)
 
     def _receive(self, sender: str, frame: Frame) -> None:
--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -96,13 +96,14 @@
 ) -> Situation:
     """The situation of a gang in the ledger, with what the leader knows beside it."""
     members = tuple(
-        Member(placed.attempt, placed.committed, placed.state) for placed in job.placed.values()
+        Member(placed.attempt, placed.is_committed, placed.state)
+        for placed in job.placements.values()
     )
     return Situation(
         job.spec.tasks,
         members,
-        job.done,
-        job.cancelled,
+        job.is_done,
+        job.is_cancelled,
         has_run,
         is_broken,
         stopping_for,
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -63,12 +63,12 @@
             if kinds is None:
                 return
             self.term.kinds = {kind.name: kind for kind in kinds}
-            known = msgspec.convert(self.ledger.book.catalog, list[wire.MachineType])
+            known = msgspec.convert(self.ledger.state.catalog, list[wire.MachineType])
             if [_fixed(kind) for kind in known] != [_fixed(kind) for kind in kinds]:
                 self.ledger.propose_catalog(msgspec.to_builtins(kinds))
             self.term.request_pass()
 
-        self.cloud.catalog(told)
+        self.cloud.list_machine_types(told)
 
     def plan(self, then: Callable[[list[Demand]], None] | None = None) -> None:
         """Rents and gives back, then calls `then` with the demand that it planned for.
@@ -81,7 +81,7 @@
         now, policy = self.runtime.now(), self.policy
         if (
             now - self.term.began < policy.settle / 4
-            and self.ledger.book.jobs
+            and self.ledger.state.jobs
             and self.fleet.machines
         ):
             return
@@ -111,7 +111,7 @@
             if not self._rentals.is_resting(pool := Pool(kind.name, zone, spot))
         ]
         per_step = int(self.settings.cloud_rps * self.policy.plan_step)
-        calls = 1 if self.cloud.troubled else max(1, per_step)
+        calls = 1 if self.cloud.is_troubled else max(1, per_step)
         rents = provisioning.plan(
             steps, self.term.kinds, pools, self.jobs.needs, SPOT_WORTH, calls * MOST_RENTED
         )
@@ -144,7 +144,7 @@
         )
         waiting: dict[str, int] = {}
         for job in self.jobs.queue.waiting():
-            waiting[job.spec.lane] = waiting.get(job.spec.lane, 0) + job.waiting
+            waiting[job.spec.lane] = waiting.get(job.spec.lane, 0) + job.pending_count
         log.info("event=fleet term=%d %s waiting=%s", self.term.number, text, waiting)
 
     def _give_back(self, now: float, demands: list[Demand]) -> None:
@@ -193,10 +193,10 @@
         known: dict[int, bool] = {}
         for placed in machine.placements.values():
             job = placed.job
-            if job.no not in known:
+            if job.number not in known:
                 dear = dear_types(job.shape, self.term.kinds, self.jobs.needs, most)
-                known[job.no] = pool in dear
-            if not known[job.no]:
+                known[job.number] = pool in dear
+            if not known[job.number]:
                 return False
         return bool(known)
 
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -90,4 +90,4 @@
             return -math.inf
         if spec.estimate <= 0:
             return math.inf
-        return spec.estimate - (now - placed.ran_at if placed.ran_at is not None else 0.0)
+        return spec.estimate - (now - placed.started_at if placed.started_at is not None else 0.0)
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -65,8 +65,8 @@
             # Who has just begun is left in peace: its start counts for what users see.
             return (
                 placed.state == wire.RUNNING
-                and placed.ran_at is not None
-                and (now - placed.ran_at > self.policy.move_after)
+                and placed.started_at is not None
+                and (now - placed.started_at > self.policy.move_after)
             )
 
         self._firm = {name: until for name, until in self._firm.items() if until > now}
@@ -170,12 +170,14 @@
             for old, since in self._cold.items()
             if now - since < self.policy.move_patience
             and not (
-                (new := old.job.placed.get(old.task)) is not None
+                (new := old.job.placements.get(old.task)) is not None
                 and new is not old
                 and new.state == wire.RUNNING
             )
         }
-        placed = next((placed for placed in consolidate.replicas(machine) if placed.seen), None)
+        placed = next(
+            (placed for placed in consolidate.replicas(machine) if placed.was_reported), None
+        )
         if placed is None:
             return
         target = consolidate.target(
@@ -188,12 +190,12 @@
             if len(self._cold) >= max(1, len(self.fleet.machines) // (8 * self.policy.sample)):
                 return
             self._cold[placed] = now
-        self._scheduler.hints[placed.job.no, placed.task] = target.name
+        self._scheduler.hints[placed.job.number, placed.task] = target.name
         self.orders.stop(placed, 0.0)
 
     def _displace(self, machine: Machine) -> None:
         """Stops best-effort tasks elsewhere where that makes room for the machine's replicas."""
-        if not any(job.placed and job.spec.best_effort for job in self.jobs.live.values()):
+        if not any(job.placements and job.spec.best_effort for job in self.jobs.live.values()):
             return
         usable = self.tracker.usable()
         with consolidate.without_best_effort(usable):
@@ -201,7 +203,7 @@
             found = [
                 (placed, other)
                 for placed in consolidate.replicas(machine)
-                if placed.seen
+                if placed.was_reported
                 and (
                     other := consolidate.target(
                         placed,
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -43,11 +43,11 @@
         """Waiting tasks by shape, in the order in which they would be placed."""
         self._running = Counter()
         for job in self.jobs.live.values():
-            self._running[job.spec.lane] += len(job.placed)
+            self._running[job.spec.lane] += len(job.placements)
         by_shape: dict[Shape, Demand] = {}
         self._add_waiting(by_shape)
         for job in self.jobs.live.values():
-            if job.placed and not job.final and job.spec.best_effort:
+            if job.placements and not job.is_terminal and job.spec.best_effort:
                 self._add_running(by_shape, job)
         self._add_expected(by_shape, now)
         self._gang_zones.aim(by_shape.values(), now)
@@ -88,7 +88,7 @@
         headroom: dict[str, tuple[float, float]] = {}
         for entry in self.jobs.queue.in_order():
             job = entry.job
-            if not job.waiting or job.no in self.jobs.suspects:
+            if not job.pending_count or job.number in self.jobs.suspects:
                 continue
             count = self._within_limit(job, headroom)
             if count is None:
@@ -99,7 +99,7 @@
                 self._add_caps(
                     demand,
                     {
-                        zone: max(0, job.spec.zone_share - job.zone_count(zone))
+                        zone: max(0, job.spec.zone_share - job.placements_in_zone(zone))
                         for zone in self.settings.zones
                     },
                 )
@@ -120,7 +120,7 @@
                 team.gpus_max - gpus if team.gpus_max else UNLIMITED,
             )
         cores, gpus = headroom[spec.team]
-        count = job.waiting
+        count = job.pending_count
         if spec.cores:
             count = min(count, int(cores / spec.cores + placement.SLACK))
         if spec.gpus:
@@ -135,10 +135,10 @@
         Their room counts as free, so that they get what all other demand leaves, or cheap machines.
         """
         demand = self._demand_of(by_shape, job)
-        demand.add(len(job.placed), self.jobs.run_length(job.spec))
+        demand.add(len(job.placements), self.jobs.run_length(job.spec))
         if job.spec.spread:
             zones = self.settings.zones
-            self._add_caps(demand, {zone: job.zone_count(zone) for zone in zones})
+            self._add_caps(demand, {zone: job.placements_in_zone(zone) for zone in zones})
 
     def _add_expected(self, by_shape: dict[Shape, Demand], now: float) -> None:
         """Shapes of which nothing waits, but more is expected."""
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -61,7 +61,7 @@
                 for name in names:
                     self._released(name)
 
-        self.cloud.release(names, told)
+        self.cloud.terminate(names, told)
 
     def _released(self, name: str) -> None:
         """The cloud's 200 is the proof that the machine and all that was on it are gone."""
@@ -130,4 +130,4 @@
                     machine.heard_at = now
             self.flush()
 
-        self.cloud.listing(told)
+        self.cloud.list_machines(told)
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -104,7 +104,7 @@
             if len(machines) < count:
                 self._refused(pool, len(machines), count)
 
-        self.cloud.rent(name, pool.kind, pool.zone, pool.spot, count, told)
+        self.cloud.provision(name, pool.kind, pool.zone, pool.spot, count, told)
 
     def _rented(self, request: _Request, machines: list[str]) -> None:
         pool = request.pool
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -64,7 +64,7 @@
         machine = self.fleet.machines.get(placed.machine)
         if machine is None:
             return
-        placed.sent_at = self.runtime.now()
+        placed.command_sent_at = self.runtime.now()
         self.order(machine, wire.launch(placed.name, placed.attempt), placed)
 
     def stop(self, placed: Placement, grace: float) -> None:
@@ -72,7 +72,7 @@
         if machine is None:
             return
         now = self.runtime.now()
-        placed.sent_at = now
+        placed.command_sent_at = now
         self.note_stopping(placed)
         self.order(machine, wire.stop(placed.name, placed.attempt, grace), None)
 
@@ -97,7 +97,7 @@
     def stop_best_effort(self, machine: Machine) -> None:
         """Stops the machine's best-effort tasks that can save; others are left to end."""
         for placed in machine.placements.values():
-            if placed.best_effort and placed.job.spec.checkpoint:
+            if placed.is_best_effort and placed.job.spec.checkpoint:
                 self.stop(placed, placed.job.spec.save)
 
     def resume(self) -> None:
@@ -119,7 +119,7 @@
             entries = [
                 (order, placed)
                 for order, placed in entries
-                if placed is None or placed.job.placed.get(placed.task) is placed
+                if placed is None or placed.job.placements.get(placed.task) is placed
             ]
             for start in range(0, len(entries), MOST_ORDERS):
                 part = entries[start : start + MOST_ORDERS]
@@ -134,13 +134,13 @@
         for placed in launched:
             # Set as the order leaves: this session is the last in which a copy of it can be
             # executed.
-            placed.launch_session = max(placed.launch_session, machine.session)
-            placed.open += 1
+            placed.launch_incarnation = max(placed.launch_incarnation, machine.session)
+            placed.launches_in_flight += 1
 
         def told(status: int, body: bytes) -> None:
             if status in (200, 409):
                 for placed in launched:
-                    placed.open -= 1
+                    placed.launches_in_flight -= 1
                 if machine.deaf:
                     machine.note_change()
                 machine.orders_failed = 0
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -50,14 +50,14 @@
         """Holds machines for the gang, if nothing is held at its rank."""
         rank, now = wire.RANKS[job.spec.rank], self.runtime.now()
         self._expire(now)
-        if rank in self._holds or self._rests.get(job.no, 0.0) > now or job.spec.spread:
+        if rank in self._holds or self._rests.get(job.number, 0.0) > now or job.spec.spread:
             return
         machines = self._choose(job, index, now)
         if machines is None:
             return
         until = now + self.policy.keep_patience
-        self._holds[rank] = _GangReservation(job.no, rank, until, machines)
-        self._rests[job.no] = until + self.policy.keep_patience
+        self._holds[rank] = _GangReservation(job.number, rank, until, machines)
+        self._rests[job.number] = until + self.policy.keep_patience
         log.info(
             "event=gang_hold term=%d job=%s machines=%d",
             self.term.number,
@@ -67,9 +67,9 @@
 
     def placed(self, job: Job) -> None:
         """The gang is placed: nothing is held for it any more."""
-        self._rests.pop(job.no, None)
+        self._rests.pop(job.number, None)
         hold = self._holds.get(wire.RANKS[job.spec.rank])
-        if hold is not None and hold.no == job.no:
+        if hold is not None and hold.no == job.number:
             self._end(hold)
 
     def free_for(self, job: Job) -> Callable[[Machine], bool] | None:
@@ -79,7 +79,7 @@
         held = [
             hold.machines
             for hold in self._holds.values()
-            if hold.rank <= rank and hold.no != job.no
+            if hold.rank <= rank and hold.no != job.number
         ]
         if not held:
             return None
@@ -95,7 +95,7 @@
     def _expire(self, now: float) -> None:
         for hold in list(self._holds.values()):
             job = self.jobs.live.get(hold.no)
-            if now >= hold.until or job is None or job.final or job.placed:
+            if now >= hold.until or job is None or job.is_terminal or job.placements:
                 self._end(hold)
         self._rests = {no: until for no, until in self._rests.items() if until > now}
 
@@ -124,7 +124,7 @@
         return [
             Leaving(
                 placed,
-                max(0.0, placed.job.spec.estimate - (now - (placed.ran_at or now))),
+                max(0.0, placed.job.spec.estimate - (now - (placed.started_at or now))),
             )
             for placed in machine.ending.values()
         ]
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -74,8 +74,8 @@
 
     def is_due(self, job: Job) -> bool:
         """Whether room for the gang may be sought: not again right after there was none."""
-        no_room_until = self._no_room.get(job.no, 0.0)
-        return self.ledger.book.format >= formats.GANGS and no_room_until <= self.runtime.now()
+        no_room_until = self._no_room.get(job.number, 0.0)
+        return self.ledger.state.format >= formats.GANGS and no_room_until <= self.runtime.now()
 
     def place(self, job: Job, index: MachineIndex, needs: bool, keep: Keep | None) -> int:
         """Places what is due of a gang, all of it or nothing; returns how many tasks.
@@ -86,13 +86,13 @@
         step = self._next_step(job)
         if step not in (Step.PLACE, Step.REPLACE):
             return 0
-        missing = [task for task in range(job.spec.tasks) if task not in job.placed]
+        missing = [task for task in range(job.spec.tasks) if task not in job.placements]
         choice = self._choose(job, len(missing), index, needs, keep)
         if choice is not None:
             attempt = job.newest_attempt + (step is Step.PLACE)
             self._reserve(job, attempt, missing, choice.machines)
             return len(missing)
-        self._no_room[job.no] = now + self.policy.retry
+        self._no_room[job.number] = now + self.policy.retry
         if step is Step.REPLACE:
             self._abandon(job, "no room for a lost task")
         return 0
@@ -103,9 +103,9 @@
         if not self.jobs.within_limit(job.spec, count):
             return None
         gpu_needs = self.jobs.needs if needs else None
-        search = GangSearch(job.spec, job.no, index, gpu_needs, self.policy.sample, keep)
+        search = GangSearch(job.spec, job.number, index, gpu_needs, self.policy.sample, keep)
         longest = FETCH_SHARE * self._times.wait
-        if not job.placed:
+        if not job.placements:
             return self._choose_all(search, longest)
         lost_on = self._attempt_of(job).lost_on
 
@@ -135,20 +135,20 @@
         placed: list[Placement] = []
         self.ledger.propose_batch(
             [
-                [records.PLACED, job.no, task, attempt, machine.name, machine.zone]
+                [records.PLACED, job.number, task, attempt, machine.name, machine.zone]
                 for task, machine in zip(tasks, machines, strict=True)
             ],
             lambda: self._committed(job, placed),
         )
         for task, machine in zip(tasks, machines, strict=True):
-            placement = job.placed[task]
+            placement = job.placements[task]
             placement.proposed_at = now
             placed.append(placement)
             machine.use(placement)
-        job.waits_since = now
-        known = self._attempts.get(job.no)
+        job.pending_since = now
+        known = self._attempts.get(job.number)
         if known is None or known.number != attempt:
-            self._attempts[job.no] = _Attempt(attempt, now)
+            self._attempts[job.number] = _Attempt(attempt, now)
         log.info(
             "event=gang_placed term=%d job=%s attempt=%d tasks=%d of=%d queued=%.2f",
             self.term.number,
@@ -160,12 +160,12 @@
         )
 
     def _committed(self, job: Job, placed: list[Placement]) -> None:
-        left = [each for each in placed if job.placed.get(each.task) is each]
+        left = [each for each in placed if job.placements.get(each.task) is each]
         for each in left:
-            each.committed = True
+            each.is_committed = True
         attempt = self._attempt_of(job)
-        given_up = job.cancelled or attempt.is_broken or attempt.stopped_at is not None
-        if len(job.placed) == job.spec.tasks and not given_up:
+        given_up = job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
+        if len(job.placements) == job.spec.tasks and not given_up:
             for each in left:
                 self.orders.launch(each)
             return
@@ -205,12 +205,12 @@
         elif not done and cause in (wire.CAUSE_PEERS, wire.CAUSE_ALONE):
             # What is left of the attempt exits too: waiting for it would only take time.
             self._attempt_of(job).is_broken = True
-        self._no_room.pop(job.no, None)
+        self._no_room.pop(job.number, None)
         self.look(job)
 
     def look(self, job: Job) -> None:
         """Gives the attempt up if it can't be completed any more."""
-        if job.placed and self._next_step(job) is Step.ABANDON:
+        if job.placements and self._next_step(job) is Step.ABANDON:
             self._abandon(job, "a task is gone")
 
     def watch(self) -> None:
@@ -222,7 +222,7 @@
                 del self._attempts[no]
                 self._no_room.pop(no, None)
         for job in list(self.jobs.live.values()):
-            if job.spec.kind == wire.GANG and job.placed and not job.final:
+            if job.spec.kind == wire.GANG and job.placements and not job.is_terminal:
                 self._take_up_stop(job)
                 self.look(job)
                 self._repeat_stops(job)
@@ -237,8 +237,8 @@
 
     def _take_up_stop(self, job: Job) -> None:
         """Goes on with a stop that an earlier leader began: all tasks must be told in time."""
-        saving = any(placed.state == wire.FLUSHING for placed in job.placed.values())
-        if saving and len(job.placed) == job.spec.tasks:
+        saving = any(placed.state == wire.FLUSHING for placed in job.placements.values())
+        if saving and len(job.placements) == job.spec.tasks:
             self.stop(job, "an earlier leader began it")
 
     def phase(self, job: Job) -> Phase:
@@ -250,13 +250,17 @@
     def can_stop(self, job: Job) -> bool:
         """Whether all tasks can be told to save in time: their machines answer."""
         return self.phase(job) in (Phase.WAITING, Phase.RUNNING) and all(
-            self._hears(placed) for placed in job.placed.values()
+            self._hears(placed) for placed in job.placements.values()
         )
 
     def loss(self, job: Job) -> float:
         """Seconds of work, of all tasks together, that a stop of the gang throws away."""
         now, spec = self.runtime.now(), job.spec
-        ran = [now - placed.ran_at for placed in job.placed.values() if placed.ran_at is not None]
+        ran = [
+            now - placed.started_at
+            for placed in job.placements.values()
+            if placed.started_at is not None
+        ]
         if not ran:
             return 0.0
         return len(ran) * spec.save if spec.checkpoint else sum(ran)
@@ -275,7 +279,7 @@
             attempt.number,
             why,
         )
-        for placed in job.placed.values():
+        for placed in job.placements.values():
             self.orders.stop(placed, attempt.stop_leeway)
 
     def noticed(self, job: Job, notice: float) -> None:
@@ -294,40 +298,44 @@
             self.term.number,
             job.spec.ref,
             attempt.number,
-            len(job.placed),
+            len(job.placements),
             attempt.has_run,
             why,
         )
         attempt.is_broken, attempt.stopped_at, attempt.stop_leeway = True, None, 0.0
-        for placed in job.placed.values():
-            if placed.committed:
+        for placed in job.placements.values():
+            if placed.is_committed:
                 self.orders.stop(placed, 0.0)
 
     @staticmethod
     def _all_told(job: Job) -> bool:
-        return all(placed.stopping_at is not None for placed in job.placed.values())
+        return all(placed.stopping_at is not None for placed in job.placements.values())
 
     def _repeat_stops(self, job: Job) -> None:
         attempt, now = self._attempt_of(job), self.runtime.now()
         if not attempt.is_broken and attempt.stopped_at is None:
             return
-        for placed in job.placed.values():
+        for placed in job.placements.values():
             saving = placed.state == wire.FLUSHING and not attempt.is_broken
-            if saving or not placed.committed or (placed.open and not placed.seen):
+            if (
+                saving
+                or not placed.is_committed
+                or (placed.launches_in_flight and not placed.was_reported)
+            ):
                 # An unanswered launch is repeated first: only a task that is seen can be proven
                 # over.
                 continue
-            if now - placed.sent_at > self.policy.retry:
+            if now - placed.command_sent_at > self.policy.retry:
                 self.orders.stop(placed, attempt.stop_leeway)
 
     # What is known
 
     def _attempt_of(self, job: Job) -> _Attempt:
         newest = job.newest_attempt
-        attempt = self._attempts.get(job.no)
+        attempt = self._attempts.get(job.number)
         if attempt is None or attempt.number != newest:
             # Of an earlier term: what its tasks did is learnt from reports.
-            attempt = self._attempts[job.no] = _Attempt(newest, self.term.began)
+            attempt = self._attempts[job.number] = _Attempt(newest, self.term.began)
         return attempt
 
     def _situation(self, job: Job) -> Situation:
@@ -348,7 +356,7 @@
         machine = self.fleet.machines.get(placed.machine)
         return (
             machine is not None
-            and placed.seen
+            and placed.was_reported
             and not machine.deaf
             and self.runtime.now() - machine.heard_at < self.policy.machine_suspect
         )
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -46,25 +46,25 @@
     def recall(self) -> None:
         """Takes up what the ledger holds."""
         now = self.runtime.now()
-        for job in self.ledger.book.jobs.values():
-            if not job.final or job.placed:
-                self.live[job.no] = job
+        for job in self.ledger.state.jobs.values():
+            if not job.is_terminal or job.placements:
+                self.live[job.number] = job
                 self.queue.recall(job)
                 self.shapes.note(job.shape, job.spec)
-            job.waits_since = now
-            if job.cancelled:
+            job.pending_since = now
+            if job.is_cancelled:
                 job.cancelled_at = now
 
     def submit(self, spec: wire.Spec, answer: Answer) -> None:
         """Accepts, or says why not; each answer follows a commit or a confirmed leadership."""
         ref = spec.ref
-        if ref in self.ledger.book.by_ref or ref in self.ledger.book.finals:
+        if ref in self.ledger.state.jobs_by_ref or ref in self.ledger.state.terminal_jobs:
             self.poll(ref, answer)
             return
         if not self.term.kinds or self.ledger.backlog > MOST_BACKLOG:
             answer(503, None)
             return
-        if spec.kind == wire.GANG and self.ledger.book.format < formats.GANGS:
+        if spec.kind == wire.GANG and self.ledger.state.format < formats.GANGS:
             # Some controller would place its tasks one by one.
             answer(503, None)
             return
@@ -73,19 +73,19 @@
             self._confirmed(answer, lambda: answer(422, {"error": refusal}))
             return
         now = self.runtime.now()
-        no = self.ledger.book.next_no
+        no = self.ledger.state.next_job_number
         record = [records.JOB, no, round(self.runtime.wall(), 1), *msgspec.to_builtins(spec)]
-        if not self.ledger.holds(record):
+        if not self.ledger.fits_in_page(record):
             self._confirmed(answer, lambda: answer(422, {"error": "its names are too long"}))
             return
 
         def committed() -> None:
-            job.committed = True
+            job.is_committed = True
             answer(201, wire.job_status(ref, wire.PENDING))
 
         self.ledger.propose(record, committed)
-        job = self.ledger.book.jobs[no]
-        job.known_at = job.waits_since = now
+        job = self.ledger.state.jobs[no]
+        job.known_at = job.pending_since = now
         self.live[no] = job
         self.queue.add(job)
         self.shapes.note(job.shape, job.spec)
@@ -123,21 +123,21 @@
 
     def poll(self, ref: str, answer: Answer) -> None:
         """A job's state: a final one at once, any other after leadership is confirmed."""
-        job = self.ledger.book.by_ref.get(ref)
-        final = self.ledger.book.finals.get(ref) if job is None else None
+        job = self.ledger.state.jobs_by_ref.get(ref)
+        final = self.ledger.state.terminal_jobs.get(ref) if job is None else None
         if final is not None:
             answer(200, wire.job_status(ref, final))
-        elif job is not None and job.told:
+        elif job is not None and job.reported_stage:
             answer(200, self._state(job))
         else:
             self._confirmed(answer, lambda: self._tell_state(ref, answer))
 
     def _tell_state(self, ref: str, answer: Answer) -> None:
-        job = self.ledger.book.by_ref.get(ref)
+        job = self.ledger.state.jobs_by_ref.get(ref)
         if job is None:
-            stage = self.ledger.book.finals.get(ref)
+            stage = self.ledger.state.terminal_jobs.get(ref)
             answer(200 if stage else 404, wire.job_status(ref, stage) if stage else None)
-        elif not job.committed:
+        elif not job.is_committed:
             # Its acceptance is under way: neither known nor unknown until the commit ends.
             answer(503, None)
         else:
@@ -145,15 +145,17 @@
 
     @staticmethod
     def _state(job: Job) -> dict[str, Any]:
-        running = sum(placed.state == wire.RUNNING for placed in job.placed.values())
-        stage = job.told or (wire.RUNNING if running else wire.PENDING)
+        running = sum(placed.state == wire.RUNNING for placed in job.placements.values())
+        stage = job.reported_stage or (wire.RUNNING if running else wire.PENDING)
         done = len(job.done_tasks)
         if stage in (wire.PENDING, wire.RUNNING):
             done = min(done, job.spec.tasks - 1) if job.spec.kind != wire.SERVICE else done
         status = wire.job_status(job.spec.ref, stage, done, running)
-        if job.spec.kind == wire.GANG and not job.told:
+        if job.spec.kind == wire.GANG and not job.reported_stage:
             status["try"] = job.newest_attempt
-            status["waiting"] = sum(placed.state == wire.WAITING for placed in job.placed.values())
+            status["waiting"] = sum(
+                placed.state == wire.WAITING for placed in job.placements.values()
+            )
         return status
 
     def _confirmed(self, answer: Answer, then: Callable[[], None]) -> None:
@@ -163,7 +165,7 @@
             else:
                 answer(503, None)
 
-        self.ledger.confirm(told)
+        self.ledger.confirm_leadership(told)
 
     def cancel(self, ref: str, answer: Answer) -> None:
         """Stops the job; it is told as cancelled once each placement is proven over.
@@ -171,31 +173,33 @@
         A promise that hung on leases or on the cloud could be broken by a cut together with an
         outage. Who asks while a machine of the job is silent is told at once to ask again.
         """
-        job = self.ledger.book.by_ref.get(ref)
-        if job is None or job.told or not job.committed:
+        job = self.ledger.state.jobs_by_ref.get(ref)
+        if job is None or job.reported_stage or not job.is_committed:
             self.poll(ref, answer)
             return
-        if job.done:
+        if job.is_done:
             # Its end is being committed.
             answer(503, None)
             return
-        if any(self._silent(placed) for placed in job.placed.values()):
+        if any(self._silent(placed) for placed in job.placements.values()):
             answer(503, None)
         else:
-            self._cancelling.setdefault(job.no, []).append(answer)
-        if job.cancelled:
+            self._cancelling.setdefault(job.number, []).append(answer)
+        if job.is_cancelled:
             return
 
         def committed() -> None:
-            job.ending = True
+            job.is_cancellation_committed = True
             self._stop_cancelled(job)
             self.settle(job)
 
-        self.ledger.propose([records.CANCELLED, job.no], committed)
+        self.ledger.propose([records.CANCELLED, job.number], committed)
         job.cancelled_at = self.runtime.now()
-        if not job.placed:
-            self.live.pop(job.no, None)
-        log.info("event=cancel term=%d job=%s placed=%d", self.term.number, ref, len(job.placed))
+        if not job.placements:
+            self.live.pop(job.number, None)
+        log.info(
+            "event=cancel term=%d job=%s placed=%d", self.term.number, ref, len(job.placements)
+        )
 
     def _silent(self, placed: Placement) -> bool:
         machine = self.fleet.machines.get(placed.machine)
@@ -205,14 +209,19 @@
 
     def settle(self, job: Job) -> None:
         """After a commit: a cancelled job of which nothing is left is told as cancelled."""
-        if job.ending and not job.told and not job.placed and not job.leaving:
-            job.told = wire.ABORTED
-            for answer in self._cancelling.pop(job.no, ()):
+        if (
+            job.is_cancellation_committed
+            and not job.reported_stage
+            and not job.placements
+            and not job.uncommitted_ends
+        ):
+            job.reported_stage = wire.ABORTED
+            for answer in self._cancelling.pop(job.number, ()):
                 answer(200, wire.job_status(job.spec.ref, wire.ABORTED))
 
     def _stop_cancelled(self, job: Job) -> None:
-        for placed in list(job.placed.values()):
-            if placed.committed:
+        for placed in list(job.placements.values()):
+            if placed.is_committed:
                 self.orders.stop(placed, 0.0)
 
     def run_length(self, spec: wire.Spec) -> float:
@@ -234,7 +243,7 @@
         `leaving`: a placement that is not counted.
         """
         spec = job.spec
-        if not job.placed:
+        if not job.placements:
             return NO_ZONES
         if spec.one_zone:
             taken = job.zone_counts.keys()
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -113,7 +113,7 @@
 
     @property
     def book(self) -> ClusterState:
-        return self._ledger.book
+        return self._ledger.state
 
     # Leading begins and ends
 
@@ -123,7 +123,7 @@
         self._cloud.forget()
         self._limits.end()
         self._formats.begin(version)
-        self._ledger.open(version, self._ready)
+        self._ledger.replay(version, self._ready)
 
     def on_end(self) -> None:
         if self.term.number:
@@ -166,13 +166,13 @@
             term.request_pass()
 
         if term is self.term:
-            self._ledger.confirm(told)
+            self._ledger.confirm_leadership(told)
 
     def _ready(self) -> None:
         term, now = self.term, self.runtime.now()
         term.active = True
         term.began = now
-        self._election.ready = True
+        self._election.is_ready = True
         # Only now is it known what counts against the limits.
         self._limits.begin(term.number)
         self.jobs.recall()
@@ -181,7 +181,7 @@
             machine = term.fleet.adopt(report.machine, report.type, report.zone, report.spot)
             machine.address, machine.booting = report.address, False
             machine.session = report.session
-        for name, there in self.book.on_machine.items():
+        for name, there in self.book.placements_by_machine.items():
             # Its type is not known before it reports or is listed.
             term.fleet.adopt(name, "", next(iter(there.values())).zone, False).booting = False
         for machine in term.fleet.machines.values():
@@ -241,7 +241,7 @@
         """
         if not self.term.active:
             return False
-        isolated = self._election.isolated
+        isolated = self._election.may_be_superseded
         if isolated != self.term.isolated:
             self.term.isolated = isolated
             log.info("event=%s term=%d", "isolated" if isolated else "in_touch", self.term.number)
@@ -262,12 +262,12 @@
             self.scheduler.reconcile()
             self.scheduler.wake()
             # With each plan alone it fell behind where jobs are many and short.
-            self._ledger.clean()
+            self._ledger.compact()
 
     def _raise_format(self) -> None:
         """Once all configured controllers read a newer format, it may be written."""
         newest = LENDING if self._lending is not None else GANGS
-        common = min(self._formats.common, newest)
+        common = min(self._formats.common_format, newest)
         if common > self.book.format:
             self._ledger.raise_format(common)
 
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -63,7 +63,7 @@
 
     def _of(self, team: str) -> LoanAccount:
         """The account as it is now; recalls are counted in the ledger at once."""
-        kept = self.ledger.book.loans.accounts.get(team) or LoanAccount(team)
+        kept = self.ledger.state.loan_state.accounts.get(team) or LoanAccount(team)
         changed = self._changed.get(team)
         return replace(changed, met=kept.met, late=kept.late) if changed is not None else kept
 
@@ -93,18 +93,18 @@
             else:
                 answer(503, None)
 
-        self.ledger.confirm(told)
+        self.ledger.confirm_leadership(told)
 
     def _page(self) -> Any:
         waiting: dict[str, Amounts] = {}
         for job in self.jobs.queue.waiting():
             team = job.spec.team
-            waits = amounts_of(job.spec, job.waiting)
+            waits = amounts_of(job.spec, job.pending_count)
             waiting[team] = waiting.get(team, NOTHING).plus(waits)
-        book = self.ledger.book
+        book = self.ledger.state
         recalls = [
             (recall, book.jobs[recall.job].spec.ref)
-            for recall in book.loans.recalls.values()
+            for recall in book.loan_state.reclaims.values()
             if recall.job in book.jobs
         ]
         accounts = team_accounts(self._uses(waiting))
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -56,7 +56,7 @@
     def add(self, each: OpenReclaim) -> None:
         """The recall begins, or goes on on another machine."""
         recall = each.recall
-        job = self._ledger.book.jobs.get(recall.job)
+        job = self._ledger.state.jobs.get(recall.job)
         each.promised = amounts_of(job.spec, recall.tasks) if job is not None else NOTHING
         self._promised[recall.lender] = self.promised(recall.lender).plus(each.promised)
         self._all[recall.number] = each
@@ -84,7 +84,7 @@
         self._chosen, self._chosen_use = set(), {}
         for each in self._untold.values():
             for placed in self.left(each.recall):
-                key = Borrowed(placed.job.no, placed.task, placed.attempt)
+                key = Borrowed(placed.job.number, placed.task, placed.attempt)
                 if placed.stopping_at is None and key not in self._chosen:
                     self._chosen.add(key)
                     taken = amounts_of(placed.job.spec)
@@ -98,8 +98,8 @@
         """The borrowed tasks that are not proven over."""
         left = []
         for borrowed in recall.borrowed:
-            job = self._ledger.book.jobs.get(borrowed.job)
-            placed = job.placed.get(borrowed.task) if job is not None else None
+            job = self._ledger.state.jobs.get(borrowed.job)
+            placed = job.placements.get(borrowed.task) if job is not None else None
             if placed is not None and placed.attempt == borrowed.attempt:
                 left.append(placed)
         return left
@@ -119,15 +119,15 @@
 
     def is_chosen(self, placed: Placement) -> bool:
         """Whether a recall that is not told yet has chosen the task."""
-        return (placed.job.no, placed.task, placed.attempt) in self._chosen
+        return (placed.job.number, placed.task, placed.attempt) in self._chosen
 
     def of(self, job: Job) -> list[OpenReclaim]:
         """The recalls for a job, the oldest first."""
-        return list(self._of_job.get(job.no, ()))
+        return list(self._of_job.get(job.number, ()))
 
     def tasks_for(self, job: Job) -> int:
         """For how many tasks of the job room is being recalled."""
-        return sum(each.recall.tasks for each in self._of_job.get(job.no, ()))
+        return sum(each.recall.tasks for each in self._of_job.get(job.number, ()))
 
     def tasks_before(self, each: OpenReclaim) -> int:
         """For how many tasks of the same job room was recalled before this."""
@@ -140,7 +140,7 @@
 
     def kept(self, recalls: list[OpenReclaim]) -> list[wire.Spec]:
         """The tasks for which these recalls keep room."""
-        jobs = self._ledger.book.jobs
+        jobs = self._ledger.state.jobs
         return [
             jobs[each.recall.job].spec
             for each in recalls
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -82,7 +82,7 @@
 
     def recall(self) -> None:
         """Takes up the recalls of earlier leaders: their deadlines and borrowed tasks stand."""
-        for recall in self.ledger.book.loans.recalls.values():
+        for recall in self.ledger.state.loan_state.reclaims.values():
             self.recalls.add(OpenReclaim(recall, is_committed=True))
         if self.recalls:
             log.info(
@@ -95,7 +95,7 @@
     @property
     def is_enabled(self) -> bool:
         """Whether recalls may begin here."""
-        return self.feature is not None and self.ledger.book.format >= formats.LENDING
+        return self.feature is not None and self.ledger.state.format >= formats.LENDING
 
     # Entitlement
 
@@ -107,7 +107,7 @@
         """The teams that use more than their guarantee: of no others may anything be taken."""
         return frozenset(
             team
-            for team in self.ledger.book.usage
+            for team in self.ledger.state.usage_by_team
             if not self.term.guarantee(team).covers(self._firm_use(team))
         )
 
@@ -133,14 +133,14 @@
 
     def was_recalled(self, placed: Placement) -> bool:
         """Whether a recall stopped the task within its checkpoint interval."""
-        at = self._recalled_at.get((placed.job.no, placed.task), float("-inf"))
+        at = self._recalled_at.get((placed.job.number, placed.task), float("-inf"))
         return self.runtime.now() - at < placed.job.spec.checkpoint
 
     # Beginning
 
     def is_served(self, job: Job) -> bool:
         """Whether there is a recall for each waiting task of the job."""
-        return self.recalls.tasks_for(job) >= job.waiting
+        return self.recalls.tasks_for(job) >= job.pending_count
 
     def shut_zones(self, job: Job) -> frozenset[str]:
         """The zones in which no more room may be recalled for the job, with what is under way."""
@@ -156,13 +156,15 @@
         if spec.one_zone:
             return shut | {zone for zone in self.fleet.zones if zone not in zones}
         return shut | {
-            zone for zone, count in zones.items() if job.zone_count(zone) + count >= spec.zone_share
+            zone
+            for zone, count in zones.items()
+            if job.placements_in_zone(zone) + count >= spec.zone_share
         }
 
     def wants(self, job: Job) -> None:
         """The job is entitled to room and finds none: from now on the recall time runs."""
         if self.is_enabled:
-            self._wanted_since.setdefault(job.no, self.runtime.now())
+            self._wanted_since.setdefault(job.number, self.runtime.now())
 
     def may_begin(self, job: Job) -> bool:
         """Whether room is to be taken back for the job now.
@@ -175,7 +177,7 @@
     def _time_left(self, job: Job) -> float:
         """Seconds of the recall time that are left, which runs from now on at the latest."""
         now = self.runtime.now()
-        return self.policy.recall - (now - self._wanted_since.setdefault(job.no, now))
+        return self.policy.recall - (now - self._wanted_since.setdefault(job.number, now))
 
     def _can_rent(self, spec: wire.Spec, within: float) -> bool:
         kinds = self.term.kinds
@@ -197,7 +199,7 @@
             self._stops.popleft()
         if self.feature is None:
             return False
-        placed = sum(len(job.placed) for job in self.jobs.live.values())
+        placed = sum(len(job.placements) for job in self.jobs.live.values())
         most = max(FEW_STOPS, self.feature.stops_a_minute * placed)
         firm = [each for each in borrowed if each.stopping_at is None]
         new = sum(not self.recalls.is_chosen(each) for each in firm)
@@ -207,9 +209,9 @@
         """Recalls room for tasks of the job."""
         wall = self.runtime.wall()
         recall = Reclaim(
-            self.ledger.book.loans.next_number,
+            self.ledger.state.loan_state.next_number,
             job.spec.team,
-            job.no,
+            job.number,
             room.machine.name,
             round(wall, 2),
             round(wall + self._time_left(job), 2),
@@ -225,7 +227,7 @@
         """Proposes the recall as it is now; the borrowed tasks are told once that is committed."""
         recall = each.recall
         each.is_committed, each.told_at, each.is_forced = False, None, False
-        job = self.ledger.book.jobs[recall.job]
+        job = self.ledger.state.jobs[recall.job]
         log.info(
             "event=recall_%s term=%d id=%s lender=%s borrowers=%s job=%s machine=%s stops=%d "
             "within=%.1f",
@@ -261,7 +263,7 @@
         self._wanted_since = {
             no: since
             for no, since in self._wanted_since.items()
-            if (job := live.get(no)) is not None and job.waiting
+            if (job := live.get(no)) is not None and job.pending_count
         }
         self._recalled_at = {
             (no, task): at
@@ -304,7 +306,7 @@
     def _may_answer(self, recall: Reclaim) -> bool:
         """Whether the machine can give the room; one that this term has not heard yet may."""
         machine = self.fleet.machines.get(recall.machine)
-        job = self.ledger.book.jobs.get(recall.job)
+        job = self.ledger.state.jobs.get(recall.job)
         if machine is None or job is None or machine.zone in self.jobs.shut_zones(job):
             return False
         if not machine.baseline and not machine.releasing:
@@ -314,8 +316,8 @@
     def _is_wanted(self, each: OpenReclaim) -> bool:
         """Whether a task of the job waits for this room and, before others stop, is entitled."""
         recall = each.recall
-        job = self.ledger.book.jobs.get(recall.job)
-        if job is None or self.recalls.tasks_before(each) >= job.waiting:
+        job = self.ledger.state.jobs.get(recall.job)
+        if job is None or self.recalls.tasks_before(each) >= job.pending_count:
             return False
         if each.told_at is not None or len(self.recalls.left(recall)) < len(recall.borrowed):
             return True
@@ -327,7 +329,7 @@
         for placed in self.recalls.left(each.recall):
             if placed.stopping_at is None:
                 self._stops.append(now)
-                self._recalled_at[placed.job.no, placed.task] = now
+                self._recalled_at[placed.job.number, placed.task] = now
             if placed.job.spec.kind == wire.GANG:
                 self.gangs.stop(placed.job, each.recall.id)
             else:
@@ -338,7 +340,7 @@
 
     def _seek(self, each: OpenReclaim) -> None:
         """Looks for the room elsewhere, under the same number and with the same deadline."""
-        job = self.ledger.book.jobs[each.recall.job]
+        job = self.ledger.state.jobs[each.recall.job]
         room = self.find_room(job)
         if room is None or room.machine.name == each.recall.machine:
             return
@@ -358,7 +360,7 @@
         surplus = [each for each in found if each.told_at is None and each.is_committed]
         if here:
             self._end(here[0], "met")
-        elif len(found) > job.waiting and surplus:
+        elif len(found) > job.pending_count and surplus:
             self._end(surplus[0], "withdraw")
 
     def gang_placed(self, job: Job) -> None:
@@ -372,7 +374,7 @@
         is_late = self.runtime.wall() > recall.deadline
         self.ledger.propose(recall.over_record())
         if how != Step.WITHDRAW.value:
-            kept = self.ledger.book.loans.accounts.get(recall.lender)
+            kept = self.ledger.state.loan_state.accounts.get(recall.lender)
             account = kept or LoanAccount(recall.lender)
             self.ledger.propose(account.counted(is_late).record())
         log.info(
@@ -411,7 +413,7 @@
             return False
         expected = placement.room(machine, kind)
         there = self.recalls.machines()[machine.name]
-        others = [each for each in there if each.recall.job != job.no]
+        others = [each for each in there if each.recall.job != job.number]
         for spec in self.recalls.kept(others):
             expected = expected.minus(spec)
         stopping = {placed for each in others for placed in self.recalls.left(each.recall)}
@@ -425,7 +427,7 @@
 
 
 def _borrowed(room: Room) -> tuple[Borrowed, ...]:
-    return tuple(Borrowed(each.job.no, each.task, each.attempt) for each in room.borrowed)
+    return tuple(Borrowed(each.job.number, each.task, each.attempt) for each in room.borrowed)
 
 
 def _save(placed: Placement) -> float:
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -44,13 +44,13 @@
 
     def failed(self, job: Job, machine: Machine) -> None:
         """A task of the job failed on the machine."""
-        record = self._records.setdefault(job.no, _Record())
+        record = self._records.setdefault(job.number, _Record())
         record.machines.add(machine.name)
-        if self.jobs.backoff.get(job.no, 0.0) <= self.runtime.now():
+        if self.jobs.backoff.get(job.number, 0.0) <= self.runtime.now():
             # Tasks that fail together are one round.
             record.rounds += 1
             wait = self.policy.retry * min(2**record.rounds, LONGEST_BACKOFF)
-            self.jobs.backoff[job.no] = self.runtime.now() + wait
+            self.jobs.backoff[job.number] = self.runtime.now() + wait
             log.info(
                 "event=task_error term=%d job=%s machine=%s round=%d",
                 self.term.number,
@@ -59,15 +59,15 @@
                 record.rounds,
             )
         if len(record.machines) >= SUSPECT_AFTER and not job.done_tasks:
-            self.jobs.suspects.add(job.no)
+            self.jobs.suspects.add(job.number)
             self._clear_of(job, record)
         else:
             self._blame(job, machine)
 
     def forget(self, job: Job) -> None:
         """The job is over, or a task that ended with its result or runs for long acquits it."""
-        self._records.pop(job.no, None)
-        self.jobs.suspects.discard(job.no)
+        self._records.pop(job.number, None)
+        self.jobs.suspects.discard(job.number)
 
     def clear(self, machine: Machine) -> None:
         """The machine gets another chance."""
@@ -86,8 +86,8 @@
             if job is None:
                 self.jobs.suspects.discard(no)
             elif any(
-                placed.ran_at is not None and now - placed.ran_at > self.policy.settle
-                for placed in job.placed.values()
+                placed.started_at is not None and now - placed.started_at > self.policy.settle
+                for placed in job.placements.values()
             ):
                 self.forget(job)
 
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -131,7 +131,7 @@
         All placements are reported, nothing else is, none has exited or is to be stopped.
         """
         return len(listed) == len(placements) and all(
-            not placed.job.cancelled
+            not placed.job.is_cancelled
             and (task := listed.get((placed.name, placed.attempt))) is not None
             and task.state != wire.EXITED
             for placed in placements
@@ -141,15 +141,15 @@
         """What a believed report says of one placement."""
         now = self.runtime.now()
         if task is None:
-            if placed.launch_session:
-                if placed.launch_session < machine.session:
+            if placed.launch_incarnation:
+                if placed.launch_incarnation < machine.session:
                     self.over(placed, False, "session")
-                elif not placed.seen:
+                elif not placed.was_reported:
                     self._not_seen(placed, now)
-            elif placed.inherited:
+            elif placed.is_inherited:
                 self.over(placed, False, "absent")
             return
-        placed.seen = True
+        placed.was_reported = True
         if task.state == wire.EXITED:
             self._exited(machine, placed, task)
             return
@@ -161,8 +161,8 @@
                 self.orders.note_stopping(placed)
             if task.state in (wire.RUNNING, wire.WAITING):
                 self._note_image(machine, placed)
-            if task.state == wire.RUNNING and placed.ran_at is None:
-                placed.ran_at = now
+            if task.state == wire.RUNNING and placed.started_at is None:
+                placed.started_at = now
                 if placed.job.spec.kind == wire.GANG:
                     self.gangs.running(placed)
                 log.debug(
@@ -179,17 +179,22 @@
                     now - placed.proposed_at,
                     placed.job.spec.image in machine.images,
                 )
-        if placed.job.ending and now - placed.sent_at > self.policy.retry:
+        if (
+            placed.job.is_cancellation_committed
+            and now - placed.command_sent_at > self.policy.retry
+        ):
             self.orders.stop(placed, 0.0)
 
     def _not_seen(self, placed: Placement, now: float) -> None:
         """A believed report lacks a task that was launched in this term and never seen."""
         job = placed.job
-        withdrawn = job.final or (job.spec.kind == wire.GANG and placed.stopping_at is not None)
-        if withdrawn and placed.open == 0:
+        withdrawn = job.is_terminal or (
+            job.spec.kind == wire.GANG and placed.stopping_at is not None
+        )
+        if withdrawn and placed.launches_in_flight == 0:
             # No copy of its launch is under way.
             self.over(placed, False, "never launched")
-        elif not job.final and now - placed.sent_at > self.policy.order_call:
+        elif not job.is_terminal and now - placed.command_sent_at > self.policy.order_call:
             self.orders.launch(placed)
 
     def _note_image(self, machine: Machine, placed: Placement) -> None:
@@ -208,7 +213,7 @@
         elif cause == wire.CAUSE_ERROR:
             self.failures.failed(placed.job, machine)
         elif cause in (wire.CAUSE_FULL, wire.CAUSE_IN_USE, wire.CAUSE_UNKNOWN):
-            self.jobs.backoff[placed.job.no] = self.runtime.now() + self.policy.retry * 2
+            self.jobs.backoff[placed.job.number] = self.runtime.now() + self.policy.retry * 2
             log.info(
                 "event=refused term=%d task=%s machine=%s cause=%s",
                 self.term.number,
@@ -236,7 +241,7 @@
         ended = exits.get((task.task, task.attempt))
         if ended is None:
             self.orders.order(machine, wire.forget(task.task, task.attempt), None)
-        elif ended.open == 0 and not ended.committed:
+        elif ended.launches_in_flight == 0 and not ended.is_committed:
             del exits[task.task, task.attempt]
             self.orders.order(machine, wire.forget(task.task, task.attempt), None)
 
@@ -254,20 +259,22 @@
         )
 
         def committed() -> None:
-            placed.committed = False
-            job.leaving -= 1
-            if job.done and not job.told:
-                job.told = wire.DONE
+            placed.is_committed = False
+            job.uncommitted_ends -= 1
+            if job.is_done and not job.reported_stage:
+                job.reported_stage = wire.DONE
                 log.info("event=job_done term=%d job=%s", self.term.number, job.spec.ref)
             self.jobs.settle(job)
 
-        self.ledger.propose([records.ENDED, job.no, placed.task, placed.attempt, done], committed)
+        self.ledger.propose(
+            [records.ENDED, job.number, placed.task, placed.attempt, done], committed
+        )
         self.orders.ended(placed)
-        job.leaving += 1
+        job.uncommitted_ends += 1
         if machine is not None:
             machine.free(placed, now)
-        if job.final and not job.placed:
-            self.jobs.live.pop(job.no, None)
+        if job.is_terminal and not job.placements:
+            self.jobs.live.pop(job.number, None)
             self.failures.forget(job)
         elif not done:
             self.jobs.queue.waits_again(job)
@@ -298,8 +305,8 @@
                 # What can't end before the machine is taken is lost either way: better begun
                 # elsewhere now.
                 left = (
-                    spec.estimate - (now - placed.ran_at)
-                    if placed.ran_at is not None
+                    spec.estimate - (now - placed.started_at)
+                    if placed.started_at is not None
                     else spec.estimate
                 )
                 if left > 1.5 * notice:
@@ -326,8 +333,8 @@
         self.failures.watch()
         silent_zones = self.probes.silent_zones(now)
         for job in list(self.jobs.live.values()):
-            if job.ending and now - job.cancelled_at > policy.cancel_patience:
-                for placed in list(job.placed.values()):
+            if job.is_cancellation_committed and now - job.cancelled_at > policy.cancel_patience:
+                for placed in list(job.placements.values()):
                     machine = self.fleet.machines.get(placed.machine)
                     if (
                         machine is not None
@@ -379,7 +386,7 @@
             if machine.booting:
                 machine.rented_at = min(now, machine.rented_at + lost)
         for job in self.jobs.live.values():
-            if job.cancelled:
+            if job.is_cancelled:
                 job.cancelled_at = min(now, job.cancelled_at + lost)
 
     def _gone(self, machine: Machine) -> None:
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -44,14 +44,14 @@
 
     def ended(self, machine: Machine, placed: Placement) -> None:
         """A task ended with its result."""
-        if placed.job.spec.kind != wire.ARRAY or placed.ran_at is None or placed.inherited:
+        if placed.job.spec.kind != wire.ARRAY or placed.started_at is None or placed.is_inherited:
             return
         if self.runtime.now() < self._blind_until:
             return
-        usual, length = self._usual(placed.job), self.runtime.now() - placed.ran_at
+        usual, length = self._usual(placed.job), self.runtime.now() - placed.started_at
         if placed.attempt == 1:
             # Later attempts may have gone on from a checkpoint.
-            lengths = self._lengths.setdefault(placed.job.no, [])
+            lengths = self._lengths.setdefault(placed.job.number, [])
             insort(lengths, length)
             if len(lengths) > MOST_KEPT:
                 del lengths[:: MOST_KEPT // 2]
@@ -75,14 +75,14 @@
             usual = self._usual(job)
             if not usual:
                 continue
-            for placed in list(job.placed.values()):
+            for placed in list(job.placements.values()):
                 if (
-                    placed.ran_at is None
+                    placed.started_at is None
                     or placed.state != wire.RUNNING
                     or placed.stopping_at is not None
                 ):
                     continue
-                ratio = (now - placed.ran_at) / usual
+                ratio = (now - placed.started_at) / usual
                 machine = self.fleet.machines.get(placed.machine)
                 if ratio > self.policy.late and machine is not None:
                     self._note(machine, placed, ratio)
@@ -98,16 +98,16 @@
 
         Those that ended first are the short ones: tasks that still run count as longer than these.
         """
-        lengths = self._lengths.get(job.no, ())
+        lengths = self._lengths.get(job.number, ())
         if len(lengths) < LEAST_ENDED:
             return 0.0
         ended = len(job.done_tasks)
-        middle = int(len(lengths) * (ended + len(job.placed)) / (2 * max(1, ended)))
+        middle = int(len(lengths) * (ended + len(job.placements)) / (2 * max(1, ended)))
         return lengths[middle] if middle < len(lengths) else 0.0
 
     def _note(self, machine: Machine, placed: Placement, ratio: float) -> None:
         late = self._late.setdefault(machine.name, set())
-        late.add((placed.job.no, placed.task, placed.attempt))
+        late.add((placed.job.number, placed.task, placed.attempt))
         if machine.name in self._slow or (len(late) < 2 and ratio < self.policy.very_late):
             return
         log.info(
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -77,24 +77,24 @@
 
     def recall(self, job: Job) -> None:
         """A job that an earlier term accepted."""
-        self._waiting[job.no] = job
+        self._waiting[job.number] = job
 
     def add(self, job: Job) -> None:
         """A new job."""
-        self._waiting[job.no] = job
+        self._waiting[job.number] = job
         self._count_demand(job)
         self._put_in_order(job)
 
     def waits_again(self, job: Job) -> None:
         """A task of the job is to be placed anew."""
-        if job.no not in self._waiting:
-            job.waits_since = self.runtime.now()
-        self._waiting[job.no] = job
+        if job.number not in self._waiting:
+            job.pending_since = self.runtime.now()
+        self._waiting[job.number] = job
         self._put_in_order(job)
 
     def waiting(self) -> list[Job]:
         """The jobs with waiting tasks, in no order."""
-        over = [no for no, job in self._waiting.items() if not job.waiting]
+        over = [no for no, job in self._waiting.items() if not job.pending_count]
         for no in over:
             del self._waiting[no]
         return list(self._waiting.values())
@@ -113,7 +113,7 @@
 
     def _order_anew(self, waiting: list[Job]) -> None:
         self._alike_numbers.clear()
-        self._ordered = {job.no for job in waiting}
+        self._ordered = {job.number for job in waiting}
         if not waiting:
             # Whoever comes next is counted anew.
             self._order = []
@@ -124,22 +124,22 @@
         self._order = sorted(self._entry(job) for job in waiting)
 
     def _put_in_order(self, job: Job) -> None:
-        if job.no not in self._ordered:
-            self._ordered.add(job.no)
+        if job.number not in self._ordered:
+            self._ordered.add(job.number)
             insort(self._order, self._entry(job))
 
     def _entry(self, job: Job) -> PendingJob:
         level, latest = self.urgency(job, self.runtime.wall())
-        beyond = job.no in self.beyond
-        key = wire.RANKS[job.spec.rank], beyond, level, latest, job.no
+        beyond = job.number in self.beyond
+        key = wire.RANKS[job.spec.rank], beyond, level, latest, job.number
         return PendingJob(key, job, self._alike(job, beyond, self.runtime.now()))
 
     def _alike(self, job: Job, beyond: bool, now: float) -> int | None:
         """A number for what decides whether a task finds room, or somebody to stop for it."""
         spec = job.spec
-        if spec.kind == wire.GANG or job.no in self._suspects:
+        if spec.kind == wire.GANG or job.number in self._suspects:
             return None
-        overdue = now - job.waits_since > self.policy.keep_patience
+        overdue = now - job.pending_since > self.policy.keep_patience
         size = spec.cores, spec.gpus, spec.ram
         where = spec.types, spec.zone, spec.spot
         alike = (
@@ -159,7 +159,7 @@
         """Counts anew who reaches beyond a guarantee; in between only new jobs are added."""
         self._demand, self._guarantees, self.beyond = {}, {}, set()
         for job in self._live.values():
-            if not (job.done or job.cancelled):
+            if not (job.is_done or job.is_cancelled):
                 self._count_demand(job)
 
     def _count_demand(self, job: Job) -> None:
@@ -170,7 +170,7 @@
         if guarantee is None:
             guarantee = self._guarantees[spec.team] = self.term.guarantee(spec.team)
         if not guarantee.covers(demand):
-            self.beyond.add(job.no)
+            self.beyond.add(job.number)
 
     # Due times
 
@@ -178,14 +178,14 @@
         """The due time that the job is to meet, and when it must start for that."""
         spec = job.spec
         begin_within = self._begin_within.get(spec.lane, self.policy.begin_latest)
-        may_wait = spec.kind == wire.SERVICE or (spec.best_effort and job.begun)
-        if wall - job.at > begin_within and not may_wait:
+        may_wait = spec.kind == wire.SERVICE or (spec.best_effort and job.has_started)
+        if wall - job.accepted_at > begin_within and not may_wait:
             # Those left out for being large must begin all the same.
-            return -1, job.at
+            return -1, job.accepted_at
         latest = self._latest(job)
         if spec.best_effort and not latest:
-            return NO_DUE_TIME, job.at
-        level = max(sum(wall > time for time in latest), self._levels.get(job.no, 0))
+            return NO_DUE_TIME, job.accepted_at
+        level = max(sum(wall > time for time in latest), self._levels.get(job.number, 0))
         return (level, latest[level]) if level < len(latest) else (len(latest), 0.0)
 
     def _latest(self, job: Job) -> tuple[float, ...]:
@@ -196,7 +196,7 @@
             dues.append(spec.deadline)
             # A deadline that is lost may leave a multiple of it to be kept.
             dues += [spec.deadline * times for times in self._late_times.get(spec.lane, ())]
-        return tuple(job.at + due - spec.estimate for due in sorted(dues))
+        return tuple(job.accepted_at + due - spec.estimate for due in sorted(dues))
 
     def _choose_levels(self, waiting: list[Job]) -> None:
         """Chooses which waiting jobs are to be in time.
@@ -205,8 +205,8 @@
         """
         lanes: dict[str, list[Due]] = {}
         for job in waiting:
-            if job.spec.kind != wire.SERVICE and job.no not in self._suspects:
-                due = Due(job.no, self._latest(job), job.waiting * job.spec.estimate)
+            if job.spec.kind != wire.SERVICE and job.number not in self._suspects:
+                due = Due(job.number, self._latest(job), job.pending_count * job.spec.estimate)
                 lanes.setdefault(job.spec.lane, []).append(due)
         if not lanes:
             self._levels = {}
@@ -214,7 +214,7 @@
         running: dict[str, int] = {}
         for job in self._live.values():
             lane = job.spec.lane
-            running[lane] = running.get(lane, 0) + len(job.placed)
+            running[lane] = running.get(lane, 0) + len(job.placements)
         self._levels = {}
         for lane, dues in lanes.items():
             self._levels |= levels(dues, self.runtime.wall(), max(1, running.get(lane, 0)))
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -42,14 +42,14 @@
     def take(self, placed: Placement) -> bool:
         """Whether the task's team keeps its guarantee without it, too; then it counts."""
         job = placed.job
-        leaves_anyway = job.no in self._gangs or self._is_leaving(placed)
+        leaves_anyway = job.number in self._gangs or self._is_leaving(placed)
         if self._reclaimable is None or job.spec.team == self._team or leaves_anyway:
             return True
-        tasks = len(job.placed) if job.spec.kind == wire.GANG else 1
+        tasks = len(job.placements) if job.spec.kind == wire.GANG else 1
         if not self._reclaimable.take(job.spec.team, amounts_of(job.spec, tasks)):
             return False
         if job.spec.kind == wire.GANG:
-            self._gangs.add(job.no)
+            self._gangs.add(job.number)
         return True
 
 
@@ -82,7 +82,7 @@
             self._nobody, self._nobody_until = placement.Exhausted(), now + self.policy.retry
         if self.lending.is_enabled:
             self._borrowers = self.lending.borrowers()
-        return self._claims.expire(now, self.ledger.book)
+        return self._claims.expire(now, self.ledger.state)
 
     def unclaimed_by(self, rank: int) -> Callable[[Machine], bool] | None:
         """Whether a machine's room is not kept for somebody more important; None: nothing is."""
@@ -96,7 +96,7 @@
         """Whether the job's next task has a right to room that others use beyond a guarantee."""
         if self.lending.is_enabled:
             return self.lending.is_entitled(job)
-        return job.no not in self.jobs.queue.beyond
+        return job.number not in self.jobs.queue.beyond
 
     def party(self, job: Job) -> Hashable:
         """For whom others are stopped: equal where the same tasks may be."""
@@ -157,21 +157,22 @@
 
     def _unserved(self, job: Job, now: float) -> TaskKey | None:
         """The waiting task for which room is to be made next; None: it is being made for all."""
-        key = job.no, job.next_task()
+        key = job.number, job.next_pending_task()
         if not self.lending.is_enabled:
             return None if self._preempted.get(key, 0.0) > now else key
         recalled = self.lending.recalls.tasks_for(job)
         served = {
             task
             for (no, task), until in self._preempted.items()
-            if no == job.no and until > now and task not in job.placed
+            if no == job.number and until > now and task not in job.placements
         }
-        if recalled + len(served) >= job.waiting:
+        if recalled + len(served) >= job.pending_count:
             return None
         waiting = itertools.chain(
-            heapq.nsmallest(len(served) + 1, job.requeued), range(job.fresh, job.spec.tasks)
+            heapq.nsmallest(len(served) + 1, job.retry_queue),
+            range(job.next_unstarted_task, job.spec.tasks),
         )
-        return next(((job.no, task) for task in waiting if task not in served), None)
+        return next(((job.number, task) for task in waiting if task not in served), None)
 
     def _is_borrowed(self, spec: wire.Spec, victims: list[Placement]) -> bool:
         """Whether another team's work is to give way, and that is to be kept in the ledger."""
@@ -199,7 +200,7 @@
         what is stopped for it meanwhile does nothing.
         """
         now, rank = self.runtime.now(), wire.RANKS[job.spec.rank]
-        first = job.no, 0
+        first = job.number, 0
         if self._preempted.get(first, 0.0) > now:
             return True
         if self.lending.recalls.tasks_for(job):
@@ -221,7 +222,7 @@
         self._preempted = {key: until for key, until in self._preempted.items() if until > now}
         for share in best:
             for task in itertools.islice(tasks, share.tasks):
-                key = job.no, task
+                key = job.number, task
                 victims = list(share.leaving)
                 self._preempted[key] = self._evict(key, job.spec, share.machine, victims, False)
         log.info(
@@ -236,8 +237,8 @@
         """The gang is placed: its claims are made good."""
         self.lending.gang_placed(job)
         for task in range(job.spec.tasks):
-            if self._preempted.pop((job.no, task), None) is not None:
-                self._claims.made_good((job.no, task))
+            if self._preempted.pop((job.number, task), None) is not None:
+                self._claims.made_good((job.number, task))
 
     def _least_gang_loss(self, job: Job, index: MachineIndex, now: float) -> list[Share] | None:
         spec = job.spec
@@ -249,7 +250,7 @@
                 leaving = [
                     Leaving(placed, self._loss(placed, now))
                     for placed in machine.placements.values()
-                    if placed.seen
+                    if placed.was_reported
                     and self._gives_way(placed, spec, entitled, now)
                     and budget.take(placed)
                 ]
@@ -262,12 +263,12 @@
 
     def make_room_to_move(self, placed: Placement, machine: Machine) -> None:
         """Stops best-effort tasks on the machine so that a replica can move there."""
-        key = placed.job.no, placed.task
+        key = placed.job.number, placed.task
         if self._claims.has(key):
             return
         kind, now = self.term.kinds[machine.kind], self.runtime.now()
         victims = self._victims(placed.job, machine, kind, False, now)
-        if victims and all(victim.best_effort for victim in victims):
+        if victims and all(victim.is_best_effort for victim in victims):
             self._evict(key, placed.job.spec, machine, victims, moving=True)
 
     def _least_loss(
@@ -329,7 +330,7 @@
         lower = [
             placed
             for placed in machine.placements.values()
-            if placed.seen and self._gives_way(placed, spec, entitled, now)
+            if placed.was_reported and self._gives_way(placed, spec, entitled, now)
         ]
         if not lower:
             return []
@@ -360,7 +361,7 @@
             return self._may_be_taken(placed, spec, entitled)
         return wire.RANKS[other.rank] > wire.RANKS[spec.rank] or (
             entitled
-            and placed.job.no in self.jobs.queue.beyond
+            and placed.job.number in self.jobs.queue.beyond
             and other.team != spec.team
             and other.kind != wire.SERVICE
             and self._loss(placed, now) < self.policy.settle
@@ -385,7 +386,7 @@
 
     def _takes_any_room(self, job: Job, now: float) -> bool:
         """Whether the job, entitled to room, has waited for so long that no GPUs are spared."""
-        return self.lending.is_enabled and now - job.waits_since > self.lending.patience(job)
+        return self.lending.is_enabled and now - job.pending_since > self.lending.patience(job)
 
     def _is_last(self, placed: Placement, spec: wire.Spec) -> bool:
         """Whether the task gives way after all others: a replica of another team."""
@@ -410,8 +411,8 @@
 
     def _loss(self, placed: Placement, now: float) -> float:
         """Seconds of work that a stop throws away."""
-        if self._is_leaving(placed) or placed.ran_at is None:
+        if self._is_leaving(placed) or placed.started_at is None:
             return 0.0
         if placed.job.spec.kind == wire.GANG:
             return self.gangs.loss(placed.job)
-        return placed.job.spec.save if placed.job.spec.checkpoint else now - placed.ran_at
+        return placed.job.spec.save if placed.job.spec.checkpoint else now - placed.started_at
--- a/flaxtally/leader/scheduling/reservations.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -79,4 +79,6 @@
     def _is_live(key: TaskKey, claim: Reservation, now: float, book: ClusterState) -> bool:
         number, task = key
         job = book.jobs.get(number)
-        return claim.until > now and job is not None and (claim.moving or task not in job.placed)
+        return (
+            claim.until > now and job is not None and (claim.moving or task not in job.placements)
+        )
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -142,14 +142,14 @@
 
     def has_hint(self, job: Job) -> bool:
         """Whether it is said where the job's next task is to go."""
-        hinted = bool(self.hints) and (job.no, job.next_task()) in self.hints
+        hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
         return hinted or self.lending.room_for(job) is not None
 
     def hinted(
         self, job: Job, shut: Collection[str], keep: Callable[[Machine], bool] | None
     ) -> Machine | None:
         """Where the job's next task was moved to, or room was recalled, if it can go there."""
-        hint = self.hints.pop((job.no, job.next_task()), "")
+        hint = self.hints.pop((job.number, job.next_pending_task()), "")
         machine = self.fleet.machines.get(hint) or self.lending.room_for(job)
         if machine is None or not self.tracker.is_usable(machine) or machine.zone in shut:
             return None
@@ -166,7 +166,7 @@
             self.preemption.gang_placed(job)
             self.gang_holds.placed(job)
             self._take_up_changes()
-        elif not job.placed and self.jobs.within_limit(job.spec, job.spec.tasks):
+        elif not job.placements and self.jobs.within_limit(job.spec, job.spec.tasks):
             self._make_gang_room(job, index, overdue)
         return count
 
@@ -189,28 +189,28 @@
 
     def place(self, job: Job, machine: Machine) -> None:
         """Proposes the placement of the job's next task; it is launched once that is committed."""
-        task = job.next_task()
+        task = job.next_pending_task()
         attempt = job.attempts.get(task, 0) + 1
         now = self.runtime.now()
 
         def committed() -> None:
-            if job.placed.get(task) is not placed:
+            if job.placements.get(task) is not placed:
                 # Its machine was released meanwhile.
                 return
-            placed.committed = True
-            if job.cancelled:
+            placed.is_committed = True
+            if job.is_cancelled:
                 # Cancelled between proposal and commit: it was never launched, so it is over.
                 self.tracker.over(placed, False, "cancelled before launch")
             else:
                 self.orders.launch(placed)
 
         self.ledger.propose(
-            [records.PLACED, job.no, task, attempt, machine.name, machine.zone], committed
+            [records.PLACED, job.number, task, attempt, machine.name, machine.zone], committed
         )
-        placed: Placement = job.placed[task]
-        placed.proposed_at = job.waits_since = now
+        placed: Placement = job.placements[task]
+        placed.proposed_at = job.pending_since = now
         machine.use(placed)
-        self.preemption.placed((job.no, task))
+        self.preemption.placed((job.number, task))
         self.lending.placed(job, machine)
         self._take_up_changes()
 
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -99,7 +99,7 @@
             kin = alike, self._jobs.shut_zones(job)
             if kin in hopeless and not self._scheduler.has_hint(job):
                 continue
-            if not job.waiting or backoff.get(job.no, 0.0) > self._now:
+            if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_tasks(job, full) and alike is not None:
                 # As it is now: some of its tasks may have been placed.
@@ -110,15 +110,15 @@
     def _place_tasks(self, job: Job, full: placement.Exhausted) -> bool:
         """Places the job's waiting tasks; False: there is no room for one, nor for its like."""
         spec = job.spec
-        suspect = job.no in self._jobs.suspects
-        if suspect and job.placed and spec.kind != wire.GANG:
+        suspect = job.number in self._jobs.suspects
+        if suspect and job.placements and spec.kind != wire.GANG:
             return True
         if spec.kind == wire.GANG:
             self.placed += self._scheduler.place_gang(job, self._index, self._is_overdue(job))
             return True
         keep = self._scheduler.keep_for(job)
         last: Machine | None = None
-        while job.waiting and not self.is_full:
+        while job.pending_count and not self.is_full:
             if not self._jobs.within_limit(spec):
                 return False
             shut = self._jobs.shut_zones(job)
@@ -158,9 +158,9 @@
         """Which machines the job may use, beside its own conditions; None: any."""
         if not job.spec.best_effort or search.overdue:
             return keep
-        if job.no not in self._worth:
-            self._worth[job.no] = self._worth_using(job.spec, keep)
-        return self._worth[job.no]
+        if job.number not in self._worth:
+            self._worth[job.number] = self._worth_using(job.spec, keep)
+        return self._worth[job.number]
 
     def _search(self, job: Job, shut: frozenset[str]) -> _Search:
         spec = job.spec
@@ -176,7 +176,7 @@
         return _Search(like, self._is_overdue(job))
 
     def _is_overdue(self, job: Job) -> bool:
-        return self._now - job.waits_since > self._preemption.lending.patience(job)
+        return self._now - job.pending_since > self._preemption.lending.patience(job)
 
     def _choose(
         self,
@@ -191,7 +191,7 @@
         needs = None if search.overdue else self._jobs.needs
         accept = self._accept(job, search, keep)
         where = self._grown if known else self._index
-        machine = choose(spec, job.no, where, needs, self._policy.sample, shut, accept)
+        machine = choose(spec, job.number, where, needs, self._policy.sample, shut, accept)
         if machine is None:
             self.unfit.add(search, spec)
             if not (known or self._has_grown):
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -34,7 +34,7 @@
             now = self._runtime.now()
             machine = self.machines[name] = Machine(name, kind, zone, spot, now, self.changed)
             self.zones.add(zone)
-            for placed in self._ledger.book.on_machine.get(name, {}).values():
+            for placed in self._ledger.state.placements_by_machine.get(name, {}).values():
                 machine.use(placed)
         return machine
 
@@ -75,7 +75,7 @@
 
     def use(self, team: str) -> Amounts:
         """What a team's placements take, from their proposal until they are proven over."""
-        usage = self.ledger.book.usage.get(team)
+        usage = self.ledger.state.usage_by_team.get(team)
         return Amounts(usage.cores, usage.gpus) if usage is not None else NOTHING
 
     @property
--- a/flaxtally/ledger/cluster_state.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -53,19 +53,19 @@
 
     __slots__ = (
         "attempt",
-        "committed",
-        "inherited",
+        "command_sent_at",
+        "is_committed",
+        "is_inherited",
         "job",
-        "launch_session",
+        "launch_incarnation",
+        "launches_in_flight",
         "machine",
-        "open",
         "proposed_at",
-        "ran_at",
-        "seen",
-        "sent_at",
+        "started_at",
         "state",
         "stopping_at",
         "task",
+        "was_reported",
         "zone",
     )
 
@@ -77,15 +77,15 @@
             machine,
             zone,
         )
-        self.committed = False
-        self.inherited = False
-        self.launch_session = 0
-        self.open = 0
-        self.seen = False
+        self.is_committed = False
+        self.is_inherited = False
+        self.launch_incarnation = 0
+        self.launches_in_flight = 0
+        self.was_reported = False
         self.state = ""
         self.proposed_at = 0.0
-        self.ran_at: float | None = None
-        self.sent_at = float("-inf")
+        self.started_at: float | None = None
+        self.command_sent_at = float("-inf")
         self.stopping_at: float | None = None
 
     @property
@@ -93,73 +93,73 @@
         return f"{self.job.spec.ref}/{self.task}"
 
     @property
-    def best_effort(self) -> bool:
+    def is_best_effort(self) -> bool:
         return self.job.spec.best_effort
 
 
 class Job:
-    """A job and the states of its tasks. Tasks from `fresh` on were never touched."""
+    """A job and the states of its tasks. Tasks from `next_unstarted_task` on were never touched."""
 
     __slots__ = (
+        "accepted_at",
         "accepted_bytes",
-        "at",
         "attempts",
-        "cancelled",
         "cancelled_at",
-        "committed",
-        "done",
         "done_tasks",
-        "ending",
-        "fresh",
-        "home",
+        "home_page",
+        "is_cancellation_committed",
+        "is_cancelled",
+        "is_committed",
+        "is_done",
         "known_at",
-        "leaving",
-        "no",
-        "placed",
-        "placed_bytes",
-        "requeued",
+        "next_unstarted_task",
+        "number",
+        "pending_since",
+        "placement_bytes",
+        "placements",
+        "reported_stage",
+        "retry_queue",
         "shape",
         "spec",
-        "told",
-        "waits_since",
+        "uncommitted_ends",
         "zone_counts",
     )
 
     def __init__(self, no: int, at: float, spec: wire.Spec) -> None:
-        self.no, self.at, self.spec = no, at, spec
+        self.number, self.accepted_at, self.spec = no, at, spec
         self.shape = Shape.of(spec)
         self.accepted_bytes = ACCEPTED_BYTES + len(msgspec.json.encode(spec))
-        self.placed_bytes = PLACED_BYTES
+        self.placement_bytes = PLACED_BYTES
         """About what the record of its last placement takes."""
-        self.fresh = 0
-        self.requeued: list[int] = []
+        self.next_unstarted_task = 0
+        self.retry_queue: list[int] = []
         self.attempts: dict[int, int] = {}
         self.done_tasks: set[int] = set()
-        self.placed: dict[int, Placement] = {}
+        self.placements: dict[int, Placement] = {}
         self.zone_counts: dict[str, int] = {}
         """Placements by zone; zones without any are left out."""
-        self.cancelled = False
-        self.done = False
-        self.committed = False
-        self.told = ""
-        self.ending = False
+        self.is_cancelled = False
+        self.is_done = False
+        self.is_committed = False
+        self.reported_stage = ""
+        self.is_cancellation_committed = False
         """Its cancellation is committed."""
-        self.leaving = 0
+        self.uncommitted_ends = 0
         """Placements proven over whose record is not committed yet."""
         self.cancelled_at = 0.0
         self.known_at = 0.0
-        self.waits_since = 0.0
+        self.pending_since = 0.0
         """Since when it has waiting tasks and none of them was placed."""
-        self.home = 0
+        self.home_page = 0
 
     @property
-    def final(self) -> bool:
-        return self.done or self.cancelled
+    def is_terminal(self) -> bool:
+        return self.is_done or self.is_cancelled
 
     @property
-    def begun(self) -> bool:
+    def has_started(self) -> bool:
         """Whether a task of it was ever placed."""
-        return self.fresh > 0
+        return self.next_unstarted_task > 0
 
     @property
     def newest_attempt(self) -> int:
@@ -167,22 +167,26 @@
         return max(self.attempts.values(), default=0)
 
     @property
-    def weight(self) -> int:
+    def snapshot_bytes(self) -> int:
         """About how many bytes its records take in a snapshot."""
-        placed = len(self.placed)
+        placed = len(self.placements)
         # Tasks that are placed, or wait again, part the others into runs.
-        runs = min(self.fresh - placed, placed + 1 + 2 * len(self.requeued))
-        return self.accepted_bytes + self.placed_bytes * placed + RUN_BYTES * max(0, runs)
+        runs = min(self.next_unstarted_task - placed, placed + 1 + 2 * len(self.retry_queue))
+        return self.accepted_bytes + self.placement_bytes * placed + RUN_BYTES * max(0, runs)
 
     @property
-    def waiting(self) -> int:
-        return 0 if self.final else self.spec.tasks - self.fresh + len(self.requeued)
+    def pending_count(self) -> int:
+        return (
+            0
+            if self.is_terminal
+            else self.spec.tasks - self.next_unstarted_task + len(self.retry_queue)
+        )
 
-    def next_task(self) -> int:
+    def next_pending_task(self) -> int:
         """The waiting task to place next; it stays waiting until it is placed."""
-        return self.requeued[0] if self.requeued else self.fresh
+        return self.retry_queue[0] if self.retry_queue else self.next_unstarted_task
 
-    def zone_count(self, zone: str) -> int:
+    def placements_in_zone(self, zone: str) -> int:
         """How many of its tasks are placed in the zone."""
         return self.zone_counts.get(zone, 0)
 
@@ -205,22 +209,22 @@
 
 
 class ClusterState:
-    """All jobs. Records that are final and without placements shrink to `finals`."""
+    """All jobs. Records that are final and without placements shrink to `terminal_jobs`."""
 
     def __init__(self) -> None:
         self.jobs: dict[int, Job] = {}
-        self.by_ref: dict[str, Job] = {}
-        self.finals = TerminalJobs()
-        self.final_home: dict[int, TerminalJobPage] = {}
-        self.usage: dict[str, ResourceUsage] = {}
-        self.on_machine: dict[str, dict[tuple[int, int], Placement]] = {}
-        self.next_no = 1
+        self.jobs_by_ref: dict[str, Job] = {}
+        self.terminal_jobs = TerminalJobs()
+        self.terminal_job_pages: dict[int, TerminalJobPage] = {}
+        self.usage_by_team: dict[str, ResourceUsage] = {}
+        self.placements_by_machine: dict[str, dict[tuple[int, int], Placement]] = {}
+        self.next_job_number = 1
         self.catalog: list[Any] = []
-        self.catalog_home = 0
+        self.catalog_page = 0
         self.format = formats.FIRST
         """What may be written: all controllers read it."""
-        self.format_home = 0
-        self.loans = LoanState()
+        self.format_page = 0
+        self.loan_state = LoanState()
         self._reader = BatchReader()
         self._handlers: dict[str, Callable[..., None]] = {
             JOB: self._accept,
@@ -231,9 +235,9 @@
             FINAL: self._finish,
             CATALOG: self._keep_catalog,
             FORMAT: self._raise_format,
-            RECALL: self.loans.begin,
-            RECALL_OVER: self.loans.end,
-            ACCOUNT: self.loans.keep_account,
+            RECALL: self.loan_state.begin,
+            RECALL_OVER: self.loan_state.end,
+            ACCOUNT: self.loan_state.keep_account,
         }
 
     # Records, live and on replay
@@ -253,23 +257,25 @@
             if certain[0] not in OF_A_JOB or certain[1] in self.jobs:
                 self.apply(certain, home)
 
-    def compact(self, job: Job, page: int) -> None:
+    def compact_job(self, job: Job, page: int) -> None:
         """Shrinks a final job without placements to what must be kept for ever."""
-        self._finish(page, job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE)
+        self._finish(
+            page, job.number, job.spec.ref, wire.ABORTED if job.is_cancelled else wire.DONE
+        )
 
     def _accept(self, page: int, no: int, at: float, *spec: Any) -> None:
         old = self.jobs.get(no)
         if old is not None:
-            for placement in list(old.placed.values()):
+            for placement in list(old.placements.values()):
                 self._remove(placement)
         job = Job(no, at, msgspec.convert(spec, wire.Spec))
         if old is not None:
-            job.told, job.committed = old.told, old.committed
-        elif job.spec.ref in self.by_ref or job.spec.ref in self.finals:
+            job.reported_stage, job.is_committed = old.reported_stage, old.is_committed
+        elif job.spec.ref in self.jobs_by_ref or job.spec.ref in self.terminal_jobs:
             raise InvalidRecordError(f"job {job.spec.ref} is known")
-        job.home = page
-        self.jobs[no] = self.by_ref[job.spec.ref] = job
-        self.next_no = max(self.next_no, no + 1)
+        job.home_page = page
+        self.jobs[no] = self.jobs_by_ref[job.spec.ref] = job
+        self.next_job_number = max(self.next_job_number, no + 1)
 
     def _restore_tasks(self, page: int, no: int, runs: list[list[Any]]) -> None:
         job = self.jobs[no]
@@ -280,43 +286,43 @@
                 if done:
                     job.done_tasks.add(task)
                 else:
-                    heapq.heappush(job.requeued, task)
-                job.fresh = max(job.fresh, task + 1)
+                    heapq.heappush(job.retry_queue, task)
+                job.next_unstarted_task = max(job.next_unstarted_task, task + 1)
         self._settle(job)
 
     def _place(self, page: int, no: int, task: int, attempt: int, machine: str, zone: str) -> None:
         job = self.jobs[no]
         if (
-            task in job.placed
+            task in job.placements
             or task in job.done_tasks
-            or job.cancelled
+            or job.is_cancelled
             or attempt < job.attempts.get(task, 0) + (job.spec.kind != wire.GANG)
         ):
             raise InvalidRecordError(
                 f"task {job.spec.ref}/{task} can't be placed as attempt {attempt}"
             )
-        if job.requeued and job.requeued[0] == task:
-            heapq.heappop(job.requeued)
-        elif task in job.requeued:
-            job.requeued.remove(task)
-            heapq.heapify(job.requeued)
+        if job.retry_queue and job.retry_queue[0] == task:
+            heapq.heappop(job.retry_queue)
+        elif task in job.retry_queue:
+            job.retry_queue.remove(task)
+            heapq.heapify(job.retry_queue)
         else:
-            for skipped in range(job.fresh, task):
-                heapq.heappush(job.requeued, skipped)
-            job.fresh = max(job.fresh, task + 1)
+            for skipped in range(job.next_unstarted_task, task):
+                heapq.heappush(job.retry_queue, skipped)
+            job.next_unstarted_task = max(job.next_unstarted_task, task + 1)
         job.attempts[task] = attempt
         placement = Placement(job, task, attempt, machine, zone)
-        job.placed[task] = placement
-        job.placed_bytes = PLACED_BYTES + len(machine) + len(zone)
+        job.placements[task] = placement
+        job.placement_bytes = PLACED_BYTES + len(machine) + len(zone)
         job.zone_counts[zone] = job.zone_counts.get(zone, 0) + 1
-        self.on_machine.setdefault(machine, {})[no, task] = placement
-        usage = self.usage.setdefault(job.spec.team, ResourceUsage())
+        self.placements_by_machine.setdefault(machine, {})[no, task] = placement
+        usage = self.usage_by_team.setdefault(job.spec.team, ResourceUsage())
         usage.cores += job.spec.cores
         usage.gpus += job.spec.gpus
 
     def _end(self, page: int, no: int, task: int, attempt: int, done: bool) -> None:
         job = self.jobs[no]
-        placement = job.placed.get(task)
+        placement = job.placements.get(task)
         if placement is None or placement.attempt != attempt:
             raise InvalidRecordError(f"task {job.spec.ref}/{task} has no attempt {attempt} to end")
         self._remove(placement)
@@ -326,47 +332,47 @@
         elif done and job.spec.kind != wire.SERVICE:
             job.done_tasks.add(task)
         else:
-            heapq.heappush(job.requeued, task)
+            heapq.heappush(job.retry_queue, task)
         self._settle(job)
 
     def _cancel(self, page: int, no: int) -> None:
         job = self.jobs[no]
-        if job.done:
+        if job.is_done:
             raise InvalidRecordError(f"job {job.spec.ref} is done")
-        job.cancelled = True
+        job.is_cancelled = True
 
     def _finish(self, page: int, no: int, ref: str, stage: str) -> None:
         job = self.jobs.pop(no, None)
         if job is not None:
-            self.by_ref.pop(ref, None)
-        self.finals.add(ref, stage)
-        self.final_home.setdefault(page, TerminalJobPage()).add(ref)
-        self.next_no = max(self.next_no, no + 1)
+            self.jobs_by_ref.pop(ref, None)
+        self.terminal_jobs.add(ref, stage)
+        self.terminal_job_pages.setdefault(page, TerminalJobPage()).add(ref)
+        self.next_job_number = max(self.next_job_number, no + 1)
 
     def _keep_catalog(self, page: int, types: list[Any], more: bool = False) -> None:
         if more:
             self.catalog = [*self.catalog, *types]
         else:
-            self.catalog, self.catalog_home = types, page
+            self.catalog, self.catalog_page = types, page
 
     def _raise_format(self, page: int, version: int) -> None:
         if version > formats.OWN.newest:
             raise UnsupportedFormatError(
                 f"format {version}; this program reads {formats.OWN.newest}"
             )
-        self.format, self.format_home = max(self.format, version), page
+        self.format, self.format_page = max(self.format, version), page
 
     def _remove(self, placement: Placement) -> None:
         job = placement.job
-        del job.placed[placement.task]
+        del job.placements[placement.task]
         job.zone_counts[placement.zone] -= 1
         if not job.zone_counts[placement.zone]:
             del job.zone_counts[placement.zone]
-        there = self.on_machine[placement.machine]
-        del there[job.no, placement.task]
+        there = self.placements_by_machine[placement.machine]
+        del there[job.number, placement.task]
         if not there:
-            del self.on_machine[placement.machine]
-        usage = self.usage[job.spec.team]
+            del self.placements_by_machine[placement.machine]
+        usage = self.usage_by_team[job.spec.team]
         usage.cores -= job.spec.cores
         usage.gpus -= job.spec.gpus
 
@@ -375,14 +381,14 @@
         if (
             job.spec.kind != wire.SERVICE
             and len(job.done_tasks) == job.spec.tasks
-            and not job.cancelled
+            and not job.is_cancelled
         ):
-            job.done = True
+            job.is_done = True
 
-    def weight(self) -> int:
+    def snapshot_bytes(self) -> int:
         """About how many bytes the records of a snapshot of everything would take."""
         jobs = sum(
-            FINAL_BYTES if job.final and not job.placed else job.weight
+            FINAL_BYTES if job.is_terminal and not job.placements else job.snapshot_bytes
             for job in self.jobs.values()
         )
-        return FINAL_BYTES * len(self.finals) + jobs + self.loans.weight()
+        return FINAL_BYTES * len(self.terminal_jobs) + jobs + self.loan_state.snapshot_bytes()
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..cluster.leader_election import LEAD
+from ..cluster.leader_election import LEADER_KEY
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
 
@@ -75,8 +75,8 @@
         def told(outcome: Outcome, _: int) -> None:
             timer.cancel()
             for request in asked:
-                request.tell(self._open and outcome is Outcome.DONE)
-            if self._open and outcome is Outcome.FAILED:
+                request.tell(self._open and outcome is Outcome.COMMITTED)
+            if self._open and outcome is Outcome.CONFLICT:
                 self._lost()
             else:
                 self._next_round(number)
@@ -91,7 +91,7 @@
                 self._next_round(number)
 
         timer = self.later(self._first_call, unanswered)
-        self._store.transact({LEAD: self._version}, {}, [], told)
+        self._store.compare_and_swap({LEADER_KEY: self._version}, {}, [], told)
 
     def _next_round(self, number: int) -> None:
         if not self._open or number != self._round:
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -96,7 +96,7 @@
 class LoanState:
     """The recalls that are not over, the accounts, and the pages that hold their records."""
 
-    recalls: dict[int, Reclaim] = field(default_factory=dict)
+    reclaims: dict[int, Reclaim] = field(default_factory=dict)
     accounts: dict[str, LoanAccount] = field(default_factory=dict)
     next_number: int = 1
     _homes: dict[int | str, int] = field(default_factory=dict)
@@ -115,7 +115,7 @@
     ) -> None:
         """A recall begins, goes on elsewhere, or is said anew."""
         chosen = tuple(Borrowed(*each) for each in borrowed)
-        self.recalls[number] = Reclaim(
+        self.reclaims[number] = Reclaim(
             number, lender, job, machine, decided_at, deadline, tasks, chosen
         )
         self.next_number = max(self.next_number, number + 1)
@@ -123,7 +123,7 @@
 
     def end(self, page: int, number: int) -> None:
         """A recall is over. One that is not known began in a page that was cleaned since."""
-        self.recalls.pop(number, None)
+        self.reclaims.pop(number, None)
         self._homes.pop(number, None)
         self.next_number = max(self.next_number, number + 1)
 
@@ -134,7 +134,7 @@
 
     def records_at_home(self, page: int) -> list[Record]:
         """What the records of a page still mean."""
-        found = [recall for no, recall in self.recalls.items() if self._homes[no] == page]
+        found = [recall for no, recall in self.reclaims.items() if self._homes[no] == page]
         kept = [account for team, account in self.accounts.items() if self._homes[team] == page]
         return [recall.record() for recall in found] + [account.record() for account in kept]
 
@@ -143,11 +143,11 @@
         if record[0] in (RECALL, ACCOUNT):
             self._homes[record[1]] = page
 
-    def weight(self) -> int:
+    def snapshot_bytes(self) -> int:
         """About how many bytes the records of a snapshot would take."""
-        borrowed = sum(len(recall.borrowed) for recall in self.recalls.values())
+        borrowed = sum(len(recall.borrowed) for recall in self.reclaims.values())
         return (
-            RECALL_BYTES * len(self.recalls)
+            RECALL_BYTES * len(self.reclaims)
             + BORROWED_BYTES * borrowed
             + ACCOUNT_BYTES * len(self.accounts)
         )
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -16,7 +16,7 @@
 
 def final_record(job: Job) -> Record:
     """All that is kept of a job that is over."""
-    return [FINAL, job.no, job.spec.ref, wire.ABORTED if job.cancelled else wire.DONE]
+    return [FINAL, job.number, job.spec.ref, wire.ABORTED if job.is_cancelled else wire.DONE]
 
 
 def job_records(job: Job) -> list[Record]:
@@ -24,21 +24,21 @@
 
     Read in part they would say that its tasks are placed nowhere.
     """
-    accepted: Record = [JOB, job.no, job.at, *msgspec.to_builtins(job.spec)]
+    accepted: Record = [JOB, job.number, job.accepted_at, *msgspec.to_builtins(job.spec)]
     placed: list[Record] = [
-        [PLACED, job.no, there.task, there.attempt, there.machine, there.zone]
-        for there in job.placed.values()
+        [PLACED, job.number, there.task, there.attempt, there.machine, there.zone]
+        for there in job.placements.values()
     ]
-    if job.done:
+    if job.is_done:
         # A gang that is done while some of its tasks are not proven over: each counts as done.
         everything = [0, job.spec.tasks, job.newest_attempt, True]
-        return [accepted, *placed, [TASKS, job.no, [everything]]]
+        return [accepted, *placed, [TASKS, job.number, [everything]]]
     runs = _runs(job)
     unplaced: list[Record] = [
-        [TASKS, job.no, runs[start : start + RUNS_A_RECORD]]
+        [TASKS, job.number, runs[start : start + RUNS_A_RECORD]]
         for start in range(0, len(runs), RUNS_A_RECORD)
     ]
-    cancelled: list[Record] = [[CANCELLED, job.no]] if job.cancelled else []
+    cancelled: list[Record] = [[CANCELLED, job.number]] if job.is_cancelled else []
     return [accepted, *unplaced, *placed, *cancelled]
 
 
@@ -62,15 +62,18 @@
     `most_bytes`: of the records of a page.
     """
     groups: list[list[Record]] = []
-    if book.format > formats.FIRST and book.format_home == page:
+    if book.format > formats.FIRST and book.format_page == page:
         groups.append([[FORMAT, book.format]])
-    if book.catalog and book.catalog_home == page:
+    if book.catalog and book.catalog_page == page:
         groups.append(catalog_records(book.catalog, most_bytes))
-    for job in [job for job in book.jobs.values() if job.home == page]:
-        over = job.final and not job.placed
+    for job in [job for job in book.jobs.values() if job.home_page == page]:
+        over = job.is_terminal and not job.placements
         groups.append([final_record(job)] if over else job_records(job))
-    groups += [[record] for record in book.loans.records_at_home(page)]
-    groups += [[[FINAL, 0, ref, book.finals.get(ref)]] for ref in book.final_home.get(page, ())]
+    groups += [[record] for record in book.loan_state.records_at_home(page)]
+    groups += [
+        [[FINAL, 0, ref, book.terminal_jobs.get(ref)]]
+        for ref in book.terminal_job_pages.get(page, ())
+    ]
     return groups
 
 
@@ -79,8 +82,8 @@
     runs: list[list[object]] = []
     first = count = attempt = 0
     done = False
-    for task in range(job.fresh):
-        if task in job.placed:
+    for task in range(job.next_unstarted_task):
+        if task in job.placements:
             continue
         now = job.attempts.get(task, 0), task in job.done_tasks
         if count and first + count == task and (attempt, done) == now:
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -70,21 +70,23 @@
         def told(outcome: Outcome, revision: int) -> None:
             if not self._open:
                 return
-            if outcome is Outcome.DONE:
+            if outcome is Outcome.COMMITTED:
                 self._done(CommitOutcome.COMMITTED, revision)
-            elif outcome is Outcome.FAILED and unsure:
+            elif outcome is Outcome.CONFLICT and unsure:
                 # The first copy may have been carried out although its answer was lost.
                 self._read_back(transaction)
-            elif outcome is Outcome.FAILED:
+            elif outcome is Outcome.CONFLICT:
                 self._done(CommitOutcome.LOST, 0)
             elif outcome is Outcome.INVALID:
                 self._done(CommitOutcome.TOO_LARGE, 0)
             else:
                 self._bucket.take(transaction.changes)
                 delay = max(self._retry / 4, self._bucket.wait(transaction.changes))
-                self.later(delay, self.send, transaction, unsure or outcome is Outcome.UNKNOWN)
+                self.later(
+                    delay, self.send, transaction, unsure or outcome is Outcome.INDETERMINATE
+                )
 
-        self._store.transact(
+        self._store.compare_and_swap(
             transaction.guards,
             transaction.puts,
             transaction.drops,
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from ..clients.key_value_store import KeyValueStore
-from ..cluster.leader_election import LEAD
+from ..cluster.leader_election import LEADER_KEY
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 from ..runtime.loop import Runtime
@@ -104,7 +104,7 @@
     def _reset(self, version: int) -> None:
         self.generation += 1
         self._version = version
-        self.book = ClusterState()
+        self.state = ClusterState()
         self._queue: deque[tuple[Record, int, Then | None]] = deque()
         self._thens: list[Then] = []
         self._pages: dict[int, int] = {}
@@ -138,7 +138,7 @@
         self._reset(version)
         confirmation.close()
 
-    def open(self, version: int, ready: Then) -> None:
+    def replay(self, version: int, ready: Then) -> None:
         """Reads all pages under a leader key of this version.
 
         Writes of earlier leaders fail from the takeover on, so what is read is final.
@@ -147,7 +147,7 @@
         generation = self.generation
 
         def read() -> None:
-            self._store.rows(PAGES, told)
+            self._store.list_prefix(PAGES, told)
 
         def told(rows: list[wire.Row] | None) -> None:
             if generation != self.generation:
@@ -160,7 +160,7 @@
                     number = int(row.key[len(PAGES) :])
                     self._pages[number] = row.version
                     for record in row.value["r"]:
-                        self.book.replay(record, number)
+                        self.state.replay(record, number)
             except UnsupportedFormatError as fault:
                 log.error("event=ledger_format_unknown page=%s why=%r", row.key, str(fault))
                 self._restart(version)
@@ -173,52 +173,52 @@
                 self._restart(version)
                 self.later(10 * self._retry, self._open_again, self.generation, version, ready)
                 return
-            for job in self.book.jobs.values():
-                job.committed = True
-                job.ending = job.cancelled
+            for job in self.state.jobs.values():
+                job.is_committed = True
+                job.is_cancellation_committed = job.is_cancelled
                 # A cancelled job is told as such when nothing of it is left; see
                 # `JobRegistry.settle`.
-                job.told = (
+                job.reported_stage = (
                     wire.DONE
-                    if job.done
+                    if job.is_done
                     else wire.ABORTED
-                    if job.cancelled and not job.placed
+                    if job.is_cancelled and not job.placements
                     else ""
                 )
-                for placement in job.placed.values():
-                    placement.committed = placement.inherited = True
+                for placement in job.placements.values():
+                    placement.is_committed = placement.is_inherited = True
             self._filling = max(self._pages, default=ORIGIN) + 1
-            log.info("event=ledger_read pages=%d jobs=%d", len(rows), len(self.book.jobs))
+            log.info("event=ledger_read pages=%d jobs=%d", len(rows), len(self.state.jobs))
             ready()
 
         read()
 
     def _open_again(self, generation: int, version: int, ready: Then) -> None:
         if generation == self.generation:
-            self.open(version, ready)
+            self.replay(version, ready)
 
-    def propose(self, record: Record, then: Then | None = None) -> None:
-        """Applies the record to the book and commits it soon; `then` follows the commit."""
+    def propose(self, record: Record, on_committed: Then | None = None) -> None:
+        """Applies the record to the book and commits it soon; `on_committed` follows the commit."""
         size = self._room(size_of(record))
-        self.book.apply(record, self._filling)
-        self._add(record, size, then)
+        self.state.apply(record, self._filling)
+        self._add(record, size, on_committed)
 
-    def propose_batch(self, records: list[Record], then: Then | None = None) -> None:
-        """The same for records that are read whole or not at all; `then` follows the last commit.
+    def propose_batch(self, records: list[Record], on_committed: Then | None = None) -> None:
+        """Proposes records that are read all or none; `on_committed` follows the last commit.
 
         None of them is of a kind that a page is the home of. More than a page is written only in
         a format that has batches (`writes_batches`).
         """
         for record in records:
-            self.book.apply(record, self._filling)
-        self._add_batch(records, then)
+            self.state.apply(record, self._filling)
+        self._add_batch(records, on_committed)
 
     @property
     def writes_batches(self) -> bool:
         """Whether all controllers read batches of more than a page."""
-        return self.book.format >= formats.GANGS
+        return self.state.format >= formats.GANGS
 
-    def holds(self, record: Record) -> bool:
+    def fits_in_page(self, record: Record) -> bool:
         """Whether the record fits into a page, also within a batch."""
         return size_of(record) <= self._page_bytes - PIECE_OVERHEAD
 
@@ -261,7 +261,7 @@
 
     # Cleaning: old pages are said anew, shorter, in the page being filled, and then dropped
 
-    def clean(self) -> None:
+    def compact(self) -> None:
         """Cleans the oldest page when the pages hold much more than what they still mean.
 
         A crash between the new records and the drop leaves both: replay takes the later ones.
@@ -271,7 +271,7 @@
             return
         if len(self._pages) <= FEW_PAGES:
             return
-        least = FEW_PAGES + LOOSE * self.book.weight() // self._page_bytes
+        least = FEW_PAGES + LOOSE * self.state.snapshot_bytes() // self._page_bytes
         if len(self._pages) <= least:
             return
         # Small pages are cleaned several at a time: one a turn fell behind what is written.
@@ -300,19 +300,21 @@
         """Says anew what the page still means; False: not now."""
         if oldest >= self._filling - 1:
             return False
-        at_home = [job for job in self.book.jobs.values() if job.home == oldest]
-        if any(job.final and not job.placed and not job.told for job in at_home):
+        at_home = [job for job in self.state.jobs.values() if job.home_page == oldest]
+        if any(
+            job.is_terminal and not job.placements and not job.reported_stage for job in at_home
+        ):
             # Its end is about to be told. (A cancelled job that still has placements is said anew
             # like any other.)
             return False
-        groups = snapshot.page_records(self.book, oldest, self._page_bytes)
+        groups = snapshot.page_records(self.state, oldest, self._page_bytes)
         if not self.writes_batches and any(
             sum(map(size_of, group)) > self._page_bytes for group in groups
         ):
             # Read in part by an older controller, such a job would have tasks placed nowhere.
             return False
         log.info("event=clean page=%d of=%d jobs=%d", oldest, len(self._pages), len(at_home))
-        refs = iter(self.book.final_home.pop(oldest, ()))
+        refs = iter(self.state.terminal_job_pages.pop(oldest, ()))
         for group in groups:
             home = self._add_batch(group, None)
             self._move_home(group[0], home, refs)
@@ -321,19 +323,19 @@
 
     def _move_home(self, record: Record, home: int, finals: Iterator[str]) -> None:
         """What the record begins to say anew stands in the page `home` from now on."""
-        book = self.book
+        book = self.state
         if record[0] == JOB:
-            book.jobs[record[1]].home = home
+            book.jobs[record[1]].home_page = home
         elif record[0] == CATALOG:
-            book.catalog_home = home
+            book.catalog_page = home
         elif record[0] == FORMAT:
-            book.format_home = home
+            book.format_page = home
         elif record[0] == FINAL and record[1]:
-            book.compact(book.jobs[record[1]], home)
+            book.compact_job(book.jobs[record[1]], home)
         elif record[0] == FINAL:
-            book.final_home.setdefault(home, TerminalJobPage()).add(next(finals))
+            book.terminal_job_pages.setdefault(home, TerminalJobPage()).add(next(finals))
         else:
-            book.loans.move_home(record, home)
+            book.loan_state.move_home(record, home)
 
     @property
     def backlog(self) -> int:
@@ -371,7 +373,7 @@
             if then is not None:
                 thens.append(then)
         self._thens = thens
-        guards = {LEAD: self._version}
+        guards = {LEADER_KEY: self._version}
         puts: dict[str, Any] = {}
         for page, records in pages.items():
             guards[page_key(page)] = self._pages.get(page, 0)
@@ -437,6 +439,6 @@
         if generation == self.generation:
             then()
 
-    def confirm(self, done: Callable[[bool], None]) -> None:
+    def confirm_leadership(self, done: Callable[[bool], None]) -> None:
         """`done(True)` once a compare-only transaction sent after this call shows that we lead."""
         self._confirmation.confirm(done)
--- a/flaxtally/planning/consolidate.py
+++ b/flaxtally/planning/consolidate.py
@@ -91,7 +91,7 @@
         (machine, placed.job.spec)
         for machine in machines
         for placed in machine.placements.values()
-        if placed.best_effort and placed.stopping_at is None
+        if placed.is_best_effort and placed.stopping_at is None
     ]
     for machine, spec in freed:
         machine.claim(spec, -1)
@@ -114,7 +114,7 @@
     job = placed.job
     return choose(
         job.spec,
-        job.no,
+        job.number,
         index,
         needs,
         sample,
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -141,10 +141,10 @@
         self.note_change()
 
     def use(self, placement: Placement) -> None:
-        key = (placement.job.no, placement.task)
+        key = (placement.job.number, placement.task)
         if key not in self.placements:
             self.claim(placement.job.spec, 1)
-            self.anchors += not placement.best_effort
+            self.anchors += not placement.is_best_effort
             self.pinned += _pins(placement.job.spec)
         self.placements[key] = placement
         if placement.job.spec.kind != wire.SERVICE:
@@ -153,13 +153,13 @@
 
     def free(self, placement: Placement, now: float) -> None:
         self.settled_tasks = None
-        key = (placement.job.no, placement.task)
+        key = (placement.job.number, placement.task)
         self.ending.pop(key, None)
         if self.placements.pop(key, None) is not None:
             self.claim(placement.job.spec, -1)
             self.pinned -= _pins(placement.job.spec)
             self.idle_since = now
-            if not placement.best_effort:
+            if not placement.is_best_effort:
                 self.anchors -= 1
                 self.unneeded_since = now
 
--- a/tests/production.py
+++ b/tests/production.py
@@ -17,6 +17,7 @@
 from functools import cache
 from pathlib import Path
 from types import ModuleType
+from typing import Any
 
 import pytest
 
@@ -58,3 +59,41 @@
     """A module of the version in production."""
     sources()
     return importlib.import_module(f"{PACKAGE}.{name}")
+
+
+RENAMED = {
+    "is_leader": "leading",
+    "on_heartbeat": "heartbeat",
+    "is_ready": "ready",
+    "state": "book",
+    "terminal_jobs": "finals",
+    "jobs_by_ref": "by_ref",
+    "is_terminal": "final",
+    "is_cancelled": "cancelled",
+    "placements": "placed",
+    "pending_count": "waiting",
+}
+"""Present names of what tests ask of both versions, and those of the version in production."""
+
+
+class UnderPresentNames:
+    """An object of the version in production whose attributes go by the present names."""
+
+    def __init__(self, original: Any) -> None:
+        self._original = original
+
+    def __getattr__(self, name: str) -> Any:
+        return under_present_names(getattr(self._original, RENAMED.get(name, name)))
+
+
+WRAPPED = frozenset({"Node", "Election", "Leader", "Book", "Job"})
+"""Types of the version in production that are asked by the present names."""
+
+
+def under_present_names(value: Any) -> Any:
+    """The value of the version in production, so that tests can ask it like a present one."""
+    if isinstance(value, dict):
+        return {key: under_present_names(each) for key, each in value.items()}
+    if type(value).__name__ in WRAPPED and type(value).__module__.startswith(PACKAGE):
+        return UnderPresentNames(value)
+    return value
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -45,7 +45,7 @@
         leading = [
             (node.election.term, name)
             for name, node in self.nodes.items()
-            if name.startswith(cell) and node.election.leading
+            if name.startswith(cell) and node.election.is_leader
             if self.sim.hosts[self.ip(name)].alive and node.leader.term.active
         ]
         return max(leading)[1] if leading else None
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -233,7 +233,7 @@
         leading = [
             (node.election.term, name)
             for name, node in self.nodes.items()
-            if node.election.leading and self.sim.hosts[self.ip(name)].alive
+            if node.election.is_leader and self.sim.hosts[self.ip(name)].alive
         ]
         return max(leading)[1] if leading else None
 
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -92,7 +92,7 @@
         return book
 
     def recalls(self) -> dict[int, Reclaim]:
-        return self.book().loans.recalls
+        return self.book().loan_state.reclaims
 
     def stops_of(self, ref: str) -> int:
         return sum(task.startswith(ref + "/") for _, task, _ in self.halted)
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -34,12 +34,13 @@
         settings = production.module("settings").parse(
             tomllib.loads(settings_text(self.settings_of(node, NOW)))
         )
-        self.nodes[node] = production.module("node").Node(
+        controller = production.module("node").Node(
             self.sim.host(self.ip(node)),
             settings,
             production.module("policy").default(settings),
             random.Random(self.rng.random()),
         )
+        self.nodes[node] = production.under_present_names(controller)
 
     def settings_of(self, node: str, limits: StateLimits = LOWER) -> Any:
         return self.with_limits(super().settings_of(node), limits)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -9,7 +9,7 @@
 from flaxtally.cells.directory import JOBS
 from flaxtally.cells.map import CellMap
 from flaxtally.cells.map_keeper import MAP_KEY
-from flaxtally.cluster.leader_election import LEAD
+from flaxtally.cluster.leader_election import LEADER_KEY
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Request
 from flaxtally.settings import Team
@@ -373,12 +373,12 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     world = SimulatedCells()
-    world.put(LEAD, {"term": 4, "node": "hearth-0", "boot": "x"})
+    world.put(LEADER_KEY, {"term": 4, "node": "hearth-0", "boot": "x"})
     world.run(20.0)
     assert world.leader_of(NORTH) is world.leader_of(SOUTH) is None
     warned = [line for line in caplog.messages if "event=undivided_fleet" in line]
     assert len(warned) == len(CELL_NODES), "one line a controller"
-    del world.state.rows[LEAD]
+    del world.state.rows[LEADER_KEY]
     assert world.until(world.both_lead, 20)
 
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -165,7 +165,7 @@
     assert set(spare) & {machine for machine, _ in world.running.values()}
     before = dict(world.running)
     world.run(45)
-    assert world.nodes[old].election.leading
+    assert world.nodes[old].election.is_leader
     assert world.running == before, world.trace[-20:]
     for name in spare:
         world.sim.heal(world.ip(old), world.ip_of(name))
@@ -401,7 +401,7 @@
     world.run(0.05)
     world.crash(node, back_after=0.1)
     assert world.until(
-        lambda: world.nodes[node].election.able and world.sim.hosts[world.ip(node)].alive, 3
+        lambda: world.nodes[node].election.is_available and world.sim.hosts[world.ip(node)].alive, 3
     )
     answers: list[int] = []
     for ref in ("j-000001", "j-000100"):
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from flaxtally.cluster.format_negotiation import FormatNegotiation
-from flaxtally.cluster.store_relay import unfold
+from flaxtally.cluster.store_relay import decode_batch
 from flaxtally.ledger.batch import BATCH, BatchReader, pieces, size_of
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.snapshot import page_records
@@ -30,23 +30,23 @@
 PAGE_BYTES = LOWER.value_bytes * 7 // 8
 
 
-def meaning(book: Any) -> dict[str, Any]:
+def meaning(state: Any) -> dict[str, Any]:
     """What a ledger says of each job, in plain values: the same for both versions."""
-    found: dict[str, Any] = {ref: book.finals.get(ref) for ref in book.finals}
-    for job in book.jobs.values():
-        if job.final and not job.placed:
-            found[job.spec.ref] = wire.ABORTED if job.cancelled else wire.DONE
+    found: dict[str, Any] = {ref: state.terminal_jobs.get(ref) for ref in state.terminal_jobs}
+    for job in state.jobs.values():
+        if job.is_terminal and not job.placements:
+            found[job.spec.ref] = wire.ABORTED if job.is_cancelled else wire.DONE
             continue
         found[job.spec.ref] = {
             "tasks": job.spec.tasks,
-            "cancelled": job.cancelled,
+            "cancelled": job.is_cancelled,
             "done": sorted(job.done_tasks),
             "placed": [
                 [task, placed.attempt, placed.machine, placed.zone]
-                for task, placed in sorted(job.placed.items())
+                for task, placed in sorted(job.placements.items())
             ],
             "attempts": sorted([task, attempt] for task, attempt in job.attempts.items()),
-            "waiting": job.waiting,
+            "waiting": job.pending_count,
         }
     return found
 
@@ -73,7 +73,7 @@
 def test_keys_and_mail_that_production_wrote_are_read_today() -> None:
     rows = json.loads(FIXTURE.read_text())["rows"]
     assert {"term", "node", "boot"} <= rows["lead"].keys()
-    mailed = [unfold(value)[1] for key, value in rows.items() if key.startswith("mail/")]
+    mailed = [decode_batch(value)[1] for key, value in rows.items() if key.startswith("mail/")]
     kinds = {frame["k"] for frames in mailed for frame in frames}
     assert "hb" in kinds
     heartbeats = [frame for frames in mailed for frame in frames if frame["k"] == "hb"]
@@ -82,7 +82,7 @@
 
 def test_what_is_written_before_the_raise_means_the_same_to_production() -> None:
     # Needs production's sources: skipped where the clone lacks its commit.
-    book = production.module("ledger.book").Book()
+    book = production.under_present_names(production.module("ledger.book").Book())
     world = UpgradingCluster(seed=3, upgraded=NODES[:2])
     while world.leader() not in NODES[:2]:
         change_leader(world) if world.leader() else world.run(0.5)
@@ -159,17 +159,17 @@
     for task in range(3):
         book.apply(["P", 1, task, 1, f"n-{task}", "a"], 1)
     book.apply(["E", 1, 1, 1, True], 1)
-    assert book.jobs[1].done
+    assert book.jobs[1].is_done
     again = ClusterState()
     for group in page_records(book, 1, PAGE_BYTES):
         for record in group:
             again.replay(record, 2)
-    assert again.jobs[1].done
-    assert sorted(again.jobs[1].placed) == [0, 2]
+    assert again.jobs[1].is_done
+    assert sorted(again.jobs[1].placements) == [0, 2]
     for task in (0, 2):
         again.apply(["E", 1, task, 1, False], 2)
-    assert again.jobs[1].done
-    assert not again.jobs[1].waiting
+    assert again.jobs[1].is_done
+    assert not again.jobs[1].pending_count
 
 
 def test_a_submission_with_names_longer_than_a_page_is_refused() -> None:
@@ -201,25 +201,25 @@
 
 def test_only_the_newest_connection_of_a_peer_speaks_for_it() -> None:
     known = member_formats()
-    known.hello("hearth-1", 5, [1, 2])
-    assert known.newest_of("hearth-1") == 2
+    known.on_hello("hearth-1", 5, [1, 2])
+    assert known.newest_format_of("hearth-1") == 2
     # Its earlier life, before the upgrade: held back by the network, delivered late.
-    known.hello("hearth-1", 3, None)
-    assert known.newest_of("hearth-1") == 2
+    known.on_hello("hearth-1", 3, None)
+    assert known.newest_format_of("hearth-1") == 2
     # It was rolled back.
-    known.hello("hearth-1", 6, None)
-    assert known.newest_of("hearth-1") == 1
-    known.hello("hearth-1", 5, [1, 2])
-    assert known.newest_of("hearth-1") == 1
+    known.on_hello("hearth-1", 6, None)
+    assert known.newest_format_of("hearth-1") == 1
+    known.on_hello("hearth-1", 5, [1, 2])
+    assert known.newest_format_of("hearth-1") == 1
 
 
 def test_mail_raises_what_is_known_and_never_lowers_it() -> None:
     known = member_formats()
-    known.mailed("hearth-1", None)
-    assert known.newest_of("hearth-1") == 1
-    known.mailed("hearth-1", [1, 2])
-    known.mailed("hearth-1", None)
-    assert known.newest_of("hearth-1") == 2
+    known.on_relayed_heartbeat("hearth-1", None)
+    assert known.newest_format_of("hearth-1") == 1
+    known.on_relayed_heartbeat("hearth-1", [1, 2])
+    known.on_relayed_heartbeat("hearth-1", None)
+    assert known.newest_format_of("hearth-1") == 2
 
 
 def test_what_all_read_is_what_every_configured_member_reads() -> None:
@@ -227,10 +227,10 @@
     assert world.until(lambda: world.leader() is not None, 20.0)
     world.run(3.0)
     leader = world.nodes[world.leader() or ""]
-    assert leader.formats.common == formats.OWN.newest
+    assert leader.formats.common_format == formats.OWN.newest
     peer = next(name for name in NODES if name != world.leader())
-    leader.formats.hello(peer, 10**6, None)
-    assert leader.formats.common == formats.FIRST
+    leader.formats.on_hello(peer, 10**6, None)
+    assert leader.formats.common_format == formats.FIRST
     assert FormatRange(1, 3) == formats.OWN
 
 
@@ -247,7 +247,7 @@
 
 def production_reads(record: list[Any]) -> str:
     """How production's ledger takes a record after a job of two tasks, one of them placed."""
-    book = production.module("ledger.book").Book()
+    book = production.under_present_names(production.module("ledger.book").Book())
     job = wire.msgspec.to_builtins(batch("j-000001", 2))
     book.replay(["J", 1, 1.0, *job], 1)
     book.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
@@ -286,7 +286,7 @@
     term = node.election.term
     node._receive(peer, {"k": "alive", "t": term, "m": ["n-000000"]})
     node._receive(peer, {"k": "novelty", "x": [1, 2]})
-    node.election.heartbeat(peer, {"k": "hb", "term": term, "leader": None, "formats": [1, 2]})
+    node.election.on_heartbeat(peer, {"k": "hb", "term": term, "leader": None, "formats": [1, 2]})
     world.run(5.0)
     assert node.election.term == term
     assert world.count("j-000001") == 2
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -175,7 +175,7 @@
         leaving = []
         for task in range(number * 8, number * 8 + rng.randrange(4)):
             book.apply(["P", 1, task, 1, machine.name, machine.zone], 1)
-            leaving.append(Leaving(book.jobs[1].placed[task], rng.uniform(0, 50)))
+            leaving.append(Leaving(book.jobs[1].placements[task], rng.uniform(0, 50)))
         free = Room(kind.cores - machine.cores, 0.0, 64.0)
         candidates.append(Candidate(machine, kind, free, leaving))
         most += int((free.cores + 3.0 * len(leaving) + 1e-6) / 3.0)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -15,7 +15,7 @@
 
 from flaxtally import cli
 from flaxtally.cli import main
-from flaxtally.cluster.store_relay import MOST_INFLATED, fold, unfold
+from flaxtally.cluster.store_relay import MOST_INFLATED, decode_batch, encode_batch
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.leader.reconciliation.reconciler import Reconciler
 from flaxtally.leader.resource_shapes import MOST_SHAPES, ResourceShapes
@@ -268,10 +268,10 @@
     heard: list[str] = []
     batches = 0
     while frames:
-        text, count = fold(frames, most, 1.0)
+        text, count = encode_batch(frames, most, 1.0)
         assert count > 0
         assert len(text) <= most
-        at, found = unfold(text)
+        at, found = decode_batch(text)
         assert at == 1.0
         assert found == frames[:count]
         heard += [str(frame["m"]) for frame in found]
@@ -284,28 +284,28 @@
 def test_a_batch_can_be_read_whatever_its_frames_hold() -> None:
     # Long frames of one letter are short when compressed; the reader takes no more than so much.
     frames = [{"k": "rep", "m": f"n-{number}", "b": b"x" * LONG} for number in range(100)]
-    text, count = fold(frames, 7000, 1.0)
+    text, count = encode_batch(frames, 7000, 1.0)
     assert 0 < count <= MOST_INFLATED // LONG
-    assert unfold(text) == (1.0, frames[:count])
+    assert decode_batch(text) == (1.0, frames[:count])
 
 
 def test_a_frame_that_fits_no_batch_is_told_and_holds_up_no_other() -> None:
     noise = random.Random(1).randbytes(9000)
-    assert fold([{"k": "ord", "o": noise}], 7000, 1.0)[1] == 0
+    assert encode_batch([{"k": "ord", "o": noise}], 7000, 1.0)[1] == 0
     world = SimulatedCluster()
     assert world.until(lambda: world.leader() is not None, 10)
-    one = world.nodes["hearth-0"].peers.mail
+    one = world.nodes["hearth-0"].peers.relay
     assert one is not None
-    one.post("hearth-1", {"k": "ord", "o": noise})
-    one.post("hearth-1", {"k": "rep", "m": "n-1", "b": b"new"})
-    one.post("hearth-1", {"k": "rep", "m": "n-1", "b": b"newer"})
-    one.post("hearth-1", {"k": "hb"})
+    one.enqueue("hearth-1", {"k": "ord", "o": noise})
+    one.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"new"})
+    one.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"newer"})
+    one.enqueue("hearth-1", {"k": "hb"})
     box = one._boxes["hearth-1"]
     assert [frame["k"] for frame in box.in_order()] == ["hb", "ord", "rep"]
     box.version = 0
     one._write("hearth-1", box)
     assert [frame.get("b") for frame in box.in_order()] == [b"newer"]
-    one.post("hearth-1", {"k": "ask", "i": 1})
+    one.enqueue("hearth-1", {"k": "ask", "i": 1})
     box.forget(world.sim.time + 1.0)
     assert [frame["k"] for frame in box.in_order()] == ["rep"]
     box.clear()
@@ -323,7 +323,7 @@
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     tracker = world.nodes[world.leader() or ""].leader.tracker
     asked: list[tuple[float, Callable[[object], None]]] = []
-    tracker.cloud.listing = lambda done: asked.append((world.sim.time, done))
+    tracker.cloud.list_machines = lambda done: asked.append((world.sim.time, done))
     world.run(30.0)
     assert len(asked) == 1
     began, done = asked[0]
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -169,9 +169,9 @@
     for group in page_records(book, 1, 4096):
         for record in group:
             again.replay(record, 2)
-    assert again.loans.recalls == {4: recall}
-    assert again.loans.accounts == {"crew": account}
-    assert again.loans.next_number == 5
+    assert again.loan_state.reclaims == {4: recall}
+    assert again.loan_state.accounts == {"crew": account}
+    assert again.loan_state.next_number == 5
     assert page_records(again, 2, 4096) == page_records(book, 1, 4096)
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -202,7 +202,7 @@
         records.append(list(record))
 
     for step in range(steps):
-        jobs = [job for job in book.jobs.values() if not job.final]
+        jobs = [job for job in book.jobs.values() if not job.is_terminal]
         action = rng.random()
         if not jobs or action < 0.2:
             made = (
@@ -210,36 +210,41 @@
                 if rng.random() < 0.7
                 else spec(f"j-{step:06d}", tasks=3)
             )
-            apply("J", book.next_no, 1.0, *wire.msgspec.to_builtins(made))
+            apply("J", book.next_job_number, 1.0, *wire.msgspec.to_builtins(made))
             continue
         job = rng.choice(jobs)
-        if action < 0.6 and job.waiting:
-            task = job.next_task()
+        if action < 0.6 and job.pending_count:
+            task = job.next_pending_task()
             apply(
-                "P", job.no, task, job.attempts.get(task, 0) + 1, f"n-{rng.randint(0, 3):06d}", "a"
+                "P",
+                job.number,
+                task,
+                job.attempts.get(task, 0) + 1,
+                f"n-{rng.randint(0, 3):06d}",
+                "a",
             )
-        elif action < 0.95 and job.placed:
-            placed = rng.choice(list(job.placed.values()))
-            apply("E", job.no, placed.task, placed.attempt, rng.random() < 0.6)
+        elif action < 0.95 and job.placements:
+            placed = rng.choice(list(job.placements.values()))
+            apply("E", job.number, placed.task, placed.attempt, rng.random() < 0.6)
         elif action >= 0.98:
-            apply("C", job.no)
+            apply("C", job.number)
     return book, records
 
 
 def picture(book: ClusterState) -> object:
     """All that a book means, comparable."""
-    finals = {ref: book.finals.get(ref) for ref in book.finals}
+    finals = {ref: book.terminal_jobs.get(ref) for ref in book.terminal_jobs}
     jobs = {}
     for job in book.jobs.values():
-        if job.final and not job.placed:
-            finals[job.spec.ref] = "aborted" if job.cancelled else "done"
+        if job.is_terminal and not job.placements:
+            finals[job.spec.ref] = "aborted" if job.is_cancelled else "done"
             continue
-        placed = {task: (p.attempt, p.machine, p.zone) for task, p in job.placed.items()}
-        waiting = {*job.requeued, *range(job.fresh, job.spec.tasks)}
-        jobs[job.spec.ref] = (job.spec, job.cancelled, job.done_tasks, placed, waiting)
+        placed = {task: (p.attempt, p.machine, p.zone) for task, p in job.placements.items()}
+        waiting = {*job.retry_queue, *range(job.next_unstarted_task, job.spec.tasks)}
+        jobs[job.spec.ref] = (job.spec, job.is_cancelled, job.done_tasks, placed, waiting)
     usage = {
         team: (round(use.cores, 6), round(use.gpus, 6))
-        for team, use in book.usage.items()
+        for team, use in book.usage_by_team.items()
         if use.cores > 1e-9
     }
     return finals, jobs, usage
@@ -268,13 +273,13 @@
     attempts = {
         (job.spec.ref, task): attempt
         for job in book.jobs.values()
-        if not job.final
+        if not job.is_terminal
         for task, attempt in job.attempts.items()
     }
     assert attempts == {
         (job.spec.ref, task): attempt
         for job in rewritten.jobs.values()
-        if not job.final
+        if not job.is_terminal
         for task, attempt in job.attempts.items()
     }
 
@@ -418,7 +423,7 @@
     for number, machine in enumerate(fleet, 1):
         book.apply(["J", number, 0.0, *msgspec.to_builtins(spec(f"j-{number:06d}", cores=7.0))], 1)
         book.apply(["P", number, 0, 1, machine.name, "a"], 1)
-        machine.use(book.jobs[number].placed[0])
+        machine.use(book.jobs[number].placements[0])
         machine.images["img-1"] = 1.0
     x, _, z = fleet
     z.claim(spec("j-000009", cores=4.0), 1)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -122,7 +122,7 @@
     leads = leader_of(world)
     world.run(5)
     assert leader_of(world) == leads
-    assert not (world.nodes[taking].election.leading and leads != taking)
+    assert not (world.nodes[taking].election.is_leader and leads != taking)
     ends_well(world)
 
 
@@ -151,6 +151,6 @@
     world = busy(services=1, arrays=0)
     leader = world.nodes[leader_of(world)].leader
     told: list[bool] = []
-    leader._ledger.confirm(told.append)
-    leader._ledger.open(leader._ledger._version, lambda: None)
+    leader._ledger.confirm_leadership(told.append)
+    leader._ledger.replay(leader._ledger._version, lambda: None)
     assert told == [False]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -65,7 +65,7 @@
         for number in range(30):
             sim.at(
                 float(turn),
-                workers.orders,
+                workers.send_commands,
                 f"10.1.0.{number}:9000",
                 {},
                 lambda status, _: told.append(status),
@@ -94,7 +94,7 @@
         def done(status: int, _: Any) -> None:
             told[number] = sim.time, status
 
-        workers.status(f"10.1.0.{number}:9000", done)
+        workers.query_status(f"10.1.0.{number}:9000", done)
 
     for number in range(6):
         ask(number)
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -132,7 +132,7 @@
     leader = world.nodes[leader_of(world)]
     kept = [key for key in world.state.rows if key.startswith("p/")]
     written = max(int(key[2:]) for key in kept)
-    assert leader.leader.book.by_ref["j-900000"].placed
+    assert leader.leader.book.jobs_by_ref["j-900000"].placements
     assert len(kept) < written / 2, (len(kept), written)
     change_leader(world)
     world.run(40)
@@ -239,8 +239,8 @@
     world.machine_trouble("cut", list(world.workers), 6.0)
     world.submit(spec("j-000050", spread=False))
     world.run(0.5)
-    assert old.leader.book.by_ref["j-000050"].placed
-    old.election.depose()
+    assert old.leader.book.jobs_by_ref["j-000050"].placements
+    old.election.step_down()
     world.run(1)
     assert term(world) > first
     assert world.until(lambda: task in world.running, 40)
@@ -259,6 +259,6 @@
             world.crash(leader_of(world), back_after=1.0)
             world.run(4)
         assert [record.message.split()[0] for record in caplog.records] == ["event=ledger_damaged"]
-        assert not any(node.election.ready for node in world.nodes.values())
+        assert not any(node.election.is_ready for node in world.nodes.values())
     world.state.rows["p/00000001"] = sound
     ends_well(world, 40)
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -36,7 +36,7 @@
     world.crash(world.leader() or "", back_after=5.0)
     world.submit(spec("j-000003"), node=1)
     world.run(30)
-    world.note(f"leaders: {sum(node.election.leading for node in world.nodes.values())}")
+    world.note(f"leaders: {sum(node.election.is_leader for node in world.nodes.values())}")
     return world
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,7 +3,7 @@
 
 from __future__ import annotations
 
-from flaxtally.cluster.leader_election import LEAD
+from flaxtally.cluster.leader_election import LEADER_KEY
 from flaxtally.fakes.worker import Worker
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Request
@@ -34,7 +34,7 @@
     )
     assert world.ask("j-000000")[1]["stage"] == "running"
     assert world.ask("j-999999")[0] == 404
-    assert sum(node.election.leading for node in world.nodes.values()) == 1
+    assert sum(node.election.is_leader for node in world.nodes.values()) == 1
 
 
 def test_leader_crash_keeps_every_task_in_place() -> None:
@@ -59,7 +59,9 @@
     world.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
     assert world.until(lambda: "j-000050" in world.accepted, 5)
     world.run(0.5)
-    assert [placed.attempt for placed in node.leader.book.by_ref["j-000050"].placed.values()] == [
+    assert [
+        placed.attempt for placed in node.leader.book.jobs_by_ref["j-000050"].placements.values()
+    ] == [
         1,
         1,
     ]
@@ -101,7 +103,7 @@
     for other in [*(world.ip(name) for name in NODES if name != old), STATE[0]]:
         world.sim.heal(world.ip(old), other)
     world.run(20)
-    assert sum(node.election.leading for node in world.nodes.values()) == 1
+    assert sum(node.election.is_leader for node in world.nodes.values()) == 1
     assert all(world.count(f"j-{number:06d}") == 2 for number in range(4))
 
 
@@ -298,7 +300,7 @@
         hold_orders(worker, 6.0)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 20), world.trace
-    job = world.nodes[world.leader() or ""].leader.book.by_ref["j-000001"]
+    job = world.nodes[world.leader() or ""].leader.book.jobs_by_ref["j-000001"]
     assert job.attempts == {0: 1, 1: 1}
 
 
@@ -343,13 +345,15 @@
     # Also when the pages that it writes are as it knows them.
     world = serving()
     leader = world.nodes[world.leader() or ""]
-    value, _, _ = world.state.rows[LEAD]
+    value, _, _ = world.state.rows[LEADER_KEY]
     world.state.transact(
-        wire.Txn(apply=[wire.Change(put=LEAD, value=value | {"term": 9, "node": "x", "boot": "x"})])
+        wire.Txn(
+            apply=[wire.Change(put=LEADER_KEY, value=value | {"term": 9, "node": "x", "boot": "x"})]
+        )
     )
     pages = {key: row for key, row in world.state.rows.items() if key.startswith("p/")}
     leader.ledger.propose(["C", 1])
-    assert world.until(lambda: not leader.election.leading, 2)
+    assert world.until(lambda: not leader.election.is_leader, 2)
     world.run(0.1)
     assert {key: row for key, row in world.state.rows.items() if key.startswith("p/")} == pages
 
@@ -525,7 +529,7 @@
     world.run(15)
     leader = world.nodes[world.leader() or ""].leader
     used = sum(machine.cores for machine in leader.term.fleet.machines.values())
-    assert used == sum(usage.cores for usage in leader.book.usage.values()) == 16.0
+    assert used == sum(usage.cores for usage in leader.book.usage_by_team.values()) == 16.0
 
 
 def test_old_pages_are_cleaned_and_nothing_is_forgotten() -> None:
@@ -562,8 +566,8 @@
     world.run(6)
     world.sim.heal(world.ip(leader), world.ip(other))
     world.run(5)
-    assert world.nodes[leader].peers.direct(other)
-    assert world.nodes[other].peers.direct(leader)
+    assert world.nodes[leader].peers.is_directly_reachable(other)
+    assert world.nodes[other].peers.is_directly_reachable(leader)
 
 
 def test_a_zone_that_falls_silent_at_once_is_waited_for() -> None:
@@ -618,7 +622,7 @@
     world.run(10)
     leader = world.leader()
     assert leader
-    assert all(world.nodes[leader].peers.direct(name) for name in NODES)
+    assert all(world.nodes[leader].peers.is_directly_reachable(name) for name in NODES)
     # And when the two others do die together, the one that is left takes over within seconds.
     for name in NODES:
         if name != leader:
@@ -738,8 +742,8 @@
         world.submit(batch(name, 1, deadline=deadline))
     world.run(1)
     leader = world.nodes[world.leader() or ""].leader
-    jobs = [leader.book.by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
-    began = jobs[0].at
+    jobs = [leader.book.jobs_by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
+    began = jobs[0].accepted_at
     # At 14 s: the first can keep three times its deadline until 18 s, the third until 24 s.
     order = sorted(jobs, key=lambda job: leader.jobs.queue.urgency(job, began + 14.0))
     assert [job.spec.ref for job in order] == ["j-000002", "j-000001", "j-000003"]
@@ -777,4 +781,4 @@
     world.run(2.5)
     leader = world.nodes[world.leader() or ""].leader
     assert lost in leader.term.fleet.gone
-    assert lost not in leader.book.on_machine
+    assert lost not in leader.book.placements_by_machine
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -89,7 +89,7 @@
         tracemalloc.stop()
         timed(f"  replay of {len(found)} records", lambda found=found: fill(found))  # type: ignore[misc]
         timed("  a snapshot of one page", lambda book=book: page_records(book, 1, PAGE_BYTES))  # type: ignore[misc]
-        timed("  weight of everything", book.weight)
+        timed("  weight of everything", book.snapshot_bytes)
     final = ClusterState()
     tracemalloc.start()
     for number in range(1, jobs + 1):
--- a/tools/production_fixture.py
+++ b/tools/production_fixture.py
@@ -8,7 +8,6 @@
 import json
 import sys
 from pathlib import Path
-from typing import Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -41,7 +40,7 @@
 
 def main() -> None:
     rows = {key: value for key, (value, _, _) in day().state.rows.items()}
-    book: Any = production.module("ledger.book").Book()
+    book = production.under_present_names(production.module("ledger.book").Book())
     for key in sorted(rows):
         if key.startswith("p/"):
             for record in rows[key]["r"]:
