--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -34,51 +34,51 @@
 
 DUTIES: dict[str, list[str]] = {
     "reports": [
-        "api.heartbeat_endpoint:Dispatch.beat",
-        "api.heartbeat_endpoint:Dispatch.forwarded",
-        "leader.reconciliation.reconciler:Tracker.on_report",
+        "api.heartbeat_endpoint:HeartbeatEndpoint.handle_heartbeat",
+        "api.heartbeat_endpoint:HeartbeatEndpoint.forwarded",
+        "leader.reconciliation.reconciler:Reconciler.handle_heartbeat",
     ],
     "users": [
-        "api.job_api:Intake.handle",
-        "api.job_api:Intake.asked",
-        "api.job_api:Intake.answered",
-        "api.job_api:Intake._renew",
+        "api.job_api:JobApi.handle",
+        "api.job_api:JobApi.asked",
+        "api.job_api:JobApi.answered",
+        "api.job_api:JobApi._renew",
     ],
     "peers": [
-        "cluster.peer_links:Peers.send",
-        "cluster.peer_links:Peers._flush",
+        "cluster.peer_links:PeerLinks.send",
+        "cluster.peer_links:PeerLinks._flush",
         "cluster.peer_links:Frames.feed",
     ],
-    "mail": ["cluster.store_relay:Mail._turn"],
+    "mail": ["cluster.store_relay:StoreRelay._turn"],
     "heartbeats": [
-        "cluster.leader_election:Election._beat",
-        "cluster.leader_election:Election.heartbeat",
+        "cluster.leader_election:LeaderElection._beat",
+        "cluster.leader_election:LeaderElection.on_heartbeat",
     ],
     "leader key": [
-        "cluster.leader_election:Election._probe",
-        "cluster.leader_election:Election._read",
+        "cluster.leader_election:LeaderElection._probe",
+        "cluster.leader_election:LeaderElection._read",
     ],
     "commit": [
-        "ledger.write_ahead_log:Ledger.propose",
-        "ledger.write_ahead_log:Ledger._commit",
-        "ledger.write_ahead_log:Ledger._committed",
-        "ledger.leadership_barrier:Confirmation._ask",
+        "ledger.write_ahead_log:WriteAheadLog.propose",
+        "ledger.write_ahead_log:WriteAheadLog._commit",
+        "ledger.write_ahead_log:WriteAheadLog._committed",
+        "ledger.leadership_barrier:LeadershipBarrier._ask",
     ],
-    "cleaning": ["ledger.write_ahead_log:Ledger.clean"],
-    "replay": ["ledger.write_ahead_log:Ledger.open", "leader.leader:Leader._ready"],
+    "cleaning": ["ledger.write_ahead_log:WriteAheadLog.compact"],
+    "replay": ["ledger.write_ahead_log:WriteAheadLog.replay", "leader.leader:Leader._ready"],
     "orders": [
-        "leader.commands:Orders._send",
-        "api.heartbeat_endpoint:Dispatch.order",
-        "api.heartbeat_endpoint:Dispatch.carried",
+        "leader.commands:CommandSender._send",
+        "api.heartbeat_endpoint:HeartbeatEndpoint.order",
+        "api.heartbeat_endpoint:HeartbeatEndpoint.carried",
     ],
     "pass": ["leader.scheduling.scheduler:Scheduler._schedule"],
-    "plan": ["leader.autoscaling.autoscaler:Planner.plan"],
+    "plan": ["leader.autoscaling.autoscaler:Autoscaler.scale"],
     "consolidation": [
         "leader.autoscaling.consolidation:Consolidation.consolidate",
         "leader.autoscaling.consolidation:Consolidation.continue_moves",
     ],
     "watch": [
-        "leader.reconciliation.reconciler:Tracker.watch",
+        "leader.reconciliation.reconciler:Reconciler.watch",
         "leader.reconciliation.stragglers:Stragglers.watch",
     ],
     "http server": [
@@ -266,7 +266,7 @@
     def role_of(ip: str) -> str:
         if ip not in names:
             return STAND_INS
-        return LEADER if deployment.nodes[names[ip]].election.leading else FOLLOWER
+        return LEADER if deployment.nodes[names[ip]].election.is_leader else FOLLOWER
 
     return deployment, role_of
 
