--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -142,7 +142,7 @@
 
     # Reports
 
-    def beat(self, request: Request) -> None:
+    def handle_heartbeat(self, request: Request) -> None:
         try:
             report = decode_report(request.body)
         except msgspec.DecodeError as fault:
@@ -225,7 +225,7 @@
         if last is None or report.order > last.order:
             self._heard[report.machine] = (self.runtime.now(), report)
 
-    def known_machines(self) -> list[wire.Heartbeat]:
+    def recent_heartbeats(self) -> list[wire.Heartbeat]:
         now = self.runtime.now()
         return [report for at, report in self._heard.values() if now - at < self._settings.lease_s]
 
@@ -239,7 +239,7 @@
 
     # Orders
 
-    def carry(
+    def send(
         self,
         server: str | None,
         machine: str,
@@ -255,7 +255,7 @@
         self._carried[number] = (server, done, timer)
         self._peers.send(server, {"k": "ord", "i": number, "m": machine, "a": address, "o": body})
 
-    def others(self, zone: str) -> list[str]:
+    def other_controllers(self, zone: str) -> list[str]:
         here = self._settings.node
         live = [
             node
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -210,19 +210,20 @@
         if not leader.term.active:
             return CellState(cell, election.is_available)
         machines = max(1, len(leader.term.fleet.machines))
-        waiting = sum(job.pending_count for job in leader.jobs.queue.waiting())
+        waiting = sum(job.pending_count for job in leader.jobs.queue.pending_jobs())
         kinds = [
-            Kind(kind.name, kind.cores, kind.gpus, kind.ram) for kind in leader.term.kinds.values()
+            Kind(kind.name, kind.cores, kind.gpus, kind.ram)
+            for kind in leader.term.machine_types.values()
         ]
         return CellState(cell, election.is_available, waiting / machines, kinds)
 
     def _demand(self) -> dict[str, Amount]:
         """What each team uses and waits for in this cell."""
         assert self._leader is not None
-        usages = self._leader.book.usage_by_team
+        usages = self._leader.state.usage_by_team
         found = {team: Amount(usage.cores, usage.gpus) for team, usage in usages.items()}
         if self._leader.term.active:
-            for job in self._leader.jobs.queue.waiting():
+            for job in self._leader.jobs.queue.pending_jobs():
                 spec = job.spec
                 needed = Amount(spec.cores * job.pending_count, spec.gpus * job.pending_count)
                 found[spec.team] = found.get(spec.team, ZERO) + needed
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -124,14 +124,14 @@
             self.formats,
             lending,
         )
-        self.dispatch.deliver_to(self.leader.on_report, self.leader.on_signs_of_life)
+        self.dispatch.deliver_to(self.leader.handle_heartbeat, self.leader.handle_liveness)
         self.intake = JobApi(
             runtime,
             policy,
             self.election,
             self.peers,
             self.leader,
-            self.dispatch.beat,
+            self.dispatch.handle_heartbeat,
             settings.max_sockets,
             self.formats,
         )
--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -32,7 +32,7 @@
         """A machine for one more task: that of the task before while it holds one more."""
         if last is not None and last.zone not in shut:
             fits = Fit(self.spec, self.needs, self.keep)
-            if fits(last, self.machines.kinds[last.kind]):
+            if fits(last, self.machines.machine_types[last.machine_type]):
                 return last
         return choose(
             self.spec, self.job_no, self.machines, self.needs, self.sample, shut, self.keep
@@ -96,13 +96,13 @@
         machine = search.one(shut, claimed[-1] if claimed else None)
         if machine is None:
             break
-        fetch = max(fetch, fetch_seconds(spec, machine, index.kinds[machine.kind]))
+        fetch = max(fetch, fetch_seconds(spec, machine, index.machine_types[machine.machine_type]))
         taken[machine.zone] = taken.get(machine.zone, 0) + 1
-        machine.claim(spec, 1)
+        machine.reserve(spec, 1)
         index.update(machine)
         claimed.append(machine)
     for machine in claimed:
-        machine.claim(spec, -1)
+        machine.reserve(spec, -1)
     for machine in dict.fromkeys(claimed):
         index.update(machine)
     return Choice(claimed, fetch) if len(claimed) == count else None
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -43,26 +43,28 @@
         self, term: Term, jobs: JobRegistry, tracker: Reconciler, orders: CommandSender
     ) -> None:
         super().__init__(term)
-        self.jobs, self.tracker, self.orders = jobs, tracker, orders
+        self.jobs, self.reconciler, self.commands = jobs, tracker, orders
         self._turns = 0
-        self._rentals = ScaleOut(term, self.plan)
+        self._rentals = ScaleOut(term, self.scale)
         self._rooms = CapacityForecast(term, self._rentals)
-        self._demand = DemandForecast(term, jobs, self._rentals.is_resting)
+        self._demand = DemandForecast(term, jobs, self._rentals.is_in_backoff)
 
-    def is_resting(self, pool: Pool) -> bool:
+    def is_in_backoff(self, pool: Pool) -> bool:
         """Whether the pool refused a short while ago."""
-        return self._rentals.is_resting(pool)
+        return self._rentals.is_in_backoff(pool)
 
-    def learn_kinds(self) -> None:
+    def load_machine_types(self) -> None:
         """Asks for the catalogue again and again: spot prices move."""
 
         def told(kinds: list[wire.MachineType] | None) -> None:
             if not self.term.active:
                 return
-            self.later(self.policy.plan_lead if kinds else self.policy.retry * 2, self.learn_kinds)
+            self.later(
+                self.policy.plan_lead if kinds else self.policy.retry * 2, self.load_machine_types
+            )
             if kinds is None:
                 return
-            self.term.kinds = {kind.name: kind for kind in kinds}
+            self.term.machine_types = {kind.name: kind for kind in kinds}
             known = msgspec.convert(self.ledger.state.catalog, list[wire.MachineType])
             if [_fixed(kind) for kind in known] != [_fixed(kind) for kind in kinds]:
                 self.ledger.propose_catalog(msgspec.to_builtins(kinds))
@@ -70,17 +72,17 @@
 
         self.cloud.list_machine_types(told)
 
-    def plan(self, then: Callable[[list[Demand]], None] | None = None) -> None:
+    def scale(self, then: Callable[[list[Demand]], None] | None = None) -> None:
         """Rents and gives back, then calls `then` with the demand that it planned for.
 
         Each part is a turn of the loop of its own: with thousands of machines a part takes as long
         as reports and heartbeats should wait. Nothing is called while planning has to wait.
         """
-        if not self.term.kinds:
+        if not self.term.machine_types:
             return
         now, policy = self.runtime.now(), self.policy
         if (
-            now - self.term.began < policy.settle / 4
+            now - self.term.began_at < policy.settle / 4
             and self.ledger.state.jobs
             and self.fleet.machines
         ):
@@ -105,35 +107,40 @@
         steps = self._steps(now, demands, self._rooms.rooms(now))
         pools = [
             pool
-            for kind in self.term.kinds.values()
+            for kind in self.term.machine_types.values()
             for zone in kind.zones
             for spot in (False, True)
-            if not self._rentals.is_resting(pool := Pool(kind.name, zone, spot))
+            if not self._rentals.is_in_backoff(pool := Pool(kind.name, zone, spot))
         ]
         per_step = int(self.settings.cloud_rps * self.policy.plan_step)
         calls = 1 if self.cloud.is_troubled else max(1, per_step)
         rents = provisioning.plan(
-            steps, self.term.kinds, pools, self.jobs.needs, SPOT_WORTH, calls * MOST_RENTED
+            steps,
+            self.term.machine_types,
+            pools,
+            self.jobs.gpu_reservations,
+            SPOT_WORTH,
+            calls * MOST_RENTED,
         )
         wanted: dict[Pool, list[provisioning.Rent]] = {}
         for rent in rents:
             wanted.setdefault(rent.pool, []).append(rent)
         for pool, group in list(wanted.items())[:calls]:
-            self._rentals.rent(pool, min(len(group), MOST_RENTED), group[0])
+            self._rentals.provision(pool, min(len(group), MOST_RENTED), group[0])
 
     def _log_fleet(self, now: float) -> None:
         """One line a while: how much of what is paid for is used, by type and kind."""
         groups: dict[str, list[float]] = {}
         for machine in self.fleet.machines.values():
-            kind = self.term.kinds.get(machine.kind)
+            kind = self.term.machine_types.get(machine.machine_type)
             if kind is None:
                 continue
             group = groups.setdefault(
                 f"{kind.name}{'*' if machine.spot else ''}", [0, 0, 0, 0.0, 0.0]
             )
             group[0] += 1
-            group[1] += machine.booting
-            group[2] += not machine.booting and not machine.placements
+            group[1] += machine.is_booting
+            group[2] += not machine.is_booting and not machine.placements
             group[3] += machine.gpus / kind.gpus if kind.gpus else machine.cores / kind.cores
             group[4] += any(
                 placed.job.spec.kind == wire.SERVICE for placed in machine.placements.values()
@@ -143,7 +150,7 @@
             for name, (n, boot, idle, used, pinned) in sorted(groups.items())
         )
         waiting: dict[str, int] = {}
-        for job in self.jobs.queue.waiting():
+        for job in self.jobs.queue.pending_jobs():
             waiting[job.spec.lane] = waiting.get(job.spec.lane, 0) + job.pending_count
         log.info("event=fleet term=%d %s waiting=%s", self.term.number, text, waiting)
 
@@ -152,15 +159,15 @@
         idle = [
             machine
             for machine in self.fleet.machines.values()
-            if machine.baseline
-            and not machine.draining
-            and not machine.releasing
-            and machine.kind in self.term.kinds
+            if machine.is_reconciled
+            and not machine.is_cordoned
+            and not machine.is_terminating
+            and machine.machine_type in self.term.machine_types
             and (self._is_idle(machine, now) or self._holds_only_leftovers(machine, now))
         ]
         if not idle:
             return
-        idle.sort(key=lambda machine: -self.term.kinds[machine.kind].price)
+        idle.sort(key=lambda machine: -self.term.machine_types[machine.machine_type].price)
         # All at once, or else a half, and so on. One by one, fifty idle machines kept the loop busy
         # for seconds.
         spare, going, size = self.spare(demands, now), list[Machine](), len(idle)
@@ -177,10 +184,10 @@
             if machine.placements:
                 self._drain(machine)
                 continue
-            self.tracker.releases.release(
+            self.reconciler.scale_in.terminate(
                 machine, f"idle for {now - machine.idle_since:.0f}s, no step needs it"
             )
-        self.tracker.releases.flush()
+        self.reconciler.scale_in.flush()
 
     def _is_idle(self, machine: Machine, now: float) -> bool:
         return not machine.placements and now - machine.idle_since > self.policy.cool_down
@@ -189,12 +196,14 @@
         """Whether the machine has long held nothing but best-effort tasks for which it is dear."""
         if machine.anchors or now - machine.unneeded_since <= self.policy.cool_down:
             return False
-        pool, most = (machine.kind, machine.spot), self.policy.best_effort_price
+        pool, most = (machine.machine_type, machine.spot), self.policy.best_effort_price
         known: dict[int, bool] = {}
         for placed in machine.placements.values():
             job = placed.job
             if job.number not in known:
-                dear = dear_types(job.shape, self.term.kinds, self.jobs.needs, most)
+                dear = dear_types(
+                    job.shape, self.term.machine_types, self.jobs.gpu_reservations, most
+                )
                 known[job.number] = pool in dear
             if not known[job.number]:
                 return False
@@ -209,13 +218,13 @@
             "event=drain term=%d machine=%s type=%s spot=%s best_effort=%d",
             self.term.number,
             machine.name,
-            machine.kind,
+            machine.machine_type,
             machine.spot,
             len(machine.placements),
         )
-        machine.draining = True
-        machine.note_change()
-        self.orders.stop_best_effort(machine)
+        machine.is_cordoned = True
+        machine.mark_changed()
+        self.commands.stop_best_effort(machine)
 
     def spare(self, demands: list[Demand], now: float) -> Callable[[set[str]], bool]:
         """Makes a check whether machines can be spared.
@@ -245,7 +254,7 @@
         for at, bins in zip(self._rooms.steps, bins_by_step, strict=True):
             then = [self._demand.at(demand, at, now) for demand in demands]
             rooms = Rooms(bins)
-            rooms.drop_full(then, self.jobs.needs)
+            rooms.drop_full(then, self.jobs.gpu_reservations)
             steps.append((at, then, rooms))
         return steps
 
@@ -255,7 +264,7 @@
             pack(
                 replace(demand, caps=None if demand.caps is None else dict(demand.caps)),
                 rooms,
-                self.jobs.needs,
+                self.jobs.gpu_reservations,
             )
             for demand in demands
         ]
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -33,27 +33,34 @@
         steps = self.steps
         found: list[list[Bin]] = [[] for _ in steps]
         for machine in self.fleet.machines.values():
-            kind = self.term.kinds.get(machine.kind)
+            kind = self.term.machine_types.get(machine.machine_type)
             if kind is None or not self._will_serve(machine, kind, now):
                 continue
             bins = self._bins(machine, kind, now, steps)
-            booting = kind.boot - (now - machine.rented_at) if machine.booting else -math.inf
+            booting = (
+                kind.boot - (now - machine.provisioned_at) if machine.is_booting else -math.inf
+            )
             for number, (at, room) in enumerate(zip(steps, bins, strict=True)):
                 if booting <= at or number == len(steps) - 1:
                     found[number].append(room)
         for pool, count in self._rentals.pending():
-            kind = self.term.kinds[pool.kind]
+            kind = self.term.machine_types[pool.machine_type]
             for number, at in enumerate(steps):
                 if kind.boot <= at or number == len(steps) - 1:
                     found[number] += [Bin.empty(kind, pool.zone, pool.spot) for _ in range(count)]
         return found
 
     def _will_serve(self, machine: Machine, kind: wire.MachineType, now: float) -> bool:
-        if machine.draining or machine.releasing or machine.slow or machine.deaf:
+        if (
+            machine.is_cordoned
+            or machine.is_terminating
+            or machine.is_slow
+            or machine.is_unresponsive
+        ):
             return False
-        if machine.booting:
-            return now - machine.rented_at <= 2 * kind.boot
-        return now - machine.heard_at <= self.policy.machine_suspect
+        if machine.is_booting:
+            return now - machine.provisioned_at <= 2 * kind.boot
+        return now - machine.last_heartbeat_at <= self.policy.machine_suspect
 
     def _bins(
         self, machine: Machine, kind: wire.MachineType, now: float, steps: tuple[float, ...]
@@ -65,12 +72,12 @@
             machine.spot,
             kind.cores - machine.cores,
             kind.gpus - machine.gpus,
-            kind.ram - machine.ram,
+            kind.ram - machine.memory_gb,
             machine.name,
             machine.anchors > 0,
         )
         bins = [first, *(first.copy() for _ in steps[1:])]
-        for placed in machine.ending.values():
+        for placed in machine.finite_placements.values():
             ends = self._ends_in(placed, now)
             if ends == math.inf:
                 continue
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -34,7 +34,7 @@
         scheduler: Scheduler,
     ) -> None:
         super().__init__(term)
-        self.jobs, self.tracker, self.orders, self.planner = jobs, tracker, orders, planner
+        self.jobs, self.reconciler, self.commands, self.autoscaler = jobs, tracker, orders, planner
         self._moving: dict[str, float] = {}
         """Machines being emptied, and since when."""
         self._firm: dict[str, float] = {}
@@ -51,11 +51,11 @@
         most = max(1, self._few())
         calm = (
             len(self._moving) < most
-            and now - self.term.began > self.policy.settle
+            and now - self.term.began_at > self.policy.settle
             and self._in_touch(now)
             and not any(
                 wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or job.spec.kind == wire.GANG
-                for job in self.jobs.queue.waiting()
+                for job in self.jobs.queue.pending_jobs()
             )
         )
         if not calm:
@@ -70,9 +70,11 @@
             )
 
         self._firm = {name: until for name, until in self._firm.items() if until > now}
-        beside_arrays = all(job.spec.best_effort for job in self.jobs.queue.waiting())
-        kinds = self.term.kinds
-        known = [machine for machine in self.fleet.machines.values() if machine.kind in kinds]
+        beside_arrays = all(job.spec.best_effort for job in self.jobs.queue.pending_jobs())
+        kinds = self.term.machine_types
+        known = [
+            machine for machine in self.fleet.machines.values() if machine.machine_type in kinds
+        ]
         mean = sum(consolidate.hourly(machine, kinds) for machine in known) / max(1, len(known))
         spare: Callable[[set[str]], bool] | None = None
         going: set[str] = set()
@@ -82,15 +84,15 @@
                 for name in self._moving
                 if (machine := self.fleet.machines.get(name)) is not None
             ]
-            usable = self.tracker.usable()
+            usable = self.reconciler.schedulable_machines()
             with consolidate.without_best_effort(usable):
                 machine, failed = consolidate.pick(
                     usable,
                     kinds,
-                    self.jobs.needs,
+                    self.jobs.gpu_reservations,
                     self.policy.sample,
                     self.rng,
-                    self.jobs.shut_zones,
+                    self.jobs.excluded_zones,
                     settled,
                     beside_arrays,
                     moving,
@@ -100,7 +102,7 @@
             self._firm.update(dict.fromkeys(failed, now + self.policy.settle))
             if machine is None:
                 return
-            spare = spare or self.planner.spare(demands, now)
+            spare = spare or self.autoscaler.spare(demands, now)
             going.add(machine.name)
             if not spare(going):
                 self._firm[machine.name] = now + self.policy.settle
@@ -109,14 +111,14 @@
                 "event=empty term=%d machine=%s type=%s zone=%s replicas=%d",
                 self.term.number,
                 machine.name,
-                machine.kind,
+                machine.machine_type,
                 machine.zone,
                 len(machine.placements),
             )
             self._moving[machine.name] = now
-            machine.draining = True
-            machine.note_change()
-            self.orders.stop_best_effort(machine)
+            machine.is_cordoned = True
+            machine.mark_changed()
+            self.commands.stop_best_effort(machine)
 
     def _few(self) -> int:
         """How many machines may be silent or emptied at a time in a fleet of this size."""
@@ -124,9 +126,9 @@
 
     def _in_touch(self, now: float) -> bool:
         silent = sum(
-            now - machine.heard_at >= self.policy.machine_suspect
+            now - machine.last_heartbeat_at >= self.policy.machine_suspect
             for machine in self.fleet.machines.values()
-            if not machine.booting
+            if not machine.is_booting
         )
         return silent <= self._few()
 
@@ -137,27 +139,27 @@
         """
         index: MachineIndex | None = None
         waiting = not self._in_touch(now) or any(
-            job.spec.kind == wire.SERVICE for job in self.jobs.queue.waiting()
+            job.spec.kind == wire.SERVICE for job in self.jobs.queue.pending_jobs()
         )
-        gang_waits = any(job.spec.kind == wire.GANG for job in self.jobs.queue.waiting())
+        gang_waits = any(job.spec.kind == wire.GANG for job in self.jobs.queue.pending_jobs())
         for name, since in list(self._moving.items()):
             machine = self.fleet.machines.get(name)
-            if machine is None or machine.releasing or not machine.placements:
+            if machine is None or machine.is_terminating or not machine.placements:
                 del self._moving[name]
                 continue
             # A gang that waits may need the very room of a machine that is being emptied.
             late = gang_waits or now - since > self.policy.move_patience
-            if late and machine.notice_until is None:
+            if late and machine.preempted_by_cloud_at is None:
                 log.info("event=empty_given_up term=%d machine=%s", self.term.number, machine.name)
                 del self._moving[name]
-                machine.draining = False
-                machine.note_change()
+                machine.is_cordoned = False
+                machine.mark_changed()
                 continue
             stopping = any(placed.stopping_at is not None for placed in machine.placements.values())
             if not waiting and not stopping:
                 if index is None:
-                    usable = self.tracker.usable()
-                    index = MachineIndex.of(usable, self.term.kinds, self.rng)
+                    usable = self.reconciler.schedulable_machines()
+                    index = MachineIndex.of(usable, self.term.machine_types, self.rng)
                 self._move_one(machine, index, now)
 
     def _move_one(self, machine: Machine, index: MachineIndex, now: float) -> None:
@@ -181,7 +183,12 @@
         if placed is None:
             return
         target = consolidate.target(
-            placed, machine, index, self.jobs.needs, self.policy.sample, self.jobs.shut_zones
+            placed,
+            machine,
+            index,
+            self.jobs.gpu_reservations,
+            self.policy.sample,
+            self.jobs.excluded_zones,
         )
         if target is None:
             self._displace(machine)
@@ -191,15 +198,15 @@
                 return
             self._cold[placed] = now
         self._scheduler.hints[placed.job.number, placed.task] = target.name
-        self.orders.stop(placed, 0.0)
+        self.commands.stop_task(placed, 0.0)
 
     def _displace(self, machine: Machine) -> None:
         """Stops best-effort tasks elsewhere where that makes room for the machine's replicas."""
-        if not any(job.placements and job.spec.best_effort for job in self.jobs.live.values()):
+        if not any(job.placements and job.spec.best_effort for job in self.jobs.live_jobs.values()):
             return
-        usable = self.tracker.usable()
+        usable = self.reconciler.schedulable_machines()
         with consolidate.without_best_effort(usable):
-            index = MachineIndex.of(usable, self.term.kinds, self.rng)
+            index = MachineIndex.of(usable, self.term.machine_types, self.rng)
             found = [
                 (placed, other)
                 for placed in consolidate.replicas(machine)
@@ -209,9 +216,9 @@
                         placed,
                         machine,
                         index,
-                        self.jobs.needs,
+                        self.jobs.gpu_reservations,
                         self.policy.sample,
-                        self.jobs.shut_zones,
+                        self.jobs.excluded_zones,
                     )
                 )
                 is not None
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -42,11 +42,11 @@
     def demands(self, now: float) -> list[Demand]:
         """Waiting tasks by shape, in the order in which they would be placed."""
         self._running = Counter()
-        for job in self.jobs.live.values():
+        for job in self.jobs.live_jobs.values():
             self._running[job.spec.lane] += len(job.placements)
         by_shape: dict[Shape, Demand] = {}
         self._add_waiting(by_shape)
-        for job in self.jobs.live.values():
+        for job in self.jobs.live_jobs.values():
             if job.placements and not job.is_terminal and job.spec.best_effort:
                 self._add_running(by_shape, job)
         self._add_expected(by_shape, now)
@@ -86,7 +86,7 @@
 
     def _add_waiting(self, by_shape: dict[Shape, Demand]) -> None:
         headroom: dict[str, tuple[float, float]] = {}
-        for entry in self.jobs.queue.in_order():
+        for entry in self.jobs.queue.ordered_jobs():
             job = entry.job
             if not job.pending_count or job.number in self.jobs.suspects:
                 continue
@@ -94,7 +94,7 @@
             if count is None:
                 continue
             demand = self._demand_of(by_shape, job)
-            demand.add(count, self.jobs.run_length(job.spec))
+            demand.add(count, self.jobs.expected_run_s(job.spec))
             if job.spec.spread:
                 self._add_caps(
                     demand,
@@ -114,7 +114,7 @@
         if team is None:
             return None
         if spec.team not in headroom:
-            cores, gpus = self.term.use(spec.team)
+            cores, gpus = self.term.team_usage(spec.team)
             headroom[spec.team] = (
                 team.cores_max - cores if team.cores_max else UNLIMITED,
                 team.gpus_max - gpus if team.gpus_max else UNLIMITED,
@@ -135,7 +135,7 @@
         Their room counts as free, so that they get what all other demand leaves, or cheap machines.
         """
         demand = self._demand_of(by_shape, job)
-        demand.add(len(job.placements), self.jobs.run_length(job.spec))
+        demand.add(len(job.placements), self.jobs.expected_run_s(job.spec))
         if job.spec.spread:
             zones = self.settings.zones
             self._add_caps(demand, {zone: job.placements_in_zone(zone) for zone in zones})
@@ -147,7 +147,7 @@
             expected = arrivals.rate(shape.lane, now) > 0 or shape.lane in self._reserve
             if shape in by_shape or not expected:
                 continue
-            length = arrivals.length(shape.lane, now) or self.jobs.run_length(spec)
+            length = arrivals.length(shape.lane, now) or self.jobs.expected_run_s(spec)
             demand = by_shape[shape] = Demand(shape, 0.0, length, typical=True)
             if spec.spread:
                 demand.caps = dict.fromkeys(self.settings.zones, 0)
@@ -157,7 +157,7 @@
         shape = job.shape
         demand = by_shape.get(shape)
         if demand is None:
-            length = self.jobs.run_length(job.spec)
+            length = self.jobs.expected_run_s(job.spec)
             typical = self.jobs.shapes.is_typical(shape)
             demand = by_shape[shape] = Demand(shape, 0.0, length, typical=typical)
         return demand
@@ -169,16 +169,22 @@
             caps[zone] = caps.get(zone, 0) + count
 
     def _note_dear_types(self, demands: list[Demand]) -> None:
-        kinds, needs, most = self.term.kinds, self.jobs.needs, self.policy.best_effort_price
+        kinds, needs, most = (
+            self.term.machine_types,
+            self.jobs.gpu_reservations,
+            self.policy.best_effort_price,
+        )
         for demand in demands:
             if demand.shape.best_effort:
                 demand.dear = dear_types(demand.shape, kinds, needs, most)
 
     def _count_machines(self, demands: list[Demand]) -> None:
         """Counts the machines that each demand may use, by zone."""
-        kinds = self.term.kinds
+        kinds = self.term.machine_types
         pools = Counter(
-            machine.pool for machine in self.fleet.machines.values() if machine.kind in kinds
+            machine.pool
+            for machine in self.fleet.machines.values()
+            if machine.machine_type in kinds
         )
         for demand in demands:
             for (kind, zone, spot), count in pools.items():
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -20,37 +20,37 @@
     def __init__(self, term: Term, orders: CommandSender, gone: Callable[[Machine], None]) -> None:
         """`gone`: a machine is proven gone."""
         super().__init__(term)
-        self.orders, self._gone = orders, gone
+        self.commands, self._gone = orders, gone
         self._releasing_now = False
         self._listing = False
         self._next_listing = float("-inf")
 
-    def release(self, machine: Machine, why: str) -> None:
+    def terminate(self, machine: Machine, why: str) -> None:
         """The machine is given back, with all that is on it; nothing is placed there any more."""
         log.info(
             "event=release term=%d machine=%s type=%s zone=%s spot=%s tasks=%d why=%r",
             self.term.number,
             machine.name,
-            machine.kind,
+            machine.machine_type,
             machine.zone,
             machine.spot,
             len(machine.placements),
             why,
         )
-        machine.releasing = True
-        machine.note_change()
+        machine.is_terminating = True
+        machine.mark_changed()
 
     def flush(self) -> None:
         """Asks the cloud to take the machines that are to be released, one request at a time."""
         now = self.runtime.now()
-        names = [machine.name for machine in self.fleet.machines.values() if machine.releasing]
+        names = [machine.name for machine in self.fleet.machines.values() if machine.is_terminating]
         if not names or self._releasing_now:
             return
-        names = sorted(names, key=lambda name: self.fleet.machines[name].release_tried)[
+        names = sorted(names, key=lambda name: self.fleet.machines[name].termination_tried_at)[
             :MOST_RELEASED
         ]
         for name in names:
-            self.fleet.machines[name].release_tried = now
+            self.fleet.machines[name].termination_tried_at = now
         self._releasing_now = True
 
         def told(released: bool) -> None:
@@ -66,7 +66,7 @@
     def _released(self, name: str) -> None:
         """The cloud's 200 is the proof that the machine and all that was on it are gone."""
         machine = self.fleet.machines.pop(name, None)
-        self.fleet.gone.add(name)
+        self.fleet.removed_machines.add(name)
         if machine is not None:
             self._gone(machine)
 
@@ -78,13 +78,17 @@
         than the list is old works, and is not listed yet: names are in the order of creation, and
         after twice the lag all of the earlier leader's are listed.
         """
-        late_enough = asked_at - self.term.began > 2 * self.settings.list_lag_s
+        late_enough = asked_at - self.term.began_at > 2 * self.settings.list_lag_s
         newest = max(listed, default="")
         for machine in self.fleet.machines.values():
-            silent = not machine.baseline and not machine.kind and not machine.releasing
+            silent = (
+                not machine.is_reconciled
+                and not machine.machine_type
+                and not machine.is_terminating
+            )
             missing = machine.name not in listed and (late_enough or machine.name < newest)
             if silent and machine.placements and missing:
-                self.release(machine, "placed on by an earlier leader, silent and not listed")
+                self.terminate(machine, "placed on by an earlier leader, silent and not listed")
 
     def list_machines(self) -> None:
         """Asks the cloud for its list, which lags: it finds machines, and never proves one gone.
@@ -105,7 +109,7 @@
                 return
             self._unlisted({entry.machine for entry in listed}, asked_at)
             for entry in listed:
-                if entry.machine in self.fleet.gone:
+                if entry.machine in self.fleet.removed_machines:
                     continue
                 machine = self.fleet.machines.get(entry.machine)
                 if machine is None:
@@ -115,19 +119,23 @@
                         entry.machine,
                         entry.state,
                     )
-                    machine = self.fleet.adopt(entry.machine, entry.type, entry.zone, entry.spot)
-                    machine.rented_at = now - entry.age
-                if not machine.kind:
-                    machine.kind, machine.spot = entry.type, entry.spot
+                    machine = self.fleet.add_machine(
+                        entry.machine, entry.type, entry.zone, entry.spot
+                    )
+                    machine.provisioned_at = now - entry.age
+                if not machine.machine_type:
+                    machine.machine_type, machine.spot = entry.type, entry.spot
                 if entry.address and not machine.address:
                     machine.address = entry.address
                     if entry.state != wire.BOOTING:
-                        self.orders.push_token(machine)
-                if entry.state == wire.FAILED and not machine.releasing:
-                    self.release(machine, "listed as failed")
-                elif entry.state == wire.RUNNING and machine.booting and not machine.baseline:
-                    machine.booting = False
-                    machine.heard_at = now
+                        self.commands.send_fencing_token(machine)
+                if entry.state == wire.FAILED and not machine.is_terminating:
+                    self.terminate(machine, "listed as failed")
+                elif (
+                    entry.state == wire.RUNNING and machine.is_booting and not machine.is_reconciled
+                ):
+                    machine.is_booting = False
+                    machine.last_heartbeat_at = now
             self.flush()
 
         self.cloud.list_machines(told)
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -47,11 +47,11 @@
         for request in self._pending.values():
             yield request.pool, request.count
 
-    def is_resting(self, pool: Pool) -> bool:
+    def is_in_backoff(self, pool: Pool) -> bool:
         """Whether the pool refused a short while ago."""
         return self._resting.get(pool, 0.0) > self.runtime.now()
 
-    def rent(self, pool: Pool, count: int, why: Rent) -> None:
+    def provision(self, pool: Pool, count: int, why: Rent) -> None:
         """Asks the cloud for machines of a pool."""
         self._sent += 1
         name = f"{self.settings.node}-{self.term.number}-{self._sent}"
@@ -60,7 +60,7 @@
             "gap=%.0f-%.0f",
             self.term.number,
             name,
-            pool.kind,
+            pool.machine_type,
             pool.zone,
             pool.spot,
             count,
@@ -104,15 +104,15 @@
             if len(machines) < count:
                 self._refused(pool, len(machines), count)
 
-        self.cloud.provision(name, pool.kind, pool.zone, pool.spot, count, told)
+        self.cloud.provision(name, pool.machine_type, pool.zone, pool.spot, count, told)
 
     def _rented(self, request: _Request, machines: list[str]) -> None:
         pool = request.pool
         for name in machines:
-            if name not in self.fleet.gone:
-                machine = self.fleet.adopt(name, pool.kind, pool.zone, pool.spot)
-                if machine.booting:
-                    machine.rented_at = request.asked_at
+            if name not in self.fleet.removed_machines:
+                machine = self.fleet.add_machine(name, pool.machine_type, pool.zone, pool.spot)
+                if machine.is_booting:
+                    machine.provisioned_at = request.asked_at
         self._refusals[pool] = 0 if machines else self._refusals.get(pool, 0) + 1
 
     def _refused(self, pool: Pool, got: int, count: int) -> None:
@@ -125,7 +125,7 @@
         log.info(
             "event=refused_pool term=%d type=%s zone=%s spot=%s got=%d of=%d",
             self.term.number,
-            pool.kind,
+            pool.machine_type,
             pool.zone,
             pool.spot,
             got,
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -22,7 +22,7 @@
 class CommandTransport:
     """How the leader's orders and questions reach machines; the dispatch actor implements it."""
 
-    def carry(
+    def send(
         self,
         server: str | None,
         machine: str,
@@ -33,50 +33,50 @@
         """Orders (or, with no body, a status question); `done(0, b"")` when no answer came."""
         raise NotImplementedError
 
-    def others(self, zone: str) -> list[str]:
+    def other_controllers(self, zone: str) -> list[str]:
         """The other live controllers that can carry, those of the zone first."""
         raise NotImplementedError
 
-    def known_machines(self) -> list[wire.Heartbeat]:
+    def recent_heartbeats(self) -> list[wire.Heartbeat]:
         """The last reports that this node took itself, for a leader that has just begun."""
         raise NotImplementedError
 
 
 class CommandSender(TermActor):
-    """Owns what waits to be sent, and which launches may still arrive. Answers go to `deliver`."""
+    """Owns the commands to be sent, and which launches may still arrive."""
 
     def __init__(self, term: Term, carrier: CommandTransport) -> None:
         super().__init__(term)
-        self.carrier = carrier
-        self.deliver: Callable[[str, wire.Heartbeat], None] = lambda *_: None
+        self.transport = carrier
+        self.on_heartbeat: Callable[[str, wire.Heartbeat], None] = lambda *_: None
         self._stopping: dict[str, Amounts] = {}
         """What the tasks take that were told to stop and are not proven over, by team."""
         self._outbox: dict[str, list[tuple[dict[str, Any], Placement | None]]] = {}
 
-    def order(self, machine: Machine, order: dict[str, Any], launched: Placement | None) -> None:
+    def enqueue(self, machine: Machine, order: dict[str, Any], launched: Placement | None) -> None:
         if not self._outbox:
             self.runtime.soon(self._send)
         # Whether it was carried out shows in what the machine reports.
-        machine.settled_tasks = None
+        machine.converged_tasks = None
         self._outbox.setdefault(machine.name, []).append((order, launched))
 
-    def launch(self, placed: Placement) -> None:
+    def launch_task(self, placed: Placement) -> None:
         machine = self.fleet.machines.get(placed.machine)
         if machine is None:
             return
         placed.command_sent_at = self.runtime.now()
-        self.order(machine, wire.launch(placed.name, placed.attempt), placed)
+        self.enqueue(machine, wire.launch(placed.name, placed.attempt), placed)
 
-    def stop(self, placed: Placement, grace: float) -> None:
+    def stop_task(self, placed: Placement, grace: float) -> None:
         machine = self.fleet.machines.get(placed.machine)
         if machine is None:
             return
         now = self.runtime.now()
         placed.command_sent_at = now
-        self.note_stopping(placed)
-        self.order(machine, wire.stop(placed.name, placed.attempt, grace), None)
+        self.mark_stopping(placed)
+        self.enqueue(machine, wire.stop(placed.name, placed.attempt, grace), None)
 
-    def note_stopping(self, placed: Placement) -> None:
+    def mark_stopping(self, placed: Placement) -> None:
         """The task was told to stop, by this leader or an earlier one."""
         if placed.stopping_at is None:
             placed.stopping_at = self.runtime.now()
@@ -84,21 +84,21 @@
             before = self._stopping.get(spec.team, NOTHING)
             self._stopping[spec.team] = before.plus(amounts_of(spec))
 
-    def ended(self, placed: Placement) -> None:
+    def forget_stopping(self, placed: Placement) -> None:
         """The placement is proven over."""
         if placed.stopping_at is not None:
             spec = placed.job.spec
             self._stopping[spec.team] = self._stopping[spec.team].minus(amounts_of(spec))
 
-    def firm_use(self, team: str) -> Amounts:
+    def usage_not_stopping(self, team: str) -> Amounts:
         """What a team's tasks take that were not told to stop."""
-        return self.term.use(team).minus(self._stopping.get(team, NOTHING))
+        return self.term.team_usage(team).minus(self._stopping.get(team, NOTHING))
 
     def stop_best_effort(self, machine: Machine) -> None:
         """Stops the machine's best-effort tasks that can save; others are left to end."""
         for placed in machine.placements.values():
             if placed.is_best_effort and placed.job.spec.checkpoint:
-                self.stop(placed, placed.job.spec.save)
+                self.stop_task(placed, placed.job.spec.save)
 
     def resume(self) -> None:
         """Leadership was confirmed after a pause: what waited meanwhile is sent."""
@@ -123,40 +123,40 @@
             ]
             for start in range(0, len(entries), MOST_ORDERS):
                 part = entries[start : start + MOST_ORDERS]
-                self._carry(
+                self._send_batch(
                     machine, [order for order, _ in part], [placed for _, placed in part if placed]
                 )
 
-    def _carry(
+    def _send_batch(
         self, machine: Machine, orders: list[dict[str, Any]], launched: list[Placement]
     ) -> None:
-        server, pauses = machine.server, self.term.pauses
+        server, pauses = machine.shard_owner, self.term.pause_count
         for placed in launched:
             # Set as the order leaves: this session is the last in which a copy of it can be
             # executed.
-            placed.launch_incarnation = max(placed.launch_incarnation, machine.session)
+            placed.launch_incarnation = max(placed.launch_incarnation, machine.incarnation)
             placed.launches_in_flight += 1
 
         def told(status: int, body: bytes) -> None:
             if status in (200, 409):
                 for placed in launched:
                     placed.launches_in_flight -= 1
-                if machine.deaf:
-                    machine.note_change()
-                machine.orders_failed = 0
-                self.answered(server, body)
-            elif pauses == self.term.pauses:
-                machine.orders_failed += 1
-
-        self.carrier.carry(
+                if machine.is_unresponsive:
+                    machine.mark_changed()
+                machine.failed_commands = 0
+                self.handle_reply(server, body)
+            elif pauses == self.term.pause_count:
+                machine.failed_commands += 1
+
+        self.transport.send(
             server,
             machine.name,
             machine.address,
-            wire.orders_body(self.term.number, machine.session, orders),
+            wire.orders_body(self.term.number, machine.incarnation, orders),
             told,
         )
 
-    def answered(self, server: str | None, body: bytes) -> None:
+    def handle_reply(self, server: str | None, body: bytes) -> None:
         if not self.term.active:
             return
         try:
@@ -172,17 +172,17 @@
                 report.machine,
             )
             return
-        self.deliver(server or "", report)
+        self.on_heartbeat(server or "", report)
 
-    def send_empty_order(self, machine: Machine) -> None:
+    def send_empty_command(self, machine: Machine) -> None:
         """An empty order, one at a time: does the machine answer again?"""
         now = self.runtime.now()
-        if now - machine.empty_order_at >= 1.5 * self.policy.order_call:
-            machine.empty_order_at = now
-            self.push_token(machine)
+        if now - machine.empty_command_at >= 1.5 * self.policy.order_call:
+            machine.empty_command_at = now
+            self.send_fencing_token(machine)
 
-    def push_token(self, machine: Machine) -> None:
+    def send_fencing_token(self, machine: Machine) -> None:
         """An empty order: it raises the worker's token, and its answer is the baseline."""
         if machine.address:
-            machine.session = max(machine.session, 1)
-            self._carry(machine, [], [])
+            machine.incarnation = max(machine.incarnation, 1)
+            self._send_batch(machine, [], [])
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -94,7 +94,7 @@
 
     def _expire(self, now: float) -> None:
         for hold in list(self._holds.values()):
-            job = self.jobs.live.get(hold.no)
+            job = self.jobs.live_jobs.get(hold.no)
             if now >= hold.until or job is None or job.is_terminal or job.placements:
                 self._end(hold)
         self._rests = {no: until for no, until in self._rests.items() if until > now}
@@ -126,5 +126,5 @@
                 placed,
                 max(0.0, placed.job.spec.estimate - (now - (placed.started_at or now))),
             )
-            for placed in machine.ending.values()
+            for placed in machine.finite_placements.values()
         ]
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -57,7 +57,7 @@
 
     def __init__(self, term: Term, jobs: JobRegistry, orders: CommandSender) -> None:
         super().__init__(term)
-        self.jobs, self.orders = jobs, orders
+        self.jobs, self.commands = jobs, orders
         self._times = Times(self.settings.gang_wait_s, self.settings.gang_peer_s)
         self._begin_within = {
             aim.lane: aim.within
@@ -67,7 +67,7 @@
         self._attempts: dict[int, _Attempt] = {}
         self._no_room: dict[int, float] = {}
         """Gangs for which there was no room, and when to look again."""
-        self.over: Callable[[Placement, str], None] = lambda *_: None
+        self.finish_attempt: Callable[[Placement, str], None] = lambda *_: None
         """Says that a placement is proven over. The tracker, which owns the proofs, sets it."""
 
     # Placing
@@ -77,7 +77,7 @@
         no_room_until = self._no_room.get(job.number, 0.0)
         return self.ledger.state.format >= formats.GANGS and no_room_until <= self.runtime.now()
 
-    def place(self, job: Job, index: MachineIndex, needs: bool, keep: Keep | None) -> int:
+    def place_gang(self, job: Job, index: MachineIndex, needs: bool, keep: Keep | None) -> int:
         """Places what is due of a gang, all of it or nothing; returns how many tasks.
 
         `needs`: what GPU tasks need beside their GPUs is kept for them.
@@ -100,9 +100,9 @@
     def _choose(
         self, job: Job, count: int, index: MachineIndex, needs: bool, keep: Keep | None
     ) -> Choice | None:
-        if not self.jobs.within_limit(job.spec, count):
+        if not self.jobs.is_within_limit(job.spec, count):
             return None
-        gpu_needs = self.jobs.needs if needs else None
+        gpu_needs = self.jobs.gpu_reservations if needs else None
         search = GangSearch(job.spec, job.number, index, gpu_needs, self.policy.sample, keep)
         longest = FETCH_SHARE * self._times.wait
         if not job.placements:
@@ -144,7 +144,7 @@
             placement = job.placements[task]
             placement.proposed_at = now
             placed.append(placement)
-            machine.use(placement)
+            machine.add_placement(placement)
         job.pending_since = now
         known = self._attempts.get(job.number)
         if known is None or known.number != attempt:
@@ -167,16 +167,16 @@
         given_up = job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
         if len(job.placements) == job.spec.tasks and not given_up:
             for each in left:
-                self.orders.launch(each)
+                self.commands.launch_task(each)
             return
         # A machine was released meanwhile, or it was called off: nothing of it was launched.
         for each in left:
-            self.over(each, "withdrawn before launch")
-        self.look(job)
+            self.finish_attempt(each, "withdrawn before launch")
+        self.evaluate(job)
 
     # What happens to an attempt
 
-    def running(self, placed: Placement) -> None:
+    def on_task_running(self, placed: Placement) -> None:
         """A task of a gang was reported as running."""
         attempt = self._attempt_of(placed.job)
         if not attempt.has_run:
@@ -189,7 +189,7 @@
                 self.runtime.now() - placed.job.known_at,
             )
 
-    def ended(self, placed: Placement, done: bool, cause: str) -> None:
+    def on_task_ended(self, placed: Placement, done: bool, cause: str) -> None:
         """A task of a gang is proven over, by that cause."""
         job = placed.job
         if placed.attempt == job.newest_attempt:
@@ -206,9 +206,9 @@
             # What is left of the attempt exits too: waiting for it would only take time.
             self._attempt_of(job).is_broken = True
         self._no_room.pop(job.number, None)
-        self.look(job)
+        self.evaluate(job)
 
-    def look(self, job: Job) -> None:
+    def evaluate(self, job: Job) -> None:
         """Gives the attempt up if it can't be completed any more."""
         if job.placements and self._next_step(job) is Step.ABANDON:
             self._abandon(job, "a task is gone")
@@ -217,14 +217,14 @@
         """Repeats orders to stop that were not carried out; forgets gangs that are over."""
         self._look_again()
         for no in list(self._attempts):
-            job = self.jobs.live.get(no)
+            job = self.jobs.live_jobs.get(no)
             if job is None:
                 del self._attempts[no]
                 self._no_room.pop(no, None)
-        for job in list(self.jobs.live.values()):
+        for job in list(self.jobs.live_jobs.values()):
             if job.spec.kind == wire.GANG and job.placements and not job.is_terminal:
                 self._take_up_stop(job)
-                self.look(job)
+                self.evaluate(job)
                 self._repeat_stops(job)
 
     def _look_again(self) -> None:
@@ -239,7 +239,7 @@
         """Goes on with a stop that an earlier leader began: all tasks must be told in time."""
         saving = any(placed.state == wire.FLUSHING for placed in job.placements.values())
         if saving and len(job.placements) == job.spec.tasks:
-            self.stop(job, "an earlier leader began it")
+            self.stop_gang(job, "an earlier leader began it")
 
     def phase(self, job: Job) -> Phase:
         """Where the gang stands."""
@@ -253,7 +253,7 @@
             self._hears(placed) for placed in job.placements.values()
         )
 
-    def loss(self, job: Job) -> float:
+    def preemption_cost(self, job: Job) -> float:
         """Seconds of work, of all tasks together, that a stop of the gang throws away."""
         now, spec = self.runtime.now(), job.spec
         ran = [
@@ -265,7 +265,7 @@
             return 0.0
         return len(ran) * spec.save if spec.checkpoint else sum(ran)
 
-    def stop(self, job: Job, why: str) -> None:
+    def stop_gang(self, job: Job, why: str) -> None:
         """Tells all tasks to save and exit: one decision for the whole gang."""
         attempt = self._attempt_of(job)
         if attempt.stopped_at is not None or attempt.is_broken:
@@ -280,14 +280,14 @@
             why,
         )
         for placed in job.placements.values():
-            self.orders.stop(placed, attempt.stop_leeway)
+            self.commands.stop_task(placed, attempt.stop_leeway)
 
-    def noticed(self, job: Job, notice: float) -> None:
+    def on_preemption_notice(self, job: Job, notice: float) -> None:
         """A machine of the gang is taken by the cloud in `notice` seconds."""
         saves = job.spec.checkpoint and job.spec.save + self._times.peer < notice
         phase = self.phase(job)
         if phase in (Phase.LAUNCHING, Phase.WAITING) or (phase is Phase.RUNNING and saves):
-            self.stop(job, "a machine is taken")
+            self.stop_gang(job, "a machine is taken")
 
     def _abandon(self, job: Job, why: str) -> None:
         attempt = self._attempt_of(job)
@@ -305,7 +305,7 @@
         attempt.is_broken, attempt.stopped_at, attempt.stop_leeway = True, None, 0.0
         for placed in job.placements.values():
             if placed.is_committed:
-                self.orders.stop(placed, 0.0)
+                self.commands.stop_task(placed, 0.0)
 
     @staticmethod
     def _all_told(job: Job) -> bool:
@@ -326,7 +326,7 @@
                 # over.
                 continue
             if now - placed.command_sent_at > self.policy.retry:
-                self.orders.stop(placed, attempt.stop_leeway)
+                self.commands.stop_task(placed, attempt.stop_leeway)
 
     # What is known
 
@@ -335,7 +335,7 @@
         attempt = self._attempts.get(job.number)
         if attempt is None or attempt.number != newest:
             # Of an earlier term: what its tasks did is learnt from reports.
-            attempt = self._attempts[job.number] = _Attempt(newest, self.term.began)
+            attempt = self._attempts[job.number] = _Attempt(newest, self.term.began_at)
         return attempt
 
     def _situation(self, job: Job) -> Situation:
@@ -357,6 +357,6 @@
         return (
             machine is not None
             and placed.was_reported
-            and not machine.deaf
-            and self.runtime.now() - machine.heard_at < self.policy.machine_suspect
+            and not machine.is_unresponsive
+            and self.runtime.now() - machine.last_heartbeat_at < self.policy.machine_suspect
         )
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -43,7 +43,7 @@
     def _best_zone(self, shape: Shape, need: int) -> str | None:
         zones = {
             zone
-            for kind in self.term.kinds.values()
+            for kind in self.term.machine_types.values()
             for zone in kind.zones
             if placement.allowed(shape, kind, zone, False)
         }
@@ -60,14 +60,14 @@
         """How many more tasks the machines of each zone hold."""
         found: Counter[str] = Counter()
         for machine in self.fleet.machines.values():
-            kind = self.term.kinds.get(machine.kind)
-            if kind is None or machine.draining or machine.releasing or machine.slow:
+            kind = self.term.machine_types.get(machine.machine_type)
+            if kind is None or machine.is_cordoned or machine.is_terminating or machine.is_slow:
                 continue
             if not placement.allowed(shape, kind, machine.zone, machine.spot):
                 continue
             room = placement.room(machine, kind)
             free = Bin(kind, machine.zone, machine.spot, room.cores, room.gpus, room.ram)
-            found[machine.zone] += slots(shape, free, self.jobs.needs)
+            found[machine.zone] += slots(shape, free, self.jobs.gpu_reservations)
         return found
 
     def _can_rent(self, shape: Shape, zone: str) -> bool:
@@ -75,6 +75,6 @@
             zone in kind.zones
             and placement.allowed(shape, kind, zone, spot)
             and not self._is_resting(Pool(kind.name, zone, spot))
-            for kind in self.term.kinds.values()
+            for kind in self.term.machine_types.values()
             for spot in (False, True)
         )
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -30,8 +30,8 @@
 
     def __init__(self, term: Term, orders: CommandSender) -> None:
         super().__init__(term)
-        self.orders = orders
-        self.live: dict[int, Job] = {}
+        self.commands = orders
+        self.live_jobs: dict[int, Job] = {}
         self.arrivals = Arrivals(self.policy.plan_horizon, self.policy.plan_step * 2)
         self.shapes = ResourceShapes()
         self.backoff: dict[int, float] = {}
@@ -41,15 +41,15 @@
         """Who waits to hear that a job is cancelled. Those who wait for too long were answered 503
         by their node.
         """
-        self.queue = PendingQueue(term, self.live, self.suspects)
+        self.queue = PendingQueue(term, self.live_jobs, self.suspects)
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         """Takes up what the ledger holds."""
         now = self.runtime.now()
         for job in self.ledger.state.jobs.values():
             if not job.is_terminal or job.placements:
-                self.live[job.number] = job
-                self.queue.recall(job)
+                self.live_jobs[job.number] = job
+                self.queue.restore(job)
                 self.shapes.note(job.shape, job.spec)
             job.pending_since = now
             if job.is_cancelled:
@@ -59,9 +59,9 @@
         """Accepts, or says why not; each answer follows a commit or a confirmed leadership."""
         ref = spec.ref
         if ref in self.ledger.state.jobs_by_ref or ref in self.ledger.state.terminal_jobs:
-            self.poll(ref, answer)
+            self.query_status(ref, answer)
             return
-        if not self.term.kinds or self.ledger.backlog > MOST_BACKLOG:
+        if not self.term.machine_types or self.ledger.backlog > MOST_BACKLOG:
             answer(503, None)
             return
         if spec.kind == wire.GANG and self.ledger.state.format < formats.GANGS:
@@ -86,10 +86,10 @@
         self.ledger.propose(record, committed)
         job = self.ledger.state.jobs[no]
         job.known_at = job.pending_since = now
-        self.live[no] = job
+        self.live_jobs[no] = job
         self.queue.add(job)
         self.shapes.note(job.shape, job.spec)
-        self.arrivals.note(spec.lane, spec.tasks, self.run_length(spec), now)
+        self.arrivals.note(spec.lane, spec.tasks, self.expected_run_s(spec), now)
         self.term.request_pass()
 
     def _refusal(self, spec: wire.Spec) -> str | None:
@@ -98,7 +98,7 @@
             return "unknown team"
         if not any(
             placement.allowed(spec, kind, zone, False)
-            for kind in self.term.kinds.values()
+            for kind in self.term.machine_types.values()
             for zone in kind.zones
         ):
             return "no allowed machine type holds a task"
@@ -114,14 +114,14 @@
         """Whether some choice of zones can hold all tasks of a gang."""
         zones = {
             zone
-            for kind in self.term.kinds.values()
+            for kind in self.term.machine_types.values()
             for zone in kind.zones
             if placement.allowed(spec, kind, zone, False)
         }
         in_one = spec.one_zone or len(zones) == 1
         return not (spec.spread and in_one and spec.tasks > spec.zone_share)
 
-    def poll(self, ref: str, answer: Answer) -> None:
+    def query_status(self, ref: str, answer: Answer) -> None:
         """A job's state: a final one at once, any other after leadership is confirmed."""
         job = self.ledger.state.jobs_by_ref.get(ref)
         final = self.ledger.state.terminal_jobs.get(ref) if job is None else None
@@ -175,7 +175,7 @@
         """
         job = self.ledger.state.jobs_by_ref.get(ref)
         if job is None or job.reported_stage or not job.is_committed:
-            self.poll(ref, answer)
+            self.query_status(ref, answer)
             return
         if job.is_done:
             # Its end is being committed.
@@ -191,23 +191,23 @@
         def committed() -> None:
             job.is_cancellation_committed = True
             self._stop_cancelled(job)
-            self.settle(job)
+            self.conclude_job(job)
 
         self.ledger.propose([records.CANCELLED, job.number], committed)
         job.cancelled_at = self.runtime.now()
         if not job.placements:
-            self.live.pop(job.number, None)
+            self.live_jobs.pop(job.number, None)
         log.info(
             "event=cancel term=%d job=%s placed=%d", self.term.number, ref, len(job.placements)
         )
 
     def _silent(self, placed: Placement) -> bool:
         machine = self.fleet.machines.get(placed.machine)
-        if machine is None or not machine.baseline:
+        if machine is None or not machine.is_reconciled:
             return True
-        return self.runtime.now() - machine.heard_at > self.policy.machine_suspect
+        return self.runtime.now() - machine.last_heartbeat_at > self.policy.machine_suspect
 
-    def settle(self, job: Job) -> None:
+    def conclude_job(self, job: Job) -> None:
         """After a commit: a cancelled job of which nothing is left is told as cancelled."""
         if (
             job.is_cancellation_committed
@@ -222,9 +222,9 @@
     def _stop_cancelled(self, job: Job) -> None:
         for placed in list(job.placements.values()):
             if placed.is_committed:
-                self.orders.stop(placed, 0.0)
+                self.commands.stop_task(placed, 0.0)
 
-    def run_length(self, spec: wire.Spec) -> float:
+    def expected_run_s(self, spec: wire.Spec) -> float:
         """How long a task is expected to take room."""
         return (
             spec.estimate
@@ -233,11 +233,11 @@
         )
 
     @property
-    def needs(self) -> placement.GpuNeeds:
+    def gpu_reservations(self) -> placement.GpuNeeds:
         """What GPU tasks need beside their GPUs."""
         return self.shapes.gpu_needs
 
-    def shut_zones(self, job: Job, leaving: Placement | None = None) -> frozenset[str]:
+    def excluded_zones(self, job: Job, leaving: Placement | None = None) -> frozenset[str]:
         """The zones in which none of the job's tasks may be placed now.
 
         `leaving`: a placement that is not counted.
@@ -257,11 +257,11 @@
             if count - (zone == left) >= spec.zone_share
         )
 
-    def within_limit(self, spec: wire.Spec, count: int = 1) -> bool:
+    def is_within_limit(self, spec: wire.Spec, count: int = 1) -> bool:
         team = self.term.limits.of(spec.team)
         if team is None:
             return False
-        cores, gpus = self.term.use(spec.team)
+        cores, gpus = self.term.team_usage(spec.team)
         return not (
             (team.cores_max and cores + spec.cores * count > team.cores_max + placement.SLACK)
             or (team.gpus_max and gpus + spec.gpus * count > team.gpus_max + placement.SLACK)
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -61,7 +61,7 @@
         formats: FormatNegotiation,
         lending: LendingFeature | None = None,
     ) -> None:
-        """`lending`: loans between teams are recalled; None: ranks alone decide."""
+        """`quota_reclaim`: loans between teams are recalled; None: ranks alone decide."""
         super().__init__(runtime)
         self._limits, self._formats, self._lending = limits, formats, lending
         self._settings, self._policy, self._ledger, self._cloud = settings, policy, ledger, cloud
@@ -83,24 +83,31 @@
             kinds or {},
             self._limits,
         )
-        self.orders = CommandSender(term, self._carrier)
-        self.jobs = JobRegistry(term, self.orders)
-        self.stragglers = Stragglers(term, self.jobs, self.orders)
-        self.failures = FailureAttribution(term, self.jobs)
-        self.gangs = GangScheduler(term, self.jobs, self.orders)
-        self.tracker = Reconciler(
-            term, self.jobs, self.orders, self.stragglers, self.failures, self.gangs
+        self.commands = CommandSender(term, self._carrier)
+        self.jobs = JobRegistry(term, self.commands)
+        self.stragglers = Stragglers(term, self.jobs, self.commands)
+        self.failure_attribution = FailureAttribution(term, self.jobs)
+        self.gang_scheduler = GangScheduler(term, self.jobs, self.commands)
+        self.reconciler = Reconciler(
+            term,
+            self.jobs,
+            self.commands,
+            self.stragglers,
+            self.failure_attribution,
+            self.gang_scheduler,
+        )
+        self.quota_reclaim = QuotaReclaim(
+            term, self.jobs, self.commands, self.gang_scheduler, self._lending
         )
-        self.lending = QuotaReclaim(term, self.jobs, self.orders, self.gangs, self._lending)
         self.loan_accounts = self._accounts(self._lending)
-        self.lending.is_usable = self.tracker.is_usable
+        self.quota_reclaim.is_schedulable = self.reconciler.is_schedulable
         self.scheduler = Scheduler(
-            term, self.jobs, self.tracker, self.orders, self.gangs, self.lending
+            term, self.jobs, self.reconciler, self.commands, self.gang_scheduler, self.quota_reclaim
         )
-        self.planner = Autoscaler(term, self.jobs, self.tracker, self.orders)
-        self.lending.is_resting = self.planner.is_resting
+        self.autoscaler = Autoscaler(term, self.jobs, self.reconciler, self.commands)
+        self.quota_reclaim.is_in_backoff = self.autoscaler.is_in_backoff
         self.consolidation = Consolidation(
-            term, self.jobs, self.tracker, self.orders, self.planner, self.scheduler
+            term, self.jobs, self.reconciler, self.commands, self.autoscaler, self.scheduler
         )
 
     def _accounts(self, lending: LendingFeature | None) -> LoanAccounts | None:
@@ -109,17 +116,17 @@
         # Imported here: a controller without the feature does without.
         from .reclaim.loan_accounts import LoanAccounts
 
-        return LoanAccounts(self.term, self.jobs, self.lending, lending.accounts_every_s)
+        return LoanAccounts(self.term, self.jobs, self.quota_reclaim, lending.accounts_every_s)
 
     @property
-    def book(self) -> ClusterState:
+    def state(self) -> ClusterState:
         return self._ledger.state
 
     # Leading begins and ends
 
     def on_begin(self, number: int, version: int) -> None:
         self.term.active = False
-        self._wire(number, self.term.kinds)
+        self._wire(number, self.term.machine_types)
         self._cloud.forget()
         self._limits.end()
         self._formats.begin(version)
@@ -132,7 +139,7 @@
             self._formats.end()
             self._ledger.close()
             self._cloud.forget()
-            self._wire(0, self.term.kinds)
+            self._wire(0, self.term.machine_types)
 
     def on_pause(self, lost: float) -> None:
         """The process stood still, and others may lead by now: leadership is confirmed first.
@@ -142,8 +149,8 @@
         term = self.term
         if not term.number:
             return
-        term.pauses += 1
-        self.tracker.on_pause(lost)
+        term.pause_count += 1
+        self.reconciler.on_pause(lost)
         self.stragglers.on_pause()
         self._cloud.hold()
         if not term.suspended:
@@ -151,18 +158,18 @@
             self._confirm_leadership(term)
 
     def _confirm_leadership(self, term: Term) -> None:
-        pauses = term.pauses
+        pauses = term.pause_count
 
         def told(leading: bool) -> None:
             if term is not self.term:
                 return
-            if not leading or pauses != term.pauses:
+            if not leading or pauses != term.pause_count:
                 self.later(self._policy.retry, self._confirm_leadership, term)
                 return
             log.info("event=leadership_confirmed term=%d", term.number)
             term.suspended = False
             self._cloud.resume()
-            self.orders.resume()
+            self.commands.resume()
             term.request_pass()
 
         if term is self.term:
@@ -171,27 +178,29 @@
     def _ready(self) -> None:
         term, now = self.term, self.runtime.now()
         term.active = True
-        term.began = now
+        term.began_at = now
         self._election.is_ready = True
         # Only now is it known what counts against the limits.
         self._limits.begin(term.number)
-        self.jobs.recall()
-        self.lending.recall()
-        for report in self._carrier.known_machines():
-            machine = term.fleet.adopt(report.machine, report.type, report.zone, report.spot)
-            machine.address, machine.booting = report.address, False
-            machine.session = report.session
-        for name, there in self.book.placements_by_machine.items():
+        self.jobs.restore()
+        self.quota_reclaim.restore()
+        for report in self._carrier.recent_heartbeats():
+            machine = term.fleet.add_machine(report.machine, report.type, report.zone, report.spot)
+            machine.address, machine.is_booting = report.address, False
+            machine.incarnation = report.session
+        for name, there in self.state.placements_by_machine.items():
             # Its type is not known before it reports or is listed.
-            term.fleet.adopt(name, "", next(iter(there.values())).zone, False).booting = False
+            term.fleet.add_machine(
+                name, "", next(iter(there.values())).zone, False
+            ).is_booting = False
         for machine in term.fleet.machines.values():
-            machine.heard_at = now + self._policy.settle / 2
-            self.orders.push_token(machine)
-        if not term.kinds:
-            kinds = msgspec.convert(self.book.catalog, list[wire.MachineType])
-            term.kinds = {kind.name: kind for kind in kinds}
-        self.planner.learn_kinds()
-        self.tracker.releases.list_machines()
+            machine.last_heartbeat_at = now + self._policy.settle / 2
+            self.commands.send_fencing_token(machine)
+        if not term.machine_types:
+            kinds = msgspec.convert(self.state.catalog, list[wire.MachineType])
+            term.machine_types = {kind.name: kind for kind in kinds}
+        self.autoscaler.load_machine_types()
+        self.reconciler.scale_in.list_machines()
         term.request_pass()
 
     # Users and machines
@@ -204,7 +213,7 @@
 
     def poll(self, ref: str, answer: Answer) -> None:
         if self.term.active:
-            self.jobs.poll(ref, answer)
+            self.jobs.query_status(ref, answer)
         else:
             answer(503, None)
 
@@ -223,13 +232,13 @@
         else:
             self.loan_accounts.answer(answer)
 
-    def on_report(self, server: str, report: wire.Heartbeat) -> None:
+    def handle_heartbeat(self, server: str, report: wire.Heartbeat) -> None:
         """A worker's report, taken by the part `server`."""
-        self.tracker.on_report(server, report)
+        self.reconciler.handle_heartbeat(server, report)
 
-    def on_signs_of_life(self, server: str, machines: list[str]) -> None:
+    def handle_liveness(self, server: str, machines: list[str]) -> None:
         """Machines that reported to the part `server` lately."""
-        self.tracker.on_signs_of_life(server, machines)
+        self.reconciler.handle_liveness(server, machines)
 
     # What comes again and again
 
@@ -242,23 +251,23 @@
         if not self.term.active:
             return False
         isolated = self._election.may_be_superseded
-        if isolated != self.term.isolated:
-            self.term.isolated = isolated
+        if isolated != self.term.may_be_superseded:
+            self.term.may_be_superseded = isolated
             log.info("event=%s term=%d", "isolated" if isolated else "in_touch", self.term.number)
             if not isolated:
-                self.tracker.hear_anew()
+                self.reconciler.reset_silence()
                 self.term.request_pass()
         return self.term.may_act
 
     def _watch(self) -> None:
         if self._may_act():
             self._raise_format()
-            self.tracker.watch()
+            self.reconciler.watch()
             self.stragglers.watch()
-            self.gangs.watch()
-            self.lending.watch()
+            self.gang_scheduler.watch()
+            self.quota_reclaim.watch()
             self.consolidation.continue_moves(self.runtime.now())
-            self.tracker.releases.flush()
+            self.reconciler.scale_in.flush()
             self.scheduler.reconcile()
             self.scheduler.wake()
             # With each plan alone it fell behind where jobs are many and short.
@@ -268,15 +277,15 @@
         """Once all configured controllers read a newer format, it may be written."""
         newest = LENDING if self._lending is not None else GANGS
         common = min(self._formats.common_format, newest)
-        if common > self.book.format:
+        if common > self.state.format:
             self._ledger.raise_format(common)
 
     def _plan(self) -> None:
         if self._may_act():
-            self.planner.plan(self.consolidation.consolidate)
+            self.autoscaler.scale(self.consolidation.consolidate)
             if self.loan_accounts is not None:
                 self.loan_accounts.sample()
 
     def _list(self) -> None:
         if self._may_act():
-            self.tracker.releases.list_machines()
+            self.reconciler.scale_in.list_machines()
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -27,14 +27,14 @@
     ) -> None:
         """`every_s`: how often what was summed up is kept, in seconds."""
         super().__init__(term)
-        self.jobs, self.lending, self._every_s = jobs, lending, every_s
+        self.jobs, self.quota_reclaim, self._every_s = jobs, lending, every_s
         self._sampled_at: float | None = None
-        self._kept_at = term.began
+        self._kept_at = term.began_at
         self._changed: dict[str, LoanAccount] = {}
 
     def sample(self) -> None:
         """Adds what is borrowed and lent now, since the last sample."""
-        if not self.lending.is_enabled:
+        if not self.quota_reclaim.is_enabled:
             return
         now = self.runtime.now()
         seconds = now - self._sampled_at if self._sampled_at is not None else 0.0
@@ -77,8 +77,8 @@
         return [
             TeamUse(
                 team,
-                self.term.guarantee(team),
-                self.term.use(team),
+                self.term.quota(team),
+                self.term.team_usage(team),
                 waiting.get(team, NOTHING),
             )
             for team in self.settings.teams
@@ -97,7 +97,7 @@
 
     def _page(self) -> Any:
         waiting: dict[str, Amounts] = {}
-        for job in self.jobs.queue.waiting():
+        for job in self.jobs.queue.pending_jobs():
             team = job.spec.team
             waits = amounts_of(job.spec, job.pending_count)
             waiting[team] = waiting.get(team, NOTHING).plus(waits)
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -60,8 +60,8 @@
         feature: LendingFeature | None,
     ) -> None:
         super().__init__(term)
-        self.jobs, self.orders, self.gangs, self.feature = jobs, orders, gangs, feature
-        self.recalls = OpenReclaims(self.ledger)
+        self.jobs, self.commands, self.gang_scheduler, self.feature = jobs, orders, gangs, feature
+        self.open_reclaims = OpenReclaims(self.ledger)
         self._wanted_since: dict[int, float] = {}
         """Jobs that are entitled to room and found none, and since when."""
         self._stops: deque[float] = deque()
@@ -75,20 +75,20 @@
         )
         self.find_room: Callable[[Job], Room | None] = lambda _: None
         """Where room can be made for a task of the job. Preemption sets it."""
-        self.is_usable: Callable[[Machine], bool] = lambda _: True
+        self.is_schedulable: Callable[[Machine], bool] = lambda _: True
         """Whether something may be placed on a machine. The tracker sets it."""
-        self.is_resting: Callable[[Pool], bool] = lambda _: False
+        self.is_in_backoff: Callable[[Pool], bool] = lambda _: False
         """Whether a pool refused a short while ago. The planner sets it."""
 
-    def recall(self) -> None:
+    def restore(self) -> None:
         """Takes up the recalls of earlier leaders: their deadlines and borrowed tasks stand."""
         for recall in self.ledger.state.loan_state.reclaims.values():
-            self.recalls.add(OpenReclaim(recall, is_committed=True))
-        if self.recalls:
+            self.open_reclaims.add(OpenReclaim(recall, is_committed=True))
+        if self.open_reclaims:
             log.info(
                 "event=recalls_taken_up term=%d open=%d lending=%s",
                 self.term.number,
-                len(self.recalls),
+                len(self.open_reclaims),
                 "enabled" if self.feature is not None else "not enabled: none begins",
             )
 
@@ -101,19 +101,19 @@
 
     def reclaimable(self) -> Reclaimable:
         """What may be taken of the teams now, in one decision."""
-        return Reclaimable(self.term.guarantee, self._firm_use)
+        return Reclaimable(self.term.quota, self._firm_use)
 
     def borrowers(self) -> frozenset[str]:
         """The teams that use more than their guarantee: of no others may anything be taken."""
         return frozenset(
             team
             for team in self.ledger.state.usage_by_team
-            if not self.term.guarantee(team).covers(self._firm_use(team))
+            if not self.term.quota(team).covers(self._firm_use(team))
         )
 
     def _firm_use(self, team: str) -> Amounts:
         """What a team's tasks take that were neither told to stop nor chosen to."""
-        return self.orders.firm_use(team).minus(self.recalls.chosen_of(team))
+        return self.commands.usage_not_stopping(team).minus(self.open_reclaims.chosen_of(team))
 
     def is_entitled(self, job: Job) -> bool:
         """Whether one more task of the job, or the gang, is within its team's guarantee."""
@@ -121,9 +121,9 @@
         lenders = self.feature.lenders if self.feature is not None else frozenset()
         if lenders and spec.team not in lenders:
             return False
-        use = self.term.use(spec.team).plus(self.recalls.promised(spec.team))
+        use = self.term.team_usage(spec.team).plus(self.open_reclaims.promised(spec.team))
         tasks = spec.tasks if spec.kind == wire.GANG else 1
-        return self.term.guarantee(spec.team).covers(use.plus(amounts_of(spec, tasks)))
+        return self.term.quota(spec.team).covers(use.plus(amounts_of(spec, tasks)))
 
     def patience(self, job: Job) -> float:
         """How long a job waits before it takes any room, also what is kept for GPU tasks."""
@@ -140,12 +140,12 @@
 
     def is_served(self, job: Job) -> bool:
         """Whether there is a recall for each waiting task of the job."""
-        return self.recalls.tasks_for(job) >= job.pending_count
+        return self.open_reclaims.tasks_for(job) >= job.pending_count
 
-    def shut_zones(self, job: Job) -> frozenset[str]:
+    def excluded_zones(self, job: Job) -> frozenset[str]:
         """The zones in which no more room may be recalled for the job, with what is under way."""
-        spec, found = job.spec, self.recalls.of(job)
-        shut = self.jobs.shut_zones(job)
+        spec, found = job.spec, self.open_reclaims.of(job)
+        shut = self.jobs.excluded_zones(job)
         if not found or not (spec.spread or spec.one_zone):
             return shut
         zones = Counter(
@@ -180,12 +180,12 @@
         return self.policy.recall - (now - self._wanted_since.setdefault(job.number, now))
 
     def _can_rent(self, spec: wire.Spec, within: float) -> bool:
-        kinds = self.term.kinds
-        dear = dear_types(spec, kinds, self.jobs.needs, self.policy.best_effort_price)
+        kinds = self.term.machine_types
+        dear = dear_types(spec, kinds, self.jobs.gpu_reservations, self.policy.best_effort_price)
         return any(
             placement.allowed(spec, kind, zone, spot)
             and (kind.name, spot) not in dear
-            and not self.is_resting(Pool(kind.name, zone, spot))
+            and not self.is_in_backoff(Pool(kind.name, zone, spot))
             for kind in kinds.values()
             if kind.boot * SLOW_BOOT + self.policy.plan_step <= within
             for zone in kind.zones
@@ -199,11 +199,11 @@
             self._stops.popleft()
         if self.feature is None:
             return False
-        placed = sum(len(job.placements) for job in self.jobs.live.values())
+        placed = sum(len(job.placements) for job in self.jobs.live_jobs.values())
         most = max(FEW_STOPS, self.feature.stops_a_minute * placed)
         firm = [each for each in borrowed if each.stopping_at is None]
-        new = sum(not self.recalls.is_chosen(each) for each in firm)
-        return len(self._stops) + self.recalls.chosen + new <= most
+        new = sum(not self.open_reclaims.is_chosen(each) for each in firm)
+        return len(self._stops) + self.open_reclaims.chosen + new <= most
 
     def begin(self, job: Job, room: Room) -> None:
         """Recalls room for tasks of the job."""
@@ -219,7 +219,7 @@
             _borrowed(room),
         )
         each = OpenReclaim(recall, is_committed=False)
-        self.recalls.add(each)
+        self.open_reclaims.add(each)
         self._propose(each, "begin")
         self.term.request_pass()
 
@@ -235,7 +235,7 @@
             self.term.number,
             recall.id,
             recall.lender,
-            ",".join(sorted({placed.job.spec.team for placed in self.recalls.left(recall)})),
+            ",".join(sorted({placed.job.spec.team for placed in self.open_reclaims.left(recall)})),
             job.spec.ref,
             recall.machine,
             len(recall.borrowed),
@@ -243,7 +243,7 @@
         )
 
         def committed() -> None:
-            if self.recalls.has(each) and each.recall is recall:
+            if self.open_reclaims.has(each) and each.recall is recall:
                 each.is_committed = True
                 self._continue(each)
 
@@ -254,9 +254,9 @@
     def watch(self) -> None:
         """The next step of each recall; forgets who does not wait any more."""
         now = self.runtime.now()
-        for each in self.recalls:
+        for each in self.open_reclaims:
             self._continue(each)
-        live = self.jobs.live
+        live = self.jobs.live_jobs
         if any(not self.is_served(live[no]) for no in self._wanted_since if no in live):
             # Where all tasks are long, nothing else asks for a pass.
             self.term.request_pass()
@@ -292,7 +292,7 @@
 
     def _situation(self, each: OpenReclaim, until_deadline: float) -> Situation:
         recall, now = each.recall, self.runtime.now()
-        left = self.recalls.left(recall)
+        left = self.open_reclaims.left(recall)
         return Situation(
             is_wanted=self._is_wanted(each),
             machine_answers=self._may_answer(recall),
@@ -307,35 +307,35 @@
         """Whether the machine can give the room; one that this term has not heard yet may."""
         machine = self.fleet.machines.get(recall.machine)
         job = self.ledger.state.jobs.get(recall.job)
-        if machine is None or job is None or machine.zone in self.jobs.shut_zones(job):
+        if machine is None or job is None or machine.zone in self.jobs.excluded_zones(job):
             return False
-        if not machine.baseline and not machine.releasing:
-            return self.runtime.now() - self.term.began < self.policy.machine_suspect
-        return self.is_usable(machine)
+        if not machine.is_reconciled and not machine.is_terminating:
+            return self.runtime.now() - self.term.began_at < self.policy.machine_suspect
+        return self.is_schedulable(machine)
 
     def _is_wanted(self, each: OpenReclaim) -> bool:
         """Whether a task of the job waits for this room and, before others stop, is entitled."""
         recall = each.recall
         job = self.ledger.state.jobs.get(recall.job)
-        if job is None or self.recalls.tasks_before(each) >= job.pending_count:
+        if job is None or self.open_reclaims.tasks_before(each) >= job.pending_count:
             return False
-        if each.told_at is not None or len(self.recalls.left(recall)) < len(recall.borrowed):
+        if each.told_at is not None or len(self.open_reclaims.left(recall)) < len(recall.borrowed):
             return True
-        use = self.term.use(recall.lender).plus(amounts_of(job.spec, recall.tasks))
-        return self.term.guarantee(recall.lender).covers(use)
+        use = self.term.team_usage(recall.lender).plus(amounts_of(job.spec, recall.tasks))
+        return self.term.quota(recall.lender).covers(use)
 
     def _stop(self, each: OpenReclaim, is_forced: bool) -> None:
         now = self.runtime.now()
-        for placed in self.recalls.left(each.recall):
+        for placed in self.open_reclaims.left(each.recall):
             if placed.stopping_at is None:
                 self._stops.append(now)
                 self._recalled_at[placed.job.number, placed.task] = now
             if placed.job.spec.kind == wire.GANG:
-                self.gangs.stop(placed.job, each.recall.id)
+                self.gang_scheduler.stop_gang(placed.job, each.recall.id)
             else:
-                self.orders.stop(placed, 0.0 if is_forced else _save(placed))
+                self.commands.stop_task(placed, 0.0 if is_forced else _save(placed))
         each.told_at, each.is_forced = now, is_forced
-        self.recalls.told(each)
+        self.open_reclaims.told(each)
         log.debug("event=recall_told id=%s forced=%s", each.recall.id, is_forced)
 
     def _seek(self, each: OpenReclaim) -> None:
@@ -346,15 +346,15 @@
             return
         if not self.within_budget(room.borrowed):
             return
-        self.recalls.remove(each)
+        self.open_reclaims.remove(each)
         old = each.recall
         each.recall = replace(old, machine=room.machine.name, borrowed=_borrowed(room))
-        self.recalls.add(each)
+        self.open_reclaims.add(each)
         self._propose(each, "moved")
 
     def placed(self, job: Job, machine: Machine) -> None:
         """A task of the job was placed there: a recall for it is met."""
-        found = self.recalls.of(job)
+        found = self.open_reclaims.of(job)
         here = [each for each in found if each.recall.machine == machine.name]
         # Room that was found elsewhere does as well; who was not told yet then stays.
         surplus = [each for each in found if each.told_at is None and each.is_committed]
@@ -365,12 +365,12 @@
 
     def gang_placed(self, job: Job) -> None:
         """All tasks of the gang were placed: the recalls for it are met."""
-        for each in self.recalls.of(job):
+        for each in self.open_reclaims.of(job):
             self._end(each, "met")
 
     def _end(self, each: OpenReclaim, how: str) -> None:
         recall = each.recall
-        self.recalls.remove(each)
+        self.open_reclaims.remove(each)
         is_late = self.runtime.wall() > recall.deadline
         self.ledger.propose(recall.over_record())
         if how != Step.WITHDRAW.value:
@@ -390,15 +390,19 @@
 
     def room_for(self, job: Job) -> Machine | None:
         """A machine on which a recall made room for a task of the job."""
-        for each in self.recalls.of(job):
+        for each in self.open_reclaims.of(job):
             machine = self.fleet.machines.get(each.recall.machine)
-            if each.is_committed and machine is not None and not self.recalls.left(each.recall):
+            if (
+                each.is_committed
+                and machine is not None
+                and not self.open_reclaims.left(each.recall)
+            ):
                 return machine
         return None
 
     def free_for(self, job: Job) -> Callable[[Machine], bool] | None:
         """Whether a machine has room for the job beside what recalls keep; None: they keep none."""
-        machines = self.recalls.machines()
+        machines = self.open_reclaims.machines()
         if not machines:
             return None
 
@@ -408,22 +412,22 @@
         return keep
 
     def _is_free(self, machine: Machine, job: Job) -> bool:
-        kind = self.term.kinds.get(machine.kind)
+        kind = self.term.machine_types.get(machine.machine_type)
         if kind is None:
             return False
         expected = placement.room(machine, kind)
-        there = self.recalls.machines()[machine.name]
+        there = self.open_reclaims.machines()[machine.name]
         others = [each for each in there if each.recall.job != job.number]
-        for spec in self.recalls.kept(others):
+        for spec in self.open_reclaims.kept(others):
             expected = expected.minus(spec)
-        stopping = {placed for each in others for placed in self.recalls.left(each.recall)}
+        stopping = {placed for each in others for placed in self.open_reclaims.left(each.recall)}
         for placed in stopping:
             expected = expected.plus(placed.job.spec)
         return expected.holds(job.spec)
 
     def kept_on(self, machine: str) -> list[wire.Spec]:
         """The tasks for which recalls keep room on a machine."""
-        return self.recalls.kept(self.recalls.machines().get(machine, []))
+        return self.open_reclaims.kept(self.open_reclaims.machines().get(machine, []))
 
 
 def _borrowed(room: Room) -> tuple[Borrowed, ...]:
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -72,17 +72,17 @@
     def clear(self, machine: Machine) -> None:
         """The machine gets another chance."""
         log.info("event=machine_cleared term=%d machine=%s", self.term.number, machine.name)
-        machine.faulty_until = None
-        machine.draining = machine.notice_until is not None
-        machine.errors.clear()
-        machine.note_change()
+        machine.quarantined_until = None
+        machine.is_cordoned = machine.preempted_by_cloud_at is not None
+        machine.failed_jobs.clear()
+        machine.mark_changed()
         self.term.request_pass()
 
     def watch(self) -> None:
         """Acquits suspects whose task has run for longer than a mistake takes to show."""
         now = self.runtime.now()
         for no in list(self.jobs.suspects):
-            job = self.jobs.live.get(no)
+            job = self.jobs.live_jobs.get(no)
             if job is None:
                 self.jobs.suspects.discard(no)
             elif any(
@@ -92,16 +92,16 @@
                 self.forget(job)
 
     def _blame(self, job: Job, machine: Machine) -> None:
-        machine.errors.add(job.spec.ref)
-        if len(machine.errors) < FAULTY_AFTER or machine.draining:
+        machine.failed_jobs.add(job.spec.ref)
+        if len(machine.failed_jobs) < FAULTY_AFTER or machine.is_cordoned:
             return
         log.info("event=machine_faulty term=%d machine=%s", self.term.number, machine.name)
         # Some are for a spell only: looked at again soon, then less often; no job may wait 90 s
         # beside it.
-        rest = min(self.policy.faulty_rest * 2**machine.faults, self.policy.keep_patience)
-        machine.draining, machine.faulty_until = True, self.runtime.now() + rest
-        machine.note_change()
-        machine.faults += 1
+        rest = min(self.policy.faulty_rest * 2**machine.quarantine_count, self.policy.keep_patience)
+        machine.is_cordoned, machine.quarantined_until = True, self.runtime.now() + rest
+        machine.mark_changed()
+        machine.quarantine_count += 1
 
     def _clear_of(self, job: Job, record: _Record) -> None:
         """Takes the job's failures off the machines on which it failed."""
@@ -109,6 +109,6 @@
             machine = self.fleet.machines.get(name)
             if machine is None:
                 continue
-            machine.errors.discard(job.spec.ref)
-            if machine.faulty_until is not None and len(machine.errors) < FAULTY_AFTER:
+            machine.failed_jobs.discard(job.spec.ref)
+            if machine.quarantined_until is not None and len(machine.failed_jobs) < FAULTY_AFTER:
                 self.clear(machine)
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -18,7 +18,7 @@
 
     def __init__(self, term: Term, orders: CommandSender) -> None:
         super().__init__(term)
-        self.orders = orders
+        self.commands = orders
         self._probing = 0
         """Machines that are being probed."""
         self._most_probed = max(1, int(self.settings.max_sockets * CALLED_SHARE * PROBING_SHARE))
@@ -31,10 +31,10 @@
         """
         counts: dict[str, list[int]] = {}
         for machine in self.fleet.machines.values():
-            if not machine.booting and not machine.releasing:
+            if not machine.is_booting and not machine.is_terminating:
                 count = counts.setdefault(machine.zone, [0, 0])
                 count[0] += 1
-                count[1] += now - machine.heard_at > self.policy.machine_suspect
+                count[1] += now - machine.last_heartbeat_at > self.policy.machine_suspect
         for zone, (up, silent) in counts.items():
             if silent >= 3 and silent * 2 > up:
                 # Not over as soon as half of them report again: the others are then on their way.
@@ -47,25 +47,25 @@
         One answer is enough. Where neither comes, it is not just this controller that is cut off.
         Nothing happens while it is being probed, or too many others are.
         """
-        if machine.probes or not machine.address or self._probing >= self._most_probed:
+        if machine.open_probes or not machine.address or self._probing >= self._most_probed:
             return
         servers = [self.settings.node]
-        others = self.orders.carrier.others(machine.zone)
+        others = self.commands.transport.other_controllers(machine.zone)
         if others:
             servers.append(others[machine.failed_probes // 2 % len(others)])
-        pauses = self.term.pauses
+        pauses = self.term.pause_count
 
         def told(server: str, status: int, body: bytes) -> None:
-            machine.probes -= 1
-            self._probing -= not machine.probes
+            machine.open_probes -= 1
+            self._probing -= not machine.open_probes
             if status == 200:
                 machine.failed_probes = 0
-                self.orders.answered(server, body)
-            elif pauses == self.term.pauses:
+                self.commands.handle_reply(server, body)
+            elif pauses == self.term.pause_count:
                 machine.failed_probes += 1
 
-        machine.probes = len(servers)
+        machine.open_probes = len(servers)
         self._probing += 1
         for server in servers:
             done = partial(told, server)
-            self.orders.carrier.carry(server, machine.name, machine.address, None, done)
+            self.commands.transport.send(server, machine.name, machine.address, None, done)
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -31,7 +31,7 @@
 
     def __init__(self, term: Term, jobs: JobRegistry, orders: CommandSender) -> None:
         super().__init__(term)
-        self.jobs, self.orders = jobs, orders
+        self.jobs, self.commands = jobs, orders
         self._lengths: dict[int, list[float]] = {}
         self._late: dict[str, set[Task]] = {}
         self._slow: dict[str, float] = {}
@@ -42,7 +42,7 @@
         """The process stood still: what ended meanwhile is heard of late."""
         self._blind_until = self.runtime.now() + 2 * self.policy.machine_suspect
 
-    def ended(self, machine: Machine, placed: Placement) -> None:
+    def on_task_done(self, machine: Machine, placed: Placement) -> None:
         """A task ended with its result."""
         if placed.job.spec.kind != wire.ARRAY or placed.started_at is None or placed.is_inherited:
             return
@@ -71,7 +71,7 @@
                 self._clear(name)
         if now < self._blind_until:
             return
-        for job in list(self.jobs.live.values()):
+        for job in list(self.jobs.live_jobs.values()):
             usual = self._usual(job)
             if not usual:
                 continue
@@ -87,7 +87,7 @@
                 if ratio > self.policy.late and machine is not None:
                     self._note(machine, placed, ratio)
         self._lengths = {
-            no: lengths for no, lengths in self._lengths.items() if no in self.jobs.live
+            no: lengths for no, lengths in self._lengths.items() if no in self.jobs.live_jobs
         }
         self._late = {
             name: tasks for name, tasks in self._late.items() if name in self.fleet.machines
@@ -114,23 +114,23 @@
             "event=machine_slow term=%d machine=%s type=%s late=%d ratio=%.1f",
             self.term.number,
             machine.name,
-            machine.kind,
+            machine.machine_type,
             len(late),
             ratio,
         )
         self._slow[machine.name] = self.runtime.now() + self.policy.slow_rest
-        machine.slow = True
-        machine.note_change()
+        machine.is_slow = True
+        machine.mark_changed()
         for other in machine.placements.values():
             spec = other.job.spec
             saves = spec.kind == wire.ARRAY and spec.checkpoint and other.state == wire.RUNNING
             if saves and other.stopping_at is None:
-                self.orders.stop(other, spec.save)
+                self.commands.stop_task(other, spec.save)
 
     def _clear(self, name: str) -> None:
         self._slow.pop(name, None)
         self._late.pop(name, None)
         machine = self.fleet.machines.get(name)
         if machine is not None:
-            machine.slow = False
-            machine.note_change()
+            machine.is_slow = False
+            machine.mark_changed()
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -42,7 +42,7 @@
         """`live`: the jobs that are not over; `suspects`: those likely submitted with a mistake."""
         super().__init__(term)
         self._live, self._suspects = live, suspects
-        self.beyond: set[int] = set()
+        self.teams_over_quota: set[int] = set()
         """Jobs that reach beyond their team's guarantee, as of the last count."""
         self._waiting: dict[int, Job] = {}
         """Jobs that may have waiting tasks. A pass over all live jobs cost more than what it was
@@ -75,7 +75,7 @@
 
     # Who waits
 
-    def recall(self, job: Job) -> None:
+    def restore(self, job: Job) -> None:
         """A job that an earlier term accepted."""
         self._waiting[job.number] = job
 
@@ -85,14 +85,14 @@
         self._count_demand(job)
         self._put_in_order(job)
 
-    def waits_again(self, job: Job) -> None:
+    def requeue(self, job: Job) -> None:
         """A task of the job is to be placed anew."""
         if job.number not in self._waiting:
             job.pending_since = self.runtime.now()
         self._waiting[job.number] = job
         self._put_in_order(job)
 
-    def waiting(self) -> list[Job]:
+    def pending_jobs(self) -> list[Job]:
         """The jobs with waiting tasks, in no order."""
         over = [no for no, job in self._waiting.items() if not job.pending_count]
         for no in over:
@@ -101,14 +101,14 @@
 
     # Their order
 
-    def in_order(self) -> list[PendingJob]:
+    def ordered_jobs(self) -> list[PendingJob]:
         """Jobs in the order in which they are placed; some may have no waiting tasks any more.
 
         By rank, those within their team's guarantee first, then those that can still be in time,
         the most pressing of them first, then by age.
         """
         if self.runtime.now() - self._ordered_at > self.policy.retry / 2:
-            self._order_anew(self.waiting())
+            self._order_anew(self.pending_jobs())
         return self._order
 
     def _order_anew(self, waiting: list[Job]) -> None:
@@ -130,7 +130,7 @@
 
     def _entry(self, job: Job) -> PendingJob:
         level, latest = self.urgency(job, self.runtime.wall())
-        beyond = job.number in self.beyond
+        beyond = job.number in self.teams_over_quota
         key = wire.RANKS[job.spec.rank], beyond, level, latest, job.number
         return PendingJob(key, job, self._alike(job, beyond, self.runtime.now()))
 
@@ -157,7 +157,7 @@
 
     def _count_all_demand(self) -> None:
         """Counts anew who reaches beyond a guarantee; in between only new jobs are added."""
-        self._demand, self._guarantees, self.beyond = {}, {}, set()
+        self._demand, self._guarantees, self.teams_over_quota = {}, {}, set()
         for job in self._live.values():
             if not (job.is_done or job.is_cancelled):
                 self._count_demand(job)
@@ -168,9 +168,9 @@
         demand = self._demand[spec.team] = self._demand.get(spec.team, NOTHING).plus(left)
         guarantee = self._guarantees.get(spec.team)
         if guarantee is None:
-            guarantee = self._guarantees[spec.team] = self.term.guarantee(spec.team)
+            guarantee = self._guarantees[spec.team] = self.term.quota(spec.team)
         if not guarantee.covers(demand):
-            self.beyond.add(job.number)
+            self.teams_over_quota.add(job.number)
 
     # Due times
 
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -65,7 +65,12 @@
         lending: QuotaReclaim,
     ) -> None:
         super().__init__(term)
-        self.jobs, self.orders, self.gangs, self.lending = jobs, orders, gangs, lending
+        self.jobs, self.commands, self.gang_scheduler, self.quota_reclaim = (
+            jobs,
+            orders,
+            gangs,
+            lending,
+        )
         self._claims = Reservations()
         self._preempted: dict[TaskKey, float] = {}
         """Tasks for which others were stopped, and until when their room is kept."""
@@ -80,8 +85,8 @@
         now = self.runtime.now()
         if now >= self._nobody_until:
             self._nobody, self._nobody_until = placement.Exhausted(), now + self.policy.retry
-        if self.lending.is_enabled:
-            self._borrowers = self.lending.borrowers()
+        if self.quota_reclaim.is_enabled:
+            self._borrowers = self.quota_reclaim.borrowers()
         return self._claims.expire(now, self.ledger.state)
 
     def unclaimed_by(self, rank: int) -> Callable[[Machine], bool] | None:
@@ -94,13 +99,13 @@
 
     def is_entitled(self, job: Job) -> bool:
         """Whether the job's next task has a right to room that others use beyond a guarantee."""
-        if self.lending.is_enabled:
-            return self.lending.is_entitled(job)
-        return job.number not in self.jobs.queue.beyond
+        if self.quota_reclaim.is_enabled:
+            return self.quota_reclaim.is_entitled(job)
+        return job.number not in self.jobs.queue.teams_over_quota
 
     def party(self, job: Job) -> Hashable:
         """For whom others are stopped: equal where the same tasks may be."""
-        if self.lending.is_enabled:
+        if self.quota_reclaim.is_enabled:
             return job.spec.team, self.is_entitled(job)
         return job.spec.team if self.is_entitled(job) else None
 
@@ -124,12 +129,12 @@
             self._nobody.add(kin, spec)
             return False
         if entitled:
-            self.lending.wants(job)
+            self.quota_reclaim.wants(job)
         key = self._unserved(job, now)
         if key is None:
             return True
-        if self.lending.is_enabled:
-            shut = self.lending.shut_zones(job)
+        if self.quota_reclaim.is_enabled:
+            shut = self.quota_reclaim.excluded_zones(job)
         best = self._least_loss(job, index, shut, entitled, now)
         if best is None:
             self._nobody.add(kin, spec)
@@ -151,16 +156,16 @@
 
     def find_room(self, job: Job, index: MachineIndex) -> Room | None:
         """Where room can be made for a task that is entitled to it."""
-        shut = self.lending.shut_zones(job)
+        shut = self.quota_reclaim.excluded_zones(job)
         best = self._least_loss(job, index, shut, True, self.runtime.now())
         return Room(best[1], best[2]) if best is not None else None
 
     def _unserved(self, job: Job, now: float) -> TaskKey | None:
         """The waiting task for which room is to be made next; None: it is being made for all."""
         key = job.number, job.next_pending_task()
-        if not self.lending.is_enabled:
+        if not self.quota_reclaim.is_enabled:
             return None if self._preempted.get(key, 0.0) > now else key
-        recalled = self.lending.recalls.tasks_for(job)
+        recalled = self.quota_reclaim.open_reclaims.tasks_for(job)
         served = {
             task
             for (no, task), until in self._preempted.items()
@@ -176,7 +181,7 @@
 
     def _is_borrowed(self, spec: wire.Spec, victims: list[Placement]) -> bool:
         """Whether another team's work is to give way, and that is to be kept in the ledger."""
-        return self.lending.is_enabled and any(
+        return self.quota_reclaim.is_enabled and any(
             placed.job.spec.team != spec.team for placed in victims
         )
 
@@ -185,12 +190,12 @@
         rank = wire.RANKS[job.spec.rank]
         borrowed = [placed for room in rooms for placed in room.borrowed]
         urgent = all(wire.RANKS[placed.job.spec.rank] > rank for placed in borrowed)
-        if not urgent and not self.lending.may_begin(job):
+        if not urgent and not self.quota_reclaim.may_begin(job):
             return True
-        if not self.lending.within_budget(borrowed):
+        if not self.quota_reclaim.within_budget(borrowed):
             return False
         for room in rooms:
-            self.lending.begin(job, room)
+            self.quota_reclaim.begin(job, room)
         return True
 
     def make_gang_room(self, job: Job, index: MachineIndex) -> bool:
@@ -203,11 +208,11 @@
         first = job.number, 0
         if self._preempted.get(first, 0.0) > now:
             return True
-        if self.lending.recalls.tasks_for(job):
+        if self.quota_reclaim.open_reclaims.tasks_for(job):
             return True
-        party = self.party(job) if self.lending.is_enabled else None
+        party = self.party(job) if self.quota_reclaim.is_enabled else None
         kin = "gang", job.shape, job.spec.tasks, party
-        recalls = self.lending.is_enabled and self.is_entitled(job)
+        recalls = self.quota_reclaim.is_enabled and self.is_entitled(job)
         may_stop = rank < wire.RANKS["standard"] or recalls
         if not may_stop or job.spec.spread or self.found_nobody(kin, job.spec):
             return False
@@ -235,7 +240,7 @@
 
     def gang_placed(self, job: Job) -> None:
         """The gang is placed: its claims are made good."""
-        self.lending.gang_placed(job)
+        self.quota_reclaim.gang_placed(job)
         for task in range(job.spec.tasks):
             if self._preempted.pop((job.number, task), None) is not None:
                 self._claims.made_good((job.number, task))
@@ -259,14 +264,16 @@
         def whole_loss(found: list[Share]) -> float:
             return sum(share.loss for share in found)
 
-        return best_shares(spec, self.fleet.zones, candidates, self.jobs.needs, whole_loss)
+        return best_shares(
+            spec, self.fleet.zones, candidates, self.jobs.gpu_reservations, whole_loss
+        )
 
     def make_room_to_move(self, placed: Placement, machine: Machine) -> None:
         """Stops best-effort tasks on the machine so that a replica can move there."""
         key = placed.job.number, placed.task
         if self._claims.has(key):
             return
-        kind, now = self.term.kinds[machine.kind], self.runtime.now()
+        kind, now = self.term.machine_types[machine.machine_type], self.runtime.now()
         victims = self._victims(placed.job, machine, kind, False, now)
         if victims and all(victim.is_best_effort for victim in victims):
             self._evict(key, placed.job.spec, machine, victims, moving=True)
@@ -314,9 +321,9 @@
             if placed.stopping_at is not None:
                 continue
             if placed.job.spec.kind == wire.GANG:
-                self.gangs.stop(placed.job, "preempted")
+                self.gang_scheduler.stop_gang(placed.job, "preempted")
             else:
-                self.orders.stop(placed, placed.job.spec.save)
+                self.commands.stop_task(placed, placed.job.spec.save)
         return until
 
     def _victims(
@@ -343,7 +350,7 @@
             self._budget(spec).take,
         )
         fits = left.holds(spec) and (
-            placement.leaves_gpus_usable(spec, left, kind, self.jobs.needs)
+            placement.leaves_gpus_usable(spec, left, kind, self.jobs.gpu_reservations)
             or self._takes_any_room(job, now)
         )
         return victims if fits else []
@@ -355,13 +362,13 @@
         its own, of which little may be lost.
         """
         other = placed.job.spec
-        if other.kind == wire.GANG and not self.gangs.can_stop(placed.job):
+        if other.kind == wire.GANG and not self.gang_scheduler.can_stop(placed.job):
             return False
-        if self.lending.is_enabled:
+        if self.quota_reclaim.is_enabled:
             return self._may_be_taken(placed, spec, entitled)
         return wire.RANKS[other.rank] > wire.RANKS[spec.rank] or (
             entitled
-            and placed.job.number in self.jobs.queue.beyond
+            and placed.job.number in self.jobs.queue.teams_over_quota
             and other.team != spec.team
             and other.kind != wire.SERVICE
             and self._loss(placed, now) < self.policy.settle
@@ -381,31 +388,36 @@
             return False
         if not (other_rank > rank or entitled):
             return False
-        borrows = other.team in self._borrowers and not self.lending.was_recalled(placed)
+        borrows = other.team in self._borrowers and not self.quota_reclaim.was_recalled(placed)
         return borrows or self._is_leaving(placed)
 
     def _takes_any_room(self, job: Job, now: float) -> bool:
         """Whether the job, entitled to room, has waited for so long that no GPUs are spared."""
-        return self.lending.is_enabled and now - job.pending_since > self.lending.patience(job)
+        return (
+            self.quota_reclaim.is_enabled
+            and now - job.pending_since > self.quota_reclaim.patience(job)
+        )
 
     def _is_last(self, placed: Placement, spec: wire.Spec) -> bool:
         """Whether the task gives way after all others: a replica of another team."""
         other = placed.job.spec
-        return self.lending.is_enabled and other.kind == wire.SERVICE and other.team != spec.team
+        return (
+            self.quota_reclaim.is_enabled and other.kind == wire.SERVICE and other.team != spec.team
+        )
 
     def _budget(self, spec: wire.Spec) -> _PreemptionBudget:
-        reclaimable = self.lending.reclaimable() if self.lending.is_enabled else None
+        reclaimable = self.quota_reclaim.reclaimable() if self.quota_reclaim.is_enabled else None
         return _PreemptionBudget(spec.team, reclaimable, self._is_leaving)
 
     def _is_leaving(self, placed: Placement) -> bool:
-        return placed.stopping_at is not None or self.lending.recalls.is_chosen(placed)
+        return placed.stopping_at is not None or self.quota_reclaim.open_reclaims.is_chosen(placed)
 
     def _unclaimed_room(self, machine: Machine, kind: wire.MachineType) -> placement.Room:
         """What is left there: what is being stopped for another task can't make room twice."""
         left = placement.room(machine, kind)
         for claim in self._claims.on(machine.name):
             left = left.minus(claim.spec)
-        for spec in self.lending.kept_on(machine.name):
+        for spec in self.quota_reclaim.kept_on(machine.name):
             left = left.minus(spec)
         return left
 
@@ -414,5 +426,5 @@
         if self._is_leaving(placed) or placed.started_at is None:
             return 0.0
         if placed.job.spec.kind == wire.GANG:
-            return self.gangs.loss(placed.job)
+            return self.gang_scheduler.preemption_cost(placed.job)
         return placed.job.spec.save if placed.job.spec.checkpoint else now - placed.started_at
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -42,11 +42,16 @@
         lending: QuotaReclaim,
     ) -> None:
         super().__init__(term)
-        self.lending = lending
+        self.quota_reclaim = lending
         lending.find_room = lambda job: self.preemption.find_room(job, self._index)
-        self.jobs, self.tracker, self.orders, self.gangs = jobs, tracker, orders, gangs
+        self.jobs, self.reconciler, self.commands, self.gang_scheduler = (
+            jobs,
+            tracker,
+            orders,
+            gangs,
+        )
         self.preemption = Preemption(term, jobs, orders, gangs, lending)
-        self.gang_holds = GangReservations(term, jobs)
+        self.gang_reservations = GangReservations(term, jobs)
         self.looked = 0
         """Machines that the scheduler looked at, in all."""
         self._pass_requested = False
@@ -58,7 +63,7 @@
         """
         self._index = self._empty_index()
         self._indexed_kinds: Hashable = None
-        self._needs = jobs.needs
+        self._needs = jobs.gpu_reservations
         self._grown: dict[str, Machine] = {}
         """Machines with more room than in the last pass."""
         term.request_pass = self.request_pass
@@ -71,13 +76,13 @@
 
     def _schedule(self) -> None:
         self._pass_requested = False
-        if not self.term.may_act or not self.term.kinds:
+        if not self.term.may_act or not self.term.machine_types:
             return
         if self.ledger.backlog > MOST_BACKLOG:
             self._request_pass_later()
             return
         now = self.runtime.now()
-        queue = self.jobs.queue.in_order()
+        queue = self.jobs.queue.ordered_jobs()
         is_full = bool(queue) and self._pass(queue, now)
         ended = self.runtime.now()
         rest = max(
@@ -92,15 +97,15 @@
 
         Who found no room in an earlier pass looks only where there is more now.
         """
-        freed = self.preemption.begin_pass() | self.gang_holds.ended()
+        freed = self.preemption.begin_pass() | self.gang_reservations.ended()
         self._take_up_changes()
         for name in freed:
             machine = self.fleet.machines.get(name)
             if machine is not None:
                 self._grown[name] = machine
-        if self.jobs.needs != self._needs:
+        if self.jobs.gpu_reservations != self._needs:
             # What GPU tasks need beside their GPUs decides about room: all look everywhere.
-            self._needs, self._full = self.jobs.needs, placement.Exhausted()
+            self._needs, self._full = self.jobs.gpu_reservations, placement.Exhausted()
         grown = self._empty_index(by_image=False)
         for machine in self._grown.values():
             grown.update(machine)
@@ -114,19 +119,21 @@
     # The index
 
     def _empty_index(self, by_image: bool = True) -> MachineIndex:
-        return MachineIndex(self.term.kinds, self.rng, self.tracker.is_usable, by_image)
+        return MachineIndex(
+            self.term.machine_types, self.rng, self.reconciler.is_schedulable, by_image
+        )
 
     def _take_up_changes(self) -> None:
         """Brings the index up to date with what happened to machines."""
-        kinds = self.term.kinds
-        if self._index.kinds is not kinds:
+        kinds = self.term.machine_types
+        if self._index.machine_types is not kinds:
             sizes = tuple((kind.name, kind.cores, kind.gpus, kind.ram) for kind in kinds.values())
             if sizes != self._indexed_kinds:
                 self._indexed_kinds, self._full = sizes, placement.Exhausted()
                 self._index = self._empty_index()
-                self.fleet.changed.update(dict.fromkeys(self.fleet.machines.values()))
-            self._index.kinds = kinds
-        changed = self.fleet.changed
+                self.fleet.changed_machines.update(dict.fromkeys(self.fleet.machines.values()))
+            self._index.machine_types = kinds
+        changed = self.fleet.changed_machines
         while changed:
             machine, _ = changed.popitem()
             if self._index.update(machine):
@@ -135,52 +142,52 @@
     def reconcile(self) -> None:
         """Looks at all machines anew: some become usable, or not, by time alone."""
         for machine in self.fleet.machines.values():
-            if self.tracker.is_usable(machine) != (machine in self._index):
-                machine.note_change()
+            if self.reconciler.is_schedulable(machine) != (machine in self._index):
+                machine.mark_changed()
 
     # Placing
 
     def has_hint(self, job: Job) -> bool:
         """Whether it is said where the job's next task is to go."""
         hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
-        return hinted or self.lending.room_for(job) is not None
+        return hinted or self.quota_reclaim.room_for(job) is not None
 
     def hinted(
         self, job: Job, shut: Collection[str], keep: Callable[[Machine], bool] | None
     ) -> Machine | None:
         """Where the job's next task was moved to, or room was recalled, if it can go there."""
         hint = self.hints.pop((job.number, job.next_pending_task()), "")
-        machine = self.fleet.machines.get(hint) or self.lending.room_for(job)
-        if machine is None or not self.tracker.is_usable(machine) or machine.zone in shut:
+        machine = self.fleet.machines.get(hint) or self.quota_reclaim.room_for(job)
+        if machine is None or not self.reconciler.is_schedulable(machine) or machine.zone in shut:
             return None
-        kind, spec = self.term.kinds[machine.kind], job.spec
-        fits = Fit(spec, self.jobs.needs, keep)
+        kind, spec = self.term.machine_types[machine.machine_type], job.spec
+        fits = Fit(spec, self.jobs.gpu_reservations, keep)
         allowed = placement.allowed(spec, kind, machine.zone, machine.spot)
         return machine if allowed and fits(machine, kind) else None
 
     def place_gang(self, job: Job, index: MachineIndex, overdue: bool) -> int:
-        if not self.gangs.is_due(job):
+        if not self.gang_scheduler.is_due(job):
             return 0
-        count = self.gangs.place(job, index, not overdue, self.keep_for(job))
+        count = self.gang_scheduler.place_gang(job, index, not overdue, self.keep_for(job))
         if count:
             self.preemption.gang_placed(job)
-            self.gang_holds.placed(job)
+            self.gang_reservations.placed(job)
             self._take_up_changes()
-        elif not job.placements and self.jobs.within_limit(job.spec, job.spec.tasks):
+        elif not job.placements and self.jobs.is_within_limit(job.spec, job.spec.tasks):
             self._make_gang_room(job, index, overdue)
         return count
 
     def _make_gang_room(self, job: Job, index: MachineIndex, overdue: bool) -> None:
         """Stops others for the gang, or keeps new work off machines that it can use in a while."""
         if not self.preemption.make_gang_room(job, index) and overdue:
-            self.gang_holds.hold(job, index)
+            self.gang_reservations.hold(job, index)
 
     def keep_for(self, job: Job) -> Callable[[Machine], bool] | None:
         """Whether a machine's room is kept neither for somebody more important nor for a gang."""
         rules = (
             self.preemption.unclaimed_by(wire.RANKS[job.spec.rank]),
-            self.gang_holds.free_for(job),
-            self.lending.free_for(job),
+            self.gang_reservations.free_for(job),
+            self.quota_reclaim.free_for(job),
         )
         kept = [accepts for accepts in rules if accepts is not None]
         if len(kept) < 2:
@@ -200,18 +207,18 @@
             placed.is_committed = True
             if job.is_cancelled:
                 # Cancelled between proposal and commit: it was never launched, so it is over.
-                self.tracker.over(placed, False, "cancelled before launch")
+                self.reconciler.finish_attempt(placed, False, "cancelled before launch")
             else:
-                self.orders.launch(placed)
+                self.commands.launch_task(placed)
 
         self.ledger.propose(
             [records.PLACED, job.number, task, attempt, machine.name, machine.zone], committed
         )
         placed: Placement = job.placements[task]
         placed.proposed_at = job.pending_since = now
-        machine.use(placed)
+        machine.add_placement(placed)
         self.preemption.placed((job.number, task))
-        self.lending.placed(job, machine)
+        self.quota_reclaim.placed(job, machine)
         self._take_up_changes()
 
     # Passes that nothing asks for
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -96,14 +96,14 @@
         for _, job, alike in list(queue):
             if self.is_full:
                 break
-            kin = alike, self._jobs.shut_zones(job)
+            kin = alike, self._jobs.excluded_zones(job)
             if kin in hopeless and not self._scheduler.has_hint(job):
                 continue
             if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_tasks(job, full) and alike is not None:
                 # As it is now: some of its tasks may have been placed.
-                hopeless.add((alike, self._jobs.shut_zones(job)))
+                hopeless.add((alike, self._jobs.excluded_zones(job)))
         # Who did not look this time has not seen what grew.
         return self.unfit if self._has_grown else full
 
@@ -119,9 +119,9 @@
         keep = self._scheduler.keep_for(job)
         last: Machine | None = None
         while job.pending_count and not self.is_full:
-            if not self._jobs.within_limit(spec):
+            if not self._jobs.is_within_limit(spec):
                 return False
-            shut = self._jobs.shut_zones(job)
+            shut = self._jobs.excluded_zones(job)
             machine = self._scheduler.hinted(job, shut, keep)
             search = self._search(job, shut)
             if machine is None and last is not None and last.zone not in shut:
@@ -150,9 +150,9 @@
         """
         if job.spec.kind != wire.ARRAY:
             return None
-        needs = None if search.overdue else self._jobs.needs
+        needs = None if search.overdue else self._jobs.gpu_reservations
         fit = Fit(job.spec, needs, self._accept(job, search, keep))
-        return machine if fit(machine, self._term.kinds[machine.kind]) else None
+        return machine if fit(machine, self._term.machine_types[machine.machine_type]) else None
 
     def _accept(self, job: Job, search: _Search, keep: Keep | None) -> Keep | None:
         """Which machines the job may use, beside its own conditions; None: any."""
@@ -176,7 +176,7 @@
         return _Search(like, self._is_overdue(job))
 
     def _is_overdue(self, job: Job) -> bool:
-        return self._now - job.pending_since > self._preemption.lending.patience(job)
+        return self._now - job.pending_since > self._preemption.quota_reclaim.patience(job)
 
     def _choose(
         self,
@@ -188,7 +188,7 @@
     ) -> Machine | None:
         spec = job.spec
         known = full.covers(search, spec)
-        needs = None if search.overdue else self._jobs.needs
+        needs = None if search.overdue else self._jobs.gpu_reservations
         accept = self._accept(job, search, keep)
         where = self._grown if known else self._index
         machine = choose(spec, job.number, where, needs, self._policy.sample, shut, accept)
@@ -200,10 +200,15 @@
 
     def _worth_using(self, spec: wire.Spec, keep: Keep | None) -> Keep:
         """Whether best-effort work may use a machine: not a dear one that nothing else is on."""
-        dear = dear_types(spec, self._term.kinds, self._jobs.needs, self._policy.best_effort_price)
+        dear = dear_types(
+            spec,
+            self._term.machine_types,
+            self._jobs.gpu_reservations,
+            self._policy.best_effort_price,
+        )
 
         def worth(machine: Machine) -> bool:
-            if not machine.anchors and (machine.kind, machine.spot) in dear:
+            if not machine.anchors and (machine.machine_type, machine.spot) in dear:
                 return False
             return keep is None or keep(machine)
 
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -23,19 +23,21 @@
     def __init__(self, runtime: Runtime, ledger: WriteAheadLog, zones: tuple[str, ...]) -> None:
         self._runtime, self._ledger = runtime, ledger
         self.machines: dict[str, Machine] = {}
-        self.gone: set[str] = set()
-        self.changed: dict[Machine, None] = {}
+        self.removed_machines: set[str] = set()
+        self.changed_machines: dict[Machine, None] = {}
         """Those whose room, images or use changed since the scheduler took this up."""
         self.zones = set(zones)
 
-    def adopt(self, name: str, kind: str, zone: str, spot: bool) -> Machine:
+    def add_machine(self, name: str, machine_type: str, zone: str, spot: bool) -> Machine:
         machine = self.machines.get(name)
         if machine is None:
             now = self._runtime.now()
-            machine = self.machines[name] = Machine(name, kind, zone, spot, now, self.changed)
+            machine = self.machines[name] = Machine(
+                name, machine_type, zone, spot, now, self.changed_machines
+            )
             self.zones.add(zone)
             for placed in self._ledger.state.placements_by_machine.get(name, {}).values():
-                machine.use(placed)
+                machine.add_placement(placed)
         return machine
 
 
@@ -51,29 +53,29 @@
         ledger: WriteAheadLog,
         cloud: Cloud,
         rng: random.Random,
-        kinds: dict[str, wire.MachineType],
+        machine_types: dict[str, wire.MachineType],
         limits: TeamLimits,
     ) -> None:
         self.number, self.runtime, self.settings, self.policy = number, runtime, settings, policy
-        self.ledger, self.cloud, self.rng, self.kinds = ledger, cloud, rng, kinds
+        self.ledger, self.cloud, self.rng, self.machine_types = ledger, cloud, rng, machine_types
         self.limits = limits
         self.active = False
-        self.isolated = False
+        self.may_be_superseded = False
         """Others may well lead by now: see `LeaderElection.isolated`."""
         self.suspended = False
         """The process stood still, and leadership was not confirmed since."""
-        self.pauses = 0
+        self.pause_count = 0
         """How often the process stood still; what timed out across a pause proves nothing."""
-        self.began = runtime.now()
+        self.began_at = runtime.now()
         self.fleet = Fleet(runtime, ledger, settings.zones)
         self.request_pass: Callable[[], None] = lambda: None
         """Asks for a pass of the scheduler."""
 
-    def guarantee(self, team: str) -> Guarantee:
+    def quota(self, team: str) -> Guarantee:
         """A team's guarantee as it is now."""
         return Guarantee.of(self.limits.of(team))
 
-    def use(self, team: str) -> Amounts:
+    def team_usage(self, team: str) -> Amounts:
         """What a team's placements take, from their proposal until they are proven over."""
         usage = self.ledger.state.usage_by_team.get(team)
         return Amounts(usage.cores, usage.gpus) if usage is not None else NOTHING
@@ -81,7 +83,7 @@
     @property
     def may_act(self) -> bool:
         """Whether it may rent, release, order, move and preempt."""
-        return self.active and not self.isolated and not self.suspended
+        return self.active and not self.may_be_superseded and not self.suspended
 
 
 class TermActor(Actor):
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -14,7 +14,7 @@
     """About how long the image takes to be there; fetches at the same time share the rate."""
     if spec.image in machine.images:
         return 0.0
-    busy = machine.fetching()
+    busy = machine.images_being_fetched()
     return spec.image_gb / max(kind.fetch_rate, SLACK) * (1 + len(busy - {spec.image}))
 
 
@@ -41,7 +41,7 @@
     """
     best: tuple[tuple[float, ...], Machine] | None = None
     for machine in index.fitting(spec, shut, needs, sample, keep):
-        kind = index.kinds[machine.kind]
+        kind = index.machine_types[machine.machine_type]
         after = max(
             (kind.cores - machine.cores - spec.cores) / kind.cores if kind.cores else 0.0,
             (kind.gpus - machine.gpus - spec.gpus) / kind.gpus if kind.gpus else 0.0,
--- a/flaxtally/planning/consolidate.py
+++ b/flaxtally/planning/consolidate.py
@@ -61,7 +61,7 @@
             found = target(placed, machine, index, needs, sample, shut_without)
             if found is None:
                 return False
-            found.claim(spec, 1)
+            found.reserve(spec, 1)
             index.update(found)
             claimed.append((found, spec))
         return True
@@ -76,12 +76,12 @@
             failed.append(machine.name)
             while len(claimed) > held:
                 held_by, spec = claimed.pop()
-                held_by.claim(spec, -1)
+                held_by.reserve(spec, -1)
                 index.update(held_by)
         return None, failed
     finally:
         for held_by, spec in claimed:
-            held_by.claim(spec, -1)
+            held_by.reserve(spec, -1)
 
 
 @contextmanager
@@ -94,12 +94,12 @@
         if placed.is_best_effort and placed.stopping_at is None
     ]
     for machine, spec in freed:
-        machine.claim(spec, -1)
+        machine.reserve(spec, -1)
     try:
         yield
     finally:
         for machine, spec in freed:
-            machine.claim(spec, 1)
+            machine.reserve(spec, 1)
 
 
 def target(
@@ -119,7 +119,7 @@
         needs,
         sample,
         shut_without(job, placed),
-        lambda other: takes(machine, other, job.spec, index.kinds),
+        lambda other: takes(machine, other, job.spec, index.machine_types),
     )
 
 
@@ -135,7 +135,9 @@
         other.placements or 2 * hourly(other, kinds) < hourly(machine, kinds)
     ):
         return False
-    freed = kinds[machine.kind].gpus and not spec.gpus and not kinds[other.kind].gpus
+    freed = (
+        kinds[machine.machine_type].gpus and not spec.gpus and not kinds[other.machine_type].gpus
+    )
     return spec.image in other.images or bool(freed)
 
 
@@ -148,5 +150,5 @@
 
 def hourly(machine: Machine, kinds: dict[str, wire.MachineType]) -> float:
     """What the machine costs an hour."""
-    kind = kinds[machine.kind]
+    kind = kinds[machine.machine_type]
     return kind.spot_price if machine.spot else kind.price
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -36,7 +36,9 @@
     @classmethod
     def of(cls, machine: Machine) -> CapacityTaken:
         """What is taken of the machine now."""
-        return cls(machine.cores, machine.gpus, machine.ram, machine.slow, not machine.anchors)
+        return cls(
+            machine.cores, machine.gpus, machine.memory_gb, machine.is_slow, not machine.anchors
+        )
 
     def leaves_more_than(self, before: CapacityTaken) -> bool:
         """Whether some task may fit now that did not fit before.
@@ -124,7 +126,7 @@
         by_image: bool = True,
     ) -> None:
         """`by_image`: machines are also found by the images that they hold."""
-        self.kinds, self._rng, self._usable = kinds, rng, usable
+        self.machine_types, self._rng, self._usable = kinds, rng, usable
         self.looked = 0
         self._entries: dict[Machine, _Entry] = {}
         self._numbered = 0
@@ -183,7 +185,9 @@
     def _enter(self, machine: Machine) -> _Entry:
         pool = self._pools.get(machine.pool)
         if pool is None:
-            pool = self._pools[machine.pool] = _Pool(self.kinds[machine.kind], machine.zone)
+            pool = self._pools[machine.pool] = _Pool(
+                self.machine_types[machine.machine_type], machine.zone
+            )
             self._allowed.clear()
         pool.members.add(machine)
         self._numbered += 1
@@ -229,7 +233,7 @@
         for machine in self._shuffled(spans):
             self.looked += 1
             if self._usable(machine):
-                yield machine, self.kinds[machine.kind]
+                yield machine, self.machine_types[machine.machine_type]
 
     def fitting(
         self,
@@ -328,7 +332,7 @@
             found = [
                 machine
                 for machine in some
-                if fits(machine, self.kinds[machine.kind]) and self._usable(machine)
+                if fits(machine, self.machine_types[machine.machine_type]) and self._usable(machine)
             ]
             if found:
                 return found if len(found) <= most else self._rng.sample(found, most)
@@ -339,7 +343,7 @@
         enough = self.looked + WIDEN * most
         for machine in machines:
             self.looked += 1
-            if fits(machine, self.kinds[machine.kind]) and self._usable(machine):
+            if fits(machine, self.machine_types[machine.machine_type]) and self._usable(machine):
                 found.append(machine)
             if found and (len(found) >= most or self.looked >= enough):
                 break
@@ -400,8 +404,8 @@
         return (
             machine.cores + self._cores <= kind.cores
             and machine.gpus + self._gpus <= kind.gpus
-            and machine.ram + self._ram <= kind.ram
-            and (self._any_speed or not machine.slow)
+            and machine.memory_gb + self._ram <= kind.ram
+            and (self._any_speed or not machine.is_slow)
             and (
                 bool(spec.gpus)
                 or not kind.gpus
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -39,7 +39,7 @@
 
 def room(machine: Machine, kind: wire.MachineType) -> Room:
     """What the machine has left."""
-    return Room(kind.cores - machine.cores, kind.gpus - machine.gpus, kind.ram - machine.ram)
+    return Room(kind.cores - machine.cores, kind.gpus - machine.gpus, kind.ram - machine.memory_gb)
 
 
 def allowed(spec: wire.Spec | Shape, kind: wire.MachineType, zone: str, spot: bool) -> bool:
--- a/flaxtally/planning/provisioning.py
+++ b/flaxtally/planning/provisioning.py
@@ -82,7 +82,7 @@
     shape = demand.shape
     hours = max(demand.until - first, 1.0) / 3600
     for pool in pools:
-        kind = kinds[pool.kind]
+        kind = kinds[pool.machine_type]
         fresh = Bin.empty(kind, pool.zone, pool.spot)
         if not demand.may_use(fresh):
             continue
@@ -126,7 +126,7 @@
                 if found is None:
                     break
                 score, pool = found
-                kind = kinds[pool.kind]
+                kind = kinds[pool.machine_type]
                 fresh = Bin.empty(kind, pool.zone, pool.spot)
                 count = min(left, slots(demand.shape, fresh, needs), demand.cap(pool.zone))
                 take(demand.shape, fresh, count)
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -65,4 +65,4 @@
     def format(self) -> int:
         """The format of the ledger, as the leader knows it."""
         leader = self.leader()
-        return getattr(self.nodes[leader].leader.book, "format", 1) if leader else 0
+        return getattr(self.nodes[leader].leader.state, "format", 1) if leader else 0
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -35,7 +35,7 @@
         )
         world.after(22.0 + number, world.cancel, f"j-{number:06d}", number)
     world.run(24)
-    assert any(node.leader.jobs.queue.waiting() for node in world.nodes.values())
+    assert any(node.leader.jobs.queue.pending_jobs() for node in world.nodes.values())
     world.run(37)
     ends_well(world, 200)
 
@@ -413,7 +413,7 @@
     # Neither do orders' answers of another peer, or of another life, count.
     dispatch = world.nodes[leader].dispatch
     told: list[int] = []
-    dispatch.carry(
+    dispatch.send(
         node,
         "n",
         "10.1.99.99:9000",
@@ -511,7 +511,7 @@
         )
         world.submit(job, run_time=300.0, node=number)
     world.run(30)
-    assert any(node.leader.jobs.queue.waiting() for node in world.nodes.values())
+    assert any(node.leader.jobs.queue.pending_jobs() for node in world.nodes.values())
     world.calm(150)
 
 
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -103,7 +103,7 @@
         kind = rng.choice(TYPES)
         machine = Machine(f"n-{number:06d}", kind.name, rng.choice(ZONES), False, 0.0)
         machine.cores = float(rng.randrange(int(kind.cores) + 1))
-        machine.booting = False
+        machine.is_booting = False
         found.append(machine)
     return found
 
@@ -122,11 +122,11 @@
     rng = random.Random(seed)
     machines = fleet(rng, 8)
     index = MachineIndex.of(machines, KINDS, rng)
-    before = {machine: (machine.cores, machine.ram) for machine in machines}
+    before = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     job = gang("j-000001", tasks, one_zone=one_zone, spread=spread, cores=cores)
     search = GangSearch(job, 1, index, GpuNeeds(), 24, None)
     choice = choose_all(search, set(ZONES), 60.0)
-    after = {machine: (machine.cores, machine.ram) for machine in machines}
+    after = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     assert after == before
     if choice is None:
         return
@@ -135,7 +135,7 @@
     assert not one_zone or len(zones) == 1
     assert not spread or max(zones.values()) <= (tasks + 1) // 2
     for machine, count in Counter(choice.machines).items():
-        assert machine.cores + count * cores <= KINDS[machine.kind].cores + 1e-6
+        assert machine.cores + count * cores <= KINDS[machine.machine_type].cores + 1e-6
 
 
 def test_missing_tasks_go_to_the_zone_of_the_others() -> None:
@@ -171,7 +171,7 @@
     book.apply(["J", 1, 1.0, *wire.msgspec.to_builtins(batch("j-000002", 40, checkpoint=1.0))], 1)
     candidates, most = [], 0
     for number, machine in enumerate(fleet(rng, 5)):
-        kind = KINDS[machine.kind]
+        kind = KINDS[machine.machine_type]
         leaving = []
         for task in range(number * 8, number * 8 + rng.randrange(4)):
             book.apply(["P", 1, task, 1, machine.name, machine.zone], 1)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -61,22 +61,22 @@
 def make(number: int, drawn: tuple) -> Machine:  # type: ignore[type-arg]
     kind, zone, spot, cores, gpus, ram, slow, image = drawn
     machine = Machine(f"n-{number}", kind, zone, spot, 0.0)
-    machine.cores, machine.ram, machine.slow = cores, ram * 4, slow
+    machine.cores, machine.memory_gb, machine.is_slow = cores, ram * 4, slow
     machine.gpus = float(gpus) if kind == "g8" else 0.0
     if image:
-        machine.note_image(image, 1.0, 40.0)
+        machine.record_image(image, 1.0, 40.0)
     return machine
 
 
 def fits(machine: Machine, job: wire.Spec, needs: GpuNeeds | None, shut: frozenset[str]) -> bool:
     """What the index must find, machine by machine."""
-    kind = KINDS[machine.kind]
+    kind = KINDS[machine.machine_type]
     left = room(machine, kind)
     return (
         machine.zone not in shut
         and allowed(job, kind, machine.zone, machine.spot)
         and left.holds(job)
-        and (job.kind == wire.SERVICE or needs is None or not machine.slow)
+        and (job.kind == wire.SERVICE or needs is None or not machine.is_slow)
         and (needs is None or leaves_gpus_usable(job, left, kind, needs))
     )
 
@@ -112,10 +112,10 @@
         if number < len(known):
             _, _, _, used, taken, ram, slow, image = drawn
             machine = known[number]
-            machine.cores, machine.ram, machine.slow = used, ram * 4, slow
-            machine.gpus = float(taken) if machine.kind == "g8" else 0.0
+            machine.cores, machine.memory_gb, machine.is_slow = used, ram * 4, slow
+            machine.gpus = float(taken) if machine.machine_type == "g8" else 0.0
             if image:
-                machine.note_image(image, 1.0, 1.0)
+                machine.record_image(image, 1.0, 1.0)
         else:
             known.append(make(number, drawn))
         index.update(known[number])
@@ -141,7 +141,7 @@
     fleet = [Machine(f"n-{number}", "c16", "ab"[number % 2], False, 0.0) for number in range(4000)]
     for number, machine in enumerate(fleet):
         machine.cores = 10.0 if number % 1000 == 7 else 15.0
-        machine.note_image("img-1", 1.0, 40.0)
+        machine.record_image("img-1", 1.0, 40.0)
         index.update(machine)
     job = spec("j-000001", cores=5.0)
     found = index.fitting(job, (), GpuNeeds(), SAMPLE)
@@ -321,7 +321,7 @@
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
-    tracker = world.nodes[world.leader() or ""].leader.tracker
+    tracker = world.nodes[world.leader() or ""].leader.reconciler
     asked: list[tuple[float, Callable[[object], None]]] = []
     tracker.cloud.list_machines = lambda done: asked.append((world.sim.time, done))
     world.run(30.0)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -155,7 +155,7 @@
     world = SimulatedCluster()
     world.run(10.0)
     assert ask(world, world.names[0])[0] == 404
-    assert all(node.leader.book.format < 3 for node in world.nodes.values())
+    assert all(node.leader.state.format < 3 for node in world.nodes.values())
 
 
 def test_open_recalls_and_accounts_outlive_the_cleaning_of_their_pages() -> None:
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -42,7 +42,7 @@
 
 
 def lending_of(world: SimulatedCluster) -> QuotaReclaim:
-    return world.nodes[leader_of(world)].leader.lending
+    return world.nodes[leader_of(world)].leader.quota_reclaim
 
 
 def returns(world: SimulatedLendingCluster, tasks: int = 8, node: int = 1) -> float:
@@ -350,7 +350,9 @@
     assert stops >= 8
     lending, seen = lending_of(world), list(world.seen.values())
     assert len(seen) >= 8
-    assert not any(lending.recalls.left(recall) for recall in seen), "they name the first attempts"
+    assert not any(lending.open_reclaims.left(recall) for recall in seen), (
+        "they name the first attempts"
+    )
     world.run(40.0)
     assert world.copies > 10
     assert world.stops_of("j-000100") == stops, "a stop of the first attempt ends the second"
@@ -384,7 +386,7 @@
     world.run(3.5)
     world.slow_state(1.0, 6.0)
     may_begin[0] = True
-    until(world, lambda: len(lending_of(world).recalls) == 2, 5)
+    until(world, lambda: len(lending_of(world).open_reclaims) == 2, 5)
     assert not world.recalls(), "decided, and not committed"
     if how == "cancelled":
         world.cancel("j-000200")
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -87,7 +87,7 @@
     failed = sum(" end error" in line for line in world.trace)
     leader = world.nodes[leader_of(world)].leader
     assert len(leader.jobs.suspects) == len(refs)
-    assert not any(machine.draining for machine in leader.term.fleet.machines.values())
+    assert not any(machine.is_cordoned for machine in leader.term.fleet.machines.values())
     rented = len(world.cloud.asked)
     world.submit(batch("j-000300", 8), run_time=8.0)
     world.run(60)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -339,10 +339,10 @@
     gate = Shape.of(spec("j-000001"))
     pools = [Pool(kind, zone, spot) for kind in KINDS for zone in "ab" for spot in (False, True)]
     rents = plan([(0.0, [Demand(gate, 10, 300.0)], Rooms())], KINDS, pools, NEEDS, 1.1, 9)
-    assert [(rent.pool.kind, rent.pool.spot) for rent in rents] == [("c16", False)] * 2
+    assert [(rent.pool.machine_type, rent.pool.spot) for rent in rents] == [("c16", False)] * 2
     gpu = Shape.of(batch("j-000002", 8))
     rents = plan([(0.0, [Demand(gpu, 8, 60.0)], Rooms())], KINDS, pools, NEEDS, 1.1, 9)
-    assert [(rent.pool.kind, rent.pool.spot) for rent in rents] == [("g8", True)]
+    assert [(rent.pool.machine_type, rent.pool.spot) for rent in rents] == [("g8", True)]
     assert (
         plan([(0.0, [Demand(gpu, 8, 60.0)], Rooms([room("g8")]))], KINDS, pools, NEEDS, 1.1, 9)
         == []
@@ -370,10 +370,12 @@
 
     steps = [(30.0, [Demand(gate, 8, 300.0)], Rooms()), (60.0, [Demand(gate, 8, 300.0)], Rooms())]
     assert [
-        rent.pool.kind for rent in plan(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)
+        rent.pool.machine_type
+        for rent in plan(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)
     ] == ["c16"]
     assert [
-        rent.pool.kind for rent in plan(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)
+        rent.pool.machine_type
+        for rent in plan(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)
     ] == ["g8"]
 
 
@@ -390,7 +392,7 @@
         Machine(name, kind, "a", False, 0.0)
         for name, kind in (("n-1", "c16"), ("n-2", "c16"), ("n-3", "g8"))
     )
-    warm.note_image("img-1", 8.0, 40.0)
+    warm.record_image("img-1", 8.0, 40.0)
     chosen = choose(gate, 1, MachineIndex.of([cold, warm], KINDS, random.Random(1)), NEEDS, 9, ())
     assert chosen is warm
     needs = gpu_needs([work])
@@ -423,10 +425,10 @@
     for number, machine in enumerate(fleet, 1):
         book.apply(["J", number, 0.0, *msgspec.to_builtins(spec(f"j-{number:06d}", cores=7.0))], 1)
         book.apply(["P", number, 0, 1, machine.name, "a"], 1)
-        machine.use(book.jobs[number].placements[0])
+        machine.add_placement(book.jobs[number].placements[0])
         machine.images["img-1"] = 1.0
     x, _, z = fleet
-    z.claim(spec("j-000009", cores=4.0), 1)
+    z.reserve(spec("j-000009", cores=4.0), 1)
 
     def pick_with(moving: list[Machine]) -> Machine | None:
         usable = [machine for machine in fleet if machine not in moving]
@@ -436,5 +438,5 @@
 
     assert pick_with([]) in fleet
     assert pick_with([x]) is None
-    z.claim(spec("j-000009", cores=4.0), -1)
+    z.reserve(spec("j-000009", cores=4.0), -1)
     assert pick_with([x]) is not None
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -73,7 +73,7 @@
     )
     assert [index.update(machine) for machine in (one, two, three)] == [True] * 3
     assert [index.update(machine) for machine in (one, two, three)] == [False] * 3
-    one.cores, two.ram = 8.0, 8.0
+    one.cores, two.memory_gb = 8.0, 8.0
     assert not index.update(one)
     assert not index.update(two)
     one.cores = 4.0
@@ -81,9 +81,9 @@
     # A GPU that is taken keeps no cores any more from what needs no GPU.
     two.gpus = 1.0
     assert index.update(two)
-    three.slow = True
+    three.is_slow = True
     assert not index.update(three)
-    three.slow = False
+    three.is_slow = False
     assert index.update(three)
     # One that is gone for a while has all its room anew when it is back.
     index.remove(three)
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -132,7 +132,7 @@
     leader = world.nodes[leader_of(world)]
     kept = [key for key in world.state.rows if key.startswith("p/")]
     written = max(int(key[2:]) for key in kept)
-    assert leader.leader.book.jobs_by_ref["j-900000"].placements
+    assert leader.leader.state.jobs_by_ref["j-900000"].placements
     assert len(kept) < written / 2, (len(kept), written)
     change_leader(world)
     world.run(40)
@@ -239,7 +239,7 @@
     world.machine_trouble("cut", list(world.workers), 6.0)
     world.submit(spec("j-000050", spread=False))
     world.run(0.5)
-    assert old.leader.book.jobs_by_ref["j-000050"].placements
+    assert old.leader.state.jobs_by_ref["j-000050"].placements
     old.election.step_down()
     world.run(1)
     assert term(world) > first
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -110,7 +110,7 @@
     world.run(6.0)
     leader = world.nodes[world.leader() or ""].leader
     fleet = leader.term.fleet.machines
-    probed = sum(bool(machine.probes) for machine in fleet.values())
+    probed = sum(bool(machine.open_probes) for machine in fleet.values())
     assert 0 < probed <= max(1, int(world._sockets * CALLED_SHARE * PROBING_SHARE))
     victim = world.services[0]
     world.cancel(victim)
@@ -119,7 +119,7 @@
     small = msgspec.structs.replace(batch("j-900000", 12), gpus=0.0, cores=1.0, ram=1.0)
     world.submit(small, run_time=30.0)
     assert world.until(lambda: world.count("j-900000") >= 8, 4.0), world.count("j-900000")
-    assert not any(machine.deaf for machine in fleet.values() if machine.zone == "a")
+    assert not any(machine.is_unresponsive for machine in fleet.values() if machine.zone == "a")
     world.run(3 * LEASE_S)
     assert len(world.running) >= 0.97 * (MACHINES * 3 - REPLICAS)
     assert victim in world.told_cancelled
@@ -189,5 +189,5 @@
     world.run(2.0)
     leader = world.nodes[world.leader() or ""].leader
     known = leader.term.fleet.machines
-    assert all(known[name].baseline for name in booted if name in known)
+    assert all(known[name].is_reconciled for name in booted if name in known)
     assert sum(name in known for name in booted) >= 0.95 * len(booted)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -55,12 +55,12 @@
     leader = world.leader()
     assert leader
     node = world.nodes[leader]
-    node.leader.orders._carry = lambda *_: None  # type: ignore[method-assign]  the orders never leave
+    node.leader.commands._send_batch = lambda *_: None  # type: ignore[method-assign]  the orders never leave
     world.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
     assert world.until(lambda: "j-000050" in world.accepted, 5)
     world.run(0.5)
     assert [
-        placed.attempt for placed in node.leader.book.jobs_by_ref["j-000050"].placements.values()
+        placed.attempt for placed in node.leader.state.jobs_by_ref["j-000050"].placements.values()
     ] == [
         1,
         1,
@@ -268,12 +268,12 @@
     stale.tasks = []
     world.run(4)
     attempts = {task: attempt for task, (_, attempt) in world.running.items()}
-    world.nodes[leader].leader.on_report(leader, stale)
+    world.nodes[leader].leader.handle_heartbeat(leader, stale)
     world.run(1)
     assert {task: attempt for task, (_, attempt) in world.running.items()} == attempts
     world.workers[machine].hung = True
     for _ in range(20):
-        world.nodes[leader].leader.on_report(leader, stale)
+        world.nodes[leader].leader.handle_heartbeat(leader, stale)
         world.run(1)
     assert machine not in world.workers
 
@@ -300,7 +300,7 @@
         hold_orders(worker, 6.0)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 20), world.trace
-    job = world.nodes[world.leader() or ""].leader.book.jobs_by_ref["j-000001"]
+    job = world.nodes[world.leader() or ""].leader.state.jobs_by_ref["j-000001"]
     assert job.attempts == {0: 1, 1: 1}
 
 
@@ -318,7 +318,7 @@
     report = world.workers[machine].report()
     report.tasks, report.token, report.sequence = [], leader.term.number - 1, 10**6
     placed = dict(leader.term.fleet.machines[machine].placements)
-    leader.on_report("hearth-0", report)
+    leader.handle_heartbeat("hearth-0", report)
     assert leader.term.fleet.machines[machine].placements == placed != {}
 
 
@@ -329,12 +329,12 @@
     name = world.cloud.add("g8", "a", False, boot=0.5)
     world.run(5)
     leader = world.nodes[world.leader() or ""].leader
-    carry = leader._carrier.carry
+    carry = leader._carrier.send
 
     def deaf(server, machine, address, body, done):  # type: ignore[no-untyped-def]
         carry(server, machine, address, body, lambda *_: done(0, b""))
 
-    leader._carrier.carry = deaf  # type: ignore[method-assign]
+    leader._carrier.send = deaf  # type: ignore[method-assign]
     world.submit(batch("j-000001", 2), run_time=3.0)
     world.run(15)
     assert world.ask("j-000001")[1]["stage"] == "done"
@@ -529,7 +529,7 @@
     world.run(15)
     leader = world.nodes[world.leader() or ""].leader
     used = sum(machine.cores for machine in leader.term.fleet.machines.values())
-    assert used == sum(usage.cores for usage in leader.book.usage_by_team.values()) == 16.0
+    assert used == sum(usage.cores for usage in leader.state.usage_by_team.values()) == 16.0
 
 
 def test_old_pages_are_cleaned_and_nothing_is_forgotten() -> None:
@@ -654,7 +654,7 @@
     assert world.until(lambda: world.ask("j-000002")[1]["stage"] == "done", 60)
     assert world.sim.time - started < 50
     leader = world.nodes[world.leader() or ""].leader
-    assert [name for name, machine in leader.term.fleet.machines.items() if machine.slow] == [
+    assert [name for name, machine in leader.term.fleet.machines.items() if machine.is_slow] == [
         slow.machine.machine
     ]
     world.submit(batch("j-000003", 12), run_time=10.0)
@@ -683,7 +683,7 @@
     world.run(60)
     machines = world.nodes[world.leader() or ""].leader.term.fleet.machines
     assert {world.machine_of("j-000001/0"), world.machine_of("j-000001/1")} <= set(machines)
-    assert not any(machine.draining for machine in machines.values())
+    assert not any(machine.is_cordoned for machine in machines.values())
     assert all(len(world.rules.jobs[f"j-{200 + number:06d}"].done) == 4 for number in range(6))
 
 
@@ -742,7 +742,7 @@
         world.submit(batch(name, 1, deadline=deadline))
     world.run(1)
     leader = world.nodes[world.leader() or ""].leader
-    jobs = [leader.book.jobs_by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
+    jobs = [leader.state.jobs_by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
     began = jobs[0].accepted_at
     # At 14 s: the first can keep three times its deadline until 18 s, the third until 24 s.
     order = sorted(jobs, key=lambda job: leader.jobs.queue.urgency(job, began + 14.0))
@@ -780,5 +780,5 @@
     assert world.until(lambda: world.leader() is not None, 8)
     world.run(2.5)
     leader = world.nodes[world.leader() or ""].leader
-    assert lost in leader.term.fleet.gone
-    assert lost not in leader.book.placements_by_machine
+    assert lost in leader.term.fleet.removed_machines
+    assert lost not in leader.state.placements_by_machine
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -24,9 +24,9 @@
     """For how long the leader has not heard one of its machines, in seconds."""
     leader = world.nodes[leader_of(world)].leader
     return max(
-        world.sim.time - machine.heard_at
+        world.sim.time - machine.last_heartbeat_at
         for machine in leader.term.fleet.machines.values()
-        if not machine.booting
+        if not machine.is_booting
     )
 
 
