--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -37,6 +37,7 @@
 # Arithmetic
 
 
+@pytest.mark.real_processes
 @given(
     st.lists(
         st.tuples(
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -213,6 +213,7 @@
     running.close()
 
 
+@pytest.mark.real_processes
 def test_maps_are_applied_in_their_order_and_shown(
     tmp_path: Path, service: Service, capsys: pytest.CaptureFixture[str]
 ) -> None:
@@ -237,6 +238,7 @@
     assert "cell south: takes no new jobs; zones zone-1 zone-2" in shown
 
 
+@pytest.mark.real_processes
 def test_no_state_service_and_no_address_are_said(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -469,6 +469,7 @@
         limits.check(many)
 
 
+@pytest.mark.real_processes
 def test_a_port_in_use_is_named() -> None:
     with socket.socket() as taken:
         taken.bind((HOST, 0))
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -307,6 +307,7 @@
     assert not budget.allows("north", Amounts(0.0, 1.0))
 
 
+@pytest.mark.real_processes
 @given(st.dictionaries(st.sampled_from(sorted(TEAMS)), st.floats(0.0, 50.0), min_size=1))
 def test_what_is_lent_is_what_is_borrowed_as_far_as_guarantees_are_unused(
     gpus: dict[str, float],
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -71,6 +71,7 @@
     assert lending.stops_a_minute == 2.0
 
 
+@pytest.mark.real_processes
 def test_without_a_features_file_no_library_of_a_feature_is_imported() -> None:
     found = subprocess.run(
         [
@@ -104,6 +105,7 @@
     pass
 
 
+@pytest.mark.real_processes
 def test_long_callbacks_are_spans_and_short_ones_are_not(tmp_path: Path) -> None:
     trace = tmp_path / "trace.jsonl"
     features = read_file(write(tmp_path, f'[tracing]\nfile = "{trace}"\nleast_ms = 20\n'))
@@ -124,6 +126,7 @@
     assert spans[0]["resource"]["node"] == "hearth-1"
 
 
+@pytest.mark.real_processes
 def test_a_full_trace_is_kept_once_and_a_failing_disk_ends_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -124,6 +124,7 @@
     assert read_all([*written[1:], ["C", 7]]) == [["C", 7]]
 
 
+@pytest.mark.real_processes
 @given(st.lists(st.integers(1, 900), max_size=60), st.integers(1000, 4000))
 @examples(derandomize=True, max_examples=60)
 def test_pieces_stay_within_a_page_and_lose_nothing(sizes: list[int], most: int) -> None:
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -55,6 +55,7 @@
 )
 
 
+@pytest.mark.real_processes
 @given(situations)
 @examples(derandomize=True, max_examples=800)
 def test_no_step_breaks_a_gang_in_any_situation(now: Situation) -> None:
@@ -83,6 +84,7 @@
         assert step is Step.NOTHING
 
 
+@pytest.mark.real_processes
 @given(situations)
 @examples(derandomize=True, max_examples=400)
 def test_a_gang_that_lost_a_task_is_never_left_as_it_is(now: Situation) -> None:
@@ -108,6 +110,7 @@
     return found
 
 
+@pytest.mark.real_processes
 @given(
     st.integers(0, 10**6),
     st.integers(1, 12),
@@ -162,6 +165,7 @@
     assert choose_all(few, set(ZONES), 60.0) is not None
 
 
+@pytest.mark.real_processes
 @given(st.integers(0, 10**6), st.integers(1, 14))
 @examples(derandomize=True, max_examples=120)
 def test_room_is_made_for_all_tasks_or_nobody_leaves(seed: int, tasks: int) -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -245,6 +245,7 @@
     assert abs(known.gpu_needs.memory_gb - mean / MOST_SHAPES) < 1e-6
 
 
+@pytest.mark.real_processes
 @given(st.lists(st.tuples(st.sampled_from("xy"), st.integers(1, 9), st.floats(0, 50)), max_size=30))
 def test_the_sums_of_recent_arrivals_are_those_of_the_window(
     came: list[tuple[str, int, float]],
--- a/tests/test_lending_run.py
+++ b/tests/test_lending_run.py
@@ -9,6 +9,8 @@
 
 import pytest
 
+pytestmark = pytest.mark.real_processes
+
 ROOT = Path(__file__).resolve().parent.parent
 PORT = 24300
 SHORT = ["--seconds=24", "--swap-every=3", "--fault-every=7", f"--port={PORT}"]
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -26,6 +26,7 @@
     assert any(timer is kept for _, _, timer in loop._timers)
 
 
+@pytest.mark.real_processes
 def test_timers_still_fire_in_order_after_cancelled_ones_were_dropped() -> None:
     loop, fired = Loop(), list[int]()
     for number in reversed(range(5)):
@@ -37,6 +38,7 @@
     assert fired == [0, 1, 2, 3, 4]
 
 
+@pytest.mark.real_processes
 def test_a_timer_lets_go_of_its_call() -> None:
     loop, marker = Loop(), object()
     cancelled, due = loop.after(1000.0, print, marker), loop.after(0.0, callback_name, print)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -43,6 +43,7 @@
 REQUEST = b"POST /work HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello"
 
 
+@pytest.mark.real_processes
 @given(st.lists(st.integers(1, 20), min_size=1, max_size=12))
 @settings(derandomize=True, max_examples=50)
 def test_parser_takes_bytes_in_any_pieces(sizes: list[int]) -> None:
@@ -255,6 +256,7 @@
     return list(itertools.chain.from_iterable(page_records(book, 1, 2000)))
 
 
+@pytest.mark.real_processes
 @given(st.integers(0, 10**6), st.integers(0, 120))
 @settings(derandomize=True, max_examples=60)
 def test_replay_and_snapshot_mean_the_same(seed: int, steps: int) -> None:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -22,6 +22,8 @@
 from . import production
 from .simulated_cluster import gang, spec
 
+pytestmark = pytest.mark.real_processes
+
 ROOT = Path(__file__).resolve().parent.parent
 HOST, PORT = "127.0.0.1", 25500
 NODES = ("hearth-0", "hearth-1", "hearth-2")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -14,6 +14,8 @@
 
 import pytest
 
+pytestmark = pytest.mark.real_processes
+
 ROOT = Path(__file__).resolve().parent.parent
 FOLDER, PORT = "target/demo", 21000
 """README's."""
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -13,6 +13,8 @@
 import psutil
 import pytest
 
+pytestmark = pytest.mark.real_processes
+
 ROOT = Path(__file__).resolve().parent.parent
 PORT = 24100
 SMALLEST = [
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -11,10 +11,14 @@
 import tomllib
 from pathlib import Path
 
+import pytest
+
 from flaxtally.fakes.settings_text import settings_text
 
 from .simulated_cluster import SimulatedCluster
 
+pytestmark = pytest.mark.real_processes
+
 ROOT = Path(__file__).resolve().parent.parent
 LIST_MODULES = """
 import sys
