--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -7,11 +7,13 @@
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Any
 
 import pytest
 
 LIST = "KNOWN-RED.txt"
 MOST = 3
+MISSING = pytest.StashKey[list[str]]()
 
 
 def read(root: Path) -> dict[str, str]:
@@ -33,14 +35,42 @@
     return known
 
 
+def pytest_configure(config: pytest.Config) -> None:
+    # A faulty list is said once, before any worker of pytest-xdist starts.
+    read(config.rootpath)
+
+
+# Before `-m` takes tests out: a listed test may belong to the other of CI's two commands.
+@pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
     known = read(config.rootpath)
     for item in items:
         if item.nodeid in known:
             item.add_marker(pytest.mark.xfail(reason=f"{LIST}: {known[item.nodeid]}", strict=True))
-    missing = set(known) - {item.nodeid for item in items}
+    missing = sorted(set(known) - {item.nodeid for item in items})
+    if missing and hasattr(config, "workeroutput"):
+        # A worker of pytest-xdist that ends here would take its reason with it.
+        config.workeroutput[LIST] = missing
+    elif missing:
+        raise pytest.UsageError(no_such(missing))
+
+
+def no_such(tests: list[str]) -> str:
+    return f"{LIST}: no such test: {', '.join(tests)}"
+
+
+@pytest.hookimpl(optionalhook=True)
+def pytest_testnodedown(node: Any) -> None:
+    """A worker of pytest-xdist has ended: what it missed is told to the process that reports."""
+    missing = getattr(node, "workeroutput", {}).get(LIST, [])
     if missing:
-        raise pytest.UsageError(f"{LIST}: no such test: {', '.join(sorted(missing))}")
+        node.config.stash[MISSING] = missing
+
+
+@pytest.hookimpl(tryfirst=True)
+def pytest_sessionfinish(session: pytest.Session) -> None:
+    if session.config.stash.get(MISSING, []):
+        session.exitstatus = pytest.ExitCode.USAGE_ERROR
 
 
 def pytest_terminal_summary(
@@ -48,3 +78,6 @@
 ) -> None:
     for test, why in read(config.rootpath).items():
         terminalreporter.write_line(f"known red: {test}, {why}")
+    missing = config.stash.get(MISSING, [])
+    if missing:
+        terminalreporter.write_line(f"ERROR: {no_such(missing)}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -2,10 +2,14 @@
 
 from __future__ import annotations
 
+from pathlib import Path
+
 import pytest
 
 pytest_plugins = ["pytester"]
 
+ROOT = Path(__file__).resolve().parent.parent
+
 TESTS = """
 def test_red():
     assert False
@@ -41,3 +45,37 @@
     result = pytester.runpytest_inprocess("-p", "tests.known_red", "-p", "no:cacheprovider")
     assert result.ret == code
     assert said in result.stdout.str() + result.stderr.str()
+
+
+@pytest.mark.real_processes
+@pytest.mark.parametrize(
+    ("lines", "code", "said"),
+    [
+        ([RED], 0, "1 passed, 1 xfailed"),
+        ([], 1, "1 failed, 1 passed"),
+        ([RED, "test_it.py::test_green, it passes, issue 1"], 1, "strict"),
+        ([RED, "test_it.py::test_other, of the other command, issue 1"], 0, "1 passed, 1 xfailed"),
+        ([RED, "test_it.py::test_gone, never was, issue 1"], 4, "no such test"),
+        (["test_it.py::test_red"], 4, "not `test, cause, issue`"),
+    ],
+)
+def test_the_same_with_parallel_workers_and_tests_left_to_the_other_command(
+    pytester: pytest.Pytester,
+    monkeypatch: pytest.MonkeyPatch,
+    lines: list[str],
+    code: int,
+    said: str,
+) -> None:
+    pytester.makepyfile(test_it=f"RED = True\n{TESTS}")
+    if lines:
+        pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
+    # The plugin is found from the test's folder, also by the workers.
+    monkeypatch.setenv("PYTHONPATH", str(ROOT))
+    for name in ("PYTEST_XDIST_WORKER", "PYTEST_XDIST_WORKER_COUNT", "PYTEST_XDIST_TESTRUNUID"):
+        monkeypatch.delenv(name, raising=False)
+    words = ("-p", "tests.known_red", "-p", "no:cacheprovider", "-n", "2", "-k", "not test_other")
+    result = pytester.runpytest_subprocess(*words)
+    assert result.ret == code
+    assert said in result.stdout.str() + result.stderr.str()
+    if code == 0:
+        assert f"known red: {lines[0]}" in result.stdout.str()
