--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -39,7 +39,7 @@
 print(*sorted(set(sys.modules) - known), sep="\\n")
 """
 MAX_FOREIGN_MODULES = 144
-"""Of the standard library and of the two dependencies, those of the interpreter's start included."""
+"""Of the standard library, the two dependencies and the interpreter's own start."""
 MAX_CODE_BYTES = 900_000
 """Of this package's modules that `serve` imports, compiled without docstrings."""
 OF_OTHER_COMMANDS = (
