--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -6,24 +6,26 @@
 import itertools
 import logging
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
 from ..clients.workers import Workers, decode_report
-from ..cluster.format_negotiation import FormatNegotiation
-from ..cluster.leader_election import LeaderElection
-from ..cluster.peer_links import Frame, PeerLinks
 from ..cluster.store_relay import ORDERS_ANSWER
 from ..leader.commands import CommandTransport
-from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.http import Request
-from ..runtime.loop import Runtime, Timer
-from ..settings import Settings
 from .heartbeat_forwarding import HeartbeatForwarding
 
+if TYPE_CHECKING:
+    from ..cluster.format_negotiation import FormatNegotiation
+    from ..cluster.leader_election import LeaderElection
+    from ..cluster.peer_links import Frame, PeerLinks
+    from ..policy import Policy
+    from ..runtime.http import Request
+    from ..runtime.loop import Runtime, Timer
+    from ..settings import Settings
+
 log = logging.getLogger(__name__)
 
 Told = Callable[[int, bytes], None]
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -12,16 +12,19 @@
 import hashlib
 import itertools
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import msgspec
 
-from ..cluster.format_negotiation import FormatNegotiation
-from ..cluster.leader_election import LeaderElection
-from ..cluster.peer_links import PeerLinks
 from ..cluster.store_relay import ALIVE, REPORT
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
+
+if TYPE_CHECKING:
+    from ..cluster.format_negotiation import FormatNegotiation
+    from ..cluster.leader_election import LeaderElection
+    from ..cluster.peer_links import PeerLinks
+    from ..runtime.loop import Runtime
 
 DIGEST_BYTES = 8
 BYTES_A_NAME = 16
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -5,19 +5,21 @@
 import itertools
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
-from ..cluster.format_negotiation import FormatNegotiation
-from ..cluster.leader_election import LeaderElection
-from ..cluster.peer_links import Frame, PeerLinks
-from ..leader.leader import Leader
-from ..policy import Policy
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
-from ..runtime.http import Request
-from ..runtime.loop import Runtime, Timer
+
+if TYPE_CHECKING:
+    from ..cluster.format_negotiation import FormatNegotiation
+    from ..cluster.leader_election import LeaderElection
+    from ..cluster.peer_links import Frame, PeerLinks
+    from ..leader.leader import Leader
+    from ..policy import Policy
+    from ..runtime.http import Request
+    from ..runtime.loop import Runtime, Timer
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cells/allotment.py
+++ b/flaxtally/cells/allotment.py
@@ -9,20 +9,23 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from urllib.parse import quote, unquote
 
 import msgspec
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
-from ..settings import Team
 from .shares import TOLERANCE, ZERO, Amount, TeamShares, equal_shares, limit_of, share_as_team
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
+    from ..runtime.loop import Runtime
+    from ..settings import Team
+
 log = logging.getLogger(__name__)
 
 SHARES = "share/"
--- a/flaxtally/cells/cell_cloud.py
+++ b/flaxtally/cells/cell_cloud.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..clients.cloud import Cloud
-from ..protocol import wire
-from ..runtime.loop import Address, Runtime
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
+    from ..runtime.loop import Address, Runtime
 
 
 class CellCloud(Cloud):
--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -3,13 +3,11 @@
 from __future__ import annotations
 
 import sys
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..protocol import wire
 from ..runtime.loop import Loop
 from ..settings import address
 from .allotment import SHARES, team_of
@@ -17,6 +15,11 @@
 from .map_keeper import MAP_KEY
 from .shares import TeamShares
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
+
 DONE, NO_ANSWER, INVALID_INPUT = 0, 1, 2
 TIMEOUT_S = 5.0
 
--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -11,12 +11,16 @@
 
 import logging
 from collections import OrderedDict
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..protocol import wire
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -10,21 +10,23 @@
 import logging
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from ..api.heartbeat_endpoint import rendezvous_weight
-from ..cluster.leader_election import LeaderElection
-from ..cluster.peer_links import Frame, PeerLinks
-from ..policy import Policy
 from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime, Timer
 from .directory import Directory, Entry, Found
-from .map import Cell, CellIndex
 from .messages import Answer, CellState, Kind, Message, Question, from_frame, to_frame
 
+if TYPE_CHECKING:
+    from ..cluster.leader_election import LeaderElection
+    from ..cluster.peer_links import Frame, PeerLinks
+    from ..policy import Policy
+    from ..runtime.loop import Runtime, Timer
+    from .map import Cell, CellIndex
+
 log = logging.getLogger(__name__)
 
 Told = Callable[[int, Any], None]
--- a/flaxtally/cells/map.py
+++ b/flaxtally/cells/map.py
@@ -8,8 +8,7 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 from pyrsistent import PMap, pmap
@@ -17,6 +16,9 @@
 from ..runtime.loop import Address
 from ..settings import SettingsError, address, read_toml
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,39}\Z")
 MOST_CELLS = 64
 
--- a/flaxtally/cells/map_keeper.py
+++ b/flaxtally/cells/map_keeper.py
@@ -3,17 +3,20 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
 from .map import CellIndex, CellMap, CellMapError, decode
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
+    from ..runtime.loop import Runtime
+
 log = logging.getLogger(__name__)
 
 MAP_KEY = "cells/map"
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -8,22 +8,15 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
 from dataclasses import replace
 from functools import cached_property
+from typing import TYPE_CHECKING
 
 from ..api.heartbeat_endpoint import HeartbeatEndpoint, ShardOwner, owner
-from ..api.job_api import JobApi
-from ..clients.cloud import Cloud
 from ..clients.key_value_store import KeyValueStore
 from ..cluster.leader_election import LEADER_KEY, LeaderElection
 from ..cluster.peer_links import PeerLinks
-from ..leader.leader import Leader
-from ..policy import Policy
-from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Address, Runtime
-from ..settings import Settings
 from .allotment import Allotment
 from .cell_cloud import CellCloud
 from .directory import Directory
@@ -33,6 +26,17 @@
 from .messages import STATE, CellState, Kind
 from .shares import ZERO, Amount
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..api.job_api import JobApi
+    from ..clients.cloud import Cloud
+    from ..leader.leader import Leader
+    from ..policy import Policy
+    from ..protocol import wire
+    from ..runtime.loop import Address, Runtime
+    from ..settings import Settings
+
 log = logging.getLogger(__name__)
 
 SHARED_PART = 0.2
--- a/flaxtally/cells/messages.py
+++ b/flaxtally/cells/messages.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
-from ..cluster.peer_links import Frame
+if TYPE_CHECKING:
+    from ..cluster.peer_links import Frame
 
 STATE, QUESTION, ANSWER = "cell_state", "cell_ask", "cell_answer"
 
--- a/flaxtally/cli.py
+++ b/flaxtally/cli.py
@@ -9,20 +9,21 @@
 import os
 import random
 import sys
-from collections.abc import Callable
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
 from . import __version__, policy
-from .policy import Policy
 from .runtime import open_files
 from .settings import Settings, SettingsError, address, load
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
     from .cells.membership import CellSetup
     from .controller import Controller
     from .features import Feature
     from .lending.feature import LendingFeature
+    from .policy import Policy
     from .runtime.loop import Loop
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -5,17 +5,20 @@
 import heapq
 import itertools
 import logging
-from collections.abc import Callable
 from functools import partial
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Client, Reply
-from ..runtime.loop import Address, Runtime
 from ..runtime.token_bucket import TokenBucket
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Address, Runtime
+
 log = logging.getLogger(__name__)
 
 T = TypeVar("T")
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -8,14 +8,17 @@
 
 import enum
 import logging
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Client, Reply
-from ..runtime.loop import Address, Runtime
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Address, Runtime
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -4,15 +4,18 @@
 
 import logging
 from collections import deque
-from collections.abc import Callable
 from functools import partial
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Client, OpenConnections, Reply
-from ..runtime.loop import Address, Runtime
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Address, Runtime
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -12,16 +12,19 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Iterable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import formats, wire
-from ..protocol.formats import FormatRange
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
 from .leader_election import LEADER_KEY
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from ..protocol.formats import FormatRange
+    from ..runtime.loop import Runtime
+
 log = logging.getLogger(__name__)
 
 FORMATS_KEY = "formats"
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -9,17 +9,20 @@
 from __future__ import annotations
 
 import logging
-import random
-from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..policy import Policy
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
-from .peer_links import Frame, PeerLinks
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable
+
+    from ..policy import Policy
+    from ..runtime.loop import Runtime
+    from .peer_links import Frame, PeerLinks
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -9,15 +9,18 @@
 
 import logging
 import struct
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import cbor2
 
 from ..protocol import formats
 from ..runtime.actor import Actor
-from ..runtime.loop import Address, Runtime, Stream
-from .store_relay import StoreRelay
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Address, Runtime, Stream
+    from .store_relay import StoreRelay
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/store_relay.py
+++ b/flaxtally/cluster/store_relay.py
@@ -14,15 +14,18 @@
 import logging
 import zlib
 from collections import deque
-from collections.abc import Callable, Sequence
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import cbor2
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from ..protocol import wire
+    from ..runtime.loop import Runtime
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import logging
-import random
 from typing import TYPE_CHECKING
 
 from .api.heartbeat_endpoint import HeartbeatEndpoint
@@ -18,15 +17,17 @@
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
 from .ledger.write_ahead_log import PAGE_SHARE, WriteAheadLog
-from .policy import Policy
 from .runtime.http import Server
-from .runtime.loop import Runtime
-from .runtime.loop_delay import LoopDelay
-from .settings import Settings
 
 if TYPE_CHECKING:
+    import random
+
     from .cells.membership import CellSetup, Membership
     from .lending.feature import LendingFeature
+    from .policy import Policy
+    from .runtime.loop import Runtime
+    from .runtime.loop_delay import LoopDelay
+    from .settings import Settings
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/emulator/command.py
+++ b/flaxtally/emulator/command.py
@@ -5,12 +5,14 @@
 import argparse
 import signal
 import sys
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any, NamedTuple, NoReturn
+from typing import TYPE_CHECKING, Any, NamedTuple, NoReturn
 
 from .plan import Plan
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 DONE, FAILED, INVALID_INPUT = 0, 1, 2
 SMALLEST = 4
 DEFAULT = Plan(workers=250)
--- a/flaxtally/emulator/controller_settings.py
+++ b/flaxtally/emulator/controller_settings.py
@@ -2,11 +2,15 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from ..fakes.settings_text import settings_text
-from ..runtime.loop import Address
 from ..settings import Objective, Settings, StateLimits
 from .plan import HOST, URGENT_LANE, URGENT_SHARE, URGENT_WITHIN_S, Plan
 
+if TYPE_CHECKING:
+    from ..runtime.loop import Address
+
 LIST_LAG_S = 2.0
 
 
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -4,13 +4,9 @@
 
 import logging
 import re
-from collections.abc import Callable, Iterable
-from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..runtime.actor import Actor
-from ..runtime.loop import Loop, Stream
-from ..runtime.loop_delay import LoopDelay
 from .controller_settings import cells_page, settings_page
 from .history import History
 from .link import LATE_S, OUTSIDE, USERS, WORKERS
@@ -33,6 +29,13 @@
 from .plan import Plan, save
 from .processes import ProcessEndedError, Processes
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+    from pathlib import Path
+
+    from ..runtime.loop import Loop, Stream
+    from ..runtime.loop_delay import LoopDelay
+
 log = logging.getLogger(__name__)
 
 STEADY, DISTURBED = "steady", "disturbed"
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -4,16 +4,19 @@
 
 import random
 import re
+from typing import TYPE_CHECKING
 
 from ..fakes.cloud import Cloud
 from ..fakes.key_value_store import FakeKeyValueStore
-from ..runtime.http import Request
-from ..runtime.loop import Address
 from ..runtime.token_bucket import TokenBucket
-from .link import Link
-from .measured import CountingLoop
 from .messages import MachinesTaken, MachineUp, Message, TakeMachines
-from .plan import Plan
+
+if TYPE_CHECKING:
+    from ..runtime.http import Request
+    from ..runtime.loop import Address
+    from .link import Link
+    from .measured import CountingLoop
+    from .plan import Plan
 
 PAGE = re.compile(r"(^|/)p/[0-9]+$")
 STATE_BURST_S, CLOUD_BURST_S = 1.0, 2.0
--- a/flaxtally/emulator/fit.py
+++ b/flaxtally/emulator/fit.py
@@ -4,10 +4,13 @@
 
 import math
 import statistics
-from collections.abc import Sequence
+from typing import TYPE_CHECKING
 
 import msgspec
 
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
 FEWEST_SIZES = 4
 NOT_LINEAR = 0.25
 """A power of the size that differs from 1 by more than this is said to be not linear."""
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -3,15 +3,19 @@
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable
 from itertools import pairwise
+from typing import TYPE_CHECKING
 
 from ..protocol import wire
 from .load import Load, number_of
 from .messages import ANSWERED_SUBMIT, ANSWERS, CANCEL_ASKED, ENDED, STARTED, SUBMITTED, Event
-from .plan import Plan
 from .rules import Rules
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from .plan import Plan
+
 LOOK_EVERY_S = 1.0
 OK, CREATED = 200, 201
 EVENTS_SHOWN = 12
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -2,16 +2,20 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from ..fakes.held_task import Held
 from ..fakes.worker import Worker
 from ..protocol import wire
-from ..runtime.loop import Address
 from .load import Load, number_of
 from .measured import CountingLoop, MeasuredClient
-from .plan import Plan
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable
+
+    from ..fakes.held_task import Held
+    from ..runtime.loop import Address
+    from .plan import Plan
 
 REPORT_GAP_S = 0.5
 """PROTOCOL: what changes is reported at once, but not more often than this."""
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -7,8 +7,7 @@
 from __future__ import annotations
 
 import random
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -26,6 +25,9 @@
 from .processes import ProcessEndedError, Processes
 from .rules import Rules
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 HOST = "127.0.0.1"
 NODES = ("controller-0", "controller-1", "controller-2")
 ZONES = ("a", "b")
--- a/flaxtally/emulator/limits.py
+++ b/flaxtally/emulator/limits.py
@@ -4,12 +4,15 @@
 
 import resource
 import socket
+from typing import TYPE_CHECKING
 
 import psutil
 
-from ..runtime.loop import Address
 from .plan import HOST, Plan
 
+if TYPE_CHECKING:
+    from ..runtime.loop import Address
+
 FILES_PER_WORKER = 5
 """Its listening socket, its own connection, and those of up to three controllers."""
 OTHER_FILES = 200
--- a/flaxtally/emulator/link.py
+++ b/flaxtally/emulator/link.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from ..runtime.actor import Actor
-from ..runtime.loop_delay import LoopDelay
-from .measured import CountingLoop
 from .messages import Channel, Counters, Event, Events, Hello, LoopLate, Message, Samples
-from .plan import Plan
+
+if TYPE_CHECKING:
+    from ..runtime.loop_delay import LoopDelay
+    from .measured import CountingLoop
+    from .plan import Plan
 
 FLUSH_S = 0.25
 COUNT_S = 1.0
--- a/flaxtally/emulator/load.py
+++ b/flaxtally/emulator/load.py
@@ -7,12 +7,14 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterator
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from ..protocol import wire
 from .plan import BATCH_LANE, CORES_PER_TASK, RAM_PER_TASK, SERVICE_LANE, URGENT_LANE, Plan
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 REPLICAS = (2, 4, 8, 16)
 MEAN_REPLICAS = sum(REPLICAS) / len(REPLICAS)
 URGENT_TASKS = 4
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -6,13 +6,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Collection
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ..protocol import wire
-from ..settings import Team
 from .rules import Rules, allowed
 
+if TYPE_CHECKING:
+    from collections.abc import Collection
+
+    from ..settings import Team
+
 SLACK = 1e-6
 CHOSEN_S = 2.0
 """From the choice of a task until it is told and, if it saves, begins to."""
--- a/flaxtally/emulator/measured.py
+++ b/flaxtally/emulator/measured.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..runtime.http import Client, Done, Reply
 from ..runtime.loop import Address, Loop, Stream
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 
 class Traffic:
     """Bytes of all counted connections, without what the system adds."""
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -3,14 +3,17 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from ..cluster.peer_links import Frames, encode
 from ..protocol import wire
-from ..runtime.loop import Stream
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Stream
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -7,14 +7,18 @@
 from __future__ import annotations
 
 import ipaddress
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..protocol import wire
-from ..runtime.loop import Address
 from ..settings import Team
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from ..runtime.loop import Address
+
 HOST = "127.0.0.1"
 FIRST_WORKER_HOST = int(ipaddress.IPv4Address("127.1.0.1"))
 """Hollow workers listen on loopback addresses from this one on, one each."""
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -2,21 +2,25 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
 import msgspec
 import psutil
 from ddsketch import DDSketch
 
-from .coordinator import Phase, Recording
-from .history import BrokenRule
 from .link import OUTSIDE, USERS, WORKERS
 from .messages import ANSWERED_POLL, ANSWERED_SUBMIT
 from .plan import URGENT_LANE, URGENT_WITHIN_S, Plan
-from .processes import Processes
 from .users import SUBMISSION
 from .workers import REPORT_ANSWER
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from .coordinator import Phase, Recording
+    from .history import BrokenRule
+    from .processes import Processes
+
 ACCURACY = 0.01
 """Relative error of a percentile."""
 REPORT_ANSWER_S, SUBMISSION_S, STARTED_SHARE = 4.0, 5.0, 0.9
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -6,11 +6,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..protocol import wire
-from ..settings import Team
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from ..settings import Team
 
 FINAL = (wire.DONE, wire.ABORTED)
 UNANSWERED_S = 75.0
--- a/flaxtally/emulator/scale.py
+++ b/flaxtally/emulator/scale.py
@@ -4,8 +4,7 @@
 
 import re
 import sys
-from collections.abc import Callable, Sequence
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -16,6 +15,10 @@
 from .plan import BATCH_LANE, CONTROLLER, URGENT_LANE, Plan
 from .results import Analysis, Percentiles, PhaseResult, ProcessUse, SizeResult, judge
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+    from pathlib import Path
+
 LATE = re.compile(r"event=loop_behind .*late=([0-9.]+)")
 RESULTS = "results.json"
 MOST_SHOWN = 5
--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -3,15 +3,13 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Client, Done, Reply
-from .link import Link
 from .load import Load, reference
-from .measured import CountingLoop
 from .messages import (
     ANSWERED_CANCEL,
     ANSWERED_POLL,
@@ -22,7 +20,13 @@
     Event,
     Message,
 )
-from .plan import Plan
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from .link import Link
+    from .measured import CountingLoop
+    from .plan import Plan
 
 SUBMISSION = "submission"
 ACCEPTED = (200, 201)
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -3,14 +3,13 @@
 from __future__ import annotations
 
 import random
+from typing import TYPE_CHECKING
 
 from ..fakes.held_task import Held
 from ..protocol import wire
 from ..settings import address
 from .hollow_worker import HollowWorker
-from .link import Link
 from .load import Load
-from .measured import CountingLoop
 from .messages import (
     ENDED,
     STARTED,
@@ -22,7 +21,11 @@
     SilenceZone,
     TakeMachines,
 )
-from .plan import Plan
+
+if TYPE_CHECKING:
+    from .link import Link
+    from .measured import CountingLoop
+    from .plan import Plan
 
 REPORT_ANSWER = "report_answer"
 STARTS_BEFORE_FAULT = 10
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -2,16 +2,20 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
 from urllib.parse import parse_qs
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Request, Server
-from ..runtime.loop import Address, Runtime
-from ..runtime.token_bucket import TokenBucket
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Iterable
+
+    from ..runtime.loop import Address, Runtime
+    from ..runtime.token_bucket import TokenBucket
 
 MOST_LISTED = 500
 """PROTOCOL: machines a page of the list."""
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -4,7 +4,7 @@
 
 import logging
 import random
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -19,6 +19,9 @@
 from .settings_text import settings_text
 from .worker import Worker
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 log = logging.getLogger(__name__)
 
 HOST = "127.0.0.1"
--- a/flaxtally/fakes/gang_meeting.py
+++ b/flaxtally/fakes/gang_meeting.py
@@ -7,12 +7,15 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from ..protocol import wire
-from ..runtime.loop import Runtime, Timer
-from .held_task import Held
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Runtime, Timer
+    from .held_task import Held
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/fakes/held_task.py
+++ b/flaxtally/fakes/held_task.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from ..runtime.loop import Timer
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from ..runtime.loop import Timer
 
 
 class Held:
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -3,16 +3,18 @@
 from __future__ import annotations
 
 import random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 from urllib.parse import parse_qs
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Request, Server
-from ..runtime.loop import Address, Runtime
 from ..runtime.token_bucket import TokenBucket
 
+if TYPE_CHECKING:
+    from ..runtime.loop import Address, Runtime
+
 
 class FakeKeyValueStore:
     """Keys with versions, transactions, leases. `down` answers 503 to everything."""
--- a/flaxtally/fakes/settings_text.py
+++ b/flaxtally/fakes/settings_text.py
@@ -2,8 +2,11 @@
 
 from __future__ import annotations
 
-from ..runtime.loop import Address
-from ..settings import Objective, Settings, Team
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from ..runtime.loop import Address
+    from ..settings import Objective, Settings, Team
 
 
 def _address(where: Address) -> str:
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -2,17 +2,21 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..protocol import wire
 from ..runtime.http import Client, Reply, Request, Server
-from ..runtime.loop import Address, Runtime, Timer
-from .gang_meeting import GangMeetings
 from .held_task import Held
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable
+
+    from ..runtime.loop import Address, Runtime, Timer
+    from .gang_meeting import GangMeetings
+
 
 class Worker:
     """A worker and its machine.
--- a/flaxtally/feature_table.py
+++ b/flaxtally/feature_table.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
-from .policy import Policy
-from .runtime.loop import Loop
-from .settings import Settings
+if TYPE_CHECKING:
+    from .policy import Policy
+    from .runtime.loop import Loop
+    from .settings import Settings
 
 
 class FeatureError(Exception):
--- a/flaxtally/features.py
+++ b/flaxtally/features.py
@@ -7,11 +7,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from .feature_table import Feature, FeatureError, Table
 from .settings import SettingsError, read_toml
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 __all__ = ["KNOWN", "Feature", "FeatureError", "read_file"]
 
 
--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -4,13 +4,15 @@
 
 from collections.abc import Callable, Collection, Iterable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from ..planning.choice import choose, fetch_seconds
 from ..planning.fleet import Machine
 from ..planning.machine_index import Fit, MachineIndex
-from ..planning.placement import GpuNeeds
-from ..protocol import wire
+
+if TYPE_CHECKING:
+    from ..planning.placement import GpuNeeds
+    from ..protocol import wire
 
 Keep = Callable[[Machine], bool]
 
--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -2,14 +2,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection, Iterable, Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from ..ledger.cluster_state import Placement
-from ..planning.fleet import Machine
 from ..planning.packing import Bin, slots
-from ..planning.placement import GpuNeeds, Room
-from ..protocol import wire
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Iterable, Sequence
+
+    from ..ledger.cluster_state import Placement
+    from ..planning.fleet import Machine
+    from ..planning.placement import GpuNeeds, Room
+    from ..protocol import wire
 
 
 @dataclass(frozen=True)
--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -16,12 +16,16 @@
 from __future__ import annotations
 
 import enum
-from collections.abc import Iterable
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from ..ledger.cluster_state import Job
 from ..protocol import wire
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from ..ledger.cluster_state import Job
+
 WAIT_SHARE = 0.5
 """Of `gang_wait_s`: who is replaced later than that after the launch would come too late."""
 
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -4,8 +4,8 @@
 
 import itertools
 import logging
-from collections.abc import Callable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 import msgspec
 
@@ -15,14 +15,18 @@
 from ...planning.fleet import Machine, Pool
 from ...planning.packing import Bin, Demand, Rooms, pack
 from ...protocol import wire
-from ..commands import CommandSender
-from ..jobs import JobRegistry
-from ..reconciliation.reconciler import Reconciler
 from ..term import Term, TermActor
 from .capacity_forecast import CapacityForecast
 from .demand_forecast import DemandForecast
 from .scale_out import ScaleOut
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..commands import CommandSender
+    from ..jobs import JobRegistry
+    from ..reconciliation.reconciler import Reconciler
+
 log = logging.getLogger(__name__)
 
 SPOT_WORTH = 1.1
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 import math
+from typing import TYPE_CHECKING
 
-from ...ledger.cluster_state import Placement
-from ...planning.fleet import Machine
 from ...planning.packing import Bin
-from ...protocol import wire
 from ..term import Term, TermActor
-from .scale_out import ScaleOut
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Placement
+    from ...planning.fleet import Machine
+    from ...protocol import wire
+    from .scale_out import ScaleOut
 
 
 class CapacityForecast(TermActor):
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -3,20 +3,24 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from ...ledger.cluster_state import Placement
 from ...planning import consolidate
-from ...planning.fleet import Machine
 from ...planning.machine_index import MachineIndex
-from ...planning.packing import Demand
 from ...protocol import wire
-from ..commands import CommandSender
-from ..jobs import JobRegistry
-from ..reconciliation.reconciler import Reconciler
-from ..scheduling.scheduler import Scheduler
 from ..term import Term, TermActor
-from .autoscaler import Autoscaler
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...ledger.cluster_state import Placement
+    from ...planning.fleet import Machine
+    from ...planning.packing import Demand
+    from ..commands import CommandSender
+    from ..jobs import JobRegistry
+    from ..reconciliation.reconciler import Reconciler
+    from ..scheduling.scheduler import Scheduler
+    from .autoscaler import Autoscaler
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -4,19 +4,23 @@
 
 import math
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
-from ...ledger.cluster_state import Job
 from ...planning import placement, provisioning
 from ...planning.best_effort import dear_types
-from ...planning.fleet import Pool
 from ...planning.packing import Demand
-from ...protocol.shape import Shape
 from ..gang_scheduling.gang_zones import GangZones
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...ledger.cluster_state import Job
+    from ...planning.fleet import Pool
+    from ...protocol.shape import Shape
+    from ..jobs import JobRegistry
+
 UNLIMITED = 1e9
 """Cores or GPUs that a team without a limit may still take."""
 
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -3,14 +3,18 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from ...clients.cloud import MOST_RELEASED
-from ...planning.fleet import Machine
 from ...protocol import wire
-from ..commands import CommandSender
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+
 log = logging.getLogger(__name__)
 
 
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -3,13 +3,17 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Iterator
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from ...planning.fleet import Pool
-from ...planning.provisioning import Rent
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
+    from ...planning.fleet import Pool
+    from ...planning.provisioning import Rent
+
 log = logging.getLogger(__name__)
 
 MOST_REST = 8
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -3,17 +3,20 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
-from ..ledger.cluster_state import Placement
 from ..lending.entitlement import NOTHING, Amounts, amounts_of
-from ..planning.fleet import Machine
 from ..protocol import wire
 from .term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..ledger.cluster_state import Placement
+    from ..planning.fleet import Machine
+
 log = logging.getLogger(__name__)
 
 MOST_ORDERS = 200
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -4,18 +4,22 @@
 
 import itertools
 import logging
-from collections.abc import Callable, Collection, Iterator
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ...gangs.gang_preemption import Candidate, Leaving, Share, best_shares
-from ...ledger.cluster_state import Job
 from ...planning import placement
-from ...planning.fleet import Machine
-from ...planning.machine_index import MachineIndex
 from ...protocol import wire
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Iterator
+
+    from ...ledger.cluster_state import Job
+    from ...planning.fleet import Machine
+    from ...planning.machine_index import MachineIndex
+    from ..jobs import JobRegistry
+
 log = logging.getLogger(__name__)
 
 
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -4,20 +4,24 @@
 
 import logging
 import math
-from collections.abc import Callable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from ...gangs.gang_capacity import Choice, GangSearch, Keep, choose_all, choose_missing
 from ...gangs.lifecycle import Phase, Situation, Step, Times, next_step, phase_of, situation_of
 from ...ledger import cluster_state as records
-from ...ledger.cluster_state import Job, Placement
-from ...planning.fleet import Machine
-from ...planning.machine_index import MachineIndex
 from ...protocol import formats, wire
-from ..commands import CommandSender
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...ledger.cluster_state import Job, Placement
+    from ...planning.fleet import Machine
+    from ...planning.machine_index import MachineIndex
+    from ..commands import CommandSender
+    from ..jobs import JobRegistry
+
 log = logging.getLogger(__name__)
 
 FETCH_SHARE = 0.8
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -4,16 +4,20 @@
 
 import math
 from collections import Counter
-from collections.abc import Callable, Iterable
 from dataclasses import replace
+from typing import TYPE_CHECKING
 
 from ...planning import placement
 from ...planning.fleet import Pool
 from ...planning.packing import Bin, Demand, slots
-from ...protocol.shape import Shape
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from ...protocol.shape import Shape
+    from ..jobs import JobRegistry
+
 
 class GangZones(TermActor):
     """Owns the zone of each class of gangs.
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -4,20 +4,22 @@
 
 import logging
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from ..ledger import cluster_state as records
-from ..ledger.cluster_state import Job, Placement
 from ..planning import placement
 from ..planning.forecast import Arrivals
 from ..protocol import formats, wire
-from .commands import CommandSender
 from .resource_shapes import ResourceShapes
 from .scheduling.pending_queue import PendingQueue
 from .term import Term, TermActor
 
+if TYPE_CHECKING:
+    from ..ledger.cluster_state import Job, Placement
+    from .commands import CommandSender
+
 log = logging.getLogger(__name__)
 
 NO_ZONES: frozenset[str] = frozenset()
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -8,22 +8,13 @@
 from __future__ import annotations
 
 import logging
-import random
 from typing import TYPE_CHECKING
 
 import msgspec
 
-from ..clients.cloud import Cloud
-from ..cluster.format_negotiation import FormatNegotiation
-from ..cluster.leader_election import LeaderElection
-from ..ledger.cluster_state import ClusterState
-from ..ledger.write_ahead_log import WriteAheadLog
-from ..policy import Policy
 from ..protocol import wire
 from ..protocol.formats import GANGS, LENDING
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
-from ..settings import Settings
 from .autoscaling.autoscaler import Autoscaler
 from .autoscaling.consolidation import Consolidation
 from .commands import CommandSender, CommandTransport
@@ -34,12 +25,22 @@
 from .reconciliation.reconciler import Reconciler
 from .reconciliation.stragglers import Stragglers
 from .scheduling.scheduler import Scheduler
-from .team_limits import TeamLimits
 from .term import Term
 
 if TYPE_CHECKING:
+    import random
+
+    from ..clients.cloud import Cloud
+    from ..cluster.format_negotiation import FormatNegotiation
+    from ..cluster.leader_election import LeaderElection
+    from ..ledger.cluster_state import ClusterState
+    from ..ledger.write_ahead_log import WriteAheadLog
     from ..lending.feature import LendingFeature
+    from ..policy import Policy
+    from ..runtime.loop import Runtime
+    from ..settings import Settings
     from .reclaim.loan_accounts import LoanAccounts
+    from .team_limits import TeamLimits
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 from dataclasses import replace
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -12,9 +12,11 @@
 from ...lending.accounts import TeamAccount, TeamUse, team_accounts
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
 from ...lending.page import page
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
-from .quota_reclaim import QuotaReclaim
+
+if TYPE_CHECKING:
+    from ..jobs import JobRegistry
+    from .quota_reclaim import QuotaReclaim
 
 Answer = Callable[[int, Any], None]
 
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -2,14 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from ...ledger.cluster_state import Job, Placement
 from ...ledger.reclaims import Borrowed, Reclaim
-from ...ledger.write_ahead_log import WriteAheadLog
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
-from ...protocol import wire
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.write_ahead_log import WriteAheadLog
+    from ...protocol import wire
 
 
 class OpenReclaim:
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -8,11 +8,9 @@
 
 import logging
 from collections import Counter, deque
-from collections.abc import Callable
 from dataclasses import replace
 from typing import TYPE_CHECKING, NamedTuple
 
-from ...ledger.cluster_state import Job, Placement
 from ...ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from ...lending.entitlement import Amounts, Reclaimable, amounts_of
 from ...lending.reclaim import Situation, Step, Times, next_step
@@ -20,14 +18,17 @@
 from ...planning.best_effort import dear_types
 from ...planning.fleet import Machine, Pool
 from ...protocol import formats, wire
-from ..commands import CommandSender
-from ..gang_scheduling.gang_scheduler import GangScheduler
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 from .open_reclaims import OpenReclaim, OpenReclaims
 
 if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...ledger.cluster_state import Job, Placement
     from ...lending.feature import LendingFeature
+    from ..commands import CommandSender
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..jobs import JobRegistry
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 import logging
+from typing import TYPE_CHECKING
 
-from ...ledger.cluster_state import Job
-from ...planning.fleet import Machine
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job
+    from ...planning.fleet import Machine
+    from ..jobs import JobRegistry
+
 log = logging.getLogger(__name__)
 
 FAULTY_AFTER = 2
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -3,12 +3,15 @@
 from __future__ import annotations
 
 from functools import partial
+from typing import TYPE_CHECKING
 
 from ...clients.workers import CALLED_SHARE
-from ...planning.fleet import Machine
-from ..commands import CommandSender
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+
 PROBING_SHARE = 0.5
 """Of the connections for calls to workers: when a zone is silent, orders to the others go on."""
 
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -3,19 +3,22 @@
 from __future__ import annotations
 
 import logging
+from typing import TYPE_CHECKING
 
 from ...ledger import cluster_state as records
-from ...ledger.cluster_state import Placement
-from ...planning.fleet import Machine
 from ...protocol import wire
 from ..autoscaling.scale_in import ScaleIn
-from ..commands import CommandSender
-from ..gang_scheduling.gang_scheduler import GangScheduler
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
-from .failure_attribution import FailureAttribution
 from .health_checks import HealthChecks
-from .stragglers import Stragglers
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Placement
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..jobs import JobRegistry
+    from .failure_attribution import FailureAttribution
+    from .stragglers import Stragglers
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -4,14 +4,17 @@
 
 import logging
 from bisect import insort
+from typing import TYPE_CHECKING
 
-from ...ledger.cluster_state import Job, Placement
-from ...planning.fleet import Machine
 from ...protocol import wire
-from ..commands import CommandSender
-from ..jobs import JobRegistry
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job, Placement
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+    from ..jobs import JobRegistry
+
 log = logging.getLogger(__name__)
 
 LEAST_ENDED = 6
--- a/flaxtally/leader/resource_shapes.py
+++ b/flaxtally/leader/resource_shapes.py
@@ -3,11 +3,15 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
 from ..planning import placement
-from ..protocol import wire
-from ..protocol.shape import Shape
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from ..protocol import wire
+    from ..protocol.shape import Shape
 
 MOST_SHAPES = 256
 """Of a lane: those first seen last stand for it. Where sizes vary freely, every job has its own."""
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 from bisect import insort
-from collections.abc import Hashable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from ...ledger.cluster_state import Job
 from ...lending.entitlement import NOTHING, Amounts, Guarantee, amounts_of
 from ...planning.urgency import Due, levels
 from ...protocol import wire
 from ..term import Term, TermActor
 
+if TYPE_CHECKING:
+    from collections.abc import Hashable
+
+    from ...ledger.cluster_state import Job
+
 NO_DUE_TIME = 1000
 """The level of best-effort jobs that nobody expects by any time: after all others."""
 BEGIN_SHARE = 0.7
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -5,23 +5,27 @@
 import heapq
 import itertools
 import logging
-from collections.abc import Callable, Collection, Hashable, Iterator
+from typing import TYPE_CHECKING
 
 from ...gangs.gang_preemption import Candidate, Leaving, Share, best_shares
-from ...ledger.cluster_state import Job, Placement
 from ...lending.entitlement import Reclaimable, amounts_of
 from ...lending.victim_selection import giving_way
 from ...planning import placement
-from ...planning.fleet import Machine
-from ...planning.machine_index import MachineIndex
 from ...protocol import wire
-from ..commands import CommandSender
-from ..gang_scheduling.gang_scheduler import GangScheduler
-from ..jobs import JobRegistry
 from ..reclaim.quota_reclaim import QuotaReclaim, Room
 from ..term import Term, TermActor
 from .reservations import Reservation, Reservations, TaskKey
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Hashable, Iterator
+
+    from ...ledger.cluster_state import Job, Placement
+    from ...planning.fleet import Machine
+    from ...planning.machine_index import MachineIndex
+    from ..commands import CommandSender
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..jobs import JobRegistry
+
 log = logging.getLogger(__name__)
 
 
--- a/flaxtally/leader/scheduling/reservations.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from ...ledger.cluster_state import ClusterState
-from ...planning.fleet import Machine
-from ...protocol import wire
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from ...ledger.cluster_state import ClusterState
+    from ...planning.fleet import Machine
+    from ...protocol import wire
 
 TaskKey = tuple[int, int]
 """A job's number and a task's."""
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -3,25 +3,29 @@
 from __future__ import annotations
 
 import logging
-from collections.abc import Callable, Collection, Hashable
+from typing import TYPE_CHECKING
 
 from ...ledger import cluster_state as records
-from ...ledger.cluster_state import Job, Placement
 from ...planning import placement
-from ...planning.fleet import Machine
 from ...planning.machine_index import Fit, MachineIndex
 from ...protocol import wire
-from ..commands import CommandSender
 from ..gang_scheduling.gang_reservations import GangReservations
-from ..gang_scheduling.gang_scheduler import GangScheduler
 from ..jobs import MOST_BACKLOG, JobRegistry
-from ..reclaim.quota_reclaim import QuotaReclaim
-from ..reconciliation.reconciler import Reconciler
 from ..term import Term, TermActor
-from .pending_queue import PendingJob
 from .preemption import Preemption
 from .scheduling_pass import SchedulingPass
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection, Hashable
+
+    from ...ledger.cluster_state import Job, Placement
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..reclaim.quota_reclaim import QuotaReclaim
+    from ..reconciliation.reconciler import Reconciler
+    from .pending_queue import PendingJob
+
 log = logging.getLogger(__name__)
 
 PASSES_A_HEARTBEAT = 8
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -3,20 +3,22 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Hashable
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from ...ledger.cluster_state import Job
 from ...planning import placement
 from ...planning.best_effort import dear_types
 from ...planning.choice import choose
 from ...planning.fleet import Machine
 from ...planning.machine_index import Fit, MachineIndex
-from ...policy import Policy
 from ...protocol import wire
-from ..jobs import JobRegistry
-from ..term import Term
-from .pending_queue import PendingJob
-from .preemption import Preemption
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job
+    from ...policy import Policy
+    from ..jobs import JobRegistry
+    from ..term import Term
+    from .pending_queue import PendingJob
+    from .preemption import Preemption
 
 MOST_PLACED = 400
 """Tasks a pass: one large array on an idle fleet must not hold up reports and users."""
--- a/flaxtally/leader/team_limits.py
+++ b/flaxtally/leader/team_limits.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
-from ..settings import Settings, Team
+if TYPE_CHECKING:
+    from ..settings import Settings, Team
 
 
 class TeamLimits(Protocol):
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -2,19 +2,23 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from ..clients.cloud import Cloud
-from ..ledger.write_ahead_log import WriteAheadLog
 from ..lending.entitlement import NOTHING, Amounts, Guarantee
 from ..planning.fleet import Machine
-from ..policy import Policy
-from ..protocol import wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
-from ..settings import Settings
-from .team_limits import TeamLimits
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable
+
+    from ..clients.cloud import Cloud
+    from ..ledger.write_ahead_log import WriteAheadLog
+    from ..policy import Policy
+    from ..protocol import wire
+    from ..runtime.loop import Runtime
+    from ..settings import Settings
+    from .team_limits import TeamLimits
 
 
 class Fleet:
--- a/flaxtally/ledger/batch.py
+++ b/flaxtally/ledger/batch.py
@@ -8,11 +8,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterator, Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Sequence
+
 Record = list[Any]
 BATCH = "B"
 PIECE_OVERHEAD = 32
--- a/flaxtally/ledger/cluster_state.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -24,8 +24,7 @@
 from __future__ import annotations
 
 import heapq
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -35,6 +34,9 @@
 from .reclaims import ACCOUNT, RECALL, RECALL_OVER, LoanState
 from .terminal_jobs import TerminalJobPage, TerminalJobs
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 JOB, TASKS, PLACED, ENDED = "J", "T", "P", "E"
 CANCELLED, FINAL, CATALOG, FORMAT = "C", "F", "K", "V"
 OF_A_JOB = (TASKS, PLACED, ENDED, CANCELLED)
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -6,12 +6,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..cluster.leader_election import LEADER_KEY
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..runtime.loop import Runtime
 
 
 class _Request:
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -14,9 +14,10 @@
 from __future__ import annotations
 
 from dataclasses import astuple, dataclass, field, replace
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
-from .batch import Record
+if TYPE_CHECKING:
+    from .batch import Record
 
 RECALL, RECALL_OVER, ACCOUNT = "R", "X", "A"
 RECALL_BYTES, ACCOUNT_BYTES, BORROWED_BYTES = 90, 80, 16
--- a/flaxtally/ledger/terminal_jobs.py
+++ b/flaxtally/ledger/terminal_jobs.py
@@ -8,10 +8,13 @@
 
 from array import array
 from bisect import bisect_left
-from collections.abc import Iterator
+from typing import TYPE_CHECKING
 
 from ..protocol import wire
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 PREFIX = "j-"
 _MOST_RECENT = 4096
 """States that are kept apart until they are worth sorting in."""
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -3,16 +3,19 @@
 from __future__ import annotations
 
 import enum
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..protocol import wire
 from ..runtime.actor import Actor
 from ..runtime.http import pack
-from ..runtime.loop import Runtime
-from ..runtime.token_bucket import TokenBucket
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
+    from ..runtime.loop import Runtime
+    from ..runtime.token_bucket import TokenBucket
 
 
 class CommitOutcome(enum.Enum):
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -13,15 +13,12 @@
 import logging
 from collections import deque
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from ..clients.key_value_store import KeyValueStore
 from ..cluster.leader_election import LEADER_KEY
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
-from ..runtime.loop import Runtime
 from ..runtime.token_bucket import TokenBucket
-from ..settings import StateLimits
 from . import snapshot
 from .batch import PIECE_OVERHEAD, Record, pieces, size_of
 from .cluster_state import CATALOG, FINAL, FORMAT, JOB, ClusterState, UnsupportedFormatError
@@ -29,6 +26,11 @@
 from .terminal_jobs import TerminalJobPage
 from .transaction import CommitOutcome, Transaction, TransactionSender
 
+if TYPE_CHECKING:
+    from ..clients.key_value_store import KeyValueStore
+    from ..runtime.loop import Runtime
+    from ..settings import StateLimits
+
 log = logging.getLogger(__name__)
 
 PAGES = "p/"
--- a/flaxtally/lending/accounts.py
+++ b/flaxtally/lending/accounts.py
@@ -6,12 +6,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from .entitlement import NOTHING, Amounts, Guarantee
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
 
 @dataclass(frozen=True)
 class TeamAccount:
--- a/flaxtally/lending/entitlement.py
+++ b/flaxtally/lending/entitlement.py
@@ -12,13 +12,16 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Callable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from ..planning.placement import SLACK
-from ..protocol import wire
-from ..settings import Team
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ..protocol import wire
+    from ..settings import Team
 
 
 class Amounts(NamedTuple):
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -3,13 +3,16 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ..feature_table import FeatureError, Table
-from ..policy import Policy
-from ..runtime.loop import Loop
-from ..settings import Settings
 from .entitlement import Guarantee
 
+if TYPE_CHECKING:
+    from ..policy import Policy
+    from ..runtime.loop import Loop
+    from ..settings import Settings
+
 NAME = "lending"
 DEFAULT_STOPS, DEFAULT_ACCOUNTS_S = 2.0, 60.0
 AIMS = ("wait", "guarantee")
--- a/flaxtally/lending/page.py
+++ b/flaxtally/lending/page.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
+from typing import TYPE_CHECKING
 
 import msgspec
 
 from ..ledger.reclaims import LoanAccount, Reclaim
 from .accounts import TeamAccount, loans
-from .entitlement import Amounts
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from .entitlement import Amounts
 
 MOST_ROWS = 100
 """Of each list: an answer must fit into a response's 64 KiB."""
--- a/flaxtally/lending/victim_selection.py
+++ b/flaxtally/lending/victim_selection.py
@@ -2,11 +2,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-from typing import TypeVar
+from typing import TYPE_CHECKING, TypeVar
 
-from ..planning.placement import Room
-from ..protocol import wire
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from ..planning.placement import Room
+    from ..protocol import wire
 
 Task = TypeVar("Task")
 
--- a/flaxtally/planning/best_effort.py
+++ b/flaxtally/planning/best_effort.py
@@ -7,12 +7,16 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Mapping
+from typing import TYPE_CHECKING
 
-from ..protocol import wire
-from ..protocol.shape import Shape
 from .placement import GpuNeeds, allowed
 
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from ..protocol import wire
+    from ..protocol.shape import Shape
+
 Dear = frozenset[tuple[str, bool]]
 """Machine types, each with whether it is spot."""
 NOTHING_DEAR: Dear = frozenset()
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Collection
+from typing import TYPE_CHECKING
 
 from ..protocol import wire
-from .fleet import Machine
-from .machine_index import MachineIndex
 from .placement import SLACK, GpuNeeds
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Collection
+
+    from .fleet import Machine
+    from .machine_index import MachineIndex
+
 
 def fetch_seconds(spec: wire.Spec, machine: Machine, kind: wire.MachineType) -> float:
     """About how long the image takes to be there; fetches at the same time share the rate."""
--- a/flaxtally/planning/consolidate.py
+++ b/flaxtally/planning/consolidate.py
@@ -6,16 +6,20 @@
 
 from __future__ import annotations
 
-import random
-from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
 from contextlib import contextmanager
+from typing import TYPE_CHECKING
 
-from ..ledger.cluster_state import Job, Placement
 from ..protocol import wire
 from .choice import choose
-from .fleet import Machine
 from .machine_index import MachineIndex
-from .placement import GpuNeeds
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
+
+    from ..ledger.cluster_state import Job, Placement
+    from .fleet import Machine
+    from .placement import GpuNeeds
 
 
 def pick(
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -3,11 +3,13 @@
 from __future__ import annotations
 
 from collections import OrderedDict
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from ..ledger.cluster_state import Placement
 from ..protocol import wire
 
+if TYPE_CHECKING:
+    from ..ledger.cluster_state import Placement
+
 UNRESPONSIVE_AFTER_FAILURES = 2
 """Orders in a row without an answer."""
 
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -9,15 +9,17 @@
 
 import itertools
 import math
-import random
 from bisect import bisect_left, bisect_right, insort
-from collections.abc import Callable, Collection, Hashable, Iterable, Iterator, Sequence
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..protocol import wire
 from .fleet import Machine, Pool
 from .placement import SLACK, WIDEN, GpuNeeds, Room, allowed, leaves_gpus_usable, room
 
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Collection, Hashable, Iterable, Iterator, Sequence
+
 _STRIDES_TRIED = 32
 _DIGITS = 6
 """Of amounts that are compared: rooms are sums and differences of amounts."""
--- a/flaxtally/planning/packing.py
+++ b/flaxtally/planning/packing.py
@@ -3,15 +3,18 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from ..protocol import wire
-from ..protocol.shape import Shape
 from .best_effort import NOTHING_DEAR, Dear
 from .placement import SLACK, GpuNeeds, allowed
 
+if TYPE_CHECKING:
+    from collections.abc import Collection, Iterable
+
+    from ..protocol import wire
+    from ..protocol.shape import Shape
+
 ANY_NUMBER = 1_000_000
 """Of tasks: no bound."""
 
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -2,13 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Hashable, Iterable
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from ..protocol import wire
-from ..protocol.shape import Shape
-from .fleet import Machine
+if TYPE_CHECKING:
+    from collections.abc import Hashable, Iterable
+
+    from ..protocol import wire
+    from ..protocol.shape import Shape
+    from .fleet import Machine
 
 SLACK = 1e-6
 WIDEN = 4
--- a/flaxtally/planning/provisioning.py
+++ b/flaxtally/planning/provisioning.py
@@ -10,13 +10,17 @@
 from __future__ import annotations
 
 import math
-from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, replace
+from typing import TYPE_CHECKING
 
-from ..protocol import wire
-from .fleet import Pool
 from .packing import Bin, Demand, Rooms, pack, slots, take
-from .placement import GpuNeeds
+
+if TYPE_CHECKING:
+    from collections.abc import Hashable, Iterable
+
+    from ..protocol import wire
+    from .fleet import Pool
+    from .placement import GpuNeeds
 
 HASTE = 2.0
 ALIKE = 1.25
--- a/flaxtally/planning/urgency.py
+++ b/flaxtally/planning/urgency.py
@@ -8,8 +8,10 @@
 from __future__ import annotations
 
 import heapq
-from collections.abc import Iterable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
 
 
 class Due(NamedTuple):
--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -9,9 +9,8 @@
 import dataclasses
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from ..settings import Settings
 from .language import (
     PLAIN,
     RATE,
@@ -26,6 +25,9 @@
     parse,
 )
 
+if TYPE_CHECKING:
+    from ..settings import Settings
+
 __all__ = ["Policy", "PolicyError", "Setting", "build", "default", "explain", "load"]
 
 DEFAULTS = Path(__file__).with_name("defaults.policy")
--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -19,9 +19,11 @@
 import math
 import operator
 import re
-from collections.abc import Callable, Mapping
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
 
 
 class Unit(NamedTuple):
--- a/flaxtally/runtime/actor.py
+++ b/flaxtally/runtime/actor.py
@@ -2,10 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from .loop import Runtime, Timer
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from .loop import Runtime, Timer
 
 
 class Actor:
--- a/flaxtally/runtime/http.py
+++ b/flaxtally/runtime/http.py
@@ -6,11 +6,12 @@
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
-from .loop import Address, Runtime, Stream, Timer
+if TYPE_CHECKING:
+    from .loop import Address, Runtime, Stream, Timer
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/runtime/loop.py
+++ b/flaxtally/runtime/loop.py
@@ -15,11 +15,13 @@
 import socket
 import time
 from collections import deque
-from collections.abc import Callable
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from .loop_delay import DelayMonitor, LoopDelay
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]
--- a/flaxtally/runtime/loop_delay.py
+++ b/flaxtally/runtime/loop_delay.py
@@ -2,9 +2,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from functools import partial
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 
 class LoopDelay(NamedTuple):
--- a/flaxtally/runtime/token_bucket.py
+++ b/flaxtally/runtime/token_bucket.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from .loop import Runtime
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from .loop import Runtime
 
 
 class TokenBucket:
--- a/flaxtally/settings.py
+++ b/flaxtally/settings.py
@@ -5,9 +5,10 @@
 import tomllib
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from .runtime.loop import Address
+if TYPE_CHECKING:
+    from .runtime.loop import Address
 
 LEAST_VALUE_KB = 1.0
 """The largest record that can't be divided, a job with long names, must fit into a value."""
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -11,20 +11,23 @@
 import json
 import logging
 import time
-from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from opentelemetry.sdk.resources import Resource
 from opentelemetry.sdk.trace import ReadableSpan, TracerProvider
 from opentelemetry.sdk.trace.export import SimpleSpanProcessor, SpanExporter, SpanExportResult
 
-from ..feature_table import Table
-from ..policy import Policy
-from ..runtime.loop import Loop
 from ..runtime.loop_delay import callback_name
-from ..settings import Settings
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from ..feature_table import Table
+    from ..policy import Policy
+    from ..runtime.loop import Loop
+    from ..settings import Settings
 
 log = logging.getLogger(__name__)
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -6,11 +6,13 @@
 
 from __future__ import annotations
 
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 LIST = "KNOWN-RED.txt"
 MOST = 3
 MISSING = pytest.StashKey[list[str]]()
--- a/tests/production.py
+++ b/tests/production.py
@@ -16,11 +16,13 @@
 import tomllib
 from functools import cache
 from pathlib import Path
-from types import ModuleType
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 
+if TYPE_CHECKING:
+    from types import ModuleType
+
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = "flaxtally_production"
 
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -2,12 +2,15 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 from flaxtally.protocol import wire
 
 from .simulated_cluster import SimulatedCluster, batch, spec
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 
 def busy(
     seed: int = 1, services: int = 4, arrays: int = 2, run_time: float = 25.0, **world_args: object
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -5,13 +5,11 @@
 
 import dataclasses
 import random
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from flaxtally import policy
-from flaxtally.cells.membership import CellSetup
 from flaxtally.controller import Controller
 from flaxtally.emulator.rules import Rules
 from flaxtally.fakes.cloud import Cloud, equal_pools
@@ -20,13 +18,18 @@
 from flaxtally.fakes.worker import Worker
 from flaxtally.ledger import cluster_state as records
 from flaxtally.ledger.batch import BATCH, BatchReader
-from flaxtally.lending.feature import LendingFeature
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client, Reply
 from flaxtally.settings import Objective, Settings, StateLimits, Team
 
 from .simulation import Simulation
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from flaxtally.cells.membership import CellSetup
+    from flaxtally.lending.feature import LendingFeature
+
 STATE, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
 GANGS = "10.3.0.2"
 NODES = ("hearth-0", "hearth-1", "hearth-2")
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -2,21 +2,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
 from flaxtally.emulator.loan_audit import LoanAudit
 from flaxtally.feature_table import Table
 from flaxtally.ledger.cluster_state import ClusterState
-from flaxtally.ledger.reclaims import Reclaim
 from flaxtally.lending.feature import LendingFeature
-from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
 from .simulated_cluster import NODES, SimulatedCluster, batch
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from flaxtally.ledger.reclaims import Reclaim
+    from flaxtally.protocol import wire
+
 FEATURE = LendingFeature.of(Table("features.toml", "lending", {}))
 CREW = Team("crew", 0.0, 0.0, 8.0, 64.0)
 OTHERS = Team("others", 0.0, 0.0, 8.0, 64.0)
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -9,11 +9,14 @@
 import itertools
 import random
 from collections import deque
-from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from flaxtally.runtime.loop import Address, Stream, Timer
-from flaxtally.runtime.loop_delay import LoopDelay
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from flaxtally.runtime.loop_delay import LoopDelay
 
 
 def nothing(*_: Any) -> None:
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import msgspec
 import pytest
@@ -28,6 +28,9 @@
 from .simulation import Simulation
 from .test_sockets import play
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 TEAM = Team("crew", 10.0, 40.0, 4.0, 8.0)
 CELLS = ["east", "north", "south"]
 STATE = ("10.2.0.1", 2379)
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import threading
-from collections.abc import Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 import pytest
@@ -21,6 +21,9 @@
 
 from .simulated_cells import cell_map
 
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
 ROOT = Path(__file__).resolve().parent.parent
 NORTH = '[[cells.cell]]\nname = "north"\nzones = ["zone-0"]\ncontrollers = ["controller-0"]\n'
 SOUTH = (
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 import msgspec
 import pytest
 
@@ -11,13 +13,15 @@
 from flaxtally.cells.map_keeper import MAP_KEY
 from flaxtally.cluster.leader_election import LEADER_KEY
 from flaxtally.protocol import wire
-from flaxtally.runtime.http import Request
 from flaxtally.settings import Team
 
 from .scenarios import ends_well
 from .simulated_cells import CELL_NODES, NORTH, SOUTH, SimulatedCells, cell_map
 from .simulated_cluster import batch, spec
 
+if TYPE_CHECKING:
+    from flaxtally.runtime.http import Request
+
 IN_FORCE_S = 5.0
 """The operators' aim for a change of configuration."""
 FEW = Team("crew", 0.0, 24.0, 0.0, 8.0)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,7 +7,7 @@
 import socket
 import tomllib
 from itertools import pairwise
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 import pytest
@@ -53,6 +53,9 @@
 from .simulation import Host, Simulation
 from .test_sockets import play
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 PLAN = Plan(workers=60, seed=3)
 
 
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -4,6 +4,7 @@
 
 import itertools
 from dataclasses import dataclass, field, replace
+from typing import TYPE_CHECKING
 
 import pytest
 from hypothesis import given
@@ -16,11 +17,13 @@
 from flaxtally.lending.reclaim import Situation, Step, Times, next_step
 from flaxtally.lending.victim_selection import giving_way
 from flaxtally.planning.placement import Room
-from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
 from .simulated_cluster import spec
 
+if TYPE_CHECKING:
+    from flaxtally.protocol import wire
+
 TEAMS = {
     "north": Team("north", 0.0, 0.0, 8.0, 0.0),
     "south": Team("south", 0.0, 0.0, 4.0, 0.0),
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -6,14 +6,13 @@
 import json
 import random
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import pytest
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from flaxtally.cluster.format_negotiation import FormatNegotiation
 from flaxtally.cluster.store_relay import decode_batch
 from flaxtally.ledger.batch import BATCH, BatchReader, pieces, size_of
 from flaxtally.ledger.cluster_state import ClusterState
@@ -26,6 +25,9 @@
 from .simulated_cluster import NODES, SimulatedCluster, batch, gang, spec
 from .simulated_upgrade import LOWER, UpgradingCluster
 
+if TYPE_CHECKING:
+    from flaxtally.cluster.format_negotiation import FormatNegotiation
+
 FIXTURE = Path(__file__).parent / "fixtures" / "production_ledger.json"
 PAGE_BYTES = LOWER.value_bytes * 7 // 8
 
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -3,21 +3,23 @@
 from __future__ import annotations
 
 from collections import Counter
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 import pytest
 
 from flaxtally.leader.scheduling.scheduler import Scheduler
 from flaxtally.leader.scheduling.scheduling_pass import MOST_PLACED
-from flaxtally.ledger.cluster_state import Job
-from flaxtally.planning.fleet import Machine
-from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
 from .scenarios import ends_well, leader_of
 from .simulated_cluster import SimulatedCluster, batch, spec
 
+if TYPE_CHECKING:
+    from flaxtally.ledger.cluster_state import Job
+    from flaxtally.planning.fleet import Machine
+    from flaxtally.protocol import wire
+
 GUEST = Team("guests", 0.0, 0.0, 0.0, 0.0)
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -5,8 +5,7 @@
 import dataclasses
 import random
 import tracemalloc
-from collections.abc import Callable
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 import pytest
@@ -34,6 +33,10 @@
 from .simulated_cluster import TYPES, SimulatedCluster, batch, spec
 from .simulation import Simulation
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+    from pathlib import Path
+
 KINDS = {kind.name: kind for kind in TYPES}
 SAMPLE = 24
 LONG = 60_000
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -4,8 +4,7 @@
 
 import json
 import logging
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 import pytest
@@ -34,6 +33,9 @@
     work,
 )
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 
 def ask(world: SimulatedCluster, node: str) -> tuple[int, Any]:
     answers: list[tuple[int, Any]] = []
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -9,7 +9,7 @@
 
 import dataclasses
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 import pytest
@@ -18,8 +18,6 @@
 from flaxtally.leader.reclaim.quota_reclaim import QuotaReclaim
 from flaxtally.leader.reconciliation.reconciler import Reconciler
 from flaxtally.leader.scheduling.scheduler import Scheduler
-from flaxtally.ledger.cluster_state import Job, Placement
-from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import formats, wire
 from flaxtally.settings import Settings, Team
 
@@ -37,6 +35,10 @@
 )
 from .simulated_upgrade import UpgradingCluster
 
+if TYPE_CHECKING:
+    from flaxtally.ledger.cluster_state import Job, Placement
+    from flaxtally.planning.fleet import Machine
+
 TAKEOVER_S = 8.0
 SLOW_SAVE: dict[str, Any] = {"checkpoint_save_s": 3.0}
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -3,18 +3,20 @@
 from __future__ import annotations
 
 from collections import Counter
-from typing import Any
-
-import pytest
+from typing import TYPE_CHECKING, Any
 
 from flaxtally.api.heartbeat_endpoint import HeartbeatEndpoint
 from flaxtally.cluster.peer_links import PeerLinks
 from flaxtally.fakes.worker import Worker
-from flaxtally.protocol import wire
 
 from .scenarios import busy, cut_controllers, ends_well, leader_of, term
 from .simulated_cluster import SimulatedCluster, batch
 
+if TYPE_CHECKING:
+    import pytest
+
+    from flaxtally.protocol import wire
+
 
 def test_an_order_that_comes_by_two_ways_is_carried_out_once(
     monkeypatch: pytest.MonkeyPatch,
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -6,8 +6,7 @@
 import itertools
 import random
 import tomllib
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 import pytest
@@ -34,6 +33,9 @@
 
 from .simulated_cluster import TYPES, batch, spec
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 KINDS = {kind.name: kind for kind in TYPES}
 NEEDS = GpuNeeds()
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 from hypothesis import given
@@ -15,6 +15,9 @@
 from flaxtally.policy.language import PLAIN, TIME, Known, PolicyError, evaluate, parse
 from flaxtally.settings import load
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
 NAMES = {
     "a": Known(TIME, 0.0, 100.0),
     "b": Known(TIME, 0.0),
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -9,8 +9,8 @@
 import subprocess
 import sys
 import time
-from collections.abc import Callable, Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import msgspec
 import pytest
@@ -22,6 +22,9 @@
 from . import production
 from .simulated_cluster import gang, spec
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
 pytestmark = pytest.mark.real_processes
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -9,11 +9,14 @@
 import subprocess
 import sys
 import time
-from collections.abc import Callable, Iterator
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
 pytestmark = pytest.mark.real_processes
 
 ROOT = Path(__file__).resolve().parent.parent
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import msgspec
 import pytest
@@ -13,6 +13,9 @@
 
 from .simulated_cluster import CANCEL_S, TYPES, batch, spec
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 REF = "j-000001"
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 import random
-
-import pytest
+from typing import TYPE_CHECKING
 
 from flaxtally.leader.autoscaling.autoscaler import MOST_CHECKS, Autoscaler
 from flaxtally.ledger.cluster_state import Job, Placement
@@ -22,6 +21,9 @@
 
 from .simulated_cluster import TYPES, SimulatedCluster, batch, spec
 
+if TYPE_CHECKING:
+    import pytest
+
 NAMES = tuple(f"hearth-{number}" for number in range(7))
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -8,13 +8,16 @@
 from __future__ import annotations
 
 import os
-from collections.abc import Callable
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import pytest
 
 from .simulated_cluster import NODES, SimulatedCluster, batch, spec
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 TRACES = Path(__file__).parent / "traces"
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -3,15 +3,19 @@
 
 from __future__ import annotations
 
+from typing import TYPE_CHECKING
+
 from flaxtally.cluster.leader_election import LEADER_KEY
-from flaxtally.fakes.worker import Worker
 from flaxtally.protocol import wire
-from flaxtally.runtime.http import Request
 from flaxtally.settings import Objective, Team
 
 from .scenarios import cut_zone
 from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
+if TYPE_CHECKING:
+    from flaxtally.fakes.worker import Worker
+    from flaxtally.runtime.http import Request
+
 
 def serving(jobs: int = 4, seed: int = 1) -> SimulatedCluster:
     """A world with a few services of two replicas running."""
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -8,18 +8,23 @@
 import sys
 import time
 import tracemalloc
-from collections.abc import Callable
 from pathlib import Path
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
+from typing import TYPE_CHECKING
+
 import msgspec
 
-from flaxtally.ledger.batch import Record
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.protocol import wire
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from flaxtally.ledger.batch import Record
+
 PAGE_BYTES = 7 * 1024
 
 
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -22,9 +22,8 @@
 import random
 import sys
 import time
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -32,6 +31,9 @@
 from flaxtally.settings import Settings, Team
 from tests import simulated_cluster, simulation
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 DUTIES: dict[str, list[str]] = {
     "reports": [
         "api.heartbeat_endpoint:HeartbeatEndpoint.handle_heartbeat",
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -11,9 +11,8 @@
 import sys
 import time
 import tracemalloc
-from collections.abc import Callable
 from pathlib import Path
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -31,6 +30,9 @@
 from flaxtally.settings import Team
 from tools.limits import fill, records
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
 TRIES = 5
 KB = 1024.0
 TARGET_JOBS, TARGET_TASKS, TARGET_MACHINES, TARGET_TEAMS, TARGET_CELLS, TARGET_NODES = (
--- a/tools/wire_digest.py
+++ b/tools/wire_digest.py
@@ -26,9 +26,8 @@
 import random
 import shutil
 import sys
-from collections.abc import Callable, Iterator
 from pathlib import Path
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
@@ -43,6 +42,9 @@
 from tests.simulated_upgrade import UpgradingCluster
 from tests.simulation import SimStream, Simulation
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterator
+
 LATE_RECALL_S = 200.0
 """The lending audit's bound: recalls wait while nobody leads."""
 LENDER, BORROWER = "crew", "others"
