--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -320,6 +320,8 @@
                 return unit
             case Name(name):
                 if name in self._known:
+                    if name not in self._statements:
+                        self._fault(where, f"{name} has no value")
                     return self._known[name].unit
                 if name in self._platform:
                     return self._platform[name]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 import pytest
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import settings as tries
 from hypothesis import strategies as st
 
@@ -77,10 +77,12 @@
         "x:3: no such setting: 'q'",
     ]
     assert faults("a = b / 0\nb = 1 s") == ["x:1: a divides by zero"]
+    assert faults("a = b") == ["x:1: b has no value"]
 
 
 @given(st.text("abc=+-*/()<>, 0123.sG#\nifthenelsemxw_", max_size=80))
-@tries(max_examples=300, deadline=None)
+@example("a=b")
+@tries(derandomize=True, max_examples=600, deadline=None)
 def test_no_text_makes_the_checker_fail_otherwise(text: str) -> None:
     found = []
     try:
