--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -25,20 +25,20 @@
 log = logging.getLogger(__name__)
 
 HOST = "127.0.0.1"
-NODES = ("hearth-0", "hearth-1", "hearth-2")
+NODES = ("controller-0", "controller-1", "controller-2")
 ZONES = ("a", "b")
 CAPACITY = 3
 TYPES = [
     wire.MachineType("c16", 16.0, 0.0, 64.0, 40.0, 2.0, 1.0, 0.4, 5.0, list(ZONES)),
     wire.MachineType("g8", 32.0, 8.0, 256.0, 200.0, 4.0, 12.0, 4.0, 8.0, list(ZONES)),
 ]
-TEAM = Team("crew", 64.0, 128.0, 16.0, 32.0)
+TEAM = Team("team-a", 64.0, 128.0, 16.0, 32.0)
 GANG_WAIT_S, GANG_PEER_S = 20.0, 3.0
 REPORT_S, LEASE_S = 1.5, 10.0
 JOB = wire.Submission(
     "j-000001",
     "gate",
-    "crew",
+    "team-a",
     wire.SERVICE,
     "critical",
     2,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,6 +15,7 @@
 import msgspec
 import pytest
 
+from flaxtally.fakes import demo
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client, Reply
 from flaxtally.runtime.loop import Loop
@@ -29,8 +30,10 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 HOST, PORT = "127.0.0.1", 25500
-NODES = ("hearth-0", "hearth-1", "hearth-2")
+NODES = ("controller-0", "controller-1", "controller-2")
 PATIENCE_S = 60.0
+ELECTED = r"event=(?:lead|leader_elected) node=\S+ term=(\d+)"
+"""What a controller logs that was elected, of the version in production or the present one."""
 
 
 class Deployment:
@@ -75,13 +78,14 @@
             int(term): node
             for node in NODES
             if (self.folder / f"{node}.log").exists()
-            for term in re.findall(r"event=lead node=\S+ term=(\d+)", self.log(node))
+            for term in re.findall(ELECTED, self.log(node))
         }
         return terms[max(terms)] if terms else ""
 
     def submit(self, job: wire.Spec) -> bool:
         """One try, by the command line."""
         path = self.folder / f"{job.ref}.json"
+        job = msgspec.structs.replace(job, team=demo.TEAM.name)
         path.write_bytes(msgspec.json.encode(wire.submission(job)))
         return self._command("submit", str(path))[0] == 0
 
@@ -158,28 +162,28 @@
     assert until(lambda: len(re.findall(started, deployment.log("demo"))) == 2)
     # Two of them take over from each other: one is upgraded.
     led: list[str] = []
-    deployment.kill("hearth-0")
-    deployment.serve("hearth-0")
+    deployment.kill("controller-0")
+    deployment.serve("controller-0")
     for turn in range(4):
         assert until(lambda: deployment.leader() != "")
         leader = deployment.leader()
         led.append(leader)
         deployment.kill(leader)
         assert until(lambda gone=leader: deployment.leader() != gone)  # type: ignore[misc]
-        if leader == "hearth-0":
+        if leader == "controller-0":
             deployment.serve(leader)
         else:
             deployment.serve(leader, old, production.PACKAGE)
         ref = f"j-{10 + turn:06d}"
         assert until(lambda ref=ref: deployment.submit(spec(ref)))  # type: ignore[misc]
         time.sleep(2.0)
-    assert "hearth-0" in led
-    assert set(led) - {"hearth-0"}
+    assert "controller-0" in led
+    assert set(led) - {"controller-0"}
     for node in NODES[1:]:
         deployment.kill(node)
         deployment.serve(node)
     gang_job = gang("j-000042", 2, estimated_run_s=2.0)
-    assert until(lambda: deployment.submit(gang_job)), deployment.log("hearth-0")
+    assert until(lambda: deployment.submit(gang_job)), deployment.log("controller-0")
     assert until(lambda: deployment.stage("j-000042") == wire.DONE)
     # Whatever was running went on where it was.
     assert deployment.stage("j-000001") == wire.RUNNING
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -101,7 +101,7 @@
     processes.start([*demo, "--port", str(OTHER_PORT)])
     assert until(lambda: (folder / "job.json").exists()), processes.logs()
     for number in range(3):
-        config = serve[-1].replace("hearth-0", f"hearth-{number}")
+        config = serve[-1].replace("controller-0", f"controller-{number}")
         processes.start([*serve[:-1], config])
     assert until(lambda: run(submit)[0] == 0), processes.logs()
     assert until(lambda: run(status)[1].get("stage") == "running"), processes.logs()
