--- /dev/null
+++ b/flaxtally/cli/request_commands.py
@@ -0,0 +1,127 @@
+"""Commands that send one request to a controller: `submit`, `status`, `cancel` and `loans`."""
+
+from __future__ import annotations
+
+import sys
+from dataclasses import dataclass
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+from ..settings import address
+from .common import ExitCode, InvalidInputError
+
+if TYPE_CHECKING:
+    import argparse
+    from collections.abc import Callable
+
+    from ..runtime.http import Reply
+
+FIRST_PRINTABLE, LAST_PRINTABLE = 33, 126
+"""Of ASCII: what the path of a request may hold."""
+
+
+@dataclass(frozen=True)
+class ControllerRequest:
+    """A request to a controller."""
+
+    method: str
+    path: str
+    body: Any = None
+    format_reply: Callable[[bytes], str] | None = None
+    """How the body of a good reply is printed; None: as JSON."""
+
+
+def submit(arguments: argparse.Namespace) -> ExitCode:
+    """Submits the job of a JSON file."""
+    from ..protocol import wire
+
+    return _send(arguments, ControllerRequest("POST", wire.WORK, _read_job(arguments.job)))
+
+
+def show_status(arguments: argparse.Namespace) -> ExitCode:
+    """Asks for a job's state."""
+    from ..protocol import wire
+
+    return _send(arguments, ControllerRequest("GET", f"{wire.WORK}/{arguments.ref}"))
+
+
+def cancel(arguments: argparse.Namespace) -> ExitCode:
+    """Cancels a job."""
+    from ..protocol import wire
+
+    return _send(arguments, ControllerRequest("POST", f"{wire.WORK}/{arguments.ref}/cancel"))
+
+
+def show_loans(arguments: argparse.Namespace) -> ExitCode:
+    """Shows what teams lend and borrow."""
+    from ..protocol import wire
+
+    format_reply = None if arguments.json else _format_loans
+    return _send(arguments, ControllerRequest("GET", wire.LOANS, format_reply=format_reply))
+
+
+def _read_job(path: str) -> dict[str, Any]:
+    """A job's description from a JSON file, in the protocol's own words; "-" is standard input."""
+    import msgspec
+
+    try:
+        text = sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
+    except OSError as error:
+        raise InvalidInputError(f"{path}: {error.strerror or error}") from None
+    try:
+        return msgspec.json.decode(text, type=dict[str, Any])
+    except msgspec.DecodeError as error:
+        raise InvalidInputError(f"{path}: {error}") from None
+
+
+def _format_loans(body: bytes) -> str:
+    import msgspec
+
+    from ..lending.page import LoansPage, text
+
+    return text(msgspec.msgpack.decode(body, type=LoansPage))
+
+
+def _send(arguments: argparse.Namespace, request: ControllerRequest) -> ExitCode:
+    """Sends the request to the controller of `--to`; its reply goes to standard output."""
+    if address(arguments.to) is None:
+        raise InvalidInputError(f"--to {arguments.to}: not HOST:PORT")
+    if any(not FIRST_PRINTABLE <= ord(sign) <= LAST_PRINTABLE for sign in request.path):
+        raise InvalidInputError(f"{arguments.ref!r}: not a job's id")
+    reply = _await_reply(arguments, request)
+    if reply.status == 0:
+        print(f"flaxtally: no answer from {arguments.to}", file=sys.stderr)
+        return ExitCode.REFUSED
+    if reply.body:
+        print(_format(request, reply))
+    if reply.status not in (200, 201):
+        print(f"flaxtally: {arguments.to} answered {reply.status}", file=sys.stderr)
+        return ExitCode.REFUSED
+    return ExitCode.DONE
+
+
+def _await_reply(arguments: argparse.Namespace, request: ControllerRequest) -> Reply:
+    """Runs a loop of its own until the reply has come, or has not come in time (status 0)."""
+    from ..runtime.http import Client, Reply
+    from ..runtime.loop import Loop
+
+    controller = address(arguments.to)
+    assert controller is not None
+    loop, replies = Loop(), list[Reply]()
+
+    def on_reply(reply: Reply) -> None:
+        replies.append(reply)
+        loop.stop()
+
+    client = Client(loop, controller)
+    client.request(request.method, request.path, request.body, arguments.timeout, on_reply)
+    loop.run()
+    return replies[0]
+
+
+def _format(request: ControllerRequest, reply: Reply) -> str:
+    import msgspec
+
+    if request.format_reply is not None and reply.status == 200:
+        return request.format_reply(reply.body)
+    return msgspec.json.encode(msgspec.msgpack.decode(reply.body)).decode()
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -173,16 +173,16 @@
 def test_a_file_with_one_cell_is_the_undivided_fleet(tmp_path: Path) -> None:
     import argparse
 
-    from flaxtally.cli import _cells
+    from flaxtally.cli.controller_commands import read_cells
 
     one = (
         '[cells]\nversion = 1\n[[cells.cell]]\nname = "all"\nzones = ["zone-0"]\n'
         'controllers = ["controller-0"]\n'
     )
     settings = load(config(tmp_path))
-    assert _cells(argparse.Namespace(cells=write(tmp_path, one)), settings) is None
-    assert _cells(argparse.Namespace(cells=None), settings) is None
-    assert _cells(argparse.Namespace(cells=write(tmp_path, SOUND)), settings) is not None
+    assert read_cells(argparse.Namespace(cells=write(tmp_path, one)), settings) is None
+    assert read_cells(argparse.Namespace(cells=None), settings) is None
+    assert read_cells(argparse.Namespace(cells=write(tmp_path, SOUND)), settings) is not None
 
 
 # Commands against a state service
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -10,8 +10,7 @@
 
 import pytest
 
-from flaxtally import cli
-from flaxtally.cli import main
+from flaxtally.cli import controller_commands, main
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.feature_table import FeatureError
 from flaxtally.features import read_file
@@ -110,7 +109,7 @@
     trace = tmp_path / "trace.jsonl"
     features = read_file(write(tmp_path, f'[tracing]\nfile = "{trace}"\nleast_ms = 20\n'))
     loop = Loop()
-    cli._start_features(features, loop, SimulatedCluster().settings_of("hearth-1"))
+    controller_commands._start_features(features, loop, SimulatedCluster().settings_of("hearth-1"))
     for _ in range(20):
         loop.soon(blink)
     loop.soon(nap)
@@ -135,7 +134,7 @@
         write(tmp_path, f'[tracing]\nfile = "{trace}"\nleast_ms = 0.1\nmost_mb = 0.001\n')
     )
     loop = Loop()
-    cli._start_features(features, loop, SimulatedCluster().settings_of("hearth-1"))
+    controller_commands._start_features(features, loop, SimulatedCluster().settings_of("hearth-1"))
     for number in range(12):
         loop.after(0.002 * number, time.sleep, 0.001)
     loop.after(0.2, loop.stop)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -12,8 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from flaxtally import cli
-from flaxtally.cli import main
+from flaxtally.cli import controller_commands, main
 from flaxtally.cluster.store_relay import MOST_INFLATED, decode_batch, encode_batch
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.leader.reconciliation.reconciler import Reconciler
@@ -404,8 +403,16 @@
     assert limits[0] == 900
     assert open_files.raise_limit(5000) == 1024
     settings = dataclasses.replace(SimulatedCluster().settings_of("hearth-0"), max_sockets=5000)
-    assert cli._within_files(settings).max_sockets == 1024 - open_files.OTHER_FILES
-    assert cli._within_files(dataclasses.replace(settings, max_sockets=700)).max_sockets == 700
+    assert (
+        controller_commands._limit_sockets_to_open_files(settings).max_sockets
+        == 1024 - open_files.OTHER_FILES
+    )
+    assert (
+        controller_commands._limit_sockets_to_open_files(
+            dataclasses.replace(settings, max_sockets=700)
+        ).max_sockets
+        == 700
+    )
 
 
 # Reports
