--- a/flaxtally/feature_table.py
+++ b/flaxtally/feature_table.py
@@ -18,7 +18,7 @@
 class Feature(Protocol):
     """A feature whose table was found sound."""
 
-    def check(self, settings: Settings, policy: Policy, has_cells: bool) -> None:
+    def check(self, settings: Settings, policy: Policy, *, has_cells: bool) -> None:
         """Raises `FeatureError` if it doesn't go with the controller's other files."""
 
     def start(self, loop: Loop, settings: Settings) -> None:
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -45,7 +45,7 @@
     def start(self, loop: Loop, settings: Settings) -> None:
         """The leader takes it up: see `leader.reclaim.quota_reclaim`."""
 
-    def check(self, settings: Settings, policy: Policy, has_cells: bool) -> None:
+    def check(self, settings: Settings, policy: Policy, *, has_cells: bool) -> None:
         """Raises `FeatureError` if the other files don't go with it."""
         if has_cells:
             raise FeatureError(
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -97,7 +97,7 @@
             int(table.number("most_mb", DEFAULT_MOST_MB, 0.001, 1024.0) * MB),
         )
 
-    def check(self, settings: Settings, policy: Policy, has_cells: bool) -> None:
+    def check(self, settings: Settings, policy: Policy, *, has_cells: bool) -> None:
         """It goes with all of them."""
 
     def start(self, loop: Loop, settings: Settings) -> None:
