--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -258,11 +258,11 @@
                 return
             self._leader.submit(spec, answer)
         elif what == "poll" and isinstance(subject, str):
-            self._leader.poll(subject, answer)
+            self._leader.query_status(subject, answer)
         elif what == "cancel" and isinstance(subject, str):
             self._leader.cancel(subject, answer)
         elif what == "loans":
-            self._leader.loans(answer)
+            self._leader.query_loans(answer)
         else:
             log.warning("a question that is none: %s", what)
             answer(400, {"error": "not a question"})
--- a/flaxtally/cells/allotment.py
+++ b/flaxtally/cells/allotment.py
@@ -104,7 +104,7 @@
 
     # The leader's limits
 
-    def of(self, team: str) -> Team | None:
+    def find_team(self, team: str) -> Team | None:
         # Asked for each task that is placed; shares change about once a second.
         limit = self._limits.get(team)
         if limit is None and team in self._teams:
@@ -119,12 +119,12 @@
             share = share.at_most(row.pending.share(self._cell))
         return share_as_team(settings, shares, share)
 
-    def begin(self, term: int) -> None:
+    def begin_term(self, term: int) -> None:
         """A term begins: nothing may be used before the claim and a read after it.
 
         The ledger has been read: before that nothing would seem used, and all be given away.
         """
-        self.end()
+        self.end_term()
         self._term = term
         cells = self._cells()
         first = cells.index(self._cell) * len(self._order) // len(cells)
@@ -132,7 +132,7 @@
         self._order = self._order[first:] + self._order[:first]
         self._turn(self._generation)
 
-    def end(self) -> None:
+    def end_term(self) -> None:
         self._generation += 1
         self._claim, self._rows, self._busy, self._term = None, {}, False, 0
         self._limits.clear()
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -214,7 +214,7 @@
         if not leader.term.active:
             return CellState(cell, election.is_available)
         machines = max(1, len(leader.term.fleet.machines))
-        waiting = sum(job.pending_count for job in leader.jobs.queue.pending_jobs())
+        waiting = sum(job.pending_count for job in leader.duties.jobs.queue.pending_jobs())
         kinds = [
             Kind(kind.name, kind.cores, kind.gpus, kind.memory_gb)
             for kind in leader.term.machine_types.values()
@@ -227,7 +227,7 @@
         usages = self._leader.state.usage_by_team
         found = {team: Amount(usage.cores, usage.gpus) for team, usage in usages.items()}
         if self._leader.term.active:
-            for job in self._leader.jobs.queue.pending_jobs():
+            for job in self._leader.duties.jobs.queue.pending_jobs():
                 spec = job.spec
                 needed = Amount(spec.cores * job.pending_count, spec.gpus * job.pending_count)
                 found[spec.team] = found.get(spec.team, ZERO) + needed
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -16,6 +16,7 @@
 from .cluster.store_relay import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, StoreRelay
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
+from .leader.term import LeaderContext
 from .ledger.write_ahead_log import PAGE_SHARE, WriteAheadLog
 from .runtime.http import Server
 
@@ -83,8 +84,8 @@
             store,
             self.peers,
             rng,
-            lambda term, version: self.leader.tell("begin", term, version),
-            lambda: self.leader.tell("end"),
+            lambda term, version: runtime.soon(self.leader.begin_term, term, version),
+            lambda: runtime.soon(self.leader.end_term),
         )
         self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
         self.peers.on_hello = self.formats.on_hello
@@ -113,17 +114,19 @@
             self.election.refuse_to_lead,
         )
         self.leader = Leader(
-            runtime,
-            settings,
-            policy,
-            self.ledger,
-            cloud,
-            self.election,
-            self.dispatch,
-            rng,
-            limits,
-            self.formats,
-            lending,
+            LeaderContext(
+                runtime=runtime,
+                settings=settings,
+                policy=policy,
+                ledger=self.ledger,
+                cloud=cloud,
+                rng=rng,
+                limits=limits,
+            ),
+            election=self.election,
+            transport=self.dispatch,
+            formats=self.formats,
+            lending=lending,
         )
         self.dispatch.deliver_to(self.leader.handle_heartbeat, self.leader.handle_liveness)
         self.intake = JobApi(
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -116,7 +116,7 @@
         None: the team is not known.
         """
         spec = job.spec
-        team = self.term.limits.of(spec.team)
+        team = self.term.limits.find_team(spec.team)
         if team is None:
             return None
         if spec.team not in headroom:
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -260,7 +260,7 @@
         )
 
     def is_within_limit(self, spec: wire.Spec, count: int = 1) -> bool:
-        team = self.term.limits.of(spec.team)
+        team = self.term.limits.find_team(spec.team)
         if team is None:
             return False
         cores, gpus = self.term.team_usage(spec.team)
--- a/flaxtally/leader/team_limits.py
+++ b/flaxtally/leader/team_limits.py
@@ -1,4 +1,4 @@
-"""What a team may use under this leader."""
+"""The teams' quotas and hard limits that a leader enforces."""
 
 from __future__ import annotations
 
@@ -9,29 +9,31 @@
 
 
 class TeamLimits(Protocol):
-    """The limits that a leader keeps. A team that is not known has none and may use nothing."""
+    """The limits that a leader enforces. An unknown team has none and may use nothing."""
 
-    def of(self, team: str) -> Team | None:
-        """The team's guarantee and limit as they are now."""
+    def find_team(self, team: str) -> Team | None:
+        """The team's quota and hard limit as they are now."""
 
-    def begin(self, term: int) -> None:
-        """A term begins here, and its ledger has been read."""
+    def begin_term(self, term: int) -> None:
+        """A term begins, and its log has been replayed."""
 
-    def end(self) -> None:
-        """This node leads no more."""
+    def end_term(self) -> None:
+        """This controller does not lead any more."""
 
 
 class SettingsLimits:
-    """Those of the settings, where one leader leads all."""
+    """The limits of the settings, for a fleet that has a single leader: they never change."""
 
     def __init__(self, settings: Settings) -> None:
+        """Reads the teams of the settings."""
         self._teams = settings.teams
 
-    def of(self, team: str) -> Team | None:
+    def find_team(self, team: str) -> Team | None:
+        """The team as it stands in the settings."""
         return self._teams.get(team)
 
-    def begin(self, term: int) -> None:
-        pass
+    def begin_term(self, term: int) -> None:
+        """Nothing depends on the term."""
 
-    def end(self) -> None:
-        pass
+    def end_term(self) -> None:
+        """Nothing depends on the term."""
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -1,7 +1,8 @@
-"""What the leader's duties share for as long as a term lasts."""
+"""A leader's term: what its duties share for as long as the term lasts."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from ..lending.entitlement import NOTHING, Amounts, Guarantee
@@ -22,17 +23,20 @@
 
 
 class Fleet:
-    """The machines that the leader knows in this term, and the names of those proven gone."""
+    """The machines that the leader knows in this term, and the names of the terminated ones."""
 
     def __init__(self, runtime: Runtime, ledger: WriteAheadLog, zones: tuple[str, ...]) -> None:
-        self._runtime, self._ledger = runtime, ledger
+        """`zones`: those of the settings; machines may be in others."""
+        self._runtime = runtime
+        self._ledger = ledger
         self.machines: dict[str, Machine] = {}
         self.removed_machines: set[str] = set()
         self.changed_machines: dict[Machine, None] = {}
-        """Those whose room, images or use changed since the scheduler took this up."""
+        """Those whose free capacity, images or usability changed since the last scheduling pass."""
         self.zones = set(zones)
 
     def add_machine(self, name: str, machine_type: str, zone: str, spot: bool) -> Machine:
+        """Returns the machine of that name; creates it with its placements where it is new."""
         machine = self.machines.get(name)
         if machine is None:
             now = self._runtime.now()
@@ -40,53 +44,67 @@
                 name, machine_type, zone, spot, now, self.changed_machines
             )
             self.zones.add(zone)
-            for placed in self._ledger.state.placements_by_machine.get(name, {}).values():
-                machine.add_placement(placed)
+            for placement in self._ledger.state.placements_by_machine.get(name, {}).values():
+                machine.add_placement(placement)
         return machine
 
 
+@dataclass(frozen=True, kw_only=True)
+class LeaderContext:
+    """What a leader works with in all of its terms."""
+
+    runtime: Runtime
+    settings: Settings
+    policy: Policy
+    ledger: WriteAheadLog
+    cloud: Cloud
+    rng: random.Random
+    limits: TeamLimits
+
+
 class Term:
-    """One term of leading. Once over, `active` stays false, and late answers end there."""
+    """One term of a leader. Once it is over, `active` stays false, and late answers end there."""
 
     def __init__(
-        self,
-        number: int,
-        runtime: Runtime,
-        settings: Settings,
-        policy: Policy,
-        ledger: WriteAheadLog,
-        cloud: Cloud,
-        rng: random.Random,
-        machine_types: dict[str, wire.MachineType],
-        limits: TeamLimits,
+        self, number: int, context: LeaderContext, machine_types: dict[str, wire.MachineType]
     ) -> None:
-        self.number, self.runtime, self.settings, self.policy = number, runtime, settings, policy
-        self.ledger, self.cloud, self.rng, self.machine_types = ledger, cloud, rng, machine_types
-        self.limits = limits
+        """`number`: 0 while this controller does not lead; also the term's fencing token.
+
+        `machine_types`: those that an earlier term knew.
+        """
+        self.number = number
+        self.runtime = context.runtime
+        self.settings = context.settings
+        self.policy = context.policy
+        self.ledger = context.ledger
+        self.cloud = context.cloud
+        self.rng = context.rng
+        self.limits = context.limits
+        self.machine_types = machine_types
         self.active = False
         self.may_be_superseded = False
-        """Others may well lead by now: see `LeaderElection.isolated`."""
+        """Another controller may lead by now: see `LeaderElection.may_be_superseded`."""
         self.suspended = False
-        """The process stood still, and leadership was not confirmed since."""
+        """The process stood still, and leadership has not been confirmed since."""
         self.pause_count = 0
-        """How often the process stood still; what timed out across a pause proves nothing."""
-        self.began_at = runtime.now()
-        self.fleet = Fleet(runtime, ledger, settings.zones)
+        """How often the process stood still: what timed out across a pause proves nothing."""
+        self.began_at = context.runtime.now()
+        self.fleet = Fleet(context.runtime, context.ledger, context.settings.zones)
         self.request_pass: Callable[[], None] = lambda: None
-        """Asks for a pass of the scheduler."""
+        """Requests a scheduling pass."""
 
     def quota(self, team: str) -> Guarantee:
-        """A team's guarantee as it is now."""
-        return Guarantee.of(self.limits.of(team))
+        """A team's quota as it is now."""
+        return Guarantee.of(self.limits.find_team(team))
 
     def team_usage(self, team: str) -> Amounts:
-        """What a team's placements take, from their proposal until they are proven over."""
+        """The resources of a team's placements, from proposal until they are proven to be over."""
         usage = self.ledger.state.usage_by_team.get(team)
         return Amounts(usage.cores, usage.gpus) if usage is not None else NOTHING
 
     @property
     def may_act(self) -> bool:
-        """Whether it may rent, release, order, move and preempt."""
+        """Whether it may provision, terminate, send commands, move and preempt."""
         return self.active and not self.may_be_superseded and not self.suspended
 
 
@@ -94,7 +112,12 @@
     """One duty of the leader, for one term."""
 
     def __init__(self, term: Term) -> None:
+        """Gives the duty the term's collaborators as its own members."""
         super().__init__(term.runtime)
-        self.term, self.fleet = term, term.fleet
-        self.settings, self.policy = term.settings, term.policy
-        self.ledger, self.cloud, self.rng = term.ledger, term.cloud, term.rng
+        self.term = term
+        self.fleet = term.fleet
+        self.settings = term.settings
+        self.policy = term.policy
+        self.ledger = term.ledger
+        self.cloud = term.cloud
+        self.rng = term.rng
--- /dev/null
+++ b/flaxtally/leader/term_duties.py
@@ -0,0 +1,97 @@
+"""The duties of a leader, created and connected to each other for one term."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from .autoscaling.autoscaler import Autoscaler
+from .autoscaling.consolidation import Consolidation
+from .commands import CommandSender, CommandTransport
+from .gang_scheduling.gang_scheduler import GangScheduler
+from .jobs import JobRegistry
+from .reclaim.quota_reclaim import QuotaReclaim
+from .reconciliation.failure_attribution import FailureAttribution
+from .reconciliation.reconciler import Reconciler
+from .reconciliation.stragglers import Stragglers
+from .scheduling.scheduler import Scheduler
+
+if TYPE_CHECKING:
+    from ..lending.feature import LendingFeature
+    from .reclaim.loan_accounts import LoanAccounts
+    from .term import Term
+
+
+class TermDuties:
+    """All duties of one term. The leader creates the next term's when the term ends."""
+
+    def __init__(
+        self, term: Term, transport: CommandTransport, lending: LendingFeature | None
+    ) -> None:
+        """Connects the duties; none of them acts before the term becomes active.
+
+        `lending`: loans between teams are reclaimed; None: only ranks decide who is preempted.
+        """
+        self.term = term
+        self.commands = CommandSender(term, transport)
+        self.jobs = JobRegistry(term, self.commands)
+        self.stragglers = Stragglers(term, self.jobs, self.commands)
+        self.failure_attribution = FailureAttribution(term, self.jobs)
+        self.gang_scheduler = GangScheduler(term, self.jobs, self.commands)
+        self.reconciler = Reconciler(
+            term,
+            self.jobs,
+            self.commands,
+            self.stragglers,
+            self.failure_attribution,
+            self.gang_scheduler,
+        )
+        self.quota_reclaim = QuotaReclaim(
+            term, self.jobs, self.commands, self.gang_scheduler, lending
+        )
+        self.loan_accounts = self._create_loan_accounts(lending)
+        self.quota_reclaim.is_schedulable = self.reconciler.is_schedulable
+        self.scheduler = Scheduler(
+            term, self.jobs, self.reconciler, self.commands, self.gang_scheduler, self.quota_reclaim
+        )
+        self.autoscaler = Autoscaler(term, self.jobs, self.reconciler, self.commands)
+        self.quota_reclaim.is_in_backoff = self.autoscaler.is_in_backoff
+        self.consolidation = Consolidation(
+            term, self.jobs, self.reconciler, self.commands, self.autoscaler, self.scheduler
+        )
+
+    def _create_loan_accounts(self, lending: LendingFeature | None) -> LoanAccounts | None:
+        if lending is None:
+            return None
+        # Imported here: a controller without the feature does not load the module.
+        from .reclaim.loan_accounts import LoanAccounts
+
+        return LoanAccounts(self.term, self.jobs, self.quota_reclaim, lending.accounts_every_s)
+
+    def watch(self) -> None:
+        """The frequent checks, in order: what one proves, the later ones act on."""
+        self.reconciler.watch()
+        self.stragglers.watch()
+        self.gang_scheduler.watch()
+        self.quota_reclaim.watch()
+        self.consolidation.continue_moves(self.term.runtime.now())
+        self.reconciler.scale_in.flush()
+        self.scheduler.reconcile()
+        self.scheduler.wake()
+        # Compacting only as often as the fleet is planned fell behind where jobs are many and
+        # short.
+        self.term.ledger.compact()
+
+    def plan_fleet(self) -> None:
+        """Provisions and terminates machines; samples what the teams lend and borrow."""
+        self.autoscaler.scale(self.consolidation.consolidate)
+        if self.loan_accounts is not None:
+            self.loan_accounts.sample()
+
+    def list_machines(self) -> None:
+        """Compares the known machines with the cloud's list."""
+        self.reconciler.scale_in.list_machines()
+
+    def on_pause(self, lost_s: float) -> None:
+        """The process stood still for `lost_s`: what seems overdue since then may not be."""
+        self.reconciler.on_pause(lost_s)
+        self.stragglers.on_pause()
--- a/flaxtally/runtime/actor.py
+++ b/flaxtally/runtime/actor.py
@@ -1,4 +1,4 @@
-"""Actors: each owns its state and is spoken to by messages, one at a time, in order."""
+"""Actors: each owns its state, and handles one message at a time."""
 
 from __future__ import annotations
 
@@ -11,28 +11,27 @@
 
 
 class Actor:
-    """A message is a method's name and its arguments; `tell` returns before it is handled.
+    """Owns state that only its own methods change, called by the loop one after the other.
 
-    The loop handles one message at a time and logs what a handler raises, so a bad message
-    ends neither the actor nor the loop.
+    A message to an actor is a call of one of its methods through `Runtime.soon`. The loop logs
+    what a handler raises, so a bad message ends neither the actor nor the loop.
     """
 
     def __init__(self, runtime: Runtime) -> None:
+        """`runtime`: its loop calls this actor."""
         self.runtime = runtime
 
-    def tell(self, message: str, *args: Any) -> None:
-        self.runtime.soon(getattr(self, "on_" + message), *args)
+    def every(self, period_s: float, fn: Callable[[], None]) -> None:
+        """Calls `fn` at once and every `period_s`; an error in one call stops no later one."""
 
-    def every(self, period: float, fn: Callable[[], None]) -> None:
-        """Calls `fn` at once and every `period` seconds; a fault in one call stops no later one."""
-
-        def turn() -> None:
-            self.runtime.after(period, turn)
+        def call_and_repeat() -> None:
+            self.runtime.after(period_s, call_and_repeat)
             fn()
 
-        # Under its own name in logs and traces: which duty held up the loop?
-        turn.__qualname__ = getattr(fn, "__qualname__", turn.__qualname__)
-        self.runtime.soon(turn)
+        # Logs and traces name the duty that held up the loop, not this function.
+        call_and_repeat.__qualname__ = getattr(fn, "__qualname__", call_and_repeat.__qualname__)
+        self.runtime.soon(call_and_repeat)
 
-    def later(self, delay: float, fn: Callable[..., None], *args: Any) -> Timer:
-        return self.runtime.after(delay, fn, *args)
+    def later(self, delay_s: float, fn: Callable[..., None], *args: Any) -> Timer:
+        """Calls `fn` once, after `delay_s`."""
+        return self.runtime.after(delay_s, fn, *args)
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -110,7 +110,7 @@
 
     @property
     def gpus(self) -> float:
-        team = self.allotment.of("crew")
+        team = self.allotment.find_team("crew")
         assert team is not None
         return team.gpus_max
 
@@ -123,8 +123,8 @@
         self.sim = Simulation(1)
         self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE)
         self.north, self.south = Cell(self, "north", "10.0.0.1"), Cell(self, "south", "10.0.0.2")
-        self.north.allotment.begin(1)
-        self.south.allotment.begin(1)
+        self.north.allotment.begin_term(1)
+        self.south.allotment.begin_term(1)
 
     def run(self, seconds: float) -> None:
         """Plays; at every moment what both may use is within the limit."""
@@ -155,7 +155,7 @@
     world.run(3.0)
     assert world.north.gpus == 4.0
     world.state.down = True
-    world.north.allotment.begin(2)
+    world.north.allotment.begin_term(2)
     world.run(3.0)
     assert world.north.gpus < TOLERANCE, "a new term knows nothing of what its predecessor gave"
     world.state.down = False
@@ -211,7 +211,7 @@
     world = Shares()
     world.run(3.0)
     successor = Cell(world, "north", "10.0.0.3")
-    successor.allotment.begin(2)
+    successor.allotment.begin_term(2)
     world.run(0.6)
     assert world.state.rows[CLAIMS + "north"][0] == 2
     # The successor uses all of it; the former one, who knows of neither, has room to give.
@@ -252,7 +252,7 @@
     assert len(damaged) == 2, "one line a leader"
     assert SHARES + "other%20crew" in world.state.rows
     assert world.state.rows[SHARES + "crew"][0] == {"of": "everything"}
-    held = world.north.allotment.of("other crew")
+    held = world.north.allotment.find_team("other crew")
     assert held is not None
     assert held.cores_max == 5.0
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -35,7 +35,7 @@
         )
         world.after(22.0 + number, world.cancel, f"j-{number:06d}", number)
     world.run(24)
-    assert any(node.leader.jobs.queue.pending_jobs() for node in world.nodes.values())
+    assert any(node.leader.duties.jobs.queue.pending_jobs() for node in world.nodes.values())
     world.run(37)
     ends_well(world, 200)
 
@@ -520,7 +520,7 @@
         )
         world.submit(job, run_time=300.0, node=number)
     world.run(30)
-    assert any(node.leader.jobs.queue.pending_jobs() for node in world.nodes.values())
+    assert any(node.leader.duties.jobs.queue.pending_jobs() for node in world.nodes.values())
     world.calm(150)
 
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -332,7 +332,7 @@
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
-    tracker = world.nodes[world.leader() or ""].leader.reconciler
+    tracker = world.nodes[world.leader() or ""].leader.duties.reconciler
     asked: list[tuple[float, Callable[[object], None]]] = []
     tracker.cloud.list_machines = lambda done: asked.append((world.sim.time, done))
     world.run(30.0)
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -44,7 +44,7 @@
 
 
 def lending_of(world: SimulatedCluster) -> QuotaReclaim:
-    return world.nodes[leader_of(world)].leader.quota_reclaim
+    return world.nodes[leader_of(world)].leader.duties.quota_reclaim
 
 
 def returns(world: SimulatedLendingCluster, tasks: int = 8, node: int = 1) -> float:
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -59,7 +59,7 @@
     leader = world.leader()
     assert leader
     node = world.nodes[leader]
-    node.leader.commands._send_batch = lambda *_: None  # type: ignore[method-assign]  the orders never leave
+    node.leader.duties.commands._send_batch = lambda *_: None  # type: ignore[method-assign]  the orders never leave
     world.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
     assert world.until(lambda: "j-000050" in world.accepted, 5)
     world.run(0.5)
@@ -333,12 +333,12 @@
     name = world.cloud.add("g8", "a", False, boot=0.5)
     world.run(5)
     leader = world.nodes[world.leader() or ""].leader
-    carry = leader._carrier.send
+    carry = leader._transport.send
 
     def deaf(server, machine, address, body, done):  # type: ignore[no-untyped-def]
         carry(server, machine, address, body, lambda *_: done(0, b""))
 
-    leader._carrier.send = deaf  # type: ignore[method-assign]
+    leader._transport.send = deaf  # type: ignore[method-assign]
     world.submit(batch("j-000001", 2), run_time=3.0)
     world.run(15)
     assert world.ask("j-000001")[1]["stage"] == "done"
@@ -753,9 +753,9 @@
     jobs = [leader.state.jobs_by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
     began = jobs[0].accepted_at
     # At 14 s: the first can keep three times its deadline until 18 s, the third until 24 s.
-    order = sorted(jobs, key=lambda job: leader.jobs.queue.urgency(job, began + 14.0))
+    order = sorted(jobs, key=lambda job: leader.duties.jobs.queue.urgency(job, began + 14.0))
     assert [job.spec.ref for job in order] == ["j-000002", "j-000001", "j-000003"]
-    order = sorted(jobs, key=lambda job: leader.jobs.queue.urgency(job, began + 20.0))
+    order = sorted(jobs, key=lambda job: leader.duties.jobs.queue.urgency(job, began + 20.0))
     assert [job.spec.ref for job in order] == ["j-000002", "j-000003", "j-000001"]
 
 
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -67,7 +67,7 @@
         "ledger.leadership_barrier:LeadershipBarrier._ask",
     ],
     "cleaning": ["ledger.write_ahead_log:WriteAheadLog.compact"],
-    "replay": ["ledger.write_ahead_log:WriteAheadLog.replay", "leader.leader:Leader._ready"],
+    "replay": ["ledger.write_ahead_log:WriteAheadLog.replay", "leader.leader:Leader._on_replayed"],
     "orders": [
         "leader.commands:CommandSender._send",
         "api.heartbeat_endpoint:HeartbeatEndpoint.order",
