--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -11,6 +11,7 @@
 from ...gangs.lifecycle import Phase, Situation, Step, Times, next_step, phase_of, situation_of
 from ...ledger import cluster_state as records
 from ...protocol import formats, wire
+from ..reconciliation.attempt_finisher import EndReason
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
@@ -71,7 +72,7 @@
         self._attempts: dict[int, _Attempt] = {}
         self._no_room: dict[int, float] = {}
         """Gangs for which there was no room, and when to look again."""
-        self.finish_attempt: Callable[[Placement, str], None] = lambda *_: None
+        self.finish_attempt: Callable[[Placement, EndReason], None] = lambda *_: None
         """Says that a placement is proven over. The tracker, which owns the proofs, sets it."""
 
     # Placing
@@ -175,7 +176,7 @@
             return
         # A machine was released meanwhile, or it was called off: nothing of it was launched.
         for each in left:
-            self.finish_attempt(each, "withdrawn before launch")
+            self.finish_attempt(each, EndReason.WITHDRAWN_BEFORE_LAUNCH)
         self.evaluate(job)
 
     # What happens to an attempt
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -179,11 +179,11 @@
 
     def handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
         """A machine's heartbeat, received by the controller `server`."""
-        self.duties.reconciler.handle_heartbeat(server, heartbeat)
+        self.duties.heartbeat_handler.handle_heartbeat(server, heartbeat)
 
     def handle_liveness(self, server: str, machines: list[str]) -> None:
         """Machines that sent heartbeats to the controller `server` lately."""
-        self.duties.reconciler.handle_liveness(server, machines)
+        self.duties.heartbeat_handler.handle_liveness(server, machines)
 
     # Periodic duties
 
@@ -208,17 +208,17 @@
         """
         if not self.term.active:
             return False
-        may_be_superseded = self._election.may_be_superseded
-        if may_be_superseded != self.term.may_be_superseded:
-            self._on_supersession_changed(may_be_superseded)
+        if self._election.may_be_superseded != self.term.may_be_superseded:
+            self._update_supersession()
         return self.term.may_act
 
-    def _on_supersession_changed(self, may_be_superseded: bool) -> None:
+    def _update_supersession(self) -> None:
+        may_be_superseded = self._election.may_be_superseded
         self.term.may_be_superseded = may_be_superseded
         event = "supersession_possible" if may_be_superseded else "supersession_ruled_out"
         log.info("event=%s term=%d", event, self.term.number)
         if not may_be_superseded:
-            self.duties.reconciler.reset_silence()
+            self.duties.machine_monitor.reset_silence()
             self.term.request_pass()
 
     def _raise_format(self) -> None:
--- /dev/null
+++ b/flaxtally/leader/reconciliation/attempt_finisher.py
@@ -0,0 +1,106 @@
+"""Ends attempts: the record, the freed capacity, and whoever waits for the end."""
+
+from __future__ import annotations
+
+import logging
+from enum import Enum
+from functools import partial
+from typing import TYPE_CHECKING
+
+from ...ledger import cluster_state as records
+from ...protocol import wire
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job, Placement
+    from ..commands import CommandSender
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..jobs import JobRegistry
+    from .failure_attribution import FailureAttribution
+
+log = logging.getLogger(__name__)
+
+
+class EndReason(Enum):
+    """What proves that an attempt is over. The values are the words of the log."""
+
+    EXITED = "exited"
+    """Its machine reported the task's exit; the exit's cause is logged in place of this word."""
+    ABSENT = "absent"
+    """Its machine reported without the task, which an earlier leader had placed there."""
+    NEW_INCARNATION = "session"
+    """The agent on its machine began anew, and the task is not among those it runs."""
+    NEVER_LAUNCHED = "never launched"
+    """The attempt was called off, and no copy of its launch command can still arrive."""
+    CANCELLED_BEFORE_LAUNCH = "cancelled before launch"
+    WITHDRAWN_BEFORE_LAUNCH = "withdrawn before launch"
+    MACHINE_REMOVED = "machine released"
+
+
+class AttemptFinisher(TermActor):
+    """The only one that declares an attempt to be over, once that is proven."""
+
+    def __init__(
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        commands: CommandSender,
+        failure_attribution: FailureAttribution,
+        gang_scheduler: GangScheduler,
+    ) -> None:
+        """All of these hear of an attempt's end."""
+        super().__init__(term)
+        self._jobs = jobs
+        self._commands = commands
+        self._failure_attribution = failure_attribution
+        self._gang_scheduler = gang_scheduler
+
+    def finish_attempt(self, placement: Placement, reason: EndReason, exit_cause: str = "") -> None:
+        """Proposes the record of the attempt's end, and frees its place.
+
+        `exit_cause`: what the machine reported, for `EndReason.EXITED`.
+        """
+        job = placement.job
+        is_done = exit_cause == wire.CAUSE_DONE
+        reason_text = exit_cause or reason.value
+        self._log_end(placement, reason_text)
+        self.ledger.propose(
+            [records.ENDED, job.number, placement.task, placement.attempt, is_done],
+            partial(self._on_end_committed, placement),
+        )
+        self._commands.forget_stopping(placement)
+        job.uncommitted_ends += 1
+        machine = self.fleet.machines.get(placement.machine)
+        if machine is not None:
+            machine.remove_placement(placement, self.runtime.now())
+        self._update_job(job, is_done=is_done)
+        if job.spec.job_kind == wire.GANG:
+            self._gang_scheduler.on_task_ended(placement, is_done, reason_text)
+        self.term.request_pass()
+
+    def _update_job(self, job: Job, *, is_done: bool) -> None:
+        """Forgets the job if this was its last attempt, or queues the task again."""
+        if job.is_terminal and not job.placements:
+            self._jobs.live_jobs.pop(job.number, None)
+            self._failure_attribution.forget_failures(job)
+        elif not is_done:
+            self._jobs.queue.requeue(job)
+
+    def _on_end_committed(self, placement: Placement) -> None:
+        job = placement.job
+        placement.is_committed = False
+        job.uncommitted_ends -= 1
+        if job.is_done and not job.reported_stage:
+            job.reported_stage = wire.DONE
+            log.info("event=job_done term=%d job=%s", self.term.number, job.spec.ref)
+        self._jobs.conclude_job(job)
+
+    def _log_end(self, placement: Placement, reason_text: str) -> None:
+        log.debug(
+            "event=attempt_finished term=%d task=%s attempt=%d machine=%s why=%s",
+            self.term.number,
+            placement.name,
+            placement.attempt,
+            placement.machine,
+            reason_text,
+        )
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -1,4 +1,4 @@
-"""Whose fault is a failed task: the machine's, or that of a job submitted with a mistake?"""
+"""Whether a task's failure is the fault of its machine or of its job."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 log = logging.getLogger(__name__)
 
-FAULTY_AFTER = 2
+QUARANTINE_AFTER_JOBS = 2
 """Jobs that fail on one machine."""
-SUSPECT_AFTER = 2
+SUSPECT_AFTER_MACHINES = 2
 """Machines on which a job fails with nothing done."""
-LONGEST_BACKOFF = 64
-"""Times `retry`: the backoff doubles up to here."""
+MAX_BACKOFF_FACTOR = 64
+"""Times `retry`: the backoff of a failing job doubles up to here."""
 
 
-class _Record:
-    """What is known of a job's failures."""
+class _JobFailures:
+    """The failures of one job's tasks."""
 
     __slots__ = ("machines", "rounds")
 
@@ -33,85 +33,98 @@
 
 
 class FailureAttribution(TermActor):
-    """Owns the failures by job, and decides which machines are faulty.
+    """Owns the failures by job, and decides which machines are quarantined.
 
     A job that fails on several machines and has nothing done was likely submitted with a mistake:
-    the machines are cleared of it, one of its tasks at a time is tried, and it rents nothing. A
-    machine on which several other jobs fail is faulty.
+    its failures no longer count against the machines, one of its tasks at a time is tried, and no
+    machine is provisioned for it. A machine on which several other jobs fail is quarantined.
     """
 
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
+        """`jobs` holds the backoffs and the suspects, which scheduling reads."""
         super().__init__(term)
-        self.jobs = jobs
-        self._records: dict[int, _Record] = {}
+        self._jobs = jobs
+        self._failures: dict[int, _JobFailures] = {}
 
-    def failed(self, job: Job, machine: Machine) -> None:
+    def record_failure(self, job: Job, machine: Machine) -> None:
         """A task of the job failed on the machine."""
-        record = self._records.setdefault(job.number, _Record())
-        record.machines.add(machine.name)
-        if self.jobs.backoff.get(job.number, 0.0) <= self.runtime.now():
-            # Tasks that fail together are one round.
-            record.rounds += 1
-            wait = self.policy.retry * min(2**record.rounds, LONGEST_BACKOFF)
-            self.jobs.backoff[job.number] = self.runtime.now() + wait
-            log.info(
-                "event=task_error term=%d job=%s machine=%s round=%d",
-                self.term.number,
-                job.spec.ref,
-                machine.name,
-                record.rounds,
-            )
-        if len(record.machines) >= SUSPECT_AFTER and not job.done_tasks:
-            self.jobs.suspects.add(job.number)
-            self._clear_of(job, record)
+        failures = self._failures.setdefault(job.number, _JobFailures())
+        failures.machines.add(machine.name)
+        if self._jobs.backoff.get(job.number, 0.0) <= self.runtime.now():
+            # Tasks that fail together count as one round.
+            self._back_off(job, machine, failures)
+        if len(failures.machines) >= SUSPECT_AFTER_MACHINES and not job.done_tasks:
+            self._jobs.suspects.add(job.number)
+            self._acquit_machines(job, failures)
         else:
-            self._blame(job, machine)
+            self._blame_machine(job, machine)
 
-    def forget(self, job: Job) -> None:
-        """The job is over, or a task that ended with its result or runs for long acquits it."""
-        self._records.pop(job.number, None)
-        self.jobs.suspects.discard(job.number)
+    def forget_failures(self, job: Job) -> None:
+        """The job is over, or a task that succeeded or runs for long shows that it is sound."""
+        self._failures.pop(job.number, None)
+        self._jobs.suspects.discard(job.number)
 
-    def clear(self, machine: Machine) -> None:
+    def lift_quarantine(self, machine: Machine) -> None:
         """The machine gets another chance."""
-        log.info("event=machine_cleared term=%d machine=%s", self.term.number, machine.name)
+        log.info("event=quarantine_lifted term=%d machine=%s", self.term.number, machine.name)
         machine.quarantined_until = None
         machine.is_cordoned = machine.preempted_by_cloud_at is not None
         machine.failed_jobs.clear()
         machine.mark_changed()
         self.term.request_pass()
 
-    def watch(self) -> None:
+    def acquit_suspects(self) -> None:
         """Acquits suspects whose task has run for longer than a mistake takes to show."""
-        now = self.runtime.now()
-        for no in list(self.jobs.suspects):
-            job = self.jobs.live_jobs.get(no)
+        for number in list(self._jobs.suspects):
+            job = self._jobs.live_jobs.get(number)
             if job is None:
-                self.jobs.suspects.discard(no)
-            elif any(
-                placed.started_at is not None and now - placed.started_at > self.policy.settle
-                for placed in job.placements.values()
-            ):
-                self.forget(job)
-
-    def _blame(self, job: Job, machine: Machine) -> None:
+                self._jobs.suspects.discard(number)
+            elif self._has_long_running_task(job):
+                self.forget_failures(job)
+
+    def _has_long_running_task(self, job: Job) -> bool:
+        now = self.runtime.now()
+        return any(
+            placement.started_at is not None and now - placement.started_at > self.policy.settle
+            for placement in job.placements.values()
+        )
+
+    def _back_off(self, job: Job, machine: Machine, failures: _JobFailures) -> None:
+        failures.rounds += 1
+        backoff_s = self.policy.retry * min(2**failures.rounds, MAX_BACKOFF_FACTOR)
+        self._jobs.backoff[job.number] = self.runtime.now() + backoff_s
+        log.info(
+            "event=task_failed term=%d job=%s machine=%s round=%d",
+            self.term.number,
+            job.spec.ref,
+            machine.name,
+            failures.rounds,
+        )
+
+    def _blame_machine(self, job: Job, machine: Machine) -> None:
         machine.failed_jobs.add(job.spec.ref)
-        if len(machine.failed_jobs) < FAULTY_AFTER or machine.is_cordoned:
-            return
-        log.info("event=machine_faulty term=%d machine=%s", self.term.number, machine.name)
-        # Some are for a spell only: looked at again soon, then less often; no job may wait 90 s
-        # beside it.
-        rest = min(self.policy.faulty_rest * 2**machine.quarantine_count, self.policy.keep_patience)
-        machine.is_cordoned, machine.quarantined_until = True, self.runtime.now() + rest
+        if len(machine.failed_jobs) >= QUARANTINE_AFTER_JOBS and not machine.is_cordoned:
+            self._quarantine(machine)
+
+    def _quarantine(self, machine: Machine) -> None:
+        log.info("event=machine_quarantined term=%d machine=%s", self.term.number, machine.name)
+        # Some faults pass: the first quarantine is short, later ones longer. No job may have to
+        # wait 90 s beside an idle machine.
+        quarantine_s = min(
+            self.policy.faulty_rest * 2**machine.quarantine_count, self.policy.keep_patience
+        )
+        machine.is_cordoned = True
+        machine.quarantined_until = self.runtime.now() + quarantine_s
         machine.mark_changed()
         machine.quarantine_count += 1
 
-    def _clear_of(self, job: Job, record: _Record) -> None:
-        """Takes the job's failures off the machines on which it failed."""
-        for name in record.machines:
+    def _acquit_machines(self, job: Job, failures: _JobFailures) -> None:
+        """The job's failures no longer count against the machines on which it failed."""
+        for name in failures.machines:
             machine = self.fleet.machines.get(name)
             if machine is None:
                 continue
             machine.failed_jobs.discard(job.spec.ref)
-            if machine.quarantined_until is not None and len(machine.failed_jobs) < FAULTY_AFTER:
-                self.clear(machine)
+            is_acquitted = len(machine.failed_jobs) < QUARANTINE_AFTER_JOBS
+            if machine.quarantined_until is not None and is_acquitted:
+                self.lift_quarantine(machine)
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -1,4 +1,4 @@
-"""Questions to machines that are silent, and zones that are silent as a whole."""
+"""Health checks: probes of silent machines, and zones that are silent as a whole."""
 
 from __future__ import annotations
 
@@ -13,62 +13,97 @@
     from ..commands import CommandSender
 
 PROBING_SHARE = 0.5
-"""Of the connections for calls to workers: when a zone is silent, orders to the others go on."""
+"""Of the connections for calls to workers: commands to others go on while a zone is silent."""
+MIN_SILENT_MACHINES = 3
+"""For a zone to count as silent."""
+
+
+class _ZoneCount:
+    """How many machines of a zone are up, and how many of these are silent."""
+
+    __slots__ = ("silent", "up")
+
+    def __init__(self) -> None:
+        self.up = 0
+        self.silent = 0
+
+    @property
+    def is_mostly_silent(self) -> bool:
+        return self.silent >= MIN_SILENT_MACHINES and self.silent * 2 > self.up
 
 
 class HealthChecks(TermActor):
     """Owns the probes under way."""
 
-    def __init__(self, term: Term, orders: CommandSender) -> None:
+    def __init__(self, term: Term, commands: CommandSender) -> None:
+        """`commands` reads the status that a probe's answer carries."""
         super().__init__(term)
-        self.commands = orders
-        self._probing = 0
+        self._commands = commands
+        self._probed_machine_count = 0
         """Machines that are being probed."""
-        self._most_probed = max(1, int(self.settings.max_sockets * CALLED_SHARE * PROBING_SHARE))
+        called_sockets = self.settings.max_sockets * CALLED_SHARE
+        self._max_probed_machines = max(1, int(called_sockets * PROBING_SHARE))
         self._zone_silent_until: dict[str, float] = {}
 
-    def silent_zones(self, now: float) -> set[str]:
+    def find_silent_zones(self, now: float) -> set[str]:
         """Zones in which most machines fell silent together.
 
-        That is the network or a controller, and the machines are likely well.
+        The likely cause is the network or a controller, while the machines are well.
         """
-        counts: dict[str, list[int]] = {}
-        for machine in self.fleet.machines.values():
-            if not machine.is_booting and not machine.is_terminating:
-                count = counts.setdefault(machine.zone, [0, 0])
-                count[0] += 1
-                count[1] += now - machine.last_heartbeat_at > self.policy.machine_suspect
-        for zone, (up, silent) in counts.items():
-            if silent >= 3 and silent * 2 > up:
-                # Not over as soon as half of them report again: the others are then on their way.
+        for zone, count in self._count_machines(now).items():
+            if count.is_mostly_silent:
+                # It lasts beyond the return of half of the machines: the others are to follow.
                 self._zone_silent_until[zone] = now + self.policy.machine_silence
         return {zone for zone, until in self._zone_silent_until.items() if until > now}
 
-    def probe(self, machine: Machine) -> None:
+    def _count_machines(self, now: float) -> dict[str, _ZoneCount]:
+        counts: dict[str, _ZoneCount] = {}
+        for machine in self.fleet.machines.values():
+            if machine.is_booting or machine.is_terminating:
+                continue
+            count = counts.get(machine.zone)
+            if count is None:
+                count = counts[machine.zone] = _ZoneCount()
+            count.up += 1
+            if now - machine.last_heartbeat_at > self.policy.machine_suspect:
+                count.silent += 1
+        return counts
+
+    def probe_machine(self, machine: Machine) -> None:
         """Asks the machine directly and through another controller, at the same time.
 
-        One answer is enough. Where neither comes, it is not just this controller that is cut off.
-        Nothing happens while it is being probed, or too many others are.
+        One answer is enough; without any, more than this controller is cut off from the machine.
+        Nothing is sent while the machine, or too many others, are being probed.
         """
-        if machine.open_probes or not machine.address or self._probing >= self._most_probed:
+        if machine.open_probes or not machine.address:
             return
+        if self._probed_machine_count >= self._max_probed_machines:
+            return
+        servers = self._choose_servers(machine)
+        machine.open_probes = len(servers)
+        self._probed_machine_count += 1
+        transport = self._commands.transport
+        pause_count = self.term.pause_count
+        for server in servers:
+            on_reply = partial(self._on_probe_reply, machine, pause_count, server)
+            transport.send(server, machine.name, machine.address, None, on_reply)
+
+    def _choose_servers(self, machine: Machine) -> list[str]:
+        """The controllers that probe: this one, and the others in turn."""
         servers = [self.settings.node]
-        others = self.commands.transport.other_controllers(machine.zone)
+        others = self._commands.transport.other_controllers(machine.zone)
         if others:
             servers.append(others[machine.failed_probes // 2 % len(others)])
-        pauses = self.term.pause_count
+        return servers
 
-        def told(server: str, status: int, body: bytes) -> None:
-            machine.open_probes -= 1
-            self._probing -= not machine.open_probes
-            if status == 200:
-                machine.failed_probes = 0
-                self.commands.handle_reply(server, body)
-            elif pauses == self.term.pause_count:
-                machine.failed_probes += 1
-
-        machine.open_probes = len(servers)
-        self._probing += 1
-        for server in servers:
-            done = partial(told, server)
-            self.commands.transport.send(server, machine.name, machine.address, None, done)
+    def _on_probe_reply(
+        self, machine: Machine, pause_count: int, server: str, status: int, body: bytes
+    ) -> None:
+        machine.open_probes -= 1
+        if not machine.open_probes:
+            self._probed_machine_count -= 1
+        if status == 200:
+            machine.failed_probes = 0
+            self._commands.handle_reply(server, body)
+        elif pause_count == self.term.pause_count:
+            machine.failed_probes += 1
--- /dev/null
+++ b/flaxtally/leader/reconciliation/orphans.py
@@ -0,0 +1,63 @@
+"""Orphaned tasks: those that a machine reports and the log does not place there."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from ...protocol import wire
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Placement
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+
+log = logging.getLogger(__name__)
+
+
+class OrphanedTasks(TermActor):
+    """Stops orphaned tasks, and has machines forget exited ones once that is safe."""
+
+    def __init__(self, term: Term, commands: CommandSender) -> None:
+        """`commands`: how stops and permissions to forget reach the machine."""
+        super().__init__(term)
+        self._commands = commands
+        self._exits: dict[str, dict[tuple[str, int], Placement]] = {}
+        """Placements whose exit was reported, by machine, then by task and attempt."""
+
+    def record_exit(self, machine: Machine, placement: Placement) -> None:
+        """The machine reported the attempt's exit, and lists the task until it may forget it."""
+        self._exits.setdefault(machine.name, {})[placement.name, placement.attempt] = placement
+
+    def forget_machine(self, machine: Machine) -> None:
+        """The machine was removed."""
+        self._exits.pop(machine.name, None)
+
+    def handle_orphan(self, machine: Machine, task: wire.TaskStatus) -> None:
+        """The machine reported a task that the log does not place there."""
+        if task.state != wire.EXITED:
+            self._stop_orphan(machine, task)
+        elif self._can_forget(machine, task):
+            self._commands.enqueue(machine, wire.forget(task.task, task.attempt), None)
+
+    def _stop_orphan(self, machine: Machine, task: wire.TaskStatus) -> None:
+        log.warning(
+            "event=orphan_stop_sent term=%d task=%s attempt=%d machine=%s",
+            self.term.number,
+            task.task,
+            task.attempt,
+            machine.name,
+        )
+        self._commands.enqueue(machine, wire.stop(task.task, task.attempt, 0.0), None)
+
+    def _can_forget(self, machine: Machine, task: wire.TaskStatus) -> bool:
+        """Whether no copy of the task's launch can still arrive: one would start it again."""
+        exits = self._exits.get(machine.name, {})
+        placement = exits.get((task.task, task.attempt))
+        if placement is None:
+            return True
+        if placement.launches_in_flight or placement.is_committed:
+            return False
+        del exits[task.task, task.attempt]
+        return True
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -1,4 +1,4 @@
-"""Finds slow machines by comparing the run times of tasks of the same job."""
+"""Finds slow machines: those whose tasks run longer than others of the same job."""
 
 from __future__ import annotations
 
@@ -17,130 +17,160 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_ENDED = 6
-MOST_KEPT = 64
+MIN_SAMPLES = 6
+"""Ended tasks of a job without which its run times tell nothing."""
+MAX_SAMPLES = 64
+"""Run times that are remembered of a job."""
+MIN_LATE_TASKS = 2
+"""Late tasks that make a machine slow; a single one must be very late."""
 
-Task = tuple[int, int, int]
+Attempt = tuple[int, int, int]
+"""The numbers of a job, of its task and of the task's attempt."""
 
 
 class Stragglers(TermActor):
-    """Owns the lengths of ended tasks by job, and which tasks of a machine took, or take, too long.
+    """Owns the run times of ended tasks by job, and the late tasks by machine.
 
-    Tasks of one job differ by half among themselves, and sound machines by a tenth. So one task
-    that takes a little too long proves nothing; two on one machine, or one that takes very long,
-    do. Such a machine gets no batch tasks for a while and is not counted as room; what can be saved
-    there goes on elsewhere.
+    Run times within a job differ by half, and sound machines by a tenth. So a single task that is
+    a little late proves nothing; two on one machine do, or one that is very late. A slow machine
+    gets no batch tasks for a while and does not count as free capacity; its tasks that can write a
+    checkpoint go on elsewhere.
     """
 
-    def __init__(self, term: Term, jobs: JobRegistry, orders: CommandSender) -> None:
+    def __init__(self, term: Term, jobs: JobRegistry, commands: CommandSender) -> None:
+        """`commands` stops tasks of slow machines that can write a checkpoint."""
         super().__init__(term)
-        self.jobs, self.commands = jobs, orders
-        self._lengths: dict[int, list[float]] = {}
-        self._late: dict[str, set[Task]] = {}
-        self._slow: dict[str, float] = {}
-        self._blind_until = float("-inf")
-        """Until then run times can't be told: the ends of tasks were reported during a pause."""
+        self._jobs = jobs
+        self._commands = commands
+        self._run_times_s: dict[int, list[float]] = {}
+        """By job, ascending."""
+        self._late_attempts: dict[str, set[Attempt]] = {}
+        self._slow_until: dict[str, float] = {}
+        self._ignore_ends_until = float("-inf")
+        """Until then run times are unknown: the ends of tasks were reported during a pause."""
 
     def on_pause(self) -> None:
-        """The process stood still: what ended meanwhile is heard of late."""
-        self._blind_until = self.runtime.now() + 2 * self.policy.machine_suspect
+        """The process stood still: ends of tasks during the pause are seen late."""
+        self._ignore_ends_until = self.runtime.now() + 2 * self.policy.machine_suspect
 
-    def on_task_done(self, machine: Machine, placed: Placement) -> None:
-        """A task ended with its result."""
+    def on_task_done(self, machine: Machine, placement: Placement) -> None:
+        """A task succeeded."""
+        now = self.runtime.now()
         if (
-            placed.job.spec.job_kind != wire.ARRAY
-            or placed.started_at is None
-            or placed.is_inherited
+            placement.job.spec.job_kind != wire.ARRAY
+            or placement.started_at is None
+            or placement.is_inherited
+            or now < self._ignore_ends_until
         ):
             return
-        if self.runtime.now() < self._blind_until:
-            return
-        usual, length = self._usual(placed.job), self.runtime.now() - placed.started_at
-        if placed.attempt == 1:
-            # Later attempts may have gone on from a checkpoint.
-            lengths = self._lengths.setdefault(placed.job.number, [])
-            insort(lengths, length)
-            if len(lengths) > MOST_KEPT:
-                del lengths[:: MOST_KEPT // 2]
-        if not usual:
+        usual_s = self._usual_run_time_s(placement.job)
+        run_time_s = now - placement.started_at
+        # Later attempts may have resumed from a checkpoint.
+        is_first_attempt = placement.attempt == 1
+        if is_first_attempt:
+            self._record_run_time(placement.job, run_time_s)
+        if not usual_s:
             return
-        if length > self.policy.late * usual:
-            self._note(machine, placed, length / usual)
-        elif placed.attempt == 1 and length > usual / self.policy.late:
-            # As long as it should be: what took longer here was chance.
-            self._clear(machine.name)
-
-    def watch(self) -> None:
-        """Finds tasks that run for too long already, and ends the rests that are over."""
+        if run_time_s > self.policy.late * usual_s:
+            self._record_late_task(machine, placement, run_time_s / usual_s)
+        elif is_first_attempt and run_time_s > usual_s / self.policy.late:
+            # As long as it should be: what ran longer on this machine did so by chance.
+            self._clear_machine(machine.name)
+
+    def check_running_tasks(self) -> None:
+        """Finds running tasks that are late already; clears machines whose time is over."""
         now = self.runtime.now()
-        for name, until in list(self._slow.items()):
+        for name, until in list(self._slow_until.items()):
             if now > until:
-                self._clear(name)
-        if now < self._blind_until:
+                self._clear_machine(name)
+        if now < self._ignore_ends_until:
             return
-        for job in list(self.jobs.live_jobs.values()):
-            usual = self._usual(job)
-            if not usual:
+        for job in list(self._jobs.live_jobs.values()):
+            usual_s = self._usual_run_time_s(job)
+            if usual_s:
+                self._check_tasks_of(job, usual_s, now)
+        self._forget_ended()
+
+    def _check_tasks_of(self, job: Job, usual_s: float, now: float) -> None:
+        for placement in list(job.placements.values()):
+            if (
+                placement.started_at is None
+                or placement.state != wire.RUNNING
+                or placement.stopping_at is not None
+            ):
                 continue
-            for placed in list(job.placements.values()):
-                if (
-                    placed.started_at is None
-                    or placed.state != wire.RUNNING
-                    or placed.stopping_at is not None
-                ):
-                    continue
-                ratio = (now - placed.started_at) / usual
-                machine = self.fleet.machines.get(placed.machine)
-                if ratio > self.policy.late and machine is not None:
-                    self._note(machine, placed, ratio)
-        self._lengths = {
-            no: lengths for no, lengths in self._lengths.items() if no in self.jobs.live_jobs
+            ratio = (now - placement.started_at) / usual_s
+            machine = self.fleet.machines.get(placement.machine)
+            if ratio > self.policy.late and machine is not None:
+                self._record_late_task(machine, placement, ratio)
+
+    def _forget_ended(self) -> None:
+        """Jobs that are over, and machines that are gone."""
+        self._run_times_s = {
+            number: run_times_s
+            for number, run_times_s in self._run_times_s.items()
+            if number in self._jobs.live_jobs
         }
-        self._late = {
-            name: tasks for name, tasks in self._late.items() if name in self.fleet.machines
+        self._late_attempts = {
+            name: attempts
+            for name, attempts in self._late_attempts.items()
+            if name in self.fleet.machines
         }
 
-    def _usual(self, job: Job) -> float:
-        """The middle length of the job's tasks; 0 while too few have ended to tell.
+    def _record_run_time(self, job: Job, run_time_s: float) -> None:
+        run_times_s = self._run_times_s.setdefault(job.number, [])
+        insort(run_times_s, run_time_s)
+        if len(run_times_s) > MAX_SAMPLES:
+            # Thinned out evenly, so that the median stays where it is.
+            del run_times_s[:: MAX_SAMPLES // 2]
 
-        Those that ended first are the short ones: tasks that still run count as longer than these.
+    def _usual_run_time_s(self, job: Job) -> float:
+        """The median run time of the job's tasks; 0 while too few have ended to tell.
+
+        The first to end are the short ones: tasks that still run count as longer than these.
         """
-        lengths = self._lengths.get(job.number, ())
-        if len(lengths) < LEAST_ENDED:
+        run_times_s = self._run_times_s.get(job.number, ())
+        if len(run_times_s) < MIN_SAMPLES:
             return 0.0
-        ended = len(job.done_tasks)
-        middle = int(len(lengths) * (ended + len(job.placements)) / (2 * max(1, ended)))
-        return lengths[middle] if middle < len(lengths) else 0.0
-
-    def _note(self, machine: Machine, placed: Placement, ratio: float) -> None:
-        late = self._late.setdefault(machine.name, set())
-        late.add((placed.job.number, placed.task, placed.attempt))
-        if machine.name in self._slow or (len(late) < 2 and ratio < self.policy.very_late):
+        done_count = len(job.done_tasks)
+        seen_count = done_count + len(job.placements)
+        median = int(len(run_times_s) * seen_count / (2 * max(1, done_count)))
+        return run_times_s[median] if median < len(run_times_s) else 0.0
+
+    def _record_late_task(self, machine: Machine, placement: Placement, ratio: float) -> None:
+        """`ratio`: of the task's run time to the usual one."""
+        late_attempts = self._late_attempts.setdefault(machine.name, set())
+        late_attempts.add((placement.job.number, placement.task, placement.attempt))
+        if machine.name in self._slow_until:
             return
+        if len(late_attempts) >= MIN_LATE_TASKS or ratio >= self.policy.very_late:
+            self._mark_slow(machine, len(late_attempts), ratio)
+
+    def _mark_slow(self, machine: Machine, late_count: int, ratio: float) -> None:
         log.info(
             "event=machine_slow term=%d machine=%s type=%s late=%d ratio=%.1f",
             self.term.number,
             machine.name,
             machine.machine_type,
-            len(late),
+            late_count,
             ratio,
         )
-        self._slow[machine.name] = self.runtime.now() + self.policy.slow_rest
+        self._slow_until[machine.name] = self.runtime.now() + self.policy.slow_rest
         machine.is_slow = True
         machine.mark_changed()
-        for other in machine.placements.values():
-            spec = other.job.spec
-            saves = (
+        for placement in machine.placements.values():
+            spec = placement.job.spec
+            can_save = (
                 spec.job_kind == wire.ARRAY
                 and spec.checkpoint_interval_s
-                and other.state == wire.RUNNING
+                and placement.state == wire.RUNNING
             )
-            if saves and other.stopping_at is None:
-                self.commands.stop_task(other, spec.checkpoint_save_s)
+            if can_save and placement.stopping_at is None:
+                self._commands.stop_task(placement, spec.checkpoint_save_s)
 
-    def _clear(self, name: str) -> None:
-        self._slow.pop(name, None)
-        self._late.pop(name, None)
+    def _clear_machine(self, name: str) -> None:
+        self._slow_until.pop(name, None)
+        self._late_attempts.pop(name, None)
         machine = self.fleet.machines.get(name)
         if machine is not None:
             machine.is_slow = False
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -11,6 +11,7 @@
 from ...protocol import wire
 from ..gang_scheduling.gang_reservations import GangReservations
 from ..jobs import MOST_BACKLOG, JobRegistry
+from ..reconciliation.attempt_finisher import EndReason
 from ..term import Term, TermActor
 from .preemption import Preemption
 from .scheduling_pass import SchedulingPass
@@ -213,7 +214,7 @@
             placed.is_committed = True
             if job.is_cancelled:
                 # Cancelled between proposal and commit: it was never launched, so it is over.
-                self.reconciler.finish_attempt(placed, False, "cancelled before launch")
+                self.reconciler.attempts.finish_attempt(placed, EndReason.CANCELLED_BEFORE_LAUNCH)
             else:
                 self.commands.launch_task(placed)
 
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -11,6 +11,10 @@
 from .jobs import JobRegistry
 from .reclaim.quota_reclaim import QuotaReclaim
 from .reconciliation.failure_attribution import FailureAttribution
+from .reconciliation.health_checks import HealthChecks
+from .reconciliation.heartbeat_handler import HeartbeatHandler
+from .reconciliation.machine_monitor import MachineMonitor
+from .reconciliation.preemption_notices import PreemptionNotices
 from .reconciliation.reconciler import Reconciler
 from .reconciliation.stragglers import Stragglers
 from .scheduling.scheduler import Scheduler
@@ -45,6 +49,21 @@
             self.failure_attribution,
             self.gang_scheduler,
         )
+        self.heartbeat_handler = HeartbeatHandler(
+            term,
+            self.reconciler,
+            PreemptionNotices(term, self.commands, self.gang_scheduler),
+        )
+        self.machine_monitor = MachineMonitor(
+            term,
+            self.jobs,
+            self.commands,
+            self.failure_attribution,
+            HealthChecks(term, self.commands),
+            self.reconciler.scale_in,
+        )
+        self.gang_scheduler.finish_attempt = self.reconciler.attempts.finish_attempt
+        self.commands.on_heartbeat = self.heartbeat_handler.handle_heartbeat
         self.quota_reclaim = QuotaReclaim(
             term, self.jobs, self.commands, self.gang_scheduler, lending
         )
@@ -69,8 +88,8 @@
 
     def watch(self) -> None:
         """The frequent checks, in order: what one proves, the later ones act on."""
-        self.reconciler.watch()
-        self.stragglers.watch()
+        self.machine_monitor.check_machines()
+        self.stragglers.check_running_tasks()
         self.gang_scheduler.watch()
         self.quota_reclaim.watch()
         self.consolidation.continue_moves(self.term.runtime.now())
@@ -93,5 +112,5 @@
 
     def on_pause(self, lost_s: float) -> None:
         """The process stood still for `lost_s`: what seems overdue since then may not be."""
-        self.reconciler.on_pause(lost_s)
+        self.machine_monitor.on_pause(lost_s)
         self.stragglers.on_pause()
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -426,13 +426,13 @@
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     world.run(5.0)
     compared: list[str] = []
-    compare = Reconciler._compare_all
+    compare = Reconciler.reconcile
 
     def counted(tracker: Reconciler, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
         compared.append(machine.name)
         compare(tracker, machine, tasks)
 
-    monkeypatch.setattr(Reconciler, "_compare_all", counted)
+    monkeypatch.setattr(Reconciler, "reconcile", counted)
     world.run(10.0)
     assert compared == []
     # Its order to stop is lost: the reports go on as before, and the stop must be sent again.
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -16,7 +16,7 @@
 
 from flaxtally.leader.commands import CommandSender
 from flaxtally.leader.reclaim.quota_reclaim import QuotaReclaim
-from flaxtally.leader.reconciliation.reconciler import Reconciler
+from flaxtally.leader.reconciliation.attempt_finisher import AttemptFinisher
 from flaxtally.leader.scheduling.scheduler import Scheduler
 from flaxtally.protocol import formats, wire
 from flaxtally.settings import Settings, Team
@@ -78,7 +78,7 @@
     return any(order["verb"] == wire.STOP for order in orders)
 
 
-def of_borrower(_: Reconciler, placed: Placement, *__: Any) -> bool:
+def of_borrower(_: AttemptFinisher, placed: Placement, *__: Any) -> bool:
     return placed.job.spec.ref == "j-000100"
 
 
@@ -94,7 +94,7 @@
     "decided": (QuotaReclaim, "_propose", True, always),
     "committed": (QuotaReclaim, "_stop", False, always),
     "ordered": (CommandSender, "_send_batch", True, is_stop),
-    "proven": (Reconciler, "finish_attempt", True, of_borrower),
+    "proven": (AttemptFinisher, "finish_attempt", True, of_borrower),
     "placing": (Scheduler, "place", False, of_lender),
 }
 """What is called, and whether the leader ends after or in place of the call."""
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -38,7 +38,7 @@
     "reports": [
         "api.heartbeat_endpoint:HeartbeatEndpoint.handle_heartbeat",
         "api.heartbeat_endpoint:HeartbeatEndpoint.forwarded",
-        "leader.reconciliation.reconciler:Reconciler.handle_heartbeat",
+        "leader.reconciliation.heartbeat_handler:HeartbeatHandler.handle_heartbeat",
     ],
     "users": [
         "api.job_api:JobApi.handle",
@@ -80,8 +80,8 @@
         "leader.autoscaling.consolidation:Consolidation.continue_moves",
     ],
     "watch": [
-        "leader.reconciliation.reconciler:Reconciler.watch",
-        "leader.reconciliation.stragglers:Stragglers.watch",
+        "leader.reconciliation.machine_monitor:MachineMonitor.check_machines",
+        "leader.reconciliation.stragglers:Stragglers.check_running_tasks",
     ],
     "http server": [
         "runtime.http:ServerConn._data",
