--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from ..clients.workers import Workers, decode_report
-from ..cluster.store_relay import ORDERS_ANSWER
+from ..cluster.messages import RELAYED_COMMAND_RESULT_KIND
 from ..leader.commands import CommandTransport
 from ..protocol import wire
 from ..runtime.actor import Actor
@@ -20,7 +20,8 @@
 if TYPE_CHECKING:
     from ..cluster.format_negotiation import FormatNegotiation
     from ..cluster.leader_election import LeaderElection
-    from ..cluster.peer_links import Frame, PeerLinks
+    from ..cluster.messages import Frame
+    from ..cluster.peer_links import PeerLinks
     from ..policy import Policy
     from ..runtime.http import Request
     from ..runtime.loop import Runtime, Timer
@@ -296,7 +297,7 @@
         machine = frame.get("m")
 
         def told(status: int, answer: bytes) -> None:
-            done = {"k": ORDERS_ANSWER, "i": number, "s": status, "b": answer}
+            done = {"k": RELAYED_COMMAND_RESULT_KIND, "i": number, "s": status, "b": answer}
             self._peers.send(sender, done | ({"m": machine} if status else {}))
 
         self._send(address, body, told)
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ..cluster.store_relay import ALIVE, REPORT
+from ..cluster.messages import FORWARDED_HEARTBEAT_KIND, MACHINES_ALIVE_KIND
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 
@@ -112,8 +112,15 @@
         for name in names:
             del self._reported[name]
         if names:
-            self._peers.send(leader, {"k": ALIVE, "t": self._election.term, "m": sorted(names)})
+            self._peers.send(
+                leader, {"k": MACHINES_ALIVE_KIND, "t": self._election.term, "m": sorted(names)}
+            )
 
     def _send_whole(self, report: wire.Heartbeat, body: bytes) -> None:
-        frame = {"k": REPORT, "t": self._election.term, "m": report.machine, "b": body}
+        frame = {
+            "k": FORWARDED_HEARTBEAT_KIND,
+            "t": self._election.term,
+            "m": report.machine,
+            "b": body,
+        }
         self._peers.send(self._election.leader or "", frame)
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -15,7 +15,8 @@
 if TYPE_CHECKING:
     from ..cluster.format_negotiation import FormatNegotiation
     from ..cluster.leader_election import LeaderElection
-    from ..cluster.peer_links import Frame, PeerLinks
+    from ..cluster.messages import Frame
+    from ..cluster.peer_links import PeerLinks
     from ..leader.leader import Leader
     from ..policy import Policy
     from ..runtime.http import Request
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -22,7 +22,8 @@
 
 if TYPE_CHECKING:
     from ..cluster.leader_election import LeaderElection
-    from ..cluster.peer_links import Frame, PeerLinks
+    from ..cluster.messages import Frame
+    from ..cluster.peer_links import PeerLinks
     from ..policy import Policy
     from ..runtime.loop import Runtime, Timer
     from .map import Cell, CellIndex
--- a/flaxtally/cells/messages.py
+++ b/flaxtally/cells/messages.py
@@ -7,7 +7,7 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from ..cluster.peer_links import Frame
+    from ..cluster.messages import Frame
 
 STATE, QUESTION, ANSWER = "cell_state", "cell_ask", "cell_answer"
 
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -22,7 +22,8 @@
 
     from ..policy import Policy
     from ..runtime.loop import Runtime
-    from .peer_links import Frame, PeerLinks
+    from .messages import Frame
+    from .peer_links import PeerLinks
 
 log = logging.getLogger(__name__)
 
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -15,6 +15,7 @@
 
 from ..protocol import formats
 from ..runtime.actor import Actor
+from .messages import HEARTBEAT_KIND, HELLO_KIND, Frame, Hello, to_frame
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,7 +27,6 @@
 
 FRAME_LIMIT = 1 << 20
 _length = struct.Struct(">I")
-Frame = dict[str, Any]
 
 
 def encode(frame: Frame) -> bytes:
@@ -156,7 +156,7 @@
         if not link.gathered:
             self.later(self._gather, self._flush, link)
         link.gathered += encode(frame)
-        if frame["k"] == "hb":
+        if frame["k"] == HEARTBEAT_KIND:
             self._flush(link)
 
     @staticmethod
@@ -169,8 +169,8 @@
         link.dialled_at = self.runtime.now()
         link.stream = self.runtime.connect(link.address)
         link.stream.on_close = lambda: self._lost(node, link)
-        hello = {"k": "hello", "node": self._node, "formats": list(formats.OWN)}
-        link.stream.send(encode(hello))
+        hello = Hello(node=self._node, formats=list(formats.OWN))
+        link.stream.send(encode(to_frame(hello)))
 
     def is_silent(self, node: str) -> bool:
         """Whether one of the two directions of the link seems dead."""
@@ -225,7 +225,7 @@
             for frame in found:
                 if not speaker:
                     node = frame.get("node")
-                    owner = self._links_of(node) if frame["k"] == "hello" else None
+                    owner = self._links_of(node) if frame["k"] == HELLO_KIND else None
                     if owner is None:
                         log.warning("a peer did not say who it is")
                         stream.close()
--- a/flaxtally/cluster/store_relay.py
+++ b/flaxtally/cluster/store_relay.py
@@ -20,6 +20,13 @@
 
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..runtime.actor import Actor
+from .messages import (
+    FORWARDED_HEARTBEAT_KIND,
+    HEARTBEAT_KIND,
+    MACHINES_ALIVE_KIND,
+    RELAYED_COMMAND_RESULT_KIND,
+    Frame,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -30,10 +37,6 @@
 log = logging.getLogger(__name__)
 
 MAIL = "mail/"
-HEARTBEAT, REPORT = "hb", "rep"
-"""Kinds of frames of which the last is enough."""
-ALIVE, ORDERS_ANSWER = "alive", "done"
-"""Which machines reported lately; a machine's answer to orders, with its report after them."""
 MOST_INFLATED = 1 << 20
 FRESH_PERIODS = 5
 """For so many periods a peer whose batch was read counts as heard."""
@@ -42,7 +45,6 @@
 SAFE_SHARE = 0.95
 CLOCKS_APART = 1.0
 """Seconds by which the times of day of two nodes may differ, and more."""
-Frame = dict[str, Any]
 
 
 def encode_batch(frames: Sequence[Frame], most: int, at: float) -> tuple[str, int]:
@@ -177,15 +179,15 @@
         Of heartbeats, and of one machine's reports, the last is enough.
         """
         box = self._boxes[peer]
-        if frame["k"] == HEARTBEAT:
+        if frame["k"] == HEARTBEAT_KIND:
             box.heartbeat = frame
-        elif frame["k"] == REPORT:
+        elif frame["k"] == FORWARDED_HEARTBEAT_KIND:
             # In the place of its last one: with thousands of machines, each gets its turn.
             box.reports[frame.get("m")] = frame
-        elif frame["k"] == ALIVE:
+        elif frame["k"] == MACHINES_ALIVE_KIND:
             box.alive = frame
         else:
-            if frame["k"] == ORDERS_ANSWER:
+            if frame["k"] == RELAYED_COMMAND_RESULT_KIND:
                 # It holds a newer report of the machine.
                 box.reports.pop(frame.get("m"), None)
             box.frames.append(_QueuedFrame(frame, self.runtime.now()))
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -12,8 +12,15 @@
 from .clients.workers import CALLED_SHARE, Workers
 from .cluster.format_negotiation import FormatNegotiation
 from .cluster.leader_election import LeaderElection
-from .cluster.peer_links import Frame, PeerLinks
-from .cluster.store_relay import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, StoreRelay
+from .cluster.messages import (
+    FORWARDED_HEARTBEAT_KIND,
+    HEARTBEAT_KIND,
+    MACHINES_ALIVE_KIND,
+    RELAYED_COMMAND_RESULT_KIND,
+    Frame,
+)
+from .cluster.peer_links import PeerLinks
+from .cluster.store_relay import StoreRelay
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
 from .ledger.write_ahead_log import PAGE_SHARE, WriteAheadLog
@@ -141,11 +148,11 @@
                 self.election, self.peers, self.intake, self.dispatch, self.leader
             )
         self._frames = {
-            HEARTBEAT: self.election.on_heartbeat,
-            REPORT: self.dispatch.forwarded,
-            ALIVE: self.dispatch.alive,
+            HEARTBEAT_KIND: self.election.on_heartbeat,
+            FORWARDED_HEARTBEAT_KIND: self.dispatch.forwarded,
+            MACHINES_ALIVE_KIND: self.dispatch.alive,
             "ord": self.dispatch.order,
-            ORDERS_ANSWER: self.dispatch.carried,
+            RELAYED_COMMAND_RESULT_KIND: self.dispatch.carried,
             "ask": self.intake.asked,
             "ans": self.intake.answered,
         }
@@ -203,7 +210,7 @@
             self.membership.on_pause(lost)
 
     def _receive_mailed(self, sender: str, frame: Frame) -> None:
-        if frame["k"] == HEARTBEAT:
+        if frame["k"] == HEARTBEAT_KIND:
             self.formats.on_relayed_heartbeat(sender, frame.get("formats"))
         self._receive(sender, frame)
 
--- /dev/null
+++ b/tests/test_messages.py
@@ -0,0 +1,160 @@
+"""Typed messages between controllers: the same bytes as the frames that they replaced."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+import pytest
+
+from flaxtally.cluster import messages
+from flaxtally.cluster.frame_router import MAX_UNKNOWN_KINDS, FrameRouter
+from flaxtally.cluster.peer_links import encode
+
+if TYPE_CHECKING:
+    from flaxtally.cluster.messages import Frame, Message
+
+MESSAGES_AND_FRAMES: list[tuple[Message, Frame]] = [
+    (
+        messages.Hello(node="controller-0", formats=[1, 4]),
+        {"k": "hello", "node": "controller-0", "formats": [1, 4]},
+    ),
+    (
+        messages.Heartbeat(
+            term=3,
+            leader="controller-1",
+            can_commit=True,
+            is_ready=False,
+            can_see_leader=True,
+            live_members=["controller-0", "controller-1"],
+            formats=[1, 4],
+        ),
+        {
+            "k": "hb",
+            "term": 3,
+            "leader": "controller-1",
+            "able": True,
+            "ready": False,
+            "sees": True,
+            "view": ["controller-0", "controller-1"],
+            "formats": [1, 4],
+        },
+    ),
+    (
+        messages.ForwardedHeartbeat(term=3, machine="n-000001", heartbeat=b"\x81\x00"),
+        {"k": "rep", "t": 3, "m": "n-000001", "b": b"\x81\x00"},
+    ),
+    (
+        messages.MachinesAlive(term=3, machines=["n-000001", "n-000002"]),
+        {"k": "alive", "t": 3, "m": ["n-000001", "n-000002"]},
+    ),
+    (
+        messages.RelayedCommand(
+            number=2**62 - 1, machine="n-000001", address="h:1", commands={"baton": 3, "x": b"y"}
+        ),
+        {"k": "ord", "i": 2**62 - 1, "m": "n-000001", "a": "h:1", "o": {"baton": 3, "x": b"y"}},
+    ),
+    (
+        messages.RelayedCommand(number=1, machine="n-000001", address="h:1", commands=None),
+        {"k": "ord", "i": 1, "m": "n-000001", "a": "h:1", "o": None},
+    ),
+    (
+        messages.RelayedCommandResult(number=1, status=200, body=b"ok", machine="n-000001"),
+        {"k": "done", "i": 1, "s": 200, "b": b"ok", "m": "n-000001"},
+    ),
+    (
+        messages.RelayedCommandResult(number=1, status=0, body=b""),
+        {"k": "done", "i": 1, "s": 0, "b": b""},
+    ),
+    (
+        messages.JobRequest(number=1, operation="submit", subject=b"\x80"),
+        {"k": "ask", "i": 1, "w": "submit", "s": b"\x80"},
+    ),
+    (
+        messages.JobRequest(number=1, operation="poll", subject="j-000001"),
+        {"k": "ask", "i": 1, "w": "poll", "s": "j-000001"},
+    ),
+    (
+        messages.JobResponse(number=1, status=200, body={"state": "done", 1: [None, 0.5]}),
+        {"k": "ans", "i": 1, "s": 200, "b": {"state": "done", 1: [None, 0.5]}},
+    ),
+]
+
+
+@pytest.mark.parametrize(("message", "frame"), MESSAGES_AND_FRAMES)
+def test_a_message_has_the_bytes_of_its_frame_and_comes_back(
+    message: Message, frame: Frame
+) -> None:
+    assert encode(messages.to_frame(message)) == encode(frame)
+    assert messages.from_frame(frame, type(message)) == message
+    assert frame["k"] == message.KIND
+
+
+def test_every_kind_of_message_is_compared() -> None:
+    assert {type(message) for message, _ in MESSAGES_AND_FRAMES} == set(messages.Message.__args__)
+
+
+def test_unknown_fields_are_passed_over_and_missing_ones_may_have_defaults() -> None:
+    heartbeat = messages.from_frame(
+        {"k": "hb", "term": 1, "hears": True, "novelty": [1]}, messages.Heartbeat
+    )
+    assert heartbeat == messages.Heartbeat(term=1)
+
+
+@pytest.mark.parametrize(
+    ("frame", "message_type"),
+    [
+        ({"k": "hb", "term": "x", "leader": 3}, messages.Heartbeat),
+        ({"k": "hb"}, messages.Heartbeat),
+        ({"k": "ord", "a": 1, "o": []}, messages.RelayedCommand),
+        ({"k": "done", "i": [1]}, messages.RelayedCommandResult),
+        ({"k": "ans", "i": "x"}, messages.JobResponse),
+        ({"k": "alive", "t": 1, "m": "n-000001"}, messages.MachinesAlive),
+    ],
+)
+def test_a_malformed_frame_is_one_typed_error(frame: Frame, message_type: type[Any]) -> None:
+    with pytest.raises(messages.MalformedFrameError, match=message_type.__name__):
+        messages.from_frame(frame, message_type)
+
+
+def test_the_router_logs_malformed_frames_and_unknown_kinds_once(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    received: list[tuple[str, object]] = []
+    router = FrameRouter()
+    router.add_message_handler(
+        messages.JobResponse, lambda sender, message: received.append((sender, message))
+    )
+    router.add_frame_handler("cell_state", lambda sender, frame: received.append((sender, frame)))
+    caplog.set_level("INFO")
+    router.route("controller-1", {"k": "ans", "i": 1, "s": 200, "b": None})
+    router.route("controller-1", {"k": "cell_state", "cell": "south"})
+    assert received == [
+        ("controller-1", messages.JobResponse(number=1, status=200)),
+        ("controller-1", {"k": "cell_state", "cell": "south"}),
+    ]
+    assert not caplog.records
+    router.route("controller-1", {"k": "ans", "i": "x"})
+    for _ in range(3):
+        router.route("controller-1", {"k": "novelty"})
+    assert [record.getMessage().split()[0] for record in caplog.records] == [
+        "event=frame_malformed",
+        "event=frame_kind_unknown",
+    ]
+    for number in range(2 * MAX_UNKNOWN_KINDS):
+        router.route("controller-1", {"k": f"novelty-{number}"})
+    assert len(caplog.records) == 1 + MAX_UNKNOWN_KINDS
+    assert len(received) == 2
+
+
+def test_a_result_without_a_machine_is_not_one_of_no_machine() -> None:
+    found = messages.from_frame(
+        {"k": "done", "i": 1, "s": 0, "b": b""}, messages.RelayedCommandResult
+    )
+    assert found.machine is msgspec.UNSET
+    assert (
+        messages.from_frame(
+            {"k": "done", "i": 1, "s": 0, "b": b"", "m": None}, messages.RelayedCommandResult
+        )
+        != found
+    )
