--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -14,7 +14,7 @@
 
 from ..api.heartbeat_endpoint import HeartbeatEndpoint, ShardOwner, owner
 from ..clients.key_value_store import KeyValueStore
-from ..cluster.leader_election import LEADER_KEY, LeaderElection
+from ..cluster.leader_key import LEADER_KEY
 from ..cluster.peer_links import PeerLinks
 from ..runtime.actor import Actor
 from .allotment import Allotment
@@ -31,6 +31,7 @@
 
     from ..api.job_api import JobApi
     from ..clients.cloud import Cloud
+    from ..cluster.leader_election import LeaderElection
     from ..leader.leader import Leader
     from ..policy import Policy
     from ..protocol import wire
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -17,7 +17,7 @@
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
-from .leader_election import LEADER_KEY
+from .leader_key import LEADER_KEY
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -11,13 +11,15 @@
 from .clients.key_value_store import KeyValueStore
 from .clients.workers import CALLED_SHARE, Workers
 from .cluster.format_negotiation import FormatNegotiation
-from .cluster.leader_election import LeaderElection
+from .cluster.frame_router import FrameRouter
+from .cluster.leader_election import LeaderElection, LeadershipListener
 from .cluster.messages import (
     FORWARDED_HEARTBEAT_KIND,
     HEARTBEAT_KIND,
     MACHINES_ALIVE_KIND,
     RELAYED_COMMAND_RESULT_KIND,
     Frame,
+    Heartbeat,
 )
 from .cluster.peer_links import PeerLinks
 from .cluster.store_relay import StoreRelay
@@ -90,9 +92,12 @@
             store,
             self.peers,
             rng,
-            lambda term, version: self.leader.tell("begin", term, version),
-            lambda: self.leader.tell("end"),
+            LeadershipListener(
+                on_elected=lambda term, version: self.leader.tell("begin", term, version),
+                on_step_down=lambda: self.leader.tell("end"),
+            ),
         )
+        self.peers.on_refused = self.election.on_connection_refused
         self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
         self.peers.on_hello = self.formats.on_hello
         self.peers.relay = StoreRelay(
@@ -147,8 +152,9 @@
             self.membership.connect(
                 self.election, self.peers, self.intake, self.dispatch, self.leader
             )
-        self._frames = {
-            HEARTBEAT_KIND: self.election.on_heartbeat,
+        self._router = FrameRouter()
+        self._router.add_message_handler(Heartbeat, self.election.on_heartbeat)
+        frame_handlers = {
             FORWARDED_HEARTBEAT_KIND: self.dispatch.forwarded,
             MACHINES_ALIVE_KIND: self.dispatch.alive,
             "ord": self.dispatch.order,
@@ -157,7 +163,9 @@
             "ans": self.intake.answered,
         }
         if self.membership is not None:
-            self._frames[self.membership.state_frame] = self.membership.gateway.receive
+            frame_handlers[self.membership.state_frame] = self.membership.gateway.receive
+        for kind, handle in frame_handlers.items():
+            self._router.add_frame_handler(kind, handle)
         Server(
             runtime,
             settings.listen,
@@ -215,6 +223,4 @@
         self._receive(sender, frame)
 
     def _receive(self, sender: str, frame: Frame) -> None:
-        handler = self._frames.get(frame["k"])
-        if handler is not None:
-            handler(sender, frame)
+        self._router.route(sender, frame)
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -42,7 +42,7 @@
 """The phases: nothing happens; a leader ends, workers restart, a zone falls silent."""
 FIRST_CELL = 0
 """The cell whose leader is ended."""
-LED = re.compile(r"event=lead node=\S+ term=([0-9]+)")
+LED = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
 TAKEOVER_POLL_S = 0.1
 DRAIN_S = 1.5
 """After the last phase: until then every part has told what happened in it."""
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -180,7 +180,7 @@
         term, now = self.term, self.runtime.now()
         term.active = True
         term.began_at = now
-        self._election.is_ready = True
+        self._election.mark_ready()
         # Only now is it known what counts against the limits.
         self._limits.begin(term.number)
         self.jobs.restore()
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING
 
 from ..clients.key_value_store import KeyValueStore, Outcome
-from ..cluster.leader_election import LEADER_KEY
+from ..cluster.leader_key import LEADER_KEY
 from ..runtime.actor import Actor
 
 if TYPE_CHECKING:
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING, Any
 
-from ..cluster.leader_election import LEADER_KEY
+from ..cluster.leader_key import LEADER_KEY
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 from ..runtime.token_bucket import TokenBucket
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -11,7 +11,7 @@
 from flaxtally.cells.directory import JOBS
 from flaxtally.cells.map import CellMap
 from flaxtally.cells.map_keeper import MAP_KEY
-from flaxtally.cluster.leader_election import LEADER_KEY
+from flaxtally.cluster.leader_key import LEADER_KEY
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from flaxtally.cluster.election_state import Role
 from flaxtally.protocol import wire
 from flaxtally.runtime.loop import Loop
 
@@ -115,8 +116,10 @@
     others = [name for name in world.names if name != old]
     world.crash(old, back_after=3.0)
     # Whoever has sent its takeover stands still until the other leads.
-    assert world.until(lambda: any(world.nodes[name].election._taking for name in others), 10)
-    taking = next(name for name in others if world.nodes[name].election._taking)
+    assert world.until(
+        lambda: any(world.nodes[name].election.role is Role.CANDIDATE for name in others), 10
+    )
+    taking = next(name for name in others if world.nodes[name].election.role is Role.CANDIDATE)
     world.freeze(taking, 15.0)
     world.run(14)
     leads = leader_of(world)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -73,7 +73,7 @@
         return (self.folder / f"{name}.log").read_text()
 
     def leader(self) -> str:
-        """Who took the lead last."""
+        """Who was elected last; the version in production logs it as `lead`."""
         terms = {
             int(term): node
             for node in NODES
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -115,4 +115,4 @@
     assert until(cancelled), processes.logs()
     assert told[-1]["stage"] == "aborted"
     assert run(status)[1]["stage"] == "aborted"
-    assert "event=lead" in processes.logs()
+    assert "event=leader_elected" in processes.logs()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -212,7 +212,7 @@
         world.crash(name, back_after=0.5)
     world.run(12.0)
     assert world.leader() is None
-    refusals = [entry for entry in caplog.records if "event=refuses_to_lead" in entry.message]
+    refusals = [entry for entry in caplog.records if "event=leadership_refused" in entry.message]
     assert 1 <= len(refusals) <= len(NODES)
     # Workers are answered all the same, so their tasks stay.
     assert world.running == before
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -5,7 +5,7 @@
 
 from typing import TYPE_CHECKING
 
-from flaxtally.cluster.leader_election import LEADER_KEY
+from flaxtally.cluster.leader_key import LEADER_KEY
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -53,12 +53,12 @@
     ],
     "mail": ["cluster.store_relay:StoreRelay._turn"],
     "heartbeats": [
-        "cluster.leader_election:LeaderElection._beat",
+        "cluster.leader_election:LeaderElection._send_heartbeat",
         "cluster.leader_election:LeaderElection.on_heartbeat",
     ],
     "leader key": [
-        "cluster.leader_election:LeaderElection._probe",
-        "cluster.leader_election:LeaderElection._read",
+        "cluster.leader_election:LeaderElection._read_leader_key",
+        "cluster.leader_election:LeaderElection._on_leader_key_read",
     ],
     "commit": [
         "ledger.write_ahead_log:WriteAheadLog.propose",
