--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -11,9 +11,18 @@
 from .clients.key_value_store import KeyValueStore
 from .clients.workers import CALLED_SHARE, Workers
 from .cluster.format_negotiation import FormatNegotiation
-from .cluster.leader_election import LeaderElection
-from .cluster.peer_links import Frame, PeerLinks
-from .cluster.store_relay import ALIVE, HEARTBEAT, ORDERS_ANSWER, REPORT, StoreRelay
+from .cluster.frame_router import FrameRouter
+from .cluster.leader_election import LeaderElection, LeadershipListener
+from .cluster.messages import (
+    FORWARDED_HEARTBEAT_KIND,
+    HEARTBEAT_KIND,
+    MACHINES_ALIVE_KIND,
+    RELAYED_COMMAND_RESULT_KIND,
+    Frame,
+    Heartbeat,
+)
+from .cluster.peer_links import PeerLinks
+from .cluster.store_relay import StoreRelay
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
 from .leader.term import LeaderContext
@@ -84,9 +93,14 @@
             store,
             self.peers,
             rng,
-            lambda term, version: runtime.soon(self.leader.begin_term, term, version),
-            lambda: runtime.soon(self.leader.end_term),
+            LeadershipListener(
+                on_elected=lambda term, version: runtime.soon(
+                    self.leader.begin_term, term, version
+                ),
+                on_step_down=lambda: runtime.soon(self.leader.end_term),
+            ),
         )
+        self.peers.on_refused = self.election.on_connection_refused
         self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
         self.peers.on_hello = self.formats.on_hello
         self.peers.relay = StoreRelay(
@@ -143,17 +157,20 @@
             self.membership.connect(
                 self.election, self.peers, self.intake, self.dispatch, self.leader
             )
-        self._frames = {
-            HEARTBEAT: self.election.on_heartbeat,
-            REPORT: self.dispatch.forwarded,
-            ALIVE: self.dispatch.alive,
+        self._router = FrameRouter()
+        self._router.add_message_handler(Heartbeat, self.election.on_heartbeat)
+        frame_handlers = {
+            FORWARDED_HEARTBEAT_KIND: self.dispatch.forwarded,
+            MACHINES_ALIVE_KIND: self.dispatch.alive,
             "ord": self.dispatch.order,
-            ORDERS_ANSWER: self.dispatch.carried,
+            RELAYED_COMMAND_RESULT_KIND: self.dispatch.carried,
             "ask": self.intake.asked,
             "ans": self.intake.answered,
         }
         if self.membership is not None:
-            self._frames[self.membership.state_frame] = self.membership.gateway.receive
+            frame_handlers[self.membership.state_frame] = self.membership.gateway.receive
+        for kind, handle in frame_handlers.items():
+            self._router.add_frame_handler(kind, handle)
         Server(
             runtime,
             settings.listen,
@@ -206,11 +223,9 @@
             self.membership.on_pause(lost)
 
     def _receive_mailed(self, sender: str, frame: Frame) -> None:
-        if frame["k"] == HEARTBEAT:
+        if frame["k"] == HEARTBEAT_KIND:
             self.formats.on_relayed_heartbeat(sender, frame.get("formats"))
         self._receive(sender, frame)
 
     def _receive(self, sender: str, frame: Frame) -> None:
-        handler = self._frames.get(frame["k"])
-        if handler is not None:
-            handler(sender, frame)
+        self._router.route(sender, frame)
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -96,7 +96,7 @@
         term = self.term
         term.active = True
         term.began_at = self.runtime.now()
-        self._election.is_ready = True
+        self._election.mark_ready()
         # Before the replay it was unknown what counts against the limits.
         self._context.limits.begin_term(term.number)
         take_over(self.duties, self._transport)
