--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -8,8 +8,7 @@
 
 import msgspec
 
-from ..ledger import cluster_state as records
-from ..ledger.batch import BATCH
+from ..ledger.records import BatchPiece, JobAccepted, decode_record
 from ..protocol import wire
 from ..runtime.loop import Address, Loop
 from ..settings import Settings, StateLimits, Team
@@ -155,10 +154,11 @@
         for key, (value, _, _) in self.state.rows.items():
             if not key.startswith("p/"):
                 continue
-            for record in value["r"]:
-                for inner in record[3] if record[0] == BATCH else [record]:
-                    if inner[0] == records.JOB and inner[3] == ref:
-                        return msgspec.convert(inner[3:], wire.Spec)
+            for stored in value["r"]:
+                record = decode_record(stored)
+                for inner in record.records if isinstance(record, BatchPiece) else [record]:
+                    if isinstance(inner, JobAccepted) and inner.ref == ref:
+                        return inner.spec
         return None
 
     def _run_time(self, ref: str) -> float | None:
--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable, Sequence
 
-    from ..ledger.cluster_state import Placement
+    from ..ledger.placement import Placement
     from ..planning.fleet import Machine
     from ..planning.placement import GpuNeeds, Room
     from ..protocol import wire
--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from ..ledger.cluster_state import Job
+    from ..ledger.job import Job
 
 WAIT_SHARE = 0.5
 """Of `gang_wait_s`: who is replaced later than that after the launch would come too late."""
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -9,7 +9,7 @@
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Placement
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ...protocol import wire
     from .scale_out import ScaleOut
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ...ledger.cluster_state import Job
+    from ...ledger.job import Job
     from ...planning.fleet import Pool
     from ...protocol.shape import Shape
     from ..jobs import JobRegistry
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ..ledger.cluster_state import Placement
+    from ..ledger.placement import Placement
     from ..planning.fleet import Machine
 
 log = logging.getLogger(__name__)
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterator
 
-    from ...ledger.cluster_state import Job
+    from ...ledger.job import Job
     from ...planning.fleet import Machine
     from ...planning.machine_index import MachineIndex
     from ..jobs import JobRegistry
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -9,14 +9,15 @@
 
 from ...gangs.gang_capacity import Choice, GangSearch, Keep, choose_all, choose_missing
 from ...gangs.lifecycle import Phase, Situation, Step, Times, next_step, phase_of, situation_of
-from ...ledger import cluster_state as records
+from ...ledger.records import TaskPlaced
 from ...protocol import formats, wire
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ...planning.machine_index import MachineIndex
     from ..commands import CommandSender
@@ -139,7 +140,7 @@
         placed: list[Placement] = []
         self.ledger.propose_batch(
             [
-                [records.PLACED, job.number, task, attempt, machine.name, machine.zone]
+                TaskPlaced(job.number, task, attempt, machine.name, machine.zone)
                 for task, machine in zip(tasks, machines, strict=True)
             ],
             lambda: self._committed(job, placed),
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -6,9 +6,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-import msgspec
-
-from ..ledger import cluster_state as records
+from ..ledger.records import JobAccepted, JobCancelled
 from ..planning import placement
 from ..planning.forecast import Arrivals
 from ..protocol import formats, wire
@@ -17,7 +15,8 @@
 from .term import Term, TermActor
 
 if TYPE_CHECKING:
-    from ..ledger.cluster_state import Job, Placement
+    from ..ledger.job import Job
+    from ..ledger.placement import Placement
     from .commands import CommandSender
 
 log = logging.getLogger(__name__)
@@ -76,7 +75,7 @@
             return
         now = self.runtime.now()
         no = self.ledger.state.next_job_number
-        record = [records.JOB, no, round(self.runtime.wall(), 1), *msgspec.to_builtins(spec)]
+        record = JobAccepted.from_spec(no, round(self.runtime.wall(), 1), spec)
         if not self.ledger.fits_in_page(record):
             self._confirmed(answer, lambda: answer(422, {"error": "its names are too long"}))
             return
@@ -195,7 +194,7 @@
             self._stop_cancelled(job)
             self.conclude_job(job)
 
-        self.ledger.propose([records.CANCELLED, job.number], committed)
+        self.ledger.propose(JobCancelled(job.number), committed)
         job.cancelled_at = self.runtime.now()
         if not job.placements:
             self.live_jobs.pop(job.number, None)
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -10,7 +10,8 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ...ledger.write_ahead_log import WriteAheadLog
     from ...protocol import wire
 
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -24,7 +24,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ...lending.feature import LendingFeature
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
@@ -377,7 +378,7 @@
         if how != Step.WITHDRAW.value:
             kept = self.ledger.state.loan_state.accounts.get(recall.lender)
             account = kept or LoanAccount(recall.lender)
-            self.ledger.propose(account.counted(is_late).record())
+            self.ledger.propose(account.counted(is_late=is_late).record())
         log.info(
             "event=recall_over term=%d id=%s how=%r late=%s after=%.1f",
             self.term.number,
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -8,7 +8,7 @@
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Job
+    from ...ledger.job import Job
     from ...planning.fleet import Machine
     from ..jobs import JobRegistry
 
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -5,14 +5,14 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ...ledger import cluster_state as records
+from ...ledger.records import AttemptEnded
 from ...protocol import wire
 from ..autoscaling.scale_in import ScaleIn
 from ..term import Term, TermActor
 from .health_checks import HealthChecks
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Placement
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
@@ -276,9 +276,7 @@
                 log.info("event=job_done term=%d job=%s", self.term.number, job.spec.ref)
             self.jobs.conclude_job(job)
 
-        self.ledger.propose(
-            [records.ENDED, job.number, placed.task, placed.attempt, done], committed
-        )
+        self.ledger.propose(AttemptEnded(job.number, placed.task, placed.attempt, done), committed)
         self.commands.forget_stopping(placed)
         job.uncommitted_ends += 1
         if machine is not None:
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -10,7 +10,8 @@
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ..commands import CommandSender
     from ..jobs import JobRegistry
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Hashable
 
-    from ...ledger.cluster_state import Job
+    from ...ledger.job import Job
 
 NO_DUE_TIME = 1000
 """The level of best-effort jobs that nobody expects by any time: after all others."""
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -19,7 +19,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Hashable, Iterator
 
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ...planning.machine_index import MachineIndex
     from ..commands import CommandSender
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -5,7 +5,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ...ledger import cluster_state as records
+from ...ledger.records import TaskPlaced
 from ...planning import placement
 from ...planning.machine_index import Fit, MachineIndex
 from ...protocol import wire
@@ -18,7 +18,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Hashable
 
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
@@ -218,7 +219,7 @@
                 self.commands.launch_task(placed)
 
         self.ledger.propose(
-            [records.PLACED, job.number, task, attempt, machine.name, machine.zone], committed
+            TaskPlaced(job.number, task, attempt, machine.name, machine.zone), committed
         )
         placed: Placement = job.placements[task]
         placed.proposed_at = job.pending_since = now
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -13,7 +13,7 @@
 from ...protocol import wire
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Job
+    from ...ledger.job import Job
     from ...policy import Policy
     from ..jobs import JobRegistry
     from ..term import Term
--- /dev/null
+++ b/flaxtally/ledger/placement.py
@@ -0,0 +1,80 @@
+"""Placements: what the ledger says of an attempt, and what the leader believes of it. Pure."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from .job import Job
+
+
+class ReplicatedPlacement:
+    """A task's attempt on a machine, as the ledger's records say it.
+
+    It exists from its proposal until it is proven to have ended, and is the same on each replay.
+    """
+
+    __slots__ = ("attempt", "job", "machine", "task", "zone")
+
+    def __init__(self, job: Job, task: int, attempt: int, machine: str, zone: str) -> None:
+        """`machine` is a name, `zone` the one that the machine was in when it was chosen."""
+        self.job = job
+        self.task = task
+        self.attempt = attempt
+        self.machine = machine
+        self.zone = zone
+
+    @property
+    def name(self) -> str:
+        """The task's name in log lines: its job's id and its number."""
+        return f"{self.job.spec.ref}/{self.task}"
+
+    @property
+    def is_best_effort(self) -> bool:
+        """Whether its job is of the lowest rank and runs to an end."""
+        return self.job.spec.is_best_effort
+
+
+class Placement(ReplicatedPlacement):
+    """A placement with what the leader believes of it in its present term.
+
+    None of these fields is in the ledger: a new leader begins without them, and learns them from
+    commits and from the workers' heartbeats.
+    """
+
+    __slots__ = (
+        "command_sent_at",
+        "is_committed",
+        "is_inherited",
+        "launch_incarnation",
+        "launches_in_flight",
+        "proposed_at",
+        "started_at",
+        "state",
+        "stopping_at",
+        "was_reported",
+    )
+
+    def __init__(self, job: Job, task: int, attempt: int, machine: str, zone: str) -> None:
+        """The leader knows nothing of it yet."""
+        # Set here, not by the base class: a replay makes one of these for each record of its kind.
+        self.job = job
+        self.task = task
+        self.attempt = attempt
+        self.machine = machine
+        self.zone = zone
+        self.is_committed = False
+        self.is_inherited = False
+        self.launch_incarnation = 0
+        self.launches_in_flight = 0
+        self.was_reported = False
+        self.state = ""
+        self.proposed_at = 0.0
+        self.started_at: float | None = None
+        self.command_sent_at = float("-inf")
+        self.stopping_at: float | None = None
+
+    def mark_inherited(self) -> None:
+        """It was read from the ledger at the start of the term, so an earlier leader placed it."""
+        self.is_committed = True
+        self.is_inherited = True
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -1,31 +1,27 @@
 """What the ledger keeps of loans, for a successor that couldn't know it. Pure.
 
-Loans themselves follow from placements and settings. Kept are the recalls under way, each with its
-deadline and the tasks chosen to give way, and what the teams borrowed and lent so far.
-Records, since format 3 (`protocol.formats`):
-
-    R  no, lender, job, machine, at, deadline, tasks, [[job, task, attempt], …]
-                                   a recall begins, or goes on elsewhere
-    X  no                          a recall is over
-    A  team, borrows since, borrowed core s, GPU s, lent core s, GPU s, met, late
-                                   the account of a team, in place of its earlier one
+Loans themselves follow from placements and settings. Kept are the reclaims of borrowed quota under
+way, each with its deadline and the attempts chosen to be stopped, and what the teams borrowed and
+lent so far. Their records exist since format 3 (`protocol.formats`).
 """
 
 from __future__ import annotations
 
 from dataclasses import astuple, dataclass, field, replace
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import NamedTuple
 
-if TYPE_CHECKING:
-    from .batch import Record
+from .records import LoanAccountStored, ReclaimFinished, ReclaimStarted
 
-RECALL, RECALL_OVER, ACCOUNT = "R", "X", "A"
-RECALL_BYTES, ACCOUNT_BYTES, BORROWED_BYTES = 90, 80, 16
-"""About what records take in a page."""
+RECLAIM_BYTES = 90
+"""About what the record of a reclaim takes in a page beside its attempts."""
+ACCOUNT_BYTES = 80
+"""About what the record of an account takes in a page."""
+BORROWED_BYTES = 16
+"""About what an attempt of a reclaim takes in a page."""
 
 
 class Borrowed(NamedTuple):
-    """An attempt of a borrowed task that is to give way."""
+    """An attempt of a borrowed task that is to be stopped."""
 
     job: int
     task: int
@@ -34,7 +30,7 @@
 
 @dataclass(frozen=True)
 class Reclaim:
-    """Room that is made for a waiting task of a job. Times are of the day, in seconds."""
+    """Capacity that is freed for a waiting task of a job. Times are of the day, in seconds."""
 
     number: int
     lender: str
@@ -43,18 +39,31 @@
     decided_at: float
     deadline: float
     tasks: int
-    """For how many tasks of the job: more than one of a gang."""
+    """For how many tasks of the job: more than one only of a gang."""
     borrowed: tuple[Borrowed, ...]
 
     @property
     def id(self) -> str:
-        """Its name in log lines, from the demand to the room."""
+        """Its name in log lines, from the demand to the freed capacity."""
         return f"recall_{self.number:06d}"
 
-    def record(self) -> Record:
+    @classmethod
+    def from_record(cls, record: ReclaimStarted) -> Reclaim:
+        """The reclaim that the record says."""
+        return cls(
+            record.number,
+            record.lender,
+            record.job,
+            record.machine,
+            record.decided_at,
+            record.deadline,
+            record.tasks,
+            tuple(Borrowed(*attempt) for attempt in record.attempts),
+        )
+
+    def record(self) -> ReclaimStarted:
         """The record that begins it, or says that it goes on elsewhere."""
-        return [
-            RECALL,
+        return ReclaimStarted(
             self.number,
             self.lender,
             self.job,
@@ -62,17 +71,17 @@
             self.decided_at,
             self.deadline,
             self.tasks,
-            [list(each) for each in self.borrowed],
-        ]
+            self.borrowed,
+        )
 
-    def over_record(self) -> Record:
+    def over_record(self) -> ReclaimFinished:
         """The record that ends it."""
-        return [RECALL_OVER, self.number]
+        return ReclaimFinished(self.number)
 
 
 @dataclass(frozen=True)
 class LoanAccount:
-    """What a team has borrowed and lent so far, and the recalls for its demand."""
+    """What a team has borrowed and lent so far, and the reclaims for its demand."""
 
     team: str
     borrows_since: float = 0.0
@@ -84,71 +93,83 @@
     met: int = 0
     late: int = 0
 
-    def record(self) -> Record:
-        """The record that takes the place of the team's earlier one."""
-        return [ACCOUNT, self.team, *(round(figure, 1) for figure in astuple(self)[1:])]
+    @classmethod
+    def from_record(cls, record: LoanAccountStored) -> LoanAccount:
+        """The account that the record says."""
+        return cls(
+            record.team,
+            record.borrows_since,
+            record.borrowed_core_seconds,
+            record.borrowed_gpu_seconds,
+            record.lent_core_seconds,
+            record.lent_gpu_seconds,
+            record.met,
+            record.late,
+        )
+
+    def record(self) -> LoanAccountStored:
+        """The record that takes the place of the team's earlier one; figures are rounded."""
+        return LoanAccountStored(self.team, *(round(figure, 1) for figure in astuple(self)[1:]))
 
-    def counted(self, is_late: bool) -> LoanAccount:
-        """The same with one more recall that is over."""
+    def counted(self, *, is_late: bool) -> LoanAccount:
+        """The same with one more reclaim that is over."""
         return replace(self, met=self.met + (not is_late), late=self.late + is_late)
 
 
 @dataclass
 class LoanState:
-    """The recalls that are not over, the accounts, and the pages that hold their records."""
+    """The reclaims that are not over, the accounts, and the pages that hold their records."""
 
     reclaims: dict[int, Reclaim] = field(default_factory=dict)
     accounts: dict[str, LoanAccount] = field(default_factory=dict)
     next_number: int = 1
-    _homes: dict[int | str, int] = field(default_factory=dict)
-
-    def begin(
-        self,
-        page: int,
-        number: int,
-        lender: str,
-        job: int,
-        machine: str,
-        decided_at: float,
-        deadline: float,
-        tasks: int,
-        borrowed: list[list[int]],
-    ) -> None:
-        """A recall begins, goes on elsewhere, or is said anew."""
-        chosen = tuple(Borrowed(*each) for each in borrowed)
-        self.reclaims[number] = Reclaim(
-            number, lender, job, machine, decided_at, deadline, tasks, chosen
-        )
+    _home_pages: dict[int | str, int] = field(default_factory=dict)
+    """By the number of a reclaim or the name of a team."""
+
+    def start_reclaim(self, page: int, record: ReclaimStarted) -> None:
+        """A reclaim begins, goes on elsewhere, or is rewritten."""
+        number = record.number
+        self.reclaims[number] = Reclaim.from_record(record)
         self.next_number = max(self.next_number, number + 1)
-        self._homes[number] = page
+        self._home_pages[number] = page
 
-    def end(self, page: int, number: int) -> None:
-        """A recall is over. One that is not known began in a page that was cleaned since."""
+    def finish_reclaim(self, page: int, record: ReclaimFinished) -> None:
+        """A reclaim is over. One that is not known began in a page that was compacted since."""
+        number = record.number
         self.reclaims.pop(number, None)
-        self._homes.pop(number, None)
+        self._home_pages.pop(number, None)
         self.next_number = max(self.next_number, number + 1)
 
-    def keep_account(self, page: int, team: str, *figures: Any) -> None:
+    def store_account(self, page: int, record: LoanAccountStored) -> None:
         """The account of a team takes the place of its earlier one."""
-        self.accounts[team] = LoanAccount(team, *figures)
-        self._homes[team] = page
+        self.accounts[record.team] = LoanAccount.from_record(record)
+        self._home_pages[record.team] = page
 
-    def records_at_home(self, page: int) -> list[Record]:
+    def records_of_page(self, page: int) -> list[ReclaimStarted | LoanAccountStored]:
         """What the records of a page still mean."""
-        found = [recall for no, recall in self.reclaims.items() if self._homes[no] == page]
-        kept = [account for team, account in self.accounts.items() if self._homes[team] == page]
-        return [recall.record() for recall in found] + [account.record() for account in kept]
-
-    def move_home(self, record: Record, page: int) -> None:
-        """What the record says stands in that page from now on."""
-        if record[0] in (RECALL, ACCOUNT):
-            self._homes[record[1]] = page
+        pages = self._home_pages
+        records: list[ReclaimStarted | LoanAccountStored] = []
+        for number, reclaim in self.reclaims.items():
+            if pages[number] == page:
+                records.append(reclaim.record())
+        for team, account in self.accounts.items():
+            if pages[team] == page:
+                records.append(account.record())
+        return records
+
+    def relocate_reclaim(self, number: int, page: int) -> None:
+        """The record of the reclaim stands in that page from now on."""
+        self._home_pages[number] = page
+
+    def relocate_account(self, team: str, page: int) -> None:
+        """The account of the team stands in that page from now on."""
+        self._home_pages[team] = page
 
     def snapshot_bytes(self) -> int:
         """About how many bytes the records of a snapshot would take."""
-        borrowed = sum(len(recall.borrowed) for recall in self.reclaims.values())
+        borrowed_count = sum(len(reclaim.borrowed) for reclaim in self.reclaims.values())
         return (
-            RECALL_BYTES * len(self.reclaims)
-            + BORROWED_BYTES * borrowed
+            RECLAIM_BYTES * len(self.reclaims)
+            + BORROWED_BYTES * borrowed_count
             + ACCOUNT_BYTES * len(self.accounts)
         )
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -12,7 +12,7 @@
 
 import logging
 from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
 from ..cluster.leader_election import LEADER_KEY
@@ -20,9 +20,21 @@
 from ..runtime.actor import Actor
 from ..runtime.token_bucket import TokenBucket
 from . import snapshot
-from .batch import PIECE_OVERHEAD, Record, pieces, size_of
-from .cluster_state import CATALOG, FINAL, FORMAT, JOB, ClusterState, UnsupportedFormatError
+from .batch import PIECE_OVERHEAD, split_batch
+from .cluster_state import ClusterState, UnsupportedFormatError
 from .leadership_barrier import LeadershipBarrier
+from .records import (
+    CatalogPartStored,
+    CatalogStored,
+    FormatRaised,
+    JobAccepted,
+    JobTerminated,
+    LoanAccountStored,
+    ReclaimStarted,
+    Record,
+    StoredRecord,
+    record_size,
+)
 from .terminal_jobs import TerminalJobPage
 from .transaction import CommitOutcome, Transaction, TransactionSender
 
@@ -107,11 +119,11 @@
         self.generation += 1
         self._version = version
         self.state = ClusterState()
-        self._queue: deque[tuple[Record, int, Then | None]] = deque()
+        self._queue: deque[tuple[StoredRecord, int, Then | None]] = deque()
         self._thens: list[Then] = []
         self._pages: dict[int, int] = {}
         self._filling = 1
-        self._content: list[Record] = []
+        self._content: list[StoredRecord] = []
         self._content_page = 0
         """The page whose records `_content` holds."""
         self._size = 0
@@ -201,7 +213,7 @@
 
     def propose(self, record: Record, on_committed: Then | None = None) -> None:
         """Applies the record to the book and commits it soon; `on_committed` follows the commit."""
-        size = self._room(size_of(record))
+        size = self._room(record_size(record))
         self.state.apply(record, self._filling)
         self._add(record, size, on_committed)
 
@@ -222,14 +234,14 @@
 
     def fits_in_page(self, record: Record) -> bool:
         """Whether the record fits into a page, also within a batch."""
-        return size_of(record) <= self._page_bytes - PIECE_OVERHEAD
+        return record_size(record) <= self._page_bytes - PIECE_OVERHEAD
 
     def raise_format(self, version: int) -> None:
         """Lets records of that format be written: no older program can read the ledger again."""
         log.info("event=format_raised format=%d", version)
-        self.propose([FORMAT, version])
+        self.propose(FormatRaised(version))
 
-    def propose_catalog(self, types: list[object]) -> None:
+    def propose_catalog(self, types: list[Any]) -> None:
         """Keeps the cloud's machine types, if that can be written."""
         records = snapshot.catalog_records(types, self._page_bytes)
         if len(records) == 1 or self.writes_batches:
@@ -242,21 +254,22 @@
             self._size = 0
         return size
 
-    def _add(self, record: Record, size: int, then: Then | None) -> None:
+    def _add(self, record: StoredRecord, size: int, then: Then | None) -> None:
         self._size += size
         self._queue.append((record, self._filling, then))
         self._arm()
 
     def _add_batch(self, records: list[Record], then: Then | None) -> int:
         """Queues the records so that they are read as one; returns the page of the first."""
-        size = sum(size_of(record) for record in records)
-        written = records if size <= self._page_bytes else pieces(records, self._page_bytes)
-        if written is records:
+        size = sum(record_size(record) for record in records)
+        fits = size <= self._page_bytes
+        written = records if fits else split_batch(records, self._page_bytes)
+        if fits:
             # One page is written at once.
             self._room(size)
         first = 0
         for number, record in enumerate(written):
-            room = self._room(size_of(record))
+            room = self._room(record_size(record))
             first = first or self._filling
             self._add(record, room, then if number == len(written) - 1 else None)
         return first
@@ -311,33 +324,37 @@
             return False
         groups = snapshot.page_records(self.state, oldest, self._page_bytes)
         if not self.writes_batches and any(
-            sum(map(size_of, group)) > self._page_bytes for group in groups
+            sum(map(record_size, group)) > self._page_bytes for group in groups
         ):
             # Read in part by an older controller, such a job would have tasks placed nowhere.
             return False
         log.info("event=clean page=%d of=%d jobs=%d", oldest, len(self._pages), len(at_home))
-        refs = iter(self.state.terminal_job_pages.pop(oldest, ()))
+        self.state.terminal_job_pages.pop(oldest, None)
         for group in groups:
             home = self._add_batch(group, None)
-            self._move_home(group[0], home, refs)
+            self._relocate(group[0], home)
         self._cleaned.append(oldest)
         return True
 
-    def _move_home(self, record: Record, home: int, finals: Iterator[str]) -> None:
-        """What the record begins to say anew stands in the page `home` from now on."""
-        book = self.state
-        if record[0] == JOB:
-            book.jobs[record[1]].home_page = home
-        elif record[0] == CATALOG:
-            book.catalog_page = home
-        elif record[0] == FORMAT:
-            book.format_page = home
-        elif record[0] == FINAL and record[1]:
-            book.compact_job(book.jobs[record[1]], home)
-        elif record[0] == FINAL:
-            book.terminal_job_pages.setdefault(home, TerminalJobPage()).add(next(finals))
-        else:
-            book.loan_state.move_home(record, home)
+    def _relocate(self, record: Record, page: int) -> None:
+        """What the record begins to rewrite stands in that page from now on."""
+        state = self.state
+        match record:
+            case JobAccepted(number=number):
+                state.jobs[number].home_page = page
+            case CatalogStored() | CatalogPartStored():
+                state.catalog_page = page
+            case FormatRaised():
+                state.format_page = page
+            case JobTerminated(job=number, ref=ref):
+                if number:
+                    state.compact_job(state.jobs[number], page)
+                else:
+                    state.terminal_job_pages.setdefault(page, TerminalJobPage()).add(ref)
+            case ReclaimStarted(number=number):
+                state.loan_state.relocate_reclaim(number, page)
+            case LoanAccountStored(team=team):
+                state.loan_state.relocate_account(team, page)
 
     @property
     def backlog(self) -> int:
@@ -365,7 +382,7 @@
             self._armed = True
             self.later(self._bucket.wait(cost), self._commit, generation)
             return
-        pages: dict[int, list[Record]] = {}
+        pages: dict[int, list[StoredRecord]] = {}
         if self._content and first == self._content_page and most_pages:
             pages[first] = self._content
         thens: list[Then] = []
--- a/flaxtally/planning/consolidate.py
+++ b/flaxtally/planning/consolidate.py
@@ -17,7 +17,8 @@
     import random
     from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
 
-    from ..ledger.cluster_state import Job, Placement
+    from ..ledger.job import Job
+    from ..ledger.placement import Placement
     from .fleet import Machine
     from .placement import GpuNeeds
 
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -8,7 +8,7 @@
 from ..protocol import wire
 
 if TYPE_CHECKING:
-    from ..ledger.cluster_state import Placement
+    from ..ledger.placement import Placement
 
 UNRESPONSIVE_AFTER_FAILURES = 2
 """Orders in a row without an answer."""
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -11,7 +11,7 @@
 from flaxtally.cells.map_keeper import MAP_KEY
 from flaxtally.cells.membership import CellSetup
 from flaxtally.cells.shares import Amount, TeamShares, limit_of
-from flaxtally.ledger import cluster_state as records
+from flaxtally.ledger.records import JobAccepted, decode_record
 from flaxtally.protocol import wire
 from flaxtally.settings import Settings, Team
 
@@ -91,8 +91,9 @@
         for key, (value, _, _) in self.state.rows.items():
             words = key.split("/")
             if words[0] == "cell" and words[2] == "p":
-                for record in value["r"]:
-                    if record[0] == records.JOB and record[3] == ref:
+                for stored in value["r"]:
+                    record = decode_record(stored)
+                    if isinstance(record, JobAccepted) and record.ref == ref:
                         found.add(words[1])
         return found
 
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -16,16 +16,22 @@
 from flaxtally.fakes.gang_meeting import GangMeetings
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.fakes.worker import Worker
-from flaxtally.ledger import cluster_state as records
-from flaxtally.ledger.batch import BATCH, BatchReader
+from flaxtally.ledger.records import (
+    BatchPiece,
+    JobAccepted,
+    StoredRecord,
+    TaskPlaced,
+    decode_record,
+)
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client, Reply
 from flaxtally.settings import Objective, Settings, StateLimits, Team
 
+from .ledger_records import certain_records
 from .simulation import Simulation
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
+    from collections.abc import Callable, Sequence
 
     from flaxtally.cells.membership import CellSetup
     from flaxtally.lending.feature import LendingFeature
@@ -136,7 +142,7 @@
         """Machines on which every task fails."""
         self.gave_up: list[str] = []
         """Cancellations that got no answer of use within 60 s."""
-        self._pages: dict[str, tuple[int, set[tuple[str, int, str]]]] = {}
+        self._pages: dict[str, tuple[int, set[tuple[str, int, str]], list[StoredRecord]]] = {}
         self._refs: dict[tuple[str, int], str] = {}
         self.told_cancelled: dict[str, float] = {}
         self.accepted: set[str] = set()
@@ -306,36 +312,36 @@
         stands in batches counts only if the batch is whole.
         """
         held = False
-        in_batches: dict[str, list[tuple[int, list[Any]]]] = {}
+        in_batches: dict[str, list[StoredRecord]] = {}
         for key, (value, stamp, _) in sorted(self.state.rows.items()):
-            ledger, page, number = key.rpartition("p/")
+            ledger, page, _ = key.rpartition("p/")
             if not page or not (ledger == "" or ledger.startswith("cell/")):
                 continue
-            if any(record[0] == BATCH for record in value["r"]):
-                pieces = in_batches.setdefault(ledger, [])
-                pieces += [(int(number), record) for record in value["r"]]
-                # Jobs that are accepted there may be placed in later pages.
-                self._note_refs(ledger, value["r"])
+            if key not in self._pages or self._pages[key][0] != stamp:
+                records = [decode_record(stored) for stored in value["r"]]
+                self._pages[key] = stamp, self._placed_by(ledger, records), records
+            _, placed, records = self._pages[key]
+            if any(isinstance(record, BatchPiece) for record in records):
+                in_batches.setdefault(ledger, []).extend(records)
                 continue
-            if self._pages.get(key, (0, None))[0] != stamp:
-                self._pages[key] = stamp, self._placed_by(ledger, value["r"])
-            held = held or (task, attempt, machine) in self._pages[key][1]
+            held = held or (task, attempt, machine) in placed
         for ledger, pieces in in_batches.items():
-            reader = BatchReader()
-            certain = [r for page, piece in pieces for _, r in reader.read(page, piece)]
-            held = held or (task, attempt, machine) in self._placed_by(ledger, certain)
+            placed = self._placed_by(ledger, certain_records(pieces))
+            held = held or (task, attempt, machine) in placed
         return held
 
-    def _note_refs(self, ledger: str, found: list[list[Any]]) -> None:
-        self._refs.update({(ledger, r[1]): r[3] for r in found if r[0] == records.JOB})
+    def _placed_by(self, ledger: str, records: Sequence[StoredRecord]) -> set[tuple[str, int, str]]:
+        """The placements that the records say; who reads further records knows the jobs of these.
 
-    def _placed_by(self, ledger: str, found: list[list[Any]]) -> set[tuple[str, int, str]]:
-        """The placements that the records say."""
-        self._note_refs(ledger, found)
+        What stands in batches says nothing here but the jobs: they may be placed in later pages.
+        """
+        self._refs.update(
+            {(ledger, each.number): each.ref for each in records if isinstance(each, JobAccepted)}
+        )
         return {
-            (f"{self._refs.get((ledger, r[1]))}/{r[2]}", r[3], r[4])
-            for r in found
-            if r[0] == records.PLACED
+            (f"{self._refs.get((ledger, each.job))}/{each.task}", each.attempt, each.machine)
+            for each in records
+            if isinstance(each, TaskPlaced)
         }
 
     # Troubles, one way to say each. Each ends by itself.
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -14,13 +14,15 @@
 from hypothesis import strategies as st
 
 from flaxtally.cluster.store_relay import decode_batch
-from flaxtally.ledger.batch import BATCH, BatchReader, pieces, size_of
+from flaxtally.ledger.batch import split_batch
 from flaxtally.ledger.cluster_state import ClusterState
+from flaxtally.ledger.records import decode_record, record_size
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.protocol import formats, wire
 from flaxtally.protocol.formats import FormatRange, parse_range
 
 from . import production
+from .ledger_records import accepted, certain_records, record, stored
 from .scenarios import change_leader
 from .simulated_cluster import NODES, SimulatedCluster, batch, gang, spec
 from .simulated_upgrade import LOWER, UpgradingCluster
@@ -108,8 +110,14 @@
 
 
 def read_all(records: list[list[Any]]) -> list[list[Any]]:
-    reader = BatchReader()
-    return [found for record in records for _, found in reader.read(1, record)]
+    read = [decode_record(items) for items in records]
+    return [stored(certain) for certain in certain_records(read)]
+
+
+def pieces(records: list[list[Any]], max_bytes: int) -> list[list[Any]]:
+    """What lies in the store of a batch of these records."""
+    written = split_batch([record(*items) for items in records], max_bytes)
+    return [stored(piece) for piece in written]
 
 
 def test_a_batch_is_read_whole_or_not_at_all() -> None:
@@ -132,45 +140,46 @@
 def test_pieces_stay_within_a_page_and_lose_nothing(sizes: list[int], most: int) -> None:
     records: list[list[Any]] = [["F", 0, "x" * size, "done"] for size in sizes]
     written = pieces(records, most)
-    assert all(piece[0] == BATCH and size_of(piece) <= most for piece in written)
+    assert all(piece[0] == "B" and record_size(decode_record(piece)) <= most for piece in written)
     assert read_all(written) == records
 
 
 def test_a_snapshot_of_any_job_fits_into_pages_of_the_lower_limits() -> None:
     book = ClusterState()
     job = spec("j-000001", job_kind=wire.ARRAY, tasks=100_000, spread=False)
-    book.apply(["J", 1, 1.0, *wire.msgspec.to_builtins(job)], 1)
+    book.apply(accepted(1, 1.0, job), 1)
     rng = random.Random(4)
     for task in range(4000):
-        book.apply(["P", 1, task, 1 + task % 3, f"n-{task:06d}", "a"], 1)
+        book.apply(record("P", 1, task, 1 + task % 3, f"n-{task:06d}", "a"), 1)
         if rng.random() < 0.6:
-            book.apply(["E", 1, task, 1 + task % 3, rng.random() < 0.5], 1)
-    book.apply(["K", [{"label": f"type-{number}", "yards": ["a"] * 40} for number in range(30)]], 1)
+            book.apply(record("E", 1, task, 1 + task % 3, rng.random() < 0.5), 1)
+    types = [{"label": f"type-{number}", "yards": ["a"] * 40} for number in range(30)]
+    book.apply(record("K", types), 1)
     groups = page_records(book, 1, PAGE_BYTES)
-    written = [piece for group in groups for piece in pieces(group, PAGE_BYTES)]
-    assert max(map(size_of, written)) <= PAGE_BYTES
+    written = [piece for group in groups for piece in split_batch(group, PAGE_BYTES)]
+    assert max(map(record_size, written)) <= PAGE_BYTES
     again = ClusterState()
     for piece in written:
-        again.replay(piece, 2)
+        again.replay(stored(piece), 2)
     assert meaning(again) == meaning(book)
     assert again.catalog == book.catalog
 
 
 def test_a_gang_that_is_done_stays_done_in_a_snapshot_with_tasks_not_proven_over() -> None:
     book = ClusterState()
-    book.apply(["J", 1, 1.0, *wire.msgspec.to_builtins(gang("j-000001", 3))], 1)
+    book.apply(accepted(1, 1.0, gang("j-000001", 3)), 1)
     for task in range(3):
-        book.apply(["P", 1, task, 1, f"n-{task}", "a"], 1)
-    book.apply(["E", 1, 1, 1, True], 1)
+        book.apply(record("P", 1, task, 1, f"n-{task}", "a"), 1)
+    book.apply(record("E", 1, 1, 1, True), 1)
     assert book.jobs[1].is_done
     again = ClusterState()
     for group in page_records(book, 1, PAGE_BYTES):
-        for record in group:
-            again.replay(record, 2)
+        for written in group:
+            again.replay(stored(written), 2)
     assert again.jobs[1].is_done
     assert sorted(again.jobs[1].placements) == [0, 2]
     for task in (0, 2):
-        again.apply(["E", 1, task, 1, False], 2)
+        again.apply(record("E", 1, task, 1, False), 2)
     assert again.jobs[1].is_done
     assert not again.jobs[1].pending_count
 
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -27,6 +27,7 @@
 from flaxtally.planning.placement import GpuNeeds, Room
 from flaxtally.protocol import wire
 
+from .ledger_records import accepted, record
 from .simulated_cluster import TYPES, ZONES, batch, gang
 
 KINDS = {kind.name: kind for kind in TYPES}
@@ -172,16 +173,13 @@
     rng = random.Random(seed)
     job = gang("j-000001", tasks, cores=3.0, memory_gb=1.0)
     book = ClusterState()
-    book.apply(
-        ["J", 1, 1.0, *wire.msgspec.to_builtins(batch("j-000002", 40, checkpoint_interval_s=1.0))],
-        1,
-    )
+    book.apply(accepted(1, 1.0, batch("j-000002", 40, checkpoint_interval_s=1.0)), 1)
     candidates, most = [], 0
     for number, machine in enumerate(fleet(rng, 5)):
         kind = KINDS[machine.machine_type]
         leaving = []
         for task in range(number * 8, number * 8 + rng.randrange(4)):
-            book.apply(["P", 1, task, 1, machine.name, machine.zone], 1)
+            book.apply(record("P", 1, task, 1, machine.name, machine.zone), 1)
             leaving.append(Leaving(book.jobs[1].placements[task], rng.uniform(0, 50)))
         free = Room(kind.cores - machine.cores, 0.0, 64.0)
         candidates.append(Candidate(machine, kind, free, leaving))
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -16,7 +16,7 @@
 from .simulated_cluster import SimulatedCluster, batch, spec
 
 if TYPE_CHECKING:
-    from flaxtally.ledger.cluster_state import Job
+    from flaxtally.ledger.job import Job
     from flaxtally.planning.fleet import Machine
     from flaxtally.protocol import wire
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -21,6 +21,7 @@
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
+from .ledger_records import record, stored
 from .scenarios import change_leader
 from .simulated_cluster import CANCEL_S, TYPES, SimulatedCluster, spec
 from .simulated_lending import (
@@ -165,12 +166,12 @@
     recall = Reclaim(4, "crew", 1, "n-1", 10.0, 20.0, 1, (Borrowed(2, 0, 1), Borrowed(2, 1, 1)))
     account = LoanAccount("crew", 5.0, 1.0, 2.0, 3.0, 4.0, 5, 6)
     book.apply(Reclaim(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).record(), 1)
-    for record in (recall.record(), account.record(), ["X", 3]):
-        book.apply(record, 1)
+    for written in (recall.record(), account.record(), record("X", 3)):
+        book.apply(written, 1)
     again = ClusterState()
     for group in page_records(book, 1, 4096):
-        for record in group:
-            again.replay(record, 2)
+        for written in group:
+            again.replay(stored(written), 2)
     assert again.loan_state.reclaims == {4: recall}
     assert again.loan_state.accounts == {"crew": account}
     assert again.loan_state.next_number == 5
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -36,7 +36,8 @@
 from .simulated_upgrade import UpgradingCluster
 
 if TYPE_CHECKING:
-    from flaxtally.ledger.cluster_state import Job, Placement
+    from flaxtally.ledger.job import Job
+    from flaxtally.ledger.placement import Placement
     from flaxtally.planning.fleet import Machine
 
 TAKEOVER_S = 8.0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -16,7 +16,8 @@
 from flaxtally.api.heartbeat_endpoint import owner
 from flaxtally.cli import main
 from flaxtally.cluster.peer_links import Frames, encode
-from flaxtally.ledger.cluster_state import ClusterState, InvalidRecordError
+from flaxtally.ledger.cluster_state import ClusterState
+from flaxtally.ledger.records import InvalidRecordError
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.planning.choice import choose
 from flaxtally.planning.consolidate import pick
@@ -31,6 +32,7 @@
 from flaxtally.runtime.http import MalformedMessageError, Parser
 from flaxtally.settings import SettingsError, StateLimits, parse
 
+from .ledger_records import accepted, record, stored
 from .simulated_cluster import TYPES, batch, spec
 
 if TYPE_CHECKING:
@@ -198,11 +200,12 @@
 
 def fill_book(rng: random.Random, steps: int) -> tuple[ClusterState, list[list[object]]]:
     """A book after random proper records, and those records."""
-    book, records = ClusterState(), []
+    book = ClusterState()
+    records: list[list[object]] = []
 
-    def apply(*record: object) -> None:
-        book.apply(list(record), 1)
-        records.append(list(record))
+    def apply(*items: object) -> None:
+        book.apply(record(*items), 1)
+        records.append(list(items))
 
     for step in range(steps):
         jobs = [job for job in book.jobs.values() if not job.is_terminal]
@@ -255,7 +258,7 @@
 
 def said_anew(book: ClusterState) -> list[list[Any]]:
     """The records by which the first page is cleaned."""
-    return list(itertools.chain.from_iterable(page_records(book, 1, 2000)))
+    return [stored(each) for each in itertools.chain.from_iterable(page_records(book, 1, 2000))]
 
 
 @pytest.mark.real_processes
@@ -266,12 +269,12 @@
     # knew.
     book, records = fill_book(random.Random(seed), steps)
     replayed, rewritten = ClusterState(), ClusterState()
-    for record in records:
-        replayed.replay(record, 1)
+    for written in records:
+        replayed.replay(written, 1)
     # The first page is cleaned and gone; what was written since, before the snapshot, is still
     # there.
-    for record in [*records[len(records) // 2 :], *said_anew(book)]:
-        rewritten.replay(record, 2)
+    for written in [*records[len(records) // 2 :], *said_anew(book)]:
+        rewritten.replay(written, 2)
     assert picture(replayed) == picture(book)
     assert picture(rewritten) == picture(book)
     attempts = {
@@ -292,22 +295,22 @@
     # A second placement, an attempt used twice, a placement after a cancellation, an end of
     # nothing.
     book = ClusterState()
-    book.apply(["J", 1, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))], 1)
-    book.apply(["P", 1, 0, 1, "n-1", "a"], 1)
-    for record in (
+    book.apply(accepted(1, 0.0, batch("j-000001", 2)), 1)
+    book.apply(record("P", 1, 0, 1, "n-1", "a"), 1)
+    for refused in (
         ["P", 1, 0, 2, "n-2", "a"],
         ["E", 1, 0, 7, True],
         ["E", 1, 1, 1, True],
         ["J", 2, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))],
     ):
         with pytest.raises(InvalidRecordError):
-            book.apply(record, 1)
-    book.apply(["E", 1, 0, 1, False], 1)
+            book.apply(record(*refused), 1)
+    book.apply(record("E", 1, 0, 1, False), 1)
     with pytest.raises(InvalidRecordError):
-        book.apply(["P", 1, 0, 1, "n-2", "a"], 1)
-    book.apply(["C", 1], 1)
+        book.apply(record("P", 1, 0, 1, "n-2", "a"), 1)
+    book.apply(record("C", 1), 1)
     with pytest.raises(InvalidRecordError):
-        book.apply(["P", 1, 0, 2, "n-2", "a"], 1)
+        book.apply(record("P", 1, 0, 2, "n-2", "a"), 1)
 
 
 # Forecast, fill, placement
@@ -427,8 +430,8 @@
         [Machine(name, "c16", "a", False, 0.0) for name in ("x", "y", "z")],
     )
     for number, machine in enumerate(fleet, 1):
-        book.apply(["J", number, 0.0, *msgspec.to_builtins(spec(f"j-{number:06d}", cores=7.0))], 1)
-        book.apply(["P", number, 0, 1, machine.name, "a"], 1)
+        book.apply(accepted(number, 0.0, spec(f"j-{number:06d}", cores=7.0)), 1)
+        book.apply(record("P", number, 0, 1, machine.name, "a"), 1)
         machine.add_placement(book.jobs[number].placements[0])
         machine.images["img-1"] = 1.0
     x, _, z = fleet
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -6,7 +6,8 @@
 from typing import TYPE_CHECKING
 
 from flaxtally.leader.autoscaling.autoscaler import MOST_CHECKS, Autoscaler
-from flaxtally.ledger.cluster_state import Job, Placement
+from flaxtally.ledger.job import Job
+from flaxtally.ledger.placement import Placement
 from flaxtally.planning.consolidate import takes
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -6,6 +6,7 @@
 from typing import TYPE_CHECKING
 
 from flaxtally.cluster.leader_election import LEADER_KEY
+from flaxtally.ledger.records import JobCancelled
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
@@ -356,7 +357,7 @@
         )
     )
     pages = {key: row for key, row in world.state.rows.items() if key.startswith("p/")}
-    leader.ledger.propose(["C", 1])
+    leader.ledger.propose(JobCancelled(1))
     assert world.until(lambda: not leader.election.is_leader, 2)
     world.run(0.1)
     assert {key: row for key, row in world.state.rows.items() if key.startswith("p/")} == pages
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -12,7 +12,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -23,8 +23,6 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from flaxtally.ledger.batch import Record
-
 PAGE_BYTES = 7 * 1024
 
 
@@ -57,8 +55,8 @@
     )
 
 
-def records(jobs: int, placed: bool) -> list[Record]:
-    found: list[Record] = []
+def records(jobs: int, placed: bool) -> list[list[Any]]:
+    found: list[list[Any]] = []
     for number in range(1, jobs + 1):
         found.append(["J", number, 1.8e9, *msgspec.to_builtins(spec(number))])
         if placed:
@@ -69,7 +67,7 @@
     return found
 
 
-def fill(found: list[Record]) -> ClusterState:
+def fill(found: list[list[Any]]) -> ClusterState:
     book = ClusterState()
     for number, record in enumerate(found):
         book.replay(record, number // 100 + 1)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -23,7 +23,7 @@
 from flaxtally.cells.map import Cell, CellIndex, CellMap
 from flaxtally.cells.shares import Amount, TeamShares, equal_shares
 from flaxtally.emulator.fit import fit, table
-from flaxtally.ledger.cluster_state import FINAL, ClusterState
+from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import pack
@@ -163,7 +163,7 @@
     def build() -> ClusterState:
         book = ClusterState()
         for number in range(1, jobs + 1):
-            book.replay([FINAL, number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
+            book.replay(["F", number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
         return book
 
     return memory(build) / KB
