--- a/flaxtally/leader/reconciliation/attempt_finisher.py
+++ b/flaxtally/leader/reconciliation/attempt_finisher.py
@@ -7,12 +7,13 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...ledger import cluster_state as records
+from ...ledger.records import AttemptEnded
 from ...protocol import wire
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Job, Placement
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
     from ..jobs import JobRegistry
@@ -65,7 +66,7 @@
         reason_text = exit_cause or reason.value
         self._log_end(placement, reason_text)
         self.ledger.propose(
-            [records.ENDED, job.number, placement.task, placement.attempt, is_done],
+            AttemptEnded(job.number, placement.task, placement.attempt, is_done),
             partial(self._on_end_committed, placement),
         )
         self._commands.forget_stopping(placement)
--- a/flaxtally/leader/reconciliation/preemption_notices.py
+++ b/flaxtally/leader/reconciliation/preemption_notices.py
@@ -9,7 +9,7 @@
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Placement
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -12,7 +12,7 @@
 from .orphans import OrphanedTasks
 
 if TYPE_CHECKING:
-    from ...ledger.cluster_state import Placement
+    from ...ledger.placement import Placement
     from ...planning.fleet import Machine
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
