--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -14,80 +14,88 @@
     from ..planning.placement import GpuNeeds
     from ..protocol import wire
 
-Keep = Callable[[Machine], bool]
+MachineFilter = Callable[[Machine], bool]
 
 
 @dataclass(frozen=True)
-class GangSearch:
+class GangMachineSearch:
     """What a search for the tasks of one gang goes by."""
 
     spec: wire.Spec
-    job_no: int
-    machines: MachineIndex
-    needs: GpuNeeds | None
+    job_number: int
+    index: MachineIndex
+    gpu_needs: GpuNeeds | None
     """None: nothing is kept for GPU tasks, and slow machines will do."""
-    sample: int
-    keep: Keep | None
+    sample_size: int
+    machine_filter: MachineFilter | None
     """Which machines may be used, beside the job's own conditions; None: any."""
 
-    def one(self, shut: Collection[str], last: Machine | None) -> Machine | None:
+    def find_machine(self, shut: Collection[str], last: Machine | None) -> Machine | None:
         """A machine for one more task: that of the task before while it holds one more."""
         if last is not None and last.zone not in shut:
-            fits = Fit(self.spec, self.needs, self.keep)
-            if fits(last, self.machines.machine_types[last.machine_type]):
+            fits = Fit(self.spec, self.gpu_needs, self.machine_filter)
+            if fits(last, self.index.machine_types[last.machine_type]):
                 return last
         return choose(
-            self.spec, self.job_no, self.machines, self.needs, self.sample, shut, self.keep
+            self.spec,
+            self.job_number,
+            self.index,
+            self.gpu_needs,
+            self.sample_size,
+            shut,
+            self.machine_filter,
         )
 
 
-class Choice(NamedTuple):
+class GangMachines(NamedTuple):
     """Machines for all tasks of a gang, and about how long the last image takes, in seconds."""
 
     machines: list[Machine]
-    fetch: float
+    fetch_s: float
 
 
-def choose_all(search: GangSearch, zones: Collection[str], longest_fetch: float) -> Choice | None:
+def choose_machines_for_gang(
+    search: GangMachineSearch, zones: Collection[str], longest_fetch: float
+) -> GangMachines | None:
     """Machines for all tasks of the gang; None: there is not room for all.
 
     Of zones that can each hold a gang that must be in one, the one in which it begins first. None
     too if its images would take longer than `longest_fetch` seconds everywhere.
     """
-    best: Choice | None = None
+    best: GangMachines | None = None
     for allowed in [{zone} for zone in sorted(zones)] if search.spec.one_zone else [set(zones)]:
         found = _choose_in(search, search.spec.tasks, allowed, zones, {})
-        if found is None or found.fetch > longest_fetch:
+        if found is None or found.fetch_s > longest_fetch:
             continue
-        if best is None or found.fetch < best.fetch:
+        if best is None or found.fetch_s < best.fetch_s:
             best = found
-        if not best.fetch:
+        if not best.fetch_s:
             break
     return best
 
 
-def choose_missing(
-    search: GangSearch,
+def choose_machines_for_missing(
+    search: GangMachineSearch,
     count: int,
     zones: Collection[str],
     placed: dict[str, int],
     longest_fetch: float,
-) -> Choice | None:
+) -> GangMachines | None:
     """Machines for tasks of a gang whose others wait, by zone in `placed`; None: not for all."""
     allowed = set(placed) if search.spec.one_zone else set(zones)
     found = _choose_in(search, count, allowed, zones, placed)
-    return None if found is None or found.fetch > longest_fetch else found
+    return None if found is None or found.fetch_s > longest_fetch else found
 
 
 def _choose_in(
-    search: GangSearch,
+    search: GangMachineSearch,
     count: int,
     allowed: Collection[str],
     zones: Iterable[str],
     placed: dict[str, int],
-) -> Choice | None:
-    spec, index = search.spec, search.machines
-    if not index.can_hold(spec, set(zones) - set(allowed), search.needs, count):
+) -> GangMachines | None:
+    spec, index = search.spec, search.index
+    if not index.can_hold(spec, set(zones) - set(allowed), search.gpu_needs, count):
         return None
     most = spec.zone_share if spec.spread else spec.tasks
     taken = dict(placed)
@@ -95,7 +103,7 @@
     fetch = 0.0
     for _ in range(count):
         shut = {zone for zone in zones if zone not in allowed or taken.get(zone, 0) >= most}
-        machine = search.one(shut, claimed[-1] if claimed else None)
+        machine = search.find_machine(shut, claimed[-1] if claimed else None)
         if machine is None:
             break
         fetch = max(fetch, fetch_seconds(spec, machine, index.machine_types[machine.machine_type]))
@@ -107,4 +115,4 @@
         machine.reserve(spec, -1)
     for machine in dict.fromkeys(claimed):
         index.update(machine)
-    return Choice(claimed, fetch) if len(claimed) == count else None
+    return GangMachines(claimed, fetch) if len(claimed) == count else None
--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..planning.packing import Bin, slots
+from ..planning.packing import Bin, count_slots
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Iterable, Sequence
@@ -17,11 +17,11 @@
 
 
 @dataclass(frozen=True)
-class Leaving:
+class Victim:
     """A task that may leave its machine, and what is lost by that, in seconds of work."""
 
-    placed: Placement
-    loss: float
+    placement: Placement
+    preemption_cost: float
 
 
 @dataclass(frozen=True)
@@ -29,77 +29,79 @@
     """A machine that the gang may use, what is free there, and who may leave."""
 
     machine: Machine
-    kind: wire.MachineType
+    machine_type: wire.MachineType
     free: Room
-    leaving: Sequence[Leaving]
+    victims: Sequence[Victim]
 
 
 @dataclass(frozen=True)
-class Share:
+class MachineSlots:
     """How many tasks of the gang a machine takes, once those have left."""
 
     machine: Machine
-    tasks: int
-    leaving: tuple[Placement, ...]
-    loss: float
+    task_count: int
+    victims: tuple[Placement, ...]
+    preemption_cost: float
 
 
-def best_shares(
+def choose_cheapest_machines(
     spec: wire.Spec,
     zones: Collection[str],
     candidates: Callable[[Collection[str]], Iterable[Candidate]],
     needs: GpuNeeds,
-    cost: Callable[[list[Share]], float],
-) -> list[Share] | None:
+    cost: Callable[[list[MachineSlots]], float],
+) -> list[MachineSlots] | None:
     """Machines that together hold the gang, in the zones where that costs least; None: nowhere.
 
     `candidates` gives the machines beside those of zones that are shut.
     """
     shut_zones = [set(zones) - {zone} for zone in sorted(zones)] if spec.one_zone else [set[str]()]
-    found = [shares(spec, spec.tasks, candidates(shut), needs) for shut in shut_zones]
+    found = [choose_machines(spec, spec.tasks, candidates(shut), needs) for shut in shut_zones]
     return min((each for each in found if each is not None), key=cost, default=None)
 
 
-def shares(
+def choose_machines(
     spec: wire.Spec, count: int, candidates: Iterable[Candidate], needs: GpuNeeds
-) -> list[Share] | None:
+) -> list[MachineSlots] | None:
     """Machines that together hold `count` tasks, where little is lost first; None: they don't."""
     found = [
         share
         for candidate in candidates
         if (share := _share(spec, count, candidate, needs)) is not None
     ]
-    found.sort(key=lambda share: (share.loss / share.tasks, -share.tasks))
-    chosen: list[Share] = []
+    found.sort(key=lambda share: (share.preemption_cost / share.task_count, -share.task_count))
+    chosen: list[MachineSlots] = []
     for share in found:
         if count <= 0:
             break
         chosen.append(share)
-        count -= share.tasks
+        count -= share.task_count
     return chosen if count <= 0 else None
 
 
-def _share(spec: wire.Spec, count: int, candidate: Candidate, needs: GpuNeeds) -> Share | None:
-    machine, kind, free = candidate.machine, candidate.kind, candidate.free
+def _share(
+    spec: wire.Spec, count: int, candidate: Candidate, needs: GpuNeeds
+) -> MachineSlots | None:
+    machine, kind, free = candidate.machine, candidate.machine_type, candidate.free
     gone: list[Placement] = []
     loss = best_loss = 0.0
     tasks, needed = _tasks(spec, machine, kind, free, needs), 0
-    for leaving in sorted(candidate.leaving, key=lambda leaving: leaving.loss):
+    for leaving in sorted(candidate.victims, key=lambda leaving: leaving.preemption_cost):
         if tasks >= count:
             break
-        free = free.plus(leaving.placed.job.spec)
-        gone.append(leaving.placed)
-        loss += leaving.loss
+        free = free.plus(leaving.placement.job.spec)
+        gone.append(leaving.placement)
+        loss += leaving.preemption_cost
         more = _tasks(spec, machine, kind, free, needs)
         if more > tasks:
             tasks, needed, best_loss = more, len(gone), loss
     if not tasks:
         return None
-    return Share(machine, min(tasks, count), tuple(gone[:needed]), best_loss)
+    return MachineSlots(machine, min(tasks, count), tuple(gone[:needed]), best_loss)
 
 
 def _tasks(
     spec: wire.Spec, machine: Machine, kind: wire.MachineType, free: Room, needs: GpuNeeds
 ) -> int:
     room = Bin(kind, machine.zone, machine.spot, free.cores, free.gpus, free.memory_gb)
-    return slots(spec, room, needs)
+    return count_slots(spec, room, needs)
--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -26,7 +26,7 @@
 
     from ..ledger.cluster_state import Job
 
-WAIT_SHARE = 0.5
+REPLACEMENT_WINDOW_SHARE = 0.5
 """Of `gang_wait_s`: who is replaced later than that after the launch would come too late."""
 
 
@@ -43,7 +43,7 @@
     DONE = "done"
 
 
-class Step(enum.Enum):
+class Action(enum.Enum):
     """What the leader does next about a gang."""
 
     NOTHING = "nothing"
@@ -60,16 +60,16 @@
     """A task of a gang that is placed and not proven over."""
 
     attempt: int
-    committed: bool
+    is_committed: bool
     state: str
     """As last reported; empty: nothing was reported of it."""
 
 
 @dataclass(frozen=True)
-class Situation:
+class GangStatus:
     """What is known of a gang. Times in seconds."""
 
-    tasks: int
+    task_count: int
     members: tuple[Member, ...]
     is_done: bool = False
     is_cancelled: bool = False
@@ -77,33 +77,33 @@
     """Some task of the attempt was seen running."""
     is_broken: bool = False
     """The attempt was given up."""
-    stopping_for: float | None = None
+    since_stop_s: float | None = None
     """Since the first order to save and exit."""
-    launched_for: float = 0.0
+    since_launch_s: float = 0.0
     """Since the attempt was launched, as far as this leader knows."""
 
 
 @dataclass(frozen=True)
-class Times:
+class GangTimeouts:
     """What workers are set to, in seconds."""
 
-    wait: float
-    peer: float
+    wait_s: float
+    peer_s: float
 
 
-def situation_of(
+def build_gang_status(
     job: Job,
     has_run: bool,
     is_broken: bool,
     stopping_for: float | None,
     launched_for: float,
-) -> Situation:
+) -> GangStatus:
     """The situation of a gang in the ledger, with what the leader knows beside it."""
     members = tuple(
         Member(placed.attempt, placed.is_committed, placed.state)
         for placed in job.placements.values()
     )
-    return Situation(
+    return GangStatus(
         job.spec.tasks,
         members,
         job.is_done,
@@ -115,18 +115,22 @@
     )
 
 
-def phase_of(now: Situation) -> Phase:
+def derive_phase(now: GangStatus) -> Phase:
     """Where the gang stands."""
     states = {member.state for member in now.members}
     if now.is_done:
         return Phase.DONE
     if not now.members:
         return Phase.PENDING
-    if not all(member.committed for member in now.members):
+    if not all(member.is_committed for member in now.members):
         return Phase.RESERVED
-    if now.stopping_for is not None:
+    if now.since_stop_s is not None:
         return Phase.STOPPING
-    if now.is_broken or is_mixed(now.members) or (now.has_run and len(now.members) < now.tasks):
+    if (
+        now.is_broken
+        or is_mixed(now.members)
+        or (now.has_run and len(now.members) < now.task_count)
+    ):
         return Phase.BROKEN
     if states & {wire.RUNNING, wire.FLUSHING}:
         return Phase.RUNNING
@@ -141,24 +145,24 @@
     return len({member.attempt for member in members}) > 1
 
 
-def next_step(now: Situation, times: Times, save: float) -> Step:
+def decide_action(now: GangStatus, times: GangTimeouts, save: float) -> Action:
     """What to do next. `save`: seconds that a task needs to save."""
-    phase = phase_of(now)
+    phase = derive_phase(now)
     if now.is_cancelled or phase in (Phase.DONE, Phase.RESERVED):
         # A cancelled gang is stopped like any cancelled job.
-        return Step.NOTHING
+        return Action.NOTHING
     if phase is Phase.PENDING:
-        return Step.PLACE
+        return Action.PLACE
     if phase is Phase.BROKEN:
-        return Step.ABANDON
+        return Action.ABANDON
     if phase is Phase.STOPPING:
-        late = (now.stopping_for or 0.0) > save + 2 * times.peer
-        return Step.ABANDON if late else Step.NOTHING
-    if len(now.members) == now.tasks:
-        return Step.NOTHING
-    if phase is Phase.RUNNING or now.launched_for > WAIT_SHARE * times.wait:
-        return Step.ABANDON
+        late = (now.since_stop_s or 0.0) > save + 2 * times.peer_s
+        return Action.ABANDON if late else Action.NOTHING
+    if len(now.members) == now.task_count:
+        return Action.NOTHING
+    if phase is Phase.RUNNING or now.since_launch_s > REPLACEMENT_WINDOW_SHARE * times.wait_s:
+        return Action.ABANDON
     if not all(member.state for member in now.members):
         # Whether the gang has begun is not known before all have reported.
-        return Step.NOTHING
-    return Step.REPLACE
+        return Action.NOTHING
+    return Action.REPLACE
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -11,9 +11,9 @@
 
 from ...clients.cloud import MOST_RENTED
 from ...planning import provisioning
-from ...planning.best_effort import dear_types
+from ...planning.best_effort import find_expensive_types
 from ...planning.fleet import Machine, Pool
-from ...planning.packing import Bin, Demand, Rooms, pack
+from ...planning.packing import Bin, Demand, FreeCapacity, pack_demand
 from ...protocol import wire
 from ..term import Term, TermActor
 from .capacity_forecast import CapacityForecast
@@ -31,7 +31,7 @@
 
 SPOT_WORTH = 1.1
 """Spot prices count so many times: a taken machine's lost work."""
-MOST_CHECKS = 8
+MAX_SCALE_IN_CHECKS = 8
 """Times that a plan looks at whether idle machines can go."""
 
 
@@ -118,7 +118,7 @@
         ]
         per_step = int(self.settings.cloud_rps * self.policy.plan_step)
         calls = 1 if self.cloud.is_troubled else max(1, per_step)
-        rents = provisioning.plan(
+        rents = provisioning.plan_provisioning(
             steps,
             self.term.machine_types,
             pools,
@@ -126,7 +126,7 @@
             SPOT_WORTH,
             calls * MOST_RENTED,
         )
-        wanted: dict[Pool, list[provisioning.Rent]] = {}
+        wanted: dict[Pool, list[provisioning.ProvisionDecision]] = {}
         for rent in rents:
             wanted.setdefault(rent.pool, []).append(rent)
         for pool, group in list(wanted.items())[:calls]:
@@ -175,7 +175,7 @@
         # All at once, or else a half, and so on. One by one, fifty idle machines kept the loop busy
         # for seconds.
         spare, going, size = self.spare(demands, now), list[Machine](), len(idle)
-        for _ in range(MOST_CHECKS):
+        for _ in range(MAX_SCALE_IN_CHECKS):
             some = idle[:size]
             if not some:
                 break
@@ -205,7 +205,7 @@
         for placed in machine.placements.values():
             job = placed.job
             if job.number not in known:
-                dear = dear_types(
+                dear = find_expensive_types(
                     job.shape, self.term.machine_types, self.jobs.gpu_reservations, most
                 )
                 known[job.number] = pool in dear
@@ -239,7 +239,7 @@
         bins_by_step = self._rooms.rooms(now)
         for room in itertools.chain.from_iterable(bins_by_step):
             # Best-effort work holds no machine that is dear for it, whatever else is there.
-            room.anchored = False
+            room.has_regular_tasks = False
         steps = [
             (rooms, then, self._left(then, rooms.copy()))
             for _, then, rooms in self._steps(now, demands, bins_by_step)
@@ -252,21 +252,26 @@
 
     def _steps(
         self, now: float, demands: list[Demand], bins_by_step: list[list[Bin]]
-    ) -> list[tuple[float, list[Demand], Rooms]]:
+    ) -> list[tuple[float, list[Demand], FreeCapacity]]:
         """Each step's time from now, demand, and the rooms that may hold some of it."""
         steps = []
         for at, bins in zip(self._rooms.steps, bins_by_step, strict=True):
             then = [self._demand.at(demand, at, now) for demand in demands]
-            rooms = Rooms(bins)
-            rooms.drop_full(then, self.jobs.gpu_reservations)
+            rooms = FreeCapacity(bins)
+            rooms.drop_full_bins(then, self.jobs.gpu_reservations)
             steps.append((at, then, rooms))
         return steps
 
-    def _left(self, demands: list[Demand], rooms: Rooms) -> list[int]:
+    def _left(self, demands: list[Demand], rooms: FreeCapacity) -> list[int]:
         """What of each demand finds no room. Packing uses up the rooms, and copies of caps."""
         return [
-            pack(
-                replace(demand, caps=None if demand.caps is None else dict(demand.caps)),
+            pack_demand(
+                replace(
+                    demand,
+                    max_tasks_by_zone=None
+                    if demand.max_tasks_by_zone is None
+                    else dict(demand.max_tasks_by_zone),
+                ),
                 rooms,
                 self.jobs.gpu_reservations,
             )
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -79,7 +79,9 @@
         known = [
             machine for machine in self.fleet.machines.values() if machine.machine_type in kinds
         ]
-        mean = sum(consolidate.hourly(machine, kinds) for machine in known) / max(1, len(known))
+        mean = sum(consolidate.hourly_price(machine, kinds) for machine in known) / max(
+            1, len(known)
+        )
         spare: Callable[[set[str]], bool] | None = None
         going: set[str] = set()
         while len(self._moving) < most:
@@ -182,11 +184,11 @@
             )
         }
         placed = next(
-            (placed for placed in consolidate.replicas(machine) if placed.was_reported), None
+            (placed for placed in consolidate.list_replicas(machine) if placed.was_reported), None
         )
         if placed is None:
             return
-        target = consolidate.target(
+        target = consolidate.find_target(
             placed,
             machine,
             index,
@@ -215,10 +217,10 @@
             index = MachineIndex.of(usable, self.term.machine_types, self.rng)
             found = [
                 (placed, other)
-                for placed in consolidate.replicas(machine)
+                for placed in consolidate.list_replicas(machine)
                 if placed.was_reported
                 and (
-                    other := consolidate.target(
+                    other := consolidate.find_target(
                         placed,
                         machine,
                         index,
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from ...planning import placement, provisioning
-from ...planning.best_effort import dear_types
+from ...planning.best_effort import find_expensive_types
 from ...planning.packing import Demand
 from ..gang_scheduling.gang_zones import GangZones
 from ..term import Term, TermActor
@@ -57,7 +57,7 @@
                 self._add_running(by_shape, job)
         self._add_expected(by_shape, now)
         self._gang_zones.aim(by_shape.values(), now)
-        demands = provisioning.merged(by_shape.values())
+        demands = provisioning.merge_demands(by_shape.values())
         self._note_dear_types(demands)
         self._count_machines(demands)
         return sorted(demands, key=lambda demand: (demand.shape.rank, -demand.shape.gpus))
@@ -65,24 +65,28 @@
     def at(self, demand: Demand, at: float, now: float) -> Demand:
         """The demand in `at` seconds."""
         count, job_class = demand.count, demand.shape.job_class
-        caps = dict(demand.caps) if demand.caps is not None else None
+        caps = dict(demand.max_tasks_by_zone) if demand.max_tasks_by_zone is not None else None
         if not (demand.shape.is_service or demand.shape.is_gang):
             # By then the machines that run such tasks now will have worked off a part of the queue.
             # (A gang needs the room of all its tasks at once.)
-            count = max(0.0, count - self._running[job_class] * at / max(demand.until, 1.0))
-        if demand.typical:
+            count = max(
+                0.0, count - self._running[job_class] * at / max(demand.needed_until_s, 1.0)
+            )
+        if demand.represents_job_class:
             more = self._expected(demand, at, now)
             count += more
             if caps is not None:
                 caps = {zone: cap + math.ceil(more / 2) for zone, cap in caps.items()}
-        return replace(demand, count=count, until=at + demand.until, caps=caps)
+        return replace(
+            demand, count=count, needed_until_s=at + demand.needed_until_s, max_tasks_by_zone=caps
+        )
 
     def _expected(self, demand: Demand, at: float, now: float) -> float:
         """How many tasks of the lane will have come and be there in `at` seconds."""
         arrivals, job_class = self.jobs.arrivals, demand.shape.job_class
         # Not by the last job's own length: one long job made the plan rent for a hundred machines'
         # work.
-        length = arrivals.length(job_class, now) or demand.until
+        length = arrivals.length(job_class, now) or demand.needed_until_s
         more = arrivals.rate(job_class, now) * min(at, length)
         if job_class in self._reserve:
             # Room for the next job, and for what the loss of a few machines would leave without.
@@ -100,7 +104,7 @@
             if count is None:
                 continue
             demand = self._demand_of(by_shape, job)
-            demand.add(count, self.jobs.expected_run_s(job.spec))
+            demand.add_tasks(count, self.jobs.expected_run_s(job.spec))
             if job.spec.spread:
                 self._add_caps(
                     demand,
@@ -141,7 +145,7 @@
         Their room counts as free, so that they get what all other demand leaves, or cheap machines.
         """
         demand = self._demand_of(by_shape, job)
-        demand.add(len(job.placements), self.jobs.expected_run_s(job.spec))
+        demand.add_tasks(len(job.placements), self.jobs.expected_run_s(job.spec))
         if job.spec.spread:
             zones = self.settings.zones
             self._add_caps(demand, {zone: job.placements_in_zone(zone) for zone in zones})
@@ -154,9 +158,9 @@
             if shape in by_shape or not expected:
                 continue
             length = arrivals.length(shape.job_class, now) or self.jobs.expected_run_s(spec)
-            demand = by_shape[shape] = Demand(shape, 0.0, length, typical=True)
+            demand = by_shape[shape] = Demand(shape, 0.0, length, represents_job_class=True)
             if spec.spread:
-                demand.caps = dict.fromkeys(self.settings.zones, 0)
+                demand.max_tasks_by_zone = dict.fromkeys(self.settings.zones, 0)
 
     def _demand_of(self, by_shape: dict[Shape, Demand], job: Job) -> Demand:
         """The demand that the job's tasks belong to."""
@@ -165,12 +169,12 @@
         if demand is None:
             length = self.jobs.expected_run_s(job.spec)
             typical = self.jobs.shapes.is_typical(shape)
-            demand = by_shape[shape] = Demand(shape, 0.0, length, typical=typical)
+            demand = by_shape[shape] = Demand(shape, 0.0, length, represents_job_class=typical)
         return demand
 
     @staticmethod
     def _add_caps(demand: Demand, more: dict[str, int]) -> None:
-        caps = demand.caps = demand.caps or {}
+        caps = demand.max_tasks_by_zone = demand.max_tasks_by_zone or {}
         for zone, count in more.items():
             caps[zone] = caps.get(zone, 0) + count
 
@@ -182,7 +186,7 @@
         )
         for demand in demands:
             if demand.shape.is_best_effort:
-                demand.dear = dear_types(demand.shape, kinds, needs, most)
+                demand.expensive_types = find_expensive_types(demand.shape, kinds, needs, most)
 
     def _count_machines(self, demands: list[Demand]) -> None:
         """Counts the machines that each demand may use, by zone."""
@@ -195,4 +199,4 @@
         for demand in demands:
             for (kind, zone, spot), count in pools.items():
                 if placement.allowed(demand.shape, kinds[kind], zone, spot):
-                    demand.zones[zone] = demand.zones.get(zone, 0) + count
+                    demand.machines_by_zone[zone] = demand.machines_by_zone.get(zone, 0) + count
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -12,7 +12,7 @@
     from collections.abc import Callable, Iterator
 
     from ...planning.fleet import Pool
-    from ...planning.provisioning import Rent
+    from ...planning.provisioning import ProvisionDecision
 
 log = logging.getLogger(__name__)
 
@@ -55,7 +55,7 @@
         """Whether the pool refused a short while ago."""
         return self._resting.get(pool, 0.0) > self.runtime.now()
 
-    def provision(self, pool: Pool, count: int, why: Rent) -> None:
+    def provision(self, pool: Pool, count: int, why: ProvisionDecision) -> None:
         """Asks the cloud for machines of a pool."""
         self._sent += 1
         name = f"{self.settings.node}-{self.term.number}-{self._sent}"
@@ -70,8 +70,8 @@
             count,
             why.job_class,
             why.score,
-            why.first,
-            why.last,
+            why.needed_from_s,
+            why.needed_until_s,
         )
         self._pending[name] = _Request(pool, count, self.runtime.now())
         self._send(name)
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ...gangs.gang_preemption import Candidate, Leaving, Share, best_shares
+from ...gangs.gang_preemption import Candidate, MachineSlots, Victim, choose_cheapest_machines
 from ...planning import placement
 from ...protocol import wire
 from ..term import Term, TermActor
@@ -48,9 +48,9 @@
         self._rests: dict[int, float] = {}
         """Gangs that were held for in vain, and until when nothing is held for them."""
         self._ended: set[str] = set()
-        """Machines that were held, since `ended` was asked."""
+        """Machines that were held, since `take_released_machines` was asked."""
 
-    def hold(self, job: Job, index: MachineIndex) -> None:
+    def reserve_machines(self, job: Job, index: MachineIndex) -> None:
         """Holds machines for the gang, if nothing is held at its rank."""
         rank, now = wire.RANKS[job.spec.rank], self.runtime.now()
         self._expire(now)
@@ -69,14 +69,14 @@
             len(machines),
         )
 
-    def placed(self, job: Job) -> None:
+    def on_gang_placed(self, job: Job) -> None:
         """The gang is placed: nothing is held for it any more."""
         self._rests.pop(job.number, None)
         hold = self._holds.get(wire.RANKS[job.spec.rank])
         if hold is not None and hold.no == job.number:
             self._end(hold)
 
-    def free_for(self, job: Job) -> Callable[[Machine], bool] | None:
+    def machine_filter_for(self, job: Job) -> Callable[[Machine], bool] | None:
         """Whether a machine is not held against the job; None: none is."""
         self._expire(self.runtime.now())
         rank = wire.RANKS[job.spec.rank]
@@ -90,7 +90,7 @@
         names = frozenset(itertools.chain.from_iterable(held))
         return lambda machine: machine.name not in names
 
-    def ended(self) -> set[str]:
+    def take_released_machines(self) -> set[str]:
         """The machines that are held no more since this was last asked."""
         self._expire(self.runtime.now())
         ended, self._ended = self._ended, set()
@@ -114,19 +114,19 @@
                 free = placement.room(machine, kind)
                 yield Candidate(machine, kind, free, self._ending(machine, now))
 
-        def longest_wait(found: list[Share]) -> float:
-            return max(share.loss for share in found)
+        def longest_wait(found: list[MachineSlots]) -> float:
+            return max(share.preemption_cost for share in found)
 
-        found = best_shares(
+        found = choose_cheapest_machines(
             job.spec, self.fleet.zones, candidates, placement.GpuNeeds(), longest_wait
         )
         return None if found is None else frozenset(share.machine.name for share in found)
 
     @staticmethod
-    def _ending(machine: Machine, now: float) -> list[Leaving]:
+    def _ending(machine: Machine, now: float) -> list[Victim]:
         """The tasks that end by themselves, each with the seconds until it is estimated to."""
         return [
-            Leaving(
+            Victim(
                 placed,
                 max(0.0, placed.job.spec.estimated_run_s - (now - (placed.started_at or now))),
             )
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -7,8 +7,22 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING
 
-from ...gangs.gang_capacity import Choice, GangSearch, Keep, choose_all, choose_missing
-from ...gangs.lifecycle import Phase, Situation, Step, Times, next_step, phase_of, situation_of
+from ...gangs.gang_capacity import (
+    GangMachines,
+    GangMachineSearch,
+    MachineFilter,
+    choose_machines_for_gang,
+    choose_machines_for_missing,
+)
+from ...gangs.lifecycle import (
+    Action,
+    GangStatus,
+    GangTimeouts,
+    Phase,
+    build_gang_status,
+    decide_action,
+    derive_phase,
+)
 from ...ledger import cluster_state as records
 from ...protocol import formats, wire
 from ..reconciliation.attempt_finisher import EndReason
@@ -63,7 +77,7 @@
     def __init__(self, term: Term, jobs: JobRegistry, orders: CommandSender) -> None:
         super().__init__(term)
         self.jobs, self.commands = jobs, orders
-        self._times = Times(self.settings.gang_wait_s, self.settings.gang_peer_s)
+        self._times = GangTimeouts(self.settings.gang_wait_s, self.settings.gang_peer_s)
         self._begin_within = {
             aim.job_class: aim.within
             for aim in self.settings.objectives
@@ -82,34 +96,36 @@
         no_room_until = self._no_room.get(job.number, 0.0)
         return self.ledger.state.format >= formats.GANGS and no_room_until <= self.runtime.now()
 
-    def place_gang(self, job: Job, index: MachineIndex, needs: bool, keep: Keep | None) -> int:
+    def place_gang(
+        self, job: Job, index: MachineIndex, needs: bool, keep: MachineFilter | None
+    ) -> int:
         """Places what is due of a gang, all of it or nothing; returns how many tasks.
 
         `needs`: what GPU tasks need beside their GPUs is kept for them.
         """
         now = self.runtime.now()
         step = self._next_step(job)
-        if step not in (Step.PLACE, Step.REPLACE):
+        if step not in (Action.PLACE, Action.REPLACE):
             return 0
         missing = [task for task in range(job.spec.tasks) if task not in job.placements]
         choice = self._choose(job, len(missing), index, needs, keep)
         if choice is not None:
-            attempt = job.newest_attempt + (step is Step.PLACE)
+            attempt = job.newest_attempt + (step is Action.PLACE)
             self._reserve(job, attempt, missing, choice.machines)
             return len(missing)
         self._no_room[job.number] = now + self.policy.retry
-        if step is Step.REPLACE:
+        if step is Action.REPLACE:
             self._abandon(job, "no room for a lost task")
         return 0
 
     def _choose(
-        self, job: Job, count: int, index: MachineIndex, needs: bool, keep: Keep | None
-    ) -> Choice | None:
+        self, job: Job, count: int, index: MachineIndex, needs: bool, keep: MachineFilter | None
+    ) -> GangMachines | None:
         if not self.jobs.is_within_limit(job.spec, count):
             return None
         gpu_needs = self.jobs.gpu_reservations if needs else None
-        search = GangSearch(job.spec, job.number, index, gpu_needs, self.policy.sample, keep)
-        longest = FETCH_SHARE * self._times.wait
+        search = GangMachineSearch(job.spec, job.number, index, gpu_needs, self.policy.sample, keep)
+        longest = FETCH_SHARE * self._times.wait_s
         if not job.placements:
             return self._choose_all(search, longest)
         lost_on = self._attempt_of(job).lost_on
@@ -117,21 +133,23 @@
         def keep_others(machine: Machine) -> bool:
             return machine.name not in lost_on and (keep is None or keep(machine))
 
-        search = replace(search, keep=keep_others)
-        return choose_missing(search, count, self.fleet.zones, job.zone_counts, longest)
+        search = replace(search, machine_filter=keep_others)
+        return choose_machines_for_missing(
+            search, count, self.fleet.zones, job.zone_counts, longest
+        )
 
-    def _choose_all(self, search: GangSearch, longest: float) -> Choice | None:
+    def _choose_all(self, search: GangMachineSearch, longest: float) -> GangMachines | None:
         """Machines for all tasks; where the images would be late, GPU machines too.
 
         What these keep for GPU tasks is taken for a gang's short time: images are there sooner.
         """
-        choice = choose_all(search, self.fleet.zones, longest)
+        choice = choose_machines_for_gang(search, self.fleet.zones, longest)
         soon = FETCH_SHARE * self._begin_within.get(search.spec.job_class, math.inf)
-        if search.needs is None or (choice is not None and choice.fetch <= soon):
+        if search.gpu_needs is None or (choice is not None and choice.fetch_s <= soon):
             return choice
         if soon == math.inf:
             return choice
-        sooner = choose_all(replace(search, needs=None), self.fleet.zones, soon)
+        sooner = choose_machines_for_gang(replace(search, gpu_needs=None), self.fleet.zones, soon)
         return sooner or choice
 
     def _reserve(self, job: Job, attempt: int, tasks: list[int], machines: list[Machine]) -> None:
@@ -215,7 +233,7 @@
 
     def evaluate(self, job: Job) -> None:
         """Gives the attempt up if it can't be completed any more."""
-        if job.placements and self._next_step(job) is Step.ABANDON:
+        if job.placements and self._next_step(job) is Action.ABANDON:
             self._abandon(job, "a task is gone")
 
     def watch(self) -> None:
@@ -248,7 +266,7 @@
 
     def phase(self, job: Job) -> Phase:
         """Where the gang stands."""
-        return phase_of(self._situation(job))
+        return derive_phase(self._situation(job))
 
     # Stopping
 
@@ -291,7 +309,7 @@
         """A machine of the gang is taken by the cloud in `notice` seconds."""
         saves = (
             job.spec.checkpoint_interval_s
-            and job.spec.checkpoint_save_s + self._times.peer < notice
+            and job.spec.checkpoint_save_s + self._times.peer_s < notice
         )
         phase = self.phase(job)
         if phase in (Phase.LAUNCHING, Phase.WAITING) or (phase is Phase.RUNNING and saves):
@@ -346,10 +364,10 @@
             attempt = self._attempts[job.number] = _Attempt(newest, self.term.began_at)
         return attempt
 
-    def _situation(self, job: Job) -> Situation:
+    def _situation(self, job: Job) -> GangStatus:
         attempt, now = self._attempt_of(job), self.runtime.now()
         stopped = attempt.stopped_at
-        return situation_of(
+        return build_gang_status(
             job,
             attempt.has_run,
             attempt.is_broken,
@@ -357,8 +375,8 @@
             now - attempt.launched_at,
         )
 
-    def _next_step(self, job: Job) -> Step:
-        return next_step(self._situation(job), self._times, job.spec.checkpoint_save_s)
+    def _next_step(self, job: Job) -> Action:
+        return decide_action(self._situation(job), self._times, job.spec.checkpoint_save_s)
 
     def _hears(self, placed: Placement) -> bool:
         machine = self.fleet.machines.get(placed.machine)
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -9,7 +9,7 @@
 
 from ...planning import placement
 from ...planning.fleet import Pool
-from ...planning.packing import Bin, Demand, slots
+from ...planning.packing import Bin, Demand, count_slots
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
                 continue
             room = placement.room(machine, kind)
             free = Bin(kind, machine.zone, machine.spot, room.cores, room.gpus, room.memory_gb)
-            found[machine.zone] += slots(shape, free, self.jobs.gpu_reservations)
+            found[machine.zone] += count_slots(shape, free, self.jobs.gpu_reservations)
         return found
 
     def _can_rent(self, shape: Shape, zone: str) -> bool:
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -15,7 +15,7 @@
 from ...lending.entitlement import Amounts, Reclaimable, amounts_of
 from ...lending.reclaim import Situation, Step, Times, next_step
 from ...planning import placement
-from ...planning.best_effort import dear_types
+from ...planning.best_effort import find_expensive_types
 from ...planning.fleet import Machine, Pool
 from ...protocol import formats, wire
 from ..term import Term, TermActor
@@ -182,7 +182,9 @@
 
     def _can_rent(self, spec: wire.Spec, within: float) -> bool:
         kinds = self.term.machine_types
-        dear = dear_types(spec, kinds, self.jobs.gpu_reservations, self.policy.best_effort_price)
+        dear = find_expensive_types(
+            spec, kinds, self.jobs.gpu_reservations, self.policy.best_effort_price
+        )
         return any(
             placement.allowed(spec, kind, zone, spot)
             and (kind.name, spot) not in dear
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -7,7 +7,7 @@
 import logging
 from typing import TYPE_CHECKING
 
-from ...gangs.gang_preemption import Candidate, Leaving, Share, best_shares
+from ...gangs.gang_preemption import Candidate, MachineSlots, Victim, choose_cheapest_machines
 from ...lending.entitlement import Reclaimable, amounts_of
 from ...lending.victim_selection import giving_way
 from ...planning import placement
@@ -224,15 +224,15 @@
         if best is None:
             self._nobody.add(kin, job.spec)
             return False
-        rooms = [Room(share.machine, list(share.leaving), share.tasks) for share in best]
+        rooms = [Room(share.machine, list(share.victims), share.task_count) for share in best]
         if recalls and any(self._is_borrowed(job.spec, room.borrowed) for room in rooms):
             return self._recall(job, *rooms)
         tasks = iter(range(job.spec.tasks))
         self._preempted = {key: until for key, until in self._preempted.items() if until > now}
         for share in best:
-            for task in itertools.islice(tasks, share.tasks):
+            for task in itertools.islice(tasks, share.task_count):
                 key = job.number, task
-                victims = list(share.leaving)
+                victims = list(share.victims)
                 self._preempted[key] = self._evict(key, job.spec, share.machine, victims, False)
         log.info(
             "event=gang_preempts term=%d job=%s machines=%d",
@@ -249,7 +249,9 @@
             if self._preempted.pop((job.number, task), None) is not None:
                 self._claims.made_good((job.number, task))
 
-    def _least_gang_loss(self, job: Job, index: MachineIndex, now: float) -> list[Share] | None:
+    def _least_gang_loss(
+        self, job: Job, index: MachineIndex, now: float
+    ) -> list[MachineSlots] | None:
         spec = job.spec
         entitled, budget = self.is_entitled(job), self._budget(spec)
 
@@ -257,7 +259,7 @@
             most = placement.WIDEN**2 * self.policy.sample
             for machine, kind in itertools.islice(index.walk(spec, shut), most):
                 leaving = [
-                    Leaving(placed, self._loss(placed, now))
+                    Victim(placed, self._loss(placed, now))
                     for placed in machine.placements.values()
                     if placed.was_reported
                     and self._gives_way(placed, spec, entitled, now)
@@ -265,10 +267,10 @@
                 ]
                 yield Candidate(machine, kind, self._unclaimed_room(machine, kind), leaving)
 
-        def whole_loss(found: list[Share]) -> float:
-            return sum(share.loss for share in found)
+        def whole_loss(found: list[MachineSlots]) -> float:
+            return sum(share.preemption_cost for share in found)
 
-        return best_shares(
+        return choose_cheapest_machines(
             spec, self.fleet.zones, candidates, self.jobs.gpu_reservations, whole_loss
         )
 
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -102,7 +102,7 @@
 
         Who found no room in an earlier pass looks only where there is more now.
         """
-        freed = self.preemption.begin_pass() | self.gang_reservations.ended()
+        freed = self.preemption.begin_pass() | self.gang_reservations.take_released_machines()
         self._take_up_changes()
         for name in freed:
             machine = self.fleet.machines.get(name)
@@ -178,7 +178,7 @@
         count = self.gang_scheduler.place_gang(job, index, not overdue, self.keep_for(job))
         if count:
             self.preemption.gang_placed(job)
-            self.gang_reservations.placed(job)
+            self.gang_reservations.on_gang_placed(job)
             self._take_up_changes()
         elif not job.placements and self.jobs.is_within_limit(job.spec, job.spec.tasks):
             self._make_gang_room(job, index, overdue)
@@ -187,13 +187,13 @@
     def _make_gang_room(self, job: Job, index: MachineIndex, overdue: bool) -> None:
         """Stops others for the gang, or keeps new work off machines that it can use in a while."""
         if not self.preemption.make_gang_room(job, index) and overdue:
-            self.gang_reservations.hold(job, index)
+            self.gang_reservations.reserve_machines(job, index)
 
     def keep_for(self, job: Job) -> Callable[[Machine], bool] | None:
         """Whether a machine's room is kept neither for somebody more important nor for a gang."""
         rules = (
             self.preemption.unclaimed_by(wire.RANKS[job.spec.rank]),
-            self.gang_reservations.free_for(job),
+            self.gang_reservations.machine_filter_for(job),
             self.quota_reclaim.free_for(job),
         )
         kept = [accepts for accepts in rules if accepts is not None]
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from ...planning import placement
-from ...planning.best_effort import dear_types
+from ...planning.best_effort import find_expensive_types
 from ...planning.choice import choose
 from ...planning.fleet import Machine
 from ...planning.machine_index import Fit, MachineIndex
@@ -202,7 +202,7 @@
 
     def _worth_using(self, spec: wire.Spec, keep: Keep | None) -> Keep:
         """Whether best-effort work may use a machine: not a dear one that nothing else is on."""
-        dear = dear_types(
+        dear = find_expensive_types(
             spec,
             self._term.machine_types,
             self._jobs.gpu_reservations,
--- a/flaxtally/planning/best_effort.py
+++ b/flaxtally/planning/best_effort.py
@@ -17,9 +17,9 @@
     from ..protocol import wire
     from ..protocol.shape import Shape
 
-Dear = frozenset[tuple[str, bool]]
+ExpensiveTypes = frozenset[tuple[str, bool]]
 """Machine types, each with whether it is spot."""
-NOTHING_DEAR: Dear = frozenset()
+NO_EXPENSIVE_TYPES: ExpensiveTypes = frozenset()
 
 
 def _hourly(spec: wire.Spec | Shape, kind: wire.MachineType, spot: bool, needs: GpuNeeds) -> float:
@@ -41,12 +41,12 @@
     return max(shares, default=0.0) * (kind.hourly_spot_price if spot else kind.hourly_price)
 
 
-def dear_types(
+def find_expensive_types(
     spec: wire.Spec | Shape,
     kinds: Mapping[str, wire.MachineType],
     needs: GpuNeeds,
     most: float,
-) -> Dear:
+) -> ExpensiveTypes:
     """The types on which a task costs more than `most` times as much as on the cheapest.
 
     The cheapest counts even while none can be had: a refused pool makes no other one cheap.
--- a/flaxtally/planning/consolidate.py
+++ b/flaxtally/planning/consolidate.py
@@ -46,12 +46,12 @@
     """
     candidates: list[tuple[float, Machine]] = []
     for machine in machines:
-        if machine.name in firm or hourly(machine, kinds) < least:
+        if machine.name in firm or hourly_price(machine, kinds) < least:
             continue
-        there = replicas(machine)
+        there = list_replicas(machine)
         alone = len(there) == len(machine.placements)
         if there and all(settled(placed) for placed in there) and (beside_arrays or alone):
-            candidates.append((hourly(machine, kinds) / len(there), machine))
+            candidates.append((hourly_price(machine, kinds) / len(there), machine))
     candidates.sort(key=lambda entry: -entry[0])
     failed: list[str] = []
     if not candidates:
@@ -60,9 +60,9 @@
     claimed: list[tuple[Machine, wire.Spec]] = []
 
     def fits(machine: Machine) -> bool:
-        for placed in sorted(replicas(machine), key=lambda placed: -placed.job.spec.cores):
+        for placed in sorted(list_replicas(machine), key=lambda placed: -placed.job.spec.cores):
             spec = placed.job.spec
-            found = target(placed, machine, index, needs, sample, shut_without)
+            found = find_target(placed, machine, index, needs, sample, shut_without)
             if found is None:
                 return False
             found.reserve(spec, 1)
@@ -106,7 +106,7 @@
             machine.reserve(spec, 1)
 
 
-def target(
+def find_target(
     placed: Placement,
     machine: Machine,
     index: MachineIndex,
@@ -123,11 +123,11 @@
         needs,
         sample,
         shut_without(job, placed),
-        lambda other: takes(machine, other, job.spec, index.machine_types),
+        lambda other: can_take(machine, other, job.spec, index.machine_types),
     )
 
 
-def takes(
+def can_take(
     machine: Machine, other: Machine, spec: wire.Spec, kinds: dict[str, wire.MachineType]
 ) -> bool:
     """Whether a replica may move from the one machine to the other.
@@ -136,7 +136,7 @@
     GPUs that it doesn't need to a machine without them.
     """
     if other is machine or not (
-        other.placements or 2 * hourly(other, kinds) < hourly(machine, kinds)
+        other.placements or 2 * hourly_price(other, kinds) < hourly_price(machine, kinds)
     ):
         return False
     freed = (
@@ -145,14 +145,14 @@
     return spec.image in other.images or bool(freed)
 
 
-def replicas(machine: Machine) -> list[Placement]:
+def list_replicas(machine: Machine) -> list[Placement]:
     """What must move; tasks of arrays are left to end."""
     return [
         placed for placed in machine.placements.values() if placed.job.spec.job_kind == wire.SERVICE
     ]
 
 
-def hourly(machine: Machine, kinds: dict[str, wire.MachineType]) -> float:
+def hourly_price(machine: Machine, kinds: dict[str, wire.MachineType]) -> float:
     """What the machine costs an hour."""
     kind = kinds[machine.machine_type]
     return kind.hourly_spot_price if machine.spot else kind.hourly_price
--- a/flaxtally/planning/packing.py
+++ b/flaxtally/planning/packing.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from .best_effort import NOTHING_DEAR, Dear
+from .best_effort import NO_EXPENSIVE_TYPES, ExpensiveTypes
 from .placement import SLACK, GpuNeeds, allowed
 
 if TYPE_CHECKING:
@@ -22,7 +22,16 @@
 class Bin:
     """A machine's room at one step of the packing."""
 
-    __slots__ = ("anchored", "cores", "gpus", "kind", "memory_gb", "name", "spot", "zone")
+    __slots__ = (
+        "cores",
+        "gpus",
+        "has_regular_tasks",
+        "machine_type",
+        "memory_gb",
+        "name",
+        "spot",
+        "zone",
+    )
 
     def __init__(
         self,
@@ -35,10 +44,10 @@
         name: str = "",
         anchored: bool = False,
     ) -> None:
-        """`anchored`: kept for more than best-effort work."""
-        self.kind, self.zone, self.spot = kind, zone, spot
+        """`has_regular_tasks`: kept for more than best-effort work."""
+        self.machine_type, self.zone, self.spot = kind, zone, spot
         self.cores, self.gpus, self.memory_gb = cores, gpus, memory_gb
-        self.name, self.anchored = name, anchored
+        self.name, self.has_regular_tasks = name, anchored
 
     @classmethod
     def empty(cls, kind: wire.MachineType, zone: str, spot: bool) -> Bin:
@@ -48,14 +57,14 @@
     def copy(self) -> Bin:
         """The same room, to be used up by itself."""
         return Bin(
-            self.kind,
+            self.machine_type,
             self.zone,
             self.spot,
             self.cores,
             self.gpus,
             self.memory_gb,
             self.name,
-            self.anchored,
+            self.has_regular_tasks,
         )
 
 
@@ -65,36 +74,37 @@
 
     shape: Shape
     count: float
-    until: float
-    zones: dict[str, int] = field(default_factory=dict)
-    caps: dict[str, int] | None = None
+    needed_until_s: float
+    machines_by_zone: dict[str, int] = field(default_factory=dict)
+    max_tasks_by_zone: dict[str, int] | None = None
     """For jobs that spread: how many more of their tasks each zone may take. None: any number."""
-    typical: bool = False
+    represents_job_class: bool = False
     """Stands for its lane in the forecast of arrivals."""
-    dear: Dear = NOTHING_DEAR
+    expensive_types: ExpensiveTypes = NO_EXPENSIVE_TYPES
     """Types that best-effort work neither rents nor keeps."""
 
-    def may_use(self, room: Bin) -> bool:
+    def can_use(self, room: Bin) -> bool:
         """Whether the room counts for this demand."""
-        return allowed(self.shape, room.kind, room.zone, room.spot) and (
-            room.anchored or (room.kind.name, room.spot) not in self.dear
+        return allowed(self.shape, room.machine_type, room.zone, room.spot) and (
+            room.has_regular_tasks
+            or (room.machine_type.name, room.spot) not in self.expensive_types
         )
 
-    def cap(self, zone: str) -> int:
+    def max_tasks_in(self, zone: str) -> int:
         """How many more tasks the zone may take."""
-        return ANY_NUMBER if self.caps is None else self.caps.get(zone, 0)
+        return ANY_NUMBER if self.max_tasks_by_zone is None else self.max_tasks_by_zone.get(zone, 0)
 
-    def add(self, count: float, length: float) -> None:
+    def add_tasks(self, count: float, length: float) -> None:
         """That many tasks more, which run that long."""
         whole = self.count + count
         if whole:
-            self.until = (self.until * self.count + length * count) / whole
+            self.needed_until_s = (self.needed_until_s * self.count + length * count) / whole
         self.count = whole
 
-    def used(self, zone: str, count: int) -> None:
+    def record_packed(self, zone: str, count: int) -> None:
         """That many tasks were packed in the zone."""
-        if self.caps is not None:
-            self.caps[zone] = self.cap(zone) - count
+        if self.max_tasks_by_zone is not None:
+            self.max_tasks_by_zone[zone] = self.max_tasks_in(zone) - count
 
 
 class _PoolKey(NamedTuple):
@@ -106,33 +116,33 @@
     anchored: bool
 
 
-class Rooms:
+class FreeCapacity:
     """The bins of one step, by pool, in the order in which they came."""
 
     def __init__(self, bins: Iterable[Bin] = ()) -> None:
         self._pools: dict[_PoolKey, list[Bin]] = {}
         for room in bins:
-            self.add(room)
+            self.add_bin(room)
 
-    def add(self, room: Bin) -> None:
+    def add_bin(self, room: Bin) -> None:
         """One more machine's room."""
-        key = _PoolKey(room.kind.name, room.zone, room.spot, room.anchored)
+        key = _PoolKey(room.machine_type.name, room.zone, room.spot, room.has_regular_tasks)
         self._pools.setdefault(key, []).append(room)
 
-    def copy(self, without: Collection[str] = ()) -> Rooms:
+    def copy(self, without: Collection[str] = ()) -> FreeCapacity:
         """The same rooms, to be used up by themselves, less those of the machines named."""
-        copied = Rooms()
+        copied = FreeCapacity()
         copied._pools = {
             key: [room.copy() for room in rooms if room.name not in without]
             for key, rooms in self._pools.items()
         }
         return copied
 
-    def drop_full(self, demands: Iterable[Demand], needs: GpuNeeds) -> None:
+    def drop_full_bins(self, demands: Iterable[Demand], needs: GpuNeeds) -> None:
         """Drops the bins in which no task of any demand finds room: packing passes over them."""
         demands = list(demands)
         for key, rooms in self._pools.items():
-            shapes = [demand.shape for demand in demands if rooms and demand.may_use(rooms[0])]
+            shapes = [demand.shape for demand in demands if rooms and demand.can_use(rooms[0])]
             least = [
                 size
                 for size in (
@@ -142,20 +152,20 @@
                 if size is not None
             ]
             self._pools[key] = [
-                room for room in rooms if any(slots(size, room, needs) for size in least)
+                room for room in rooms if any(count_slots(size, room, needs) for size in least)
             ]
 
-    def usable_by(self, demand: Demand) -> list[list[Bin]]:
+    def bins_for(self, demand: Demand) -> list[list[Bin]]:
         """The pools that count for the demand, those that it is to use first at the front.
 
         Spot machines first for what may use them, plain ones first for what needs no GPU.
         """
         shape = demand.shape
-        found = [rooms for rooms in self._pools.values() if rooms and demand.may_use(rooms[0])]
+        found = [rooms for rooms in self._pools.values() if rooms and demand.can_use(rooms[0])]
         found.sort(
             key=lambda rooms: (
                 shape.spot and not rooms[0].spot,
-                bool(rooms[0].kind.gpus) and not shape.gpus,
+                bool(rooms[0].machine_type.gpus) and not shape.gpus,
             )
         )
         return found
@@ -189,9 +199,9 @@
     return _Size(min(cores), min(gpus), min(memory_gb))
 
 
-def slots(size: Size, room: Bin, needs: GpuNeeds) -> int:
+def count_slots(size: Size, room: Bin, needs: GpuNeeds) -> int:
     """How many tasks of a size a bin still takes."""
-    cores, memory_gb, kind = room.cores, room.memory_gb, room.kind
+    cores, memory_gb, kind = room.cores, room.memory_gb, room.machine_type
     if not size.gpus and kind.gpus:
         cores -= room.gpus * min(needs.cores, kind.cores / kind.gpus)
         memory_gb -= room.gpus * min(needs.memory_gb, kind.memory_gb / kind.gpus)
@@ -205,24 +215,26 @@
     return max(0, int(most)) if most < math.inf else ANY_NUMBER
 
 
-def take(size: Size, room: Bin, count: int) -> None:
+def take_slots(size: Size, room: Bin, count: int) -> None:
     """Uses up the room of that many tasks."""
     room.cores -= size.cores * count
     room.gpus -= size.gpus * count
     room.memory_gb -= size.memory_gb * count
 
 
-def pack(demand: Demand, rooms: Rooms, needs: GpuNeeds) -> int:
+def pack_demand(demand: Demand, rooms: FreeCapacity, needs: GpuNeeds) -> int:
     """Packs the demand into the rooms, which it uses up; gives how many tasks are left over."""
     left = int(demand.count)
     if left <= 0:
         return left
-    for bins in rooms.usable_by(demand):
+    for bins in rooms.bins_for(demand):
         for room in bins:
-            count = min(left, slots(demand.shape, room, needs), demand.cap(room.zone))
+            count = min(
+                left, count_slots(demand.shape, room, needs), demand.max_tasks_in(room.zone)
+            )
             if count:
-                take(demand.shape, room, count)
-                demand.used(room.zone, count)
+                take_slots(demand.shape, room, count)
+                demand.record_packed(room.zone, count)
                 left -= count
                 if left <= 0:
                     return left
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -10,16 +10,20 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from flaxtally.gangs.gang_capacity import GangSearch, choose_all, choose_missing
-from flaxtally.gangs.gang_preemption import Candidate, Leaving, shares
+from flaxtally.gangs.gang_capacity import (
+    GangMachineSearch,
+    choose_machines_for_gang,
+    choose_machines_for_missing,
+)
+from flaxtally.gangs.gang_preemption import Candidate, Victim, choose_machines
 from flaxtally.gangs.lifecycle import (
+    Action,
+    GangStatus,
+    GangTimeouts,
     Member,
     Phase,
-    Situation,
-    Step,
-    Times,
-    next_step,
-    phase_of,
+    decide_action,
+    derive_phase,
 )
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
@@ -30,7 +34,7 @@
 from .simulated_cluster import TYPES, ZONES, batch, gang
 
 KINDS = {kind.name: kind for kind in TYPES}
-TIMES = Times(wait=20.0, peer=4.0)
+TIMES = GangTimeouts(wait_s=20.0, peer_s=4.0)
 SAVE = 1.0
 
 members = st.lists(
@@ -43,7 +47,7 @@
     max_size=4,
 )
 situations = st.builds(
-    Situation,
+    GangStatus,
     tasks=st.just(4),
     members=members.map(tuple),
     is_done=st.sampled_from([False, False, True]),
@@ -58,42 +62,42 @@
 @pytest.mark.real_processes
 @given(situations)
 @examples(derandomize=True, max_examples=800)
-def test_no_step_breaks_a_gang_in_any_situation(now: Situation) -> None:
-    step, phase = next_step(now, TIMES, SAVE), phase_of(now)
+def test_no_step_breaks_a_gang_in_any_situation(now: GangStatus) -> None:
+    step, phase = decide_action(now, TIMES, SAVE), derive_phase(now)
     if now.is_done or now.is_cancelled:
-        assert step is Step.NOTHING
+        assert step is Action.NOTHING
         return
     # A new attempt begins only when nothing of the last one is placed, and then it does.
-    assert (step is Step.PLACE) == (not now.members)
-    if step is Step.REPLACE:
+    assert (step is Action.PLACE) == (not now.members)
+    if step is Action.REPLACE:
         # Some are missing, and the gang has surely not begun.
-        assert 0 < len(now.members) < now.tasks
+        assert 0 < len(now.members) < now.task_count
         assert not now.has_run
         assert {member.state for member in now.members} <= {wire.FETCHING, wire.WAITING}
         assert len({member.attempt for member in now.members}) == 1
-        assert now.stopping_for is None
-        assert now.launched_for < TIMES.wait
-    if step is Step.ABANDON:
+        assert now.since_stop_s is None
+        assert now.since_launch_s < TIMES.wait_s
+    if step is Action.ABANDON:
         # Never what is whole, of one attempt, not given up and not late with saving.
-        whole = len(now.members) == now.tasks
+        whole = len(now.members) == now.task_count
         of_one = len({member.attempt for member in now.members}) == 1
-        late = now.stopping_for is not None and now.stopping_for > SAVE + 2 * TIMES.peer
+        late = now.since_stop_s is not None and now.since_stop_s > SAVE + 2 * TIMES.peer_s
         assert not (whole and of_one and not now.is_broken and not late)
     if phase is Phase.RESERVED:
         # Its commit decides first.
-        assert step is Step.NOTHING
+        assert step is Action.NOTHING
 
 
 @pytest.mark.real_processes
 @given(situations)
 @examples(derandomize=True, max_examples=400)
-def test_a_gang_that_lost_a_task_is_never_left_as_it_is(now: Situation) -> None:
-    step = next_step(now, TIMES, SAVE)
-    incomplete = 0 < len(now.members) < now.tasks
-    heard = all(member.committed and member.state for member in now.members)
-    saving = now.stopping_for is not None and now.stopping_for < SAVE + 2 * TIMES.peer
+def test_a_gang_that_lost_a_task_is_never_left_as_it_is(now: GangStatus) -> None:
+    step = decide_action(now, TIMES, SAVE)
+    incomplete = 0 < len(now.members) < now.task_count
+    heard = all(member.is_committed and member.state for member in now.members)
+    saving = now.since_stop_s is not None and now.since_stop_s < SAVE + 2 * TIMES.peer_s
     if incomplete and heard and not (saving or now.is_done or now.is_cancelled):
-        assert step in (Step.REPLACE, Step.ABANDON)
+        assert step in (Action.REPLACE, Action.ABANDON)
 
 
 # Rooms
@@ -127,8 +131,8 @@
     index = MachineIndex.of(machines, KINDS, rng)
     before = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     job = gang("j-000001", tasks, one_zone=one_zone, spread=spread, cores=cores)
-    search = GangSearch(job, 1, index, GpuNeeds(), 24, None)
-    choice = choose_all(search, set(ZONES), 60.0)
+    search = GangMachineSearch(job, 1, index, GpuNeeds(), 24, None)
+    choice = choose_machines_for_gang(search, set(ZONES), 60.0)
     after = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     assert after == before
     if choice is None:
@@ -147,9 +151,9 @@
     for machine in machines:
         machine.cores = 0.0
     index = MachineIndex.of(machines, KINDS, rng)
-    search = GangSearch(gang("j-000001", 4), 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(gang("j-000001", 4), 1, index, GpuNeeds(), 24, None)
     for zone in ZONES:
-        choice = choose_missing(search, 2, set(ZONES), {zone: 2}, 60.0)
+        choice = choose_machines_for_missing(search, 2, set(ZONES), {zone: 2}, 60.0)
         assert choice is not None
         assert {machine.zone for machine in choice.machines} == {zone}
 
@@ -158,11 +162,11 @@
     # Measured with 4,000 machines: each vain search for 100,000 tasks took 2.3 s of the loop.
     rng = random.Random(1)
     index = MachineIndex.of(fleet(rng, 300), KINDS, rng)
-    search = GangSearch(gang("j-000001", 100_000), 1, index, GpuNeeds(), 24, None)
-    assert choose_all(search, set(ZONES), 60.0) is None
+    search = GangMachineSearch(gang("j-000001", 100_000), 1, index, GpuNeeds(), 24, None)
+    assert choose_machines_for_gang(search, set(ZONES), 60.0) is None
     assert index.looked == 0
-    few = GangSearch(gang("j-000002", 40), 1, index, GpuNeeds(), 24, None)
-    assert choose_all(few, set(ZONES), 60.0) is not None
+    few = GangMachineSearch(gang("j-000002", 40), 1, index, GpuNeeds(), 24, None)
+    assert choose_machines_for_gang(few, set(ZONES), 60.0) is not None
 
 
 @pytest.mark.real_processes
@@ -182,21 +186,27 @@
         leaving = []
         for task in range(number * 8, number * 8 + rng.randrange(4)):
             book.apply(["P", 1, task, 1, machine.name, machine.zone], 1)
-            leaving.append(Leaving(book.jobs[1].placements[task], rng.uniform(0, 50)))
+            leaving.append(Victim(book.jobs[1].placements[task], rng.uniform(0, 50)))
         free = Room(kind.cores - machine.cores, 0.0, 64.0)
         candidates.append(Candidate(machine, kind, free, leaving))
         most += int((free.cores + 3.0 * len(leaving) + 1e-6) / 3.0)
-    found = shares(job, tasks, candidates, GpuNeeds())
+    found = choose_machines(job, tasks, candidates, GpuNeeds())
     assert (found is not None) == (most >= tasks)
     if found is None:
         return
-    assert sum(share.tasks for share in found) >= tasks
+    assert sum(share.task_count for share in found) >= tasks
     by_machine = {candidate.machine: candidate for candidate in candidates}
     for share in found:
         candidate = by_machine[share.machine]
-        left = candidate.free.cores + 3.0 * len(share.leaving)
-        assert share.tasks * 3.0 <= left + 1e-6
+        left = candidate.free.cores + 3.0 * len(share.victims)
+        assert share.task_count * 3.0 <= left + 1e-6
         # Nobody leaves without whom as many tasks would fit.
-        assert not share.leaving or (share.tasks * 3.0) > left - 3.0 * len(share.leaving) + 1e-6
-        losses = [leaving.loss for leaving in candidate.leaving if leaving.placed in share.leaving]
-        assert share.loss == pytest.approx(sum(losses))
+        assert (
+            not share.victims or (share.task_count * 3.0) > left - 3.0 * len(share.victims) + 1e-6
+        )
+        losses = [
+            leaving.preemption_cost
+            for leaving in candidate.victims
+            if leaving.placement in share.victims
+        ]
+        assert share.preemption_cost == pytest.approx(sum(losses))
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -21,7 +21,7 @@
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.forecast import Arrivals
 from flaxtally.planning.machine_index import MachineIndex
-from flaxtally.planning.packing import Bin, Demand, Rooms, pack
+from flaxtally.planning.packing import Bin, Demand, FreeCapacity, pack_demand
 from flaxtally.planning.placement import WIDEN, GpuNeeds, allowed, leaves_gpus_usable, room
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
@@ -216,11 +216,11 @@
             for size, (_, _, count) in zip(sizes, drawn, strict=True)
         ]
 
-    whole, less = Rooms(bins()), Rooms(bins())
-    less.drop_full(demands(), needs)
-    left = [pack(demand, whole, needs) for demand in demands()]
-    assert [pack(demand, less.copy(), needs) for demand in demands()[:1]] == left[:1]
-    assert [pack(demand, less, needs) for demand in demands()] == left
+    whole, less = FreeCapacity(bins()), FreeCapacity(bins())
+    less.drop_full_bins(demands(), needs)
+    left = [pack_demand(demand, whole, needs) for demand in demands()]
+    assert [pack_demand(demand, less.copy(), needs) for demand in demands()[:1]] == left[:1]
+    assert [pack_demand(demand, less, needs) for demand in demands()] == left
 
 
 def with_ram(memory_gb: float) -> wire.Spec:
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -23,9 +23,9 @@
 from flaxtally.planning.fleet import Machine, Pool
 from flaxtally.planning.forecast import Arrivals
 from flaxtally.planning.machine_index import MachineIndex
-from flaxtally.planning.packing import Bin, Demand, Rooms, pack
+from flaxtally.planning.packing import Bin, Demand, FreeCapacity, pack_demand
 from flaxtally.planning.placement import GpuNeeds, gpu_needs
-from flaxtally.planning.provisioning import plan
+from flaxtally.planning.provisioning import plan_provisioning
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.http import MalformedMessageError, Parser
@@ -342,13 +342,19 @@
 def test_fill_takes_the_cheapest_per_work_and_the_open_zone() -> None:
     gate = Shape.of(spec("j-000001"))
     pools = [Pool(kind, zone, spot) for kind in KINDS for zone in "ab" for spot in (False, True)]
-    rents = plan([(0.0, [Demand(gate, 10, 300.0)], Rooms())], KINDS, pools, NEEDS, 1.1, 9)
+    rents = plan_provisioning(
+        [(0.0, [Demand(gate, 10, 300.0)], FreeCapacity())], KINDS, pools, NEEDS, 1.1, 9
+    )
     assert [(rent.pool.machine_type, rent.pool.spot) for rent in rents] == [("c16", False)] * 2
     gpu = Shape.of(batch("j-000002", 8))
-    rents = plan([(0.0, [Demand(gpu, 8, 60.0)], Rooms())], KINDS, pools, NEEDS, 1.1, 9)
+    rents = plan_provisioning(
+        [(0.0, [Demand(gpu, 8, 60.0)], FreeCapacity())], KINDS, pools, NEEDS, 1.1, 9
+    )
     assert [(rent.pool.machine_type, rent.pool.spot) for rent in rents] == [("g8", True)]
     assert (
-        plan([(0.0, [Demand(gpu, 8, 60.0)], Rooms([room("g8")]))], KINDS, pools, NEEDS, 1.1, 9)
+        plan_provisioning(
+            [(0.0, [Demand(gpu, 8, 60.0)], FreeCapacity([room("g8")]))], KINDS, pools, NEEDS, 1.1, 9
+        )
         == []
     )
 
@@ -357,8 +363,10 @@
     # Two replicas of one spread job: room for both in one zone is room for one.
     gate = Shape.of(spec("j-000001", tasks=2))
     pools = [Pool("c16", zone, False) for zone in "ab"]
-    demand = Demand(gate, 2, 300.0, caps={"a": 1, "b": 1})
-    rents = plan([(0.0, [demand], Rooms([room("c16", "a")]))], KINDS, pools, NEEDS, 1.1, 9)
+    demand = Demand(gate, 2, 300.0, max_tasks_by_zone={"a": 1, "b": 1})
+    rents = plan_provisioning(
+        [(0.0, [demand], FreeCapacity([room("c16", "a")]))], KINDS, pools, NEEDS, 1.1, 9
+    )
     assert [rent.pool.zone for rent in rents] == ["b"]
 
 
@@ -372,14 +380,17 @@
     def kinds_for(price: float) -> dict[str, wire.MachineType]:
         return {"c16": msgspec.structs.replace(quick, hourly_price=price), "g8": slow}
 
-    steps = [(30.0, [Demand(gate, 8, 300.0)], Rooms()), (60.0, [Demand(gate, 8, 300.0)], Rooms())]
+    steps = [
+        (30.0, [Demand(gate, 8, 300.0)], FreeCapacity()),
+        (60.0, [Demand(gate, 8, 300.0)], FreeCapacity()),
+    ]
     assert [
         rent.pool.machine_type
-        for rent in plan(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)
+        for rent in plan_provisioning(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)
     ] == ["c16"]
     assert [
         rent.pool.machine_type
-        for rent in plan(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)
+        for rent in plan_provisioning(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)
     ] == ["g8"]
 
 
@@ -387,7 +398,7 @@
     # The sum of free GPUs would hold the task; no single machine does.
     big = Demand(Shape.of(batch("j-000001", 1, image="x")), 1, 60.0)
     half = [Bin(KINDS["g8"], "a", True, 32.0, 0.5, 256.0) for _ in range(4)]
-    assert pack(big, Rooms(half), NEEDS) == 1
+    assert pack_demand(big, FreeCapacity(half), NEEDS) == 1
 
 
 def test_placement_prefers_cached_images_and_leaves_gpus_their_cores() -> None:
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,14 +5,14 @@
 import random
 from typing import TYPE_CHECKING
 
-from flaxtally.leader.autoscaling.autoscaler import MOST_CHECKS, Autoscaler
+from flaxtally.leader.autoscaling.autoscaler import MAX_SCALE_IN_CHECKS, Autoscaler
 from flaxtally.ledger.cluster_state import Job, Placement
-from flaxtally.planning.consolidate import takes
+from flaxtally.planning.consolidate import can_take
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Demand
 from flaxtally.planning.placement import Exhausted
-from flaxtally.planning.provisioning import merged
+from flaxtally.planning.provisioning import merge_demands
 from flaxtally.planning.urgency import Due, levels
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
@@ -122,7 +122,7 @@
     assert not spare & set(world.workers)
     assert used <= set(world.workers)
     # One a step for what the rooms hold, the checks, and the same for the consolidation.
-    assert 0 < most <= 2 * 2 * (1 + MOST_CHECKS)
+    assert 0 < most <= 2 * 2 * (1 + MAX_SCALE_IN_CHECKS)
 
 
 def test_sizes_that_are_alike_are_planned_as_one() -> None:
@@ -130,7 +130,9 @@
     def demand(cores: float, **changes: object) -> Demand:
         return Demand(Shape.of(spec("j-000001", cores=cores, **changes)), 10, 60.0)
 
-    found = merged([demand(5.0), demand(5.4), demand(5.2), demand(10.0), demand(5.2, gpus=1.0)])
+    found = merge_demands(
+        [demand(5.0), demand(5.4), demand(5.2), demand(10.0), demand(5.2, gpus=1.0)]
+    )
     assert [(one.shape.cores, one.shape.gpus, one.count) for one in found] == [
         (5.4, 0.0, 30),
         (10.0, 0.0, 10),
@@ -215,14 +217,14 @@
         for number, kind in enumerate(("g8", "c16", "g8"))
     )
     gate = spec("j-000001")
-    assert takes(dear, cheap, gate, kinds)
-    assert not takes(cheap, dear, gate, kinds)
-    assert not takes(dear, other, gate, kinds)
+    assert can_take(dear, cheap, gate, kinds)
+    assert not can_take(cheap, dear, gate, kinds)
+    assert not can_take(dear, other, gate, kinds)
     other.placements[1, 0] = Placement(Job(1, 0.0, gate), 0, 1, "n-2", "a")
-    assert not takes(dear, other, gate, kinds)
+    assert not can_take(dear, other, gate, kinds)
     other.images["img-1"] = 1.0
-    assert takes(dear, other, gate, kinds)
-    assert not takes(dear, cheap, spec("j-000002", gpus=1.0), kinds)
+    assert can_take(dear, other, gate, kinds)
+    assert not can_take(dear, cheap, spec("j-000002", gpus=1.0), kinds)
 
 
 def test_a_flood_of_submissions_delays_neither_reports_nor_leadership() -> None:
