--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -1,4 +1,4 @@
-"""On which machines a gang would have room for all tasks once others have left. Pure."""
+"""On which machines a gang would have capacity for all tasks once victims have left. Pure."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class MachineSlots:
-    """How many tasks of the gang a machine takes, once those have left."""
+    """How many tasks of the gang a machine takes, once the victims have left."""
 
     machine: Machine
     task_count: int
@@ -47,61 +47,88 @@
 def choose_cheapest_machines(
     spec: wire.Spec,
     zones: Collection[str],
-    candidates: Callable[[Collection[str]], Iterable[Candidate]],
-    needs: GpuNeeds,
-    cost: Callable[[list[MachineSlots]], float],
+    candidates_outside: Callable[[Collection[str]], Iterable[Candidate]],
+    gpu_reservations: GpuNeeds,
+    total_cost: Callable[[list[MachineSlots]], float],
 ) -> list[MachineSlots] | None:
     """Machines that together hold the gang, in the zones where that costs least; None: nowhere.
 
-    `candidates` gives the machines beside those of zones that are shut.
+    `candidates_outside` gives the machines outside the zones that it is called with.
     """
-    shut_zones = [set(zones) - {zone} for zone in sorted(zones)] if spec.one_zone else [set[str]()]
-    found = [choose_machines(spec, spec.tasks, candidates(shut), needs) for shut in shut_zones]
-    return min((each for each in found if each is not None), key=cost, default=None)
+    excluded = [set(zones) - {zone} for zone in sorted(zones)] if spec.one_zone else [set[str]()]
+    choices = [
+        choose_machines(spec, spec.tasks, candidates_outside(each), gpu_reservations)
+        for each in excluded
+    ]
+    feasible = (choice for choice in choices if choice is not None)
+    return min(feasible, key=total_cost, default=None)
 
 
 def choose_machines(
-    spec: wire.Spec, count: int, candidates: Iterable[Candidate], needs: GpuNeeds
+    spec: wire.Spec,
+    task_count: int,
+    candidates: Iterable[Candidate],
+    gpu_reservations: GpuNeeds,
 ) -> list[MachineSlots] | None:
-    """Machines that together hold `count` tasks, where little is lost first; None: they don't."""
-    found = [
-        share
+    """Machines that together hold the tasks, those with the least cost first; None: they don't."""
+    usable = [
+        slots
         for candidate in candidates
-        if (share := _share(spec, count, candidate, needs)) is not None
+        if (slots := _find_slots(spec, task_count, candidate, gpu_reservations)) is not None
     ]
-    found.sort(key=lambda share: (share.preemption_cost / share.task_count, -share.task_count))
+    usable.sort(key=lambda slots: (slots.preemption_cost / slots.task_count, -slots.task_count))
     chosen: list[MachineSlots] = []
-    for share in found:
-        if count <= 0:
+    unplaced = task_count
+    for slots in usable:
+        if unplaced <= 0:
             break
-        chosen.append(share)
-        count -= share.task_count
-    return chosen if count <= 0 else None
+        chosen.append(slots)
+        unplaced -= slots.task_count
+    return chosen if unplaced <= 0 else None
 
 
-def _share(
-    spec: wire.Spec, count: int, candidate: Candidate, needs: GpuNeeds
+def _find_slots(
+    spec: wire.Spec, max_tasks: int, candidate: Candidate, gpu_reservations: GpuNeeds
 ) -> MachineSlots | None:
-    machine, kind, free = candidate.machine, candidate.machine_type, candidate.free
-    gone: list[Placement] = []
-    loss = best_loss = 0.0
-    tasks, needed = _tasks(spec, machine, kind, free, needs), 0
-    for leaving in sorted(candidate.victims, key=lambda leaving: leaving.preemption_cost):
-        if tasks >= count:
+    """The slots of a machine for at most `max_tasks` tasks, with no more victims than needed."""
+    free = candidate.free
+    removed: list[Placement] = []
+    removed_cost = 0.0
+    task_count = _count_tasks(spec, candidate, free, gpu_reservations)
+    victim_count = 0
+    preemption_cost = 0.0
+    for victim in sorted(candidate.victims, key=lambda victim: victim.preemption_cost):
+        if task_count >= max_tasks:
             break
-        free = free.plus(leaving.placement.job.spec)
-        gone.append(leaving.placement)
-        loss += leaving.preemption_cost
-        more = _tasks(spec, machine, kind, free, needs)
-        if more > tasks:
-            tasks, needed, best_loss = more, len(gone), loss
-    if not tasks:
+        free = free.plus(victim.placement.job.spec)
+        removed.append(victim.placement)
+        removed_cost += victim.preemption_cost
+        count = _count_tasks(spec, candidate, free, gpu_reservations)
+        if count > task_count:
+            task_count = count
+            victim_count = len(removed)
+            preemption_cost = removed_cost
+    if not task_count:
         return None
-    return MachineSlots(machine, min(tasks, count), tuple(gone[:needed]), best_loss)
+    return MachineSlots(
+        candidate.machine,
+        min(task_count, max_tasks),
+        tuple(removed[:victim_count]),
+        preemption_cost,
+    )
 
 
-def _tasks(
-    spec: wire.Spec, machine: Machine, kind: wire.MachineType, free: Room, needs: GpuNeeds
+def _count_tasks(
+    spec: wire.Spec, candidate: Candidate, free: Room, gpu_reservations: GpuNeeds
 ) -> int:
-    room = Bin(kind, machine.zone, machine.spot, free.cores, free.gpus, free.memory_gb)
-    return count_slots(spec, room, needs)
+    """How many tasks of the gang the machine holds with that much free capacity."""
+    machine = candidate.machine
+    free_bin = Bin(
+        candidate.machine_type,
+        machine.zone,
+        free.cores,
+        free.gpus,
+        free.memory_gb,
+        spot=machine.spot,
+    )
+    return count_slots(spec, free_bin, gpu_reservations)
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -1,4 +1,4 @@
-"""What room there will be: free now, freed by tasks that end, and machines that boot."""
+"""Forecast of free capacity: free now, freed by tasks that end, and machines that boot."""
 
 from __future__ import annotations
 
@@ -16,44 +16,56 @@
 
 
 class CapacityForecast(TermActor):
-    """Reckons the room of the plan's steps."""
+    """Forecasts the free capacity at each step of the planning horizon."""
 
-    def __init__(self, term: Term, rentals: ScaleOut) -> None:
+    def __init__(self, term: Term, scale_out: ScaleOut) -> None:
+        """`scale_out`: tells which machines are requested and not yet granted."""
         super().__init__(term)
-        self._rentals = rentals
+        self._scale_out = scale_out
 
     @property
-    def steps(self) -> tuple[float, float]:
-        """The times ahead that the plan looks at, in seconds."""
+    def steps_s(self) -> tuple[float, float]:
+        """The steps of the planning horizon, in seconds from now."""
         return self.policy.plan_lead / 2, self.policy.plan_lead
 
-    def rooms(self, now: float) -> list[list[Bin]]:
-        """The room of machines that serve at each step.
+    def forecast_bins(self, now: float) -> list[list[Bin]]:
+        """The free capacity of each machine that will be in service, for each step.
 
-        Free now, or freed by tasks estimated to end. Machines that can't be up by then count at the
-        last step only.
+        Capacity counts that is free now or freed by tasks estimated to end. Machines that can't
+        have booted by a step count at the last step only.
         """
-        steps = self.steps
-        found: list[list[Bin]] = [[] for _ in steps]
+        bins_by_step: list[list[Bin]] = [[] for _ in self.steps_s]
         for machine in self.fleet.machines.values():
-            kind = self.term.machine_types.get(machine.machine_type)
-            if kind is None or not self._will_serve(machine, kind, now):
-                continue
-            bins = self._bins(machine, kind, now, steps)
-            booting = (
-                kind.boot_s - (now - machine.provisioned_at) if machine.is_booting else -math.inf
-            )
-            for number, (at, room) in enumerate(zip(steps, bins, strict=True)):
-                if booting <= at or number == len(steps) - 1:
-                    found[number].append(room)
-        for pool, count in self._rentals.pending():
-            kind = self.term.machine_types[pool.machine_type]
-            for number, at in enumerate(steps):
-                if kind.boot_s <= at or number == len(steps) - 1:
-                    found[number] += [Bin.empty(kind, pool.zone, pool.spot) for _ in range(count)]
-        return found
+            machine_type = self.term.machine_types.get(machine.machine_type)
+            if machine_type is not None and self._will_serve(machine, machine_type, now):
+                self._add_machine(bins_by_step, machine, machine_type, now)
+        for pool, count in self._scale_out.pending_machines():
+            machine_type = self.term.machine_types[pool.machine_type]
+            for number, step_s in enumerate(self.steps_s):
+                if machine_type.boot_s <= step_s or number == len(self.steps_s) - 1:
+                    bins_by_step[number] += [
+                        Bin.empty(machine_type, pool.zone, spot=pool.spot) for _ in range(count)
+                    ]
+        return bins_by_step
+
+    def _add_machine(
+        self,
+        bins_by_step: list[list[Bin]],
+        machine: Machine,
+        machine_type: wire.MachineType,
+        now: float,
+    ) -> None:
+        """Adds a machine's free capacity to the steps at which it will be up."""
+        steps_s = self.steps_s
+        bins = self._machine_bins(machine, machine_type, now, steps_s)
+        boots_in_s = -math.inf
+        if machine.is_booting:
+            boots_in_s = machine_type.boot_s - (now - machine.provisioned_at)
+        for number, (step_s, free_bin) in enumerate(zip(steps_s, bins, strict=True)):
+            if boots_in_s <= step_s or number == len(steps_s) - 1:
+                bins_by_step[number].append(free_bin)
 
-    def _will_serve(self, machine: Machine, kind: wire.MachineType, now: float) -> bool:
+    def _will_serve(self, machine: Machine, machine_type: wire.MachineType, now: float) -> bool:
         if (
             machine.is_cordoned
             or machine.is_terminating
@@ -62,39 +74,43 @@
         ):
             return False
         if machine.is_booting:
-            return now - machine.provisioned_at <= 2 * kind.boot_s
+            return now - machine.provisioned_at <= 2 * machine_type.boot_s
         return now - machine.last_heartbeat_at <= self.policy.machine_suspect
 
-    def _bins(
-        self, machine: Machine, kind: wire.MachineType, now: float, steps: tuple[float, ...]
+    def _machine_bins(
+        self,
+        machine: Machine,
+        machine_type: wire.MachineType,
+        now: float,
+        steps_s: tuple[float, ...],
     ) -> list[Bin]:
-        """The machine's room at each step."""
+        """The machine's free capacity at each step."""
         first = Bin(
-            kind,
+            machine_type,
             machine.zone,
-            machine.spot,
-            kind.cores - machine.cores,
-            kind.gpus - machine.gpus,
-            kind.memory_gb - machine.memory_gb,
+            machine_type.cores - machine.cores,
+            machine_type.gpus - machine.gpus,
+            machine_type.memory_gb - machine.memory_gb,
             machine.name,
-            machine.anchors > 0,
+            spot=machine.spot,
+            has_regular_tasks=machine.anchors > 0,
         )
-        bins = [first, *(first.copy() for _ in steps[1:])]
+        bins = [first, *(first.copy() for _ in steps_s[1:])]
         for placed in machine.finite_placements.values():
-            ends = self._ends_in(placed, now)
-            if ends == math.inf:
+            ends_in_s = self._ends_in_s(placed, now)
+            if ends_in_s == math.inf:
                 continue
             spec = placed.job.spec
-            for at, room in zip(steps, bins, strict=True):
-                if ends < at:
-                    room.cores += spec.cores
-                    room.gpus += spec.gpus
-                    room.memory_gb += spec.memory_gb
+            for step_s, free_bin in zip(steps_s, bins, strict=True):
+                if ends_in_s < step_s:
+                    free_bin.cores += spec.cores
+                    free_bin.gpus += spec.gpus
+                    free_bin.memory_gb += spec.memory_gb
         return bins
 
     @staticmethod
-    def _ends_in(placed: Placement, now: float) -> float:
-        """Seconds until the plan counts the room of an array's task as free."""
+    def _ends_in_s(placed: Placement, now: float) -> float:
+        """Seconds until the forecast counts the capacity of a finite task as free."""
         spec = placed.job.spec
         if spec.is_best_effort:
             return -math.inf
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -1,4 +1,4 @@
-"""What will need room: waiting tasks by shape, and what is expected to arrive."""
+"""Forecast of demand: pending tasks by shape, and what is expected to arrive."""
 
 from __future__ import annotations
 
@@ -26,96 +26,110 @@
 
 
 class DemandForecast(TermActor):
-    """Owns what the plan knows of each lane's running tasks and reserves."""
+    """Owns what the forecast knows of the running tasks and the headroom of each job class."""
 
-    def __init__(self, term: Term, jobs: JobRegistry, is_resting: Callable[[Pool], bool]) -> None:
-        """`is_resting`: whether a pool refused a short while ago."""
+    def __init__(
+        self, term: Term, jobs: JobRegistry, is_in_backoff: Callable[[Pool], bool]
+    ) -> None:
+        """`is_in_backoff`: whether a pool refused a short while ago."""
         super().__init__(term)
         self.jobs = jobs
-        self._gang_zones = GangZones(term, jobs, is_resting)
-        # Lanes whose wait aim no new machine can meet: room for their next job must be there before
-        # it.
-        self._reserve = {
-            aim.job_class
-            for aim in self.settings.objectives
-            if aim.kind == "wait"
-            and aim.job_class is not None
-            and aim.within < self.settings.lease_s
+        self._gang_zones = GangZones(term, jobs, is_in_backoff)
+        self._classes_with_headroom = {
+            objective.job_class
+            for objective in self.settings.objectives
+            if objective.kind == "wait"
+            and objective.job_class is not None
+            and objective.within < self.settings.lease_s
         }
-        self._running: Counter[str] = Counter()
-        """Placed tasks by lane, as of the last forecast."""
+        """Job classes whose objective for the wait no new machine can meet.
 
-    def demands(self, now: float) -> list[Demand]:
-        """Waiting tasks by shape, in the order in which they would be placed."""
-        self._running = Counter()
-        for job in self.jobs.live_jobs.values():
-            self._running[job.spec.job_class] += len(job.placements)
+        Capacity for their next job must be there before it.
+        """
+        self._running_by_class: Counter[str] = Counter()
+        """Placed tasks by job class, as of the last forecast."""
+
+    def forecast_demands(self, now: float) -> list[Demand]:
+        """The demand as of now by shape, in the order in which it would be placed."""
+        self._count_running()
         by_shape: dict[Shape, Demand] = {}
-        self._add_waiting(by_shape)
-        for job in self.jobs.live_jobs.values():
-            if job.placements and not job.is_terminal and job.spec.is_best_effort:
-                self._add_running(by_shape, job)
+        self._add_pending(by_shape)
+        self._add_running_best_effort(by_shape)
         self._add_expected(by_shape, now)
-        self._gang_zones.aim(by_shape.values(), now)
+        self._gang_zones.assign_zones(by_shape.values(), now)
         demands = provisioning.merge_demands(by_shape.values())
-        self._note_dear_types(demands)
-        self._count_machines(demands)
+        self._set_expensive_types(demands)
+        self._count_usable_machines(demands)
         return sorted(demands, key=lambda demand: (demand.shape.rank, -demand.shape.gpus))
 
-    def at(self, demand: Demand, at: float, now: float) -> Demand:
-        """The demand in `at` seconds."""
-        count, job_class = demand.count, demand.shape.job_class
-        caps = dict(demand.max_tasks_by_zone) if demand.max_tasks_by_zone is not None else None
+    def project_demand(self, demand: Demand, step_s: float, now: float) -> Demand:
+        """The demand in `step_s` seconds."""
+        count = demand.count
+        limits = demand.max_tasks_by_zone
+        limits = dict(limits) if limits is not None else None
         if not (demand.shape.is_service or demand.shape.is_gang):
-            # By then the machines that run such tasks now will have worked off a part of the queue.
-            # (A gang needs the room of all its tasks at once.)
-            count = max(
-                0.0, count - self._running[job_class] * at / max(demand.needed_until_s, 1.0)
-            )
+            # By then the machines that run such tasks now will have completed a part of the queue.
+            # (A gang needs the capacity for all its tasks at once.)
+            running = self._running_by_class[demand.shape.job_class]
+            count = max(0.0, count - running * step_s / max(demand.needed_until_s, 1.0))
         if demand.represents_job_class:
-            more = self._expected(demand, at, now)
-            count += more
-            if caps is not None:
-                caps = {zone: cap + math.ceil(more / 2) for zone, cap in caps.items()}
+            expected = self._expected_count(demand, step_s, now)
+            count += expected
+            if limits is not None:
+                limits = {zone: limit + math.ceil(expected / 2) for zone, limit in limits.items()}
         return replace(
-            demand, count=count, needed_until_s=at + demand.needed_until_s, max_tasks_by_zone=caps
+            demand,
+            count=count,
+            needed_until_s=step_s + demand.needed_until_s,
+            max_tasks_by_zone=limits,
         )
 
-    def _expected(self, demand: Demand, at: float, now: float) -> float:
-        """How many tasks of the lane will have come and be there in `at` seconds."""
-        arrivals, job_class = self.jobs.arrivals, demand.shape.job_class
-        # Not by the last job's own length: one long job made the plan rent for a hundred machines'
-        # work.
-        length = arrivals.length(job_class, now) or demand.needed_until_s
-        more = arrivals.rate(job_class, now) * min(at, length)
-        if job_class in self._reserve:
-            # Room for the next job, and for what the loss of a few machines would leave without.
-            more += arrivals.largest(job_class, now)
-            more += math.ceil(self.policy.slack * self._running[job_class])
-        return more
-
-    def _add_waiting(self, by_shape: dict[Shape, Demand]) -> None:
+    def _expected_count(self, demand: Demand, step_s: float, now: float) -> float:
+        """How many tasks of the job class will have arrived and be there in `step_s` seconds."""
+        arrivals = self.jobs.arrivals
+        job_class = demand.shape.job_class
+        # Not by the last job's own run time: one long job made the plan provision for a hundred
+        # machines' work.
+        run_s = arrivals.length(job_class, now) or demand.needed_until_s
+        expected = arrivals.rate(job_class, now) * min(step_s, run_s)
+        if job_class in self._classes_with_headroom:
+            # Capacity for the next job, and for what the loss of a few machines would leave
+            # without.
+            expected += arrivals.largest(job_class, now)
+            expected += math.ceil(self.policy.slack * self._running_by_class[job_class])
+        return expected
+
+    # Demand by shape
+
+    def _count_running(self) -> None:
+        self._running_by_class = Counter()
+        for job in self.jobs.live_jobs.values():
+            self._running_by_class[job.spec.job_class] += len(job.placements)
+
+    def _add_pending(self, by_shape: dict[Shape, Demand]) -> None:
+        """Adds pending tasks, as far as their teams' hard limits allow."""
         headroom: dict[str, tuple[float, float]] = {}
         for entry in self.jobs.queue.ordered_jobs():
             job = entry.job
             if not job.pending_count or job.number in self.jobs.suspects:
                 continue
-            count = self._within_limit(job, headroom)
+            count = self._take_headroom(job, headroom)
             if count is None:
                 continue
             demand = self._demand_of(by_shape, job)
             demand.add_tasks(count, self.jobs.expected_run_s(job.spec))
             if job.spec.spread:
-                self._add_caps(
+                zone_share = job.spec.zone_share
+                _add_zone_limits(
                     demand,
                     {
-                        zone: max(0, job.spec.zone_share - job.placements_in_zone(zone))
+                        zone: max(0, zone_share - job.placements_in_zone(zone))
                         for zone in self.settings.zones
                     },
                 )
 
-    def _within_limit(self, job: Job, headroom: dict[str, tuple[float, float]]) -> int | None:
-        """How many of the job's waiting tasks its team may still run; takes them off `headroom`.
+    def _take_headroom(self, job: Job, headroom: dict[str, tuple[float, float]]) -> int | None:
+        """How many of the job's pending tasks its team may still run; takes them off `headroom`.
 
         None: the team is not known.
         """
@@ -124,10 +138,10 @@
         if team is None:
             return None
         if spec.team not in headroom:
-            cores, gpus = self.term.team_usage(spec.team)
+            used_cores, used_gpus = self.term.team_usage(spec.team)
             headroom[spec.team] = (
-                team.cores_max - cores if team.cores_max else UNLIMITED,
-                team.gpus_max - gpus if team.gpus_max else UNLIMITED,
+                team.cores_max - used_cores if team.cores_max else UNLIMITED,
+                team.gpus_max - used_gpus if team.gpus_max else UNLIMITED,
             )
         cores, gpus = headroom[spec.team]
         count = job.pending_count
@@ -139,26 +153,34 @@
         headroom[spec.team] = cores - count * spec.cores, gpus - count * spec.gpus
         return count
 
-    def _add_running(self, by_shape: dict[Shape, Demand], job: Job) -> None:
-        """Plans best-effort tasks that run like those that wait.
+    def _add_running_best_effort(self, by_shape: dict[Shape, Demand]) -> None:
+        """Adds best-effort tasks that run like those that are pending.
 
-        Their room counts as free, so that they get what all other demand leaves, or cheap machines.
+        Their capacity counts as free, so that they get what all other demand leaves, or cheap
+        machines.
         """
-        demand = self._demand_of(by_shape, job)
-        demand.add_tasks(len(job.placements), self.jobs.expected_run_s(job.spec))
-        if job.spec.spread:
-            zones = self.settings.zones
-            self._add_caps(demand, {zone: job.placements_in_zone(zone) for zone in zones})
+        for job in self.jobs.live_jobs.values():
+            if not job.placements or job.is_terminal or not job.spec.is_best_effort:
+                continue
+            demand = self._demand_of(by_shape, job)
+            demand.add_tasks(len(job.placements), self.jobs.expected_run_s(job.spec))
+            if job.spec.spread:
+                zones = self.settings.zones
+                _add_zone_limits(demand, {zone: job.placements_in_zone(zone) for zone in zones})
 
     def _add_expected(self, by_shape: dict[Shape, Demand], now: float) -> None:
-        """Shapes of which nothing waits, but more is expected."""
+        """Adds shapes of which nothing is pending, but more is expected."""
         arrivals = self.jobs.arrivals
         for shape, spec in self.jobs.shapes.typical():
-            expected = arrivals.rate(shape.job_class, now) > 0 or shape.job_class in self._reserve
-            if shape in by_shape or not expected:
+            job_class = shape.job_class
+            is_expected = (
+                arrivals.rate(job_class, now) > 0 or job_class in self._classes_with_headroom
+            )
+            if shape in by_shape or not is_expected:
                 continue
-            length = arrivals.length(shape.job_class, now) or self.jobs.expected_run_s(spec)
-            demand = by_shape[shape] = Demand(shape, 0.0, length, represents_job_class=True)
+            run_s = arrivals.length(job_class, now) or self.jobs.expected_run_s(spec)
+            demand = Demand(shape, 0.0, run_s, represents_job_class=True)
+            by_shape[shape] = demand
             if spec.spread:
                 demand.max_tasks_by_zone = dict.fromkeys(self.settings.zones, 0)
 
@@ -167,36 +189,42 @@
         shape = job.shape
         demand = by_shape.get(shape)
         if demand is None:
-            length = self.jobs.expected_run_s(job.spec)
-            typical = self.jobs.shapes.is_typical(shape)
-            demand = by_shape[shape] = Demand(shape, 0.0, length, represents_job_class=typical)
+            demand = by_shape[shape] = Demand(
+                shape,
+                0.0,
+                self.jobs.expected_run_s(job.spec),
+                represents_job_class=self.jobs.shapes.is_typical(shape),
+            )
         return demand
 
-    @staticmethod
-    def _add_caps(demand: Demand, more: dict[str, int]) -> None:
-        caps = demand.max_tasks_by_zone = demand.max_tasks_by_zone or {}
-        for zone, count in more.items():
-            caps[zone] = caps.get(zone, 0) + count
-
-    def _note_dear_types(self, demands: list[Demand]) -> None:
-        kinds, needs, most = (
-            self.term.machine_types,
-            self.jobs.gpu_reservations,
-            self.policy.best_effort_price,
-        )
+    # What demands may use
+
+    def _set_expensive_types(self, demands: list[Demand]) -> None:
         for demand in demands:
             if demand.shape.is_best_effort:
-                demand.expensive_types = find_expensive_types(demand.shape, kinds, needs, most)
+                demand.expensive_types = find_expensive_types(
+                    demand.shape,
+                    self.term.machine_types,
+                    self.jobs.gpu_reservations,
+                    self.policy.best_effort_price,
+                )
 
-    def _count_machines(self, demands: list[Demand]) -> None:
+    def _count_usable_machines(self, demands: list[Demand]) -> None:
         """Counts the machines that each demand may use, by zone."""
-        kinds = self.term.machine_types
+        machine_types = self.term.machine_types
         pools = Counter(
             machine.pool
             for machine in self.fleet.machines.values()
-            if machine.machine_type in kinds
+            if machine.machine_type in machine_types
         )
         for demand in demands:
-            for (kind, zone, spot), count in pools.items():
-                if placement.allowed(demand.shape, kinds[kind], zone, spot):
-                    demand.machines_by_zone[zone] = demand.machines_by_zone.get(zone, 0) + count
+            by_zone = demand.machines_by_zone
+            for (machine_type, zone, spot), count in pools.items():
+                if placement.allowed(demand.shape, machine_types[machine_type], zone, spot):
+                    by_zone[zone] = by_zone.get(zone, 0) + count
+
+
+def _add_zone_limits(demand: Demand, limits: dict[str, int]) -> None:
+    total = demand.max_tasks_by_zone = demand.max_tasks_by_zone or {}
+    for zone, count in limits.items():
+        total[zone] = total.get(zone, 0) + count
--- /dev/null
+++ b/flaxtally/leader/autoscaling/idle_machines.py
@@ -0,0 +1,88 @@
+"""Which machines nothing but leftover best-effort tasks needs, and which of them can go."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ...planning.best_effort import find_expensive_types
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...ledger.cluster_state import Job
+    from ...planning.fleet import Machine
+    from ..jobs import JobRegistry
+
+MAX_SCALE_IN_CHECKS = 8
+"""How often a step of the autoscaler checks whether idle machines can go."""
+
+
+class IdleMachines(TermActor):
+    """Finds the machines that have been idle for the cool-down time."""
+
+    def __init__(self, term: Term, jobs: JobRegistry) -> None:
+        """`jobs`: knows what GPU tasks need beside their GPUs."""
+        super().__init__(term)
+        self.jobs = jobs
+
+    def find_idle(self, now: float) -> list[Machine]:
+        """The idle machines, the most expensive ones first."""
+        idle = [
+            machine
+            for machine in self.fleet.machines.values()
+            if machine.is_reconciled
+            and not machine.is_cordoned
+            and not machine.is_terminating
+            and machine.machine_type in self.term.machine_types
+            and (self._is_idle(machine, now) or self._has_only_leftovers(machine, now))
+        ]
+        idle.sort(key=lambda machine: -self.term.machine_types[machine.machine_type].hourly_price)
+        return idle
+
+    def _is_idle(self, machine: Machine, now: float) -> bool:
+        return not machine.placements and now - machine.idle_since > self.policy.cool_down
+
+    def _has_only_leftovers(self, machine: Machine, now: float) -> bool:
+        """Whether for long only best-effort tasks ran here, for which it is too expensive."""
+        if machine.anchors or now - machine.unneeded_since <= self.policy.cool_down:
+            return False
+        is_too_expensive: dict[int, bool] = {}
+        for placed in machine.placements.values():
+            job = placed.job
+            if job.number not in is_too_expensive:
+                is_too_expensive[job.number] = self._is_too_expensive(machine, job)
+            if not is_too_expensive[job.number]:
+                return False
+        return bool(is_too_expensive)
+
+    def _is_too_expensive(self, machine: Machine, job: Job) -> bool:
+        expensive_types = find_expensive_types(
+            job.shape,
+            self.term.machine_types,
+            self.jobs.gpu_reservations,
+            self.policy.best_effort_price,
+        )
+        return (machine.machine_type, machine.spot) in expensive_types
+
+
+def choose_spare_machines(
+    idle: list[Machine], can_spare: Callable[[set[str]], bool]
+) -> list[Machine]:
+    """The idle machines that can be spared together.
+
+    Checks all at once, or else a half, and so on: one by one, fifty idle machines kept the event
+    loop busy for seconds.
+    """
+    spare: list[Machine] = []
+    size = len(idle)
+    for _ in range(MAX_SCALE_IN_CHECKS):
+        candidates = idle[:size]
+        if not candidates:
+            break
+        if can_spare({machine.name for machine in [*spare, *candidates]}):
+            spare += candidates
+            idle = idle[size:]
+        else:
+            size = len(candidates) // 2
+    return spare
--- /dev/null
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -0,0 +1,179 @@
+"""Moves the replicas of machines that are being emptied, one at a time for each machine."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from ...planning.consolidation import (
+    TargetSearch,
+    find_target,
+    list_replicas,
+    without_best_effort,
+)
+from ...planning.machine_index import MachineIndex
+from ...protocol import wire
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Placement
+    from ...planning.fleet import Machine
+    from ..commands import CommandSender
+    from ..jobs import JobRegistry
+    from ..reconciliation.reconciler import Reconciler
+    from ..scheduling.scheduler import Scheduler
+
+log = logging.getLogger(__name__)
+
+
+class ReplicaMoves(TermActor):
+    """Owns the machines being emptied, and the moves of their replicas under way."""
+
+    def __init__(
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        reconciler: Reconciler,
+        commands: CommandSender,
+        scheduler: Scheduler,
+    ) -> None:
+        """`scheduler`: places a stopped replica on the machine that was chosen for it."""
+        super().__init__(term)
+        self.jobs = jobs
+        self.reconciler = reconciler
+        self.commands = commands
+        self._scheduler = scheduler
+        self._emptying_since: dict[str, float] = {}
+        self._image_fetches_since: dict[Placement, float] = {}
+        """Moved replicas whose new machine has to fetch the image, and since when."""
+
+    # Machines being emptied
+
+    def can_empty_more(self) -> bool:
+        """Whether one more machine may be emptied in a fleet of this size."""
+        return len(self._emptying_since) < max(1, self._small_share_of_fleet())
+
+    def machines_being_emptied(self) -> list[Machine]:
+        """The machines being emptied that still exist."""
+        return [
+            machine
+            for name in self._emptying_since
+            if (machine := self.fleet.machines.get(name)) is not None
+        ]
+
+    def start_emptying(self, machine: Machine, now: float) -> None:
+        """Has the replicas of the machine moved from now on."""
+        self._emptying_since[machine.name] = now
+
+    def is_fleet_in_contact(self, now: float) -> bool:
+        """Whether no more than a few machines missed their heartbeats."""
+        silent_count = sum(
+            now - machine.last_heartbeat_at >= self.policy.machine_suspect
+            for machine in self.fleet.machines.values()
+            if not machine.is_booting
+        )
+        return silent_count <= self._small_share_of_fleet()
+
+    def target_search(self) -> TargetSearch:
+        """How machines are searched to which replicas can move."""
+        return TargetSearch(
+            self.jobs.gpu_reservations, self.policy.sample, self.jobs.excluded_zones
+        )
+
+    def _small_share_of_fleet(self) -> int:
+        """How many machines may be silent or emptied at a time in a fleet of this size."""
+        return len(self.fleet.machines) // (2 * self.policy.sample)
+
+    # Moves
+
+    def continue_moves(self, now: float) -> None:
+        """Moves the next replica of each machine that is being emptied.
+
+        Once the last one is placed, and while the fleet is in contact.
+        """
+        index: MachineIndex | None = None
+        must_wait = not self.is_fleet_in_contact(now) or self._is_pending(wire.SERVICE)
+        is_gang_pending = self._is_pending(wire.GANG)
+        for name, since in list(self._emptying_since.items()):
+            machine = self.fleet.machines.get(name)
+            if machine is None or machine.is_terminating or not machine.placements:
+                del self._emptying_since[name]
+                continue
+            # A pending gang may need the very capacity of a machine that is being emptied.
+            is_overdue = is_gang_pending or now - since > self.policy.move_patience
+            if is_overdue and machine.preempted_by_cloud_at is None:
+                self._abandon(machine)
+                continue
+            is_moving = any(
+                placed.stopping_at is not None for placed in machine.placements.values()
+            )
+            if not must_wait and not is_moving:
+                if index is None:
+                    index = self._index_schedulable(self.reconciler.schedulable_machines())
+                self._move_next_replica(machine, index, now)
+
+    def _is_pending(self, job_kind: str) -> bool:
+        return any(job.spec.job_kind == job_kind for job in self.jobs.queue.pending_jobs())
+
+    def _abandon(self, machine: Machine) -> None:
+        log.info("event=emptying_abandoned term=%d machine=%s", self.term.number, machine.name)
+        del self._emptying_since[machine.name]
+        machine.is_cordoned = False
+        machine.mark_changed()
+
+    def _index_schedulable(self, schedulable: list[Machine]) -> MachineIndex:
+        return MachineIndex.of(schedulable, self.term.machine_types, self.rng)
+
+    def _move_next_replica(self, machine: Machine, index: MachineIndex, now: float) -> None:
+        """Moves the machine's next replica to where there is capacity for it now.
+
+        Few fetch their image at a time: each of them is away for seconds.
+        """
+        self._forget_completed_fetches(now)
+        placed = next((placed for placed in list_replicas(machine) if placed.was_reported), None)
+        if placed is None:
+            return
+        target = find_target(placed, machine, index, self.target_search())
+        if target is None:
+            self._preempt_best_effort_for(machine)
+            return
+        if placed.job.spec.image not in target.images:
+            max_fetches = max(1, len(self.fleet.machines) // (8 * self.policy.sample))
+            if len(self._image_fetches_since) >= max_fetches:
+                return
+            self._image_fetches_since[placed] = now
+        self._scheduler.hints[placed.job.number, placed.task] = target.name
+        self.commands.stop_task(placed, 0.0)
+
+    def _forget_completed_fetches(self, now: float) -> None:
+        """Forgets replicas that run on their new machine, or should have long ago."""
+        self._image_fetches_since = {
+            placed: since
+            for placed, since in self._image_fetches_since.items()
+            if now - since < self.policy.move_patience and not _runs_elsewhere(placed)
+        }
+
+    def _preempt_best_effort_for(self, machine: Machine) -> None:
+        """Stops best-effort tasks elsewhere where that frees capacity for the replicas."""
+        if not any(
+            job.placements and job.spec.is_best_effort for job in self.jobs.live_jobs.values()
+        ):
+            return
+        schedulable = self.reconciler.schedulable_machines()
+        with without_best_effort(schedulable):
+            index = self._index_schedulable(schedulable)
+            search = self.target_search()
+            targets = [
+                (placed, target)
+                for placed in list_replicas(machine)
+                if placed.was_reported
+                and (target := find_target(placed, machine, index, search)) is not None
+            ]
+        for placed, target in targets:
+            self._scheduler.preemption.make_room_to_move(placed, target)
+
+
+def _runs_elsewhere(placed: Placement) -> bool:
+    """Whether the task of an earlier placement runs under a later one."""
+    current = placed.job.placements.get(placed.task)
+    return current is not None and current is not placed and current.state == wire.RUNNING
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -1,9 +1,10 @@
-"""Rental requests under way, and pools that refused."""
+"""Provisioning requests under way, and instance pools in backoff after a refusal."""
 
 from __future__ import annotations
 
 import logging
 from dataclasses import dataclass
+from functools import partial
 from typing import TYPE_CHECKING
 
 from ..term import Term, TermActor
@@ -16,127 +17,140 @@
 
 log = logging.getLogger(__name__)
 
-MOST_REST = 8
-"""Times half of `pool_rest` that a pool rests at most, however often it refused in a row."""
+MAX_BACKOFF_FACTOR = 8
+"""A pool's backoff is at most this many times half of `pool_rest`, however often it refused."""
 
 
 @dataclass
 class _Request:
-    """A rental request whose outcome is not known."""
+    """A provisioning request whose outcome is not known."""
 
     pool: Pool
     count: int
-    asked_at: float
+    requested_at: float
 
 
 class ScaleOut(TermActor):
-    """Owns the rental requests under way. Each is sent under one name until its outcome is known.
+    """Owns the provisioning requests under way.
 
-    `replan` is called when a gap must be planned anew before the next step.
+    Each request is sent under one name until its outcome is known, so that a repeated one is not
+    executed twice.
     """
 
-    def __init__(self, term: Term, replan: Callable[[], None]) -> None:
+    def __init__(self, term: Term, scale_again: Callable[[], None]) -> None:
+        """`scale_again`: called when a gap must be planned again before the next step."""
         super().__init__(term)
-        self._replan_now = replan
-        self._sent = 0
-        self._pending: dict[str, _Request] = {}
-        self._resting: dict[Pool, float] = {}
-        self._refusals: dict[Pool, int] = {}
-        self._replanning = False
-        self._asking: set[str] = set()
-        """Requests whose answer has not come yet; none is sent twice at a time."""
-
-    def pending(self) -> Iterator[tuple[Pool, int]]:
-        """The machines asked for."""
-        for request in self._pending.values():
+        self._scale_again = scale_again
+        self._request_count = 0
+        self._requests: dict[str, _Request] = {}
+        self._backoff_until: dict[Pool, float] = {}
+        self._consecutive_refusals: dict[Pool, int] = {}
+        self._is_rescale_scheduled = False
+        self._awaiting_reply: set[str] = set()
+        """Requests that were sent and not answered; none is sent twice at a time."""
+
+    def pending_machines(self) -> Iterator[tuple[Pool, int]]:
+        """Pool and count of the machines requested and not yet granted or refused."""
+        for request in self._requests.values():
             yield request.pool, request.count
 
     def is_in_backoff(self, pool: Pool) -> bool:
         """Whether the pool refused a short while ago."""
-        return self._resting.get(pool, 0.0) > self.runtime.now()
+        return self._backoff_until.get(pool, 0.0) > self.runtime.now()
 
-    def provision(self, pool: Pool, count: int, why: ProvisionDecision) -> None:
-        """Asks the cloud for machines of a pool."""
-        self._sent += 1
-        name = f"{self.settings.node}-{self.term.number}-{self._sent}"
+    def provision(self, pool: Pool, count: int, decision: ProvisionDecision) -> None:
+        """Asks the cloud for machines of a pool; `decision` is logged as the reason."""
+        self._request_count += 1
+        name = f"{self.settings.node}-{self.term.number}-{self._request_count}"
         log.info(
-            "event=rent term=%d request=%s type=%s zone=%s spot=%s count=%d lane=%s score=%.3f "
-            "gap=%.0f-%.0f",
+            "event=machines_requested term=%d request=%s type=%s zone=%s spot=%s count=%d "
+            "job_class=%s score=%.3f gap=%.0f-%.0f",
             self.term.number,
             name,
             pool.machine_type,
             pool.zone,
             pool.spot,
             count,
-            why.job_class,
-            why.score,
-            why.needed_from_s,
-            why.needed_until_s,
+            decision.job_class,
+            decision.score,
+            decision.needed_from_s,
+            decision.needed_until_s,
         )
-        self._pending[name] = _Request(pool, count, self.runtime.now())
+        self._requests[name] = _Request(pool, count, self.runtime.now())
         self._send(name)
 
-    def retry(self) -> None:
-        """Asks again, under the same name, for rentals whose answer was lost.
+    def retry_requests(self) -> None:
+        """Repeats, under the same name, the requests whose answer was lost.
 
-        After an outage the gap is planned anew.
+        Requests older than the planning horizon are dropped: after an outage the gap is planned
+        again.
         """
         now = self.runtime.now()
-        self._resting = {pool: until for pool, until in self._resting.items() if until > now}
-        for name, request in list(self._pending.items()):
-            if now - request.asked_at > self.policy.plan_lead:
-                del self._pending[name]
-            elif now - request.asked_at > self.policy.order_call:
+        self._backoff_until = {
+            pool: until for pool, until in self._backoff_until.items() if until > now
+        }
+        for name, request in list(self._requests.items()):
+            if now - request.requested_at > self.policy.plan_lead:
+                del self._requests[name]
+            elif now - request.requested_at > self.policy.order_call:
                 self._send(name)
 
     def _send(self, name: str) -> None:
-        if name in self._asking:
+        if name in self._awaiting_reply:
             return
-        request = self._pending[name]
-        pool, count = request.pool, request.count
-        self._asking.add(name)
-
-        def told(outcome: str, machines: list[str]) -> None:
-            self._asking.discard(name)
-            if not self.term.active or outcome == "unknown":
-                return
-            self._pending.pop(name, None)
-            if outcome == "trouble":
-                # It was not executed, and the next plan knows better what is needed by then.
-                return
-            self._rented(request, machines)
-            if len(machines) < count:
-                self._refused(pool, len(machines), count)
-
-        self.cloud.provision(name, pool.machine_type, pool.zone, pool.spot, count, told)
-
-    def _rented(self, request: _Request, machines: list[str]) -> None:
+        request = self._requests[name]
+        pool = request.pool
+        self._awaiting_reply.add(name)
+        self.cloud.provision(
+            name,
+            pool.machine_type,
+            pool.zone,
+            pool.spot,
+            request.count,
+            partial(self._on_reply, name, request),
+        )
+
+    def _on_reply(self, name: str, request: _Request, outcome: str, machines: list[str]) -> None:
+        self._awaiting_reply.discard(name)
+        if not self.term.active or outcome == "unknown":
+            return
+        self._requests.pop(name, None)
+        if outcome == "trouble":
+            # It was not executed, and the next plan knows better what is needed by then.
+            return
+        self._add_machines(request, machines)
+        if len(machines) < request.count:
+            self._start_backoff(request, len(machines))
+
+    def _add_machines(self, request: _Request, machines: list[str]) -> None:
         pool = request.pool
         for name in machines:
             if name not in self.fleet.removed_machines:
                 machine = self.fleet.add_machine(name, pool.machine_type, pool.zone, pool.spot)
                 if machine.is_booting:
-                    machine.provisioned_at = request.asked_at
-        self._refusals[pool] = 0 if machines else self._refusals.get(pool, 0) + 1
-
-    def _refused(self, pool: Pool, got: int, count: int) -> None:
-        """The pool rests, longer each time in a row, and the gap is planned anew at once."""
-        rest = self.policy.pool_rest * min(2 ** self._refusals[pool], MOST_REST) / 2
-        self._resting[pool] = self.runtime.now() + rest
-        if not self._replanning:
-            self._replanning = True
-            self.later(self.policy.retry / 8, self._replan)
+                    machine.provisioned_at = request.requested_at
+        refusals = self._consecutive_refusals.get(pool, 0)
+        self._consecutive_refusals[pool] = 0 if machines else refusals + 1
+
+    def _start_backoff(self, request: _Request, granted_count: int) -> None:
+        """Avoids the pool, longer after each refusal in a row, and plans the gap again soon."""
+        pool = request.pool
+        factor = min(2 ** self._consecutive_refusals[pool], MAX_BACKOFF_FACTOR)
+        self._backoff_until[pool] = self.runtime.now() + self.policy.pool_rest * factor / 2
+        if not self._is_rescale_scheduled:
+            self._is_rescale_scheduled = True
+            self.later(self.policy.retry / 8, self._rescale)
         log.info(
-            "event=refused_pool term=%d type=%s zone=%s spot=%s got=%d of=%d",
+            "event=pool_refused term=%d type=%s zone=%s spot=%s got=%d of=%d",
             self.term.number,
             pool.machine_type,
             pool.zone,
             pool.spot,
-            got,
-            count,
+            granted_count,
+            request.count,
         )
 
-    def _replan(self) -> None:
-        self._replanning = False
-        if not self._pending and self.term.may_act:
-            self._replan_now()
+    def _rescale(self) -> None:
+        self._is_rescale_scheduled = False
+        if not self._requests and self.term.may_act:
+            self._scale_again()
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -1,4 +1,4 @@
-"""In which zone the plan keeps room for gangs whose tasks must be in one."""
+"""The zone in which the autoscaler keeps capacity for gangs whose tasks must be in one zone."""
 
 from __future__ import annotations
 
@@ -22,63 +22,83 @@
 class GangZones(TermActor):
     """Owns the zone of each class of gangs.
 
-    Room for such a gang is of use only where there is enough of it in one zone: the plan packs the
-    demand of a class into the zone that has most of it already, and keeps to that zone.
+    Capacity for such a gang is of use only where there is enough of it in one zone: the forecast
+    packs the demand of a class into the zone that has most of it already, and stays with that zone.
     """
 
-    def __init__(self, term: Term, jobs: JobRegistry, is_resting: Callable[[Pool], bool]) -> None:
-        """`is_resting`: whether a pool refused a short while ago."""
+    def __init__(
+        self, term: Term, jobs: JobRegistry, is_in_backoff: Callable[[Pool], bool]
+    ) -> None:
+        """`is_in_backoff`: whether a pool refused a short while ago."""
         super().__init__(term)
-        self.jobs, self._is_resting = jobs, is_resting
-        self._zone_of: dict[str, str] = {}
+        self.jobs = jobs
+        self._is_in_backoff = is_in_backoff
+        self._zone_by_class: dict[str, str] = {}
 
-    def aim(self, demands: Iterable[Demand], now: float) -> None:
-        """Aims each demand of gangs that must be in one zone at a zone."""
+    def assign_zones(self, demands: Iterable[Demand], now: float) -> None:
+        """Restricts each demand of gangs that must be in one zone to a zone."""
         for demand in demands:
             shape = demand.shape
             if not shape.one_zone or shape.zone is not None:
                 continue
-            need = max(math.ceil(demand.count), self.jobs.arrivals.largest(shape.job_class, now))
-            zone = self._best_zone(shape, need)
+            largest_job = self.jobs.arrivals.largest(shape.job_class, now)
+            zone = self._choose_zone(shape, max(math.ceil(demand.count), largest_job))
             if zone is not None:
-                self._zone_of[shape.job_class] = zone
+                self._zone_by_class[shape.job_class] = zone
                 demand.shape = replace(shape, zone=zone)
 
-    def _best_zone(self, shape: Shape, need: int) -> str | None:
+    def _choose_zone(self, shape: Shape, task_count: int) -> str | None:
         zones = {
             zone
-            for kind in self.term.machine_types.values()
-            for zone in kind.zones
-            if placement.allowed(shape, kind, zone, False)
+            for machine_type in self.term.machine_types.values()
+            for zone in machine_type.zones
+            if placement.allowed(shape, machine_type, zone, spot=False)
         }
-        free = self._free_slots(shape)
-        kept = self._zone_of.get(shape.job_class)
+        free_slots = self._count_free_slots(shape)
+        current_zone = self._zone_by_class.get(shape.job_class)
 
-        def worth(zone: str) -> tuple[bool, bool, bool, int, str]:
-            can_grow = self._can_rent(shape, zone)
-            return free[zone] >= need, zone == kept and can_grow, can_grow, free[zone], zone
+        def preference(zone: str) -> tuple[bool, bool, bool, int, str]:
+            can_grow = self._can_provision(shape, zone)
+            return (
+                free_slots[zone] >= task_count,
+                zone == current_zone and can_grow,
+                can_grow,
+                free_slots[zone],
+                zone,
+            )
 
-        return max(zones, key=worth, default=None)
+        return max(zones, key=preference, default=None)
 
-    def _free_slots(self, shape: Shape) -> Counter[str]:
+    def _count_free_slots(self, shape: Shape) -> Counter[str]:
         """How many more tasks the machines of each zone hold."""
-        found: Counter[str] = Counter()
+        free_slots: Counter[str] = Counter()
         for machine in self.fleet.machines.values():
-            kind = self.term.machine_types.get(machine.machine_type)
-            if kind is None or machine.is_cordoned or machine.is_terminating or machine.is_slow:
+            machine_type = self.term.machine_types.get(machine.machine_type)
+            if (
+                machine_type is None
+                or machine.is_cordoned
+                or machine.is_terminating
+                or machine.is_slow
+                or not placement.allowed(shape, machine_type, machine.zone, machine.spot)
+            ):
                 continue
-            if not placement.allowed(shape, kind, machine.zone, machine.spot):
-                continue
-            room = placement.room(machine, kind)
-            free = Bin(kind, machine.zone, machine.spot, room.cores, room.gpus, room.memory_gb)
-            found[machine.zone] += count_slots(shape, free, self.jobs.gpu_reservations)
-        return found
+            free = placement.room(machine, machine_type)
+            free_bin = Bin(
+                machine_type,
+                machine.zone,
+                free.cores,
+                free.gpus,
+                free.memory_gb,
+                spot=machine.spot,
+            )
+            free_slots[machine.zone] += count_slots(shape, free_bin, self.jobs.gpu_reservations)
+        return free_slots
 
-    def _can_rent(self, shape: Shape, zone: str) -> bool:
+    def _can_provision(self, shape: Shape, zone: str) -> bool:
         return any(
-            zone in kind.zones
-            and placement.allowed(shape, kind, zone, spot)
-            and not self._is_resting(Pool(kind.name, zone, spot))
-            for kind in self.term.machine_types.values()
+            zone in machine_type.zones
+            and placement.allowed(shape, machine_type, zone, spot)
+            and not self._is_in_backoff(Pool(machine_type.name, zone, spot))
+            for machine_type in self.term.machine_types.values()
             for spot in (False, True)
         )
--- /dev/null
+++ b/flaxtally/planning/consolidation.py
@@ -0,0 +1,220 @@
+"""Which thinly used machine to empty, by moving its replicas to capacity that is paid for anyway.
+
+Pure. The design terminates machines that become idle; replicas that stay for long keep thinly used
+ones from ever becoming idle. A replica whose image the other machine holds is away for a fraction
+of a second.
+"""
+
+from __future__ import annotations
+
+from contextlib import contextmanager
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from ..protocol import wire
+from .choice import choose
+from .machine_index import MachineIndex
+
+if TYPE_CHECKING:
+    import random
+    from collections.abc import Callable, Collection, Iterable, Iterator, Sequence
+
+    from ..ledger.cluster_state import Job, Placement
+    from .fleet import Machine
+    from .placement import GpuNeeds
+
+
+@dataclass(frozen=True)
+class TargetSearch:
+    """How machines are searched to which replicas can move."""
+
+    gpu_reservations: GpuNeeds
+    sample_size: int
+    excluded_zones: Callable[[Job, Placement], Collection[str]]
+    """Zones that a job may not use, given that this placement of it moves away."""
+
+
+@dataclass(frozen=True)
+class EmptyingRules:
+    """Which machines may be emptied."""
+
+    is_settled: Callable[[Placement], bool]
+    """Whether a replica has run for long enough to be moved."""
+    allow_finite_tasks: bool
+    """Also machines where array tasks still run; they take none while they are emptied."""
+    skipped: Collection[str] = ()
+    """Names of machines that could not be emptied a short while ago."""
+    min_hourly_price: float = 0.0
+    """From this price on the termination of a machine is worth the moves of its replicas."""
+
+
+@dataclass(frozen=True)
+class EmptyingChoice:
+    """The machine to empty, if any, and the names of those that can't be emptied."""
+
+    machine: Machine | None
+    rejected: Sequence[str] = ()
+
+
+class _TentativeMoves:
+    """Reserves capacity for the replicas of machines, until that is undone."""
+
+    def __init__(self, index: MachineIndex, search: TargetSearch) -> None:
+        self._index = index
+        self._search = search
+        self._reserved: list[tuple[Machine, wire.Spec]] = []
+
+    def __len__(self) -> int:
+        """How many replicas have a reservation."""
+        return len(self._reserved)
+
+    def reserve_targets(self, machine: Machine) -> bool:
+        """Reserves capacity for each replica of the machine; False once one finds none."""
+        for placed in sorted(list_replicas(machine), key=lambda placed: -placed.job.spec.cores):
+            spec = placed.job.spec
+            found = find_target(placed, machine, self._index, self._search)
+            if found is None:
+                return False
+            found.reserve(spec, 1)
+            self._index.update(found)
+            self._reserved.append((found, spec))
+        return True
+
+    def undo_to(self, count: int) -> None:
+        """Takes back all reservations but the first `count`."""
+        while len(self._reserved) > count:
+            machine, spec = self._reserved.pop()
+            machine.reserve(spec, -1)
+            self._index.update(machine)
+
+    def undo_all(self) -> None:
+        """Takes back all reservations; the index is of no use after that."""
+        for machine, spec in self._reserved:
+            machine.reserve(spec, -1)
+
+
+def choose_machine_to_empty(
+    machines: Sequence[Machine],
+    machine_types: dict[str, wire.MachineType],
+    rng: random.Random,
+    search: TargetSearch,
+    rules: EmptyingRules,
+    emptying: Collection[Machine] = (),
+) -> EmptyingChoice:
+    """Chooses the machine whose termination saves most for each replica moved.
+
+    All its replicas must fit on other used machines, or on idle ones that cost less than half.
+    The replicas of machines that are already being emptied find their capacity first.
+    """
+    candidates = _rank_candidates(machines, machine_types, rules)
+    if not candidates:
+        return EmptyingChoice(None)
+    moves = _TentativeMoves(MachineIndex.of(machines, machine_types, rng), search)
+    try:
+        if not all(moves.reserve_targets(machine) for machine in emptying):
+            return EmptyingChoice(None)
+        return _choose_first_that_fits(candidates[: max(1, search.sample_size // 4)], moves)
+    finally:
+        moves.undo_all()
+
+
+def _rank_candidates(
+    machines: Iterable[Machine], machine_types: dict[str, wire.MachineType], rules: EmptyingRules
+) -> list[Machine]:
+    """The machines that the rules allow to be emptied, those with the largest saving first."""
+    savings: list[tuple[float, Machine]] = []
+    for machine in machines:
+        price = hourly_price(machine, machine_types)
+        if machine.name in rules.skipped or price < rules.min_hourly_price:
+            continue
+        replicas = list_replicas(machine)
+        has_only_replicas = len(replicas) == len(machine.placements)
+        if (
+            replicas
+            and all(rules.is_settled(placed) for placed in replicas)
+            and (rules.allow_finite_tasks or has_only_replicas)
+        ):
+            savings.append((price / len(replicas), machine))
+    savings.sort(key=lambda entry: -entry[0])
+    return [machine for _, machine in savings]
+
+
+def _choose_first_that_fits(
+    candidates: Iterable[Machine], moves: _TentativeMoves
+) -> EmptyingChoice:
+    rejected: list[str] = []
+    count_before = len(moves)
+    for machine in candidates:
+        if moves.reserve_targets(machine):
+            return EmptyingChoice(machine, rejected)
+        rejected.append(machine.name)
+        moves.undo_to(count_before)
+    return EmptyingChoice(None, rejected)
+
+
+@contextmanager
+def without_best_effort(machines: Iterable[Machine]) -> Iterator[None]:
+    """Counts the capacity of best-effort tasks as free: replicas preempt them."""
+    freed = [
+        (machine, placed.job.spec)
+        for machine in machines
+        for placed in machine.placements.values()
+        if placed.is_best_effort and placed.stopping_at is None
+    ]
+    for machine, spec in freed:
+        machine.reserve(spec, -1)
+    try:
+        yield
+    finally:
+        for machine, spec in freed:
+            machine.reserve(spec, 1)
+
+
+def find_target(
+    placed: Placement, machine: Machine, index: MachineIndex, search: TargetSearch
+) -> Machine | None:
+    """The machine to which a replica of `machine` can move now."""
+    job = placed.job
+    return choose(
+        job.spec,
+        job.number,
+        index,
+        search.gpu_reservations,
+        search.sample_size,
+        search.excluded_zones(job, placed),
+        lambda other: can_move(machine, other, job.spec, index.machine_types),
+    )
+
+
+def can_move(
+    source: Machine, target: Machine, spec: wire.Spec, machine_types: dict[str, wire.MachineType]
+) -> bool:
+    """Whether a replica may move from the one machine to the other.
+
+    To a used machine, or an idle one that costs less than half; to one that holds its image, or off
+    GPUs that it doesn't need to a machine without them.
+    """
+    if target is source or not (
+        target.placements
+        or 2 * hourly_price(target, machine_types) < hourly_price(source, machine_types)
+    ):
+        return False
+    frees_gpus = (
+        machine_types[source.machine_type].gpus
+        and not spec.gpus
+        and not machine_types[target.machine_type].gpus
+    )
+    return spec.image in target.images or bool(frees_gpus)
+
+
+def list_replicas(machine: Machine) -> list[Placement]:
+    """The tasks that must move; tasks of arrays are left to end."""
+    return [
+        placed for placed in machine.placements.values() if placed.job.spec.job_kind == wire.SERVICE
+    ]
+
+
+def hourly_price(machine: Machine, machine_types: dict[str, wire.MachineType]) -> float:
+    """What the machine costs an hour."""
+    machine_type = machine_types[machine.machine_type]
+    return machine_type.hourly_spot_price if machine.spot else machine_type.hourly_price
--- a/flaxtally/planning/packing.py
+++ b/flaxtally/planning/packing.py
@@ -1,4 +1,7 @@
-"""How much of a demand the room that will be there can hold. Pure."""
+"""How much of a demand the capacity that will be there can hold. Pure.
+
+Machines are bins, tasks of one shape take slots in them. Begin with `pack_demand`.
+"""
 
 from __future__ import annotations
 
@@ -15,12 +18,12 @@
     from ..protocol import wire
     from ..protocol.shape import Shape
 
-ANY_NUMBER = 1_000_000
-"""Of tasks: no bound."""
+NO_LIMIT = 1_000_000
+"""More tasks than any demand has."""
 
 
 class Bin:
-    """A machine's room at one step of the packing."""
+    """A machine's free capacity at one step of the packing."""
 
     __slots__ = (
         "cores",
@@ -35,153 +38,179 @@
 
     def __init__(
         self,
-        kind: wire.MachineType,
+        machine_type: wire.MachineType,
         zone: str,
-        spot: bool,
         cores: float,
         gpus: float,
         memory_gb: float,
         name: str = "",
-        anchored: bool = False,
+        *,
+        spot: bool,
+        has_regular_tasks: bool = False,
     ) -> None:
-        """`has_regular_tasks`: kept for more than best-effort work."""
-        self.machine_type, self.zone, self.spot = kind, zone, spot
-        self.cores, self.gpus, self.memory_gb = cores, gpus, memory_gb
-        self.name, self.has_regular_tasks = name, anchored
+        """`has_regular_tasks`: more than best-effort work keeps the machine."""
+        self.machine_type = machine_type
+        self.zone = zone
+        self.spot = spot
+        self.cores = cores
+        self.gpus = gpus
+        self.memory_gb = memory_gb
+        self.name = name
+        self.has_regular_tasks = has_regular_tasks
 
     @classmethod
-    def empty(cls, kind: wire.MachineType, zone: str, spot: bool) -> Bin:
+    def empty(cls, machine_type: wire.MachineType, zone: str, *, spot: bool) -> Bin:
         """A machine with nothing on it."""
-        return cls(kind, zone, spot, kind.cores, kind.gpus, kind.memory_gb)
+        return cls(
+            machine_type,
+            zone,
+            machine_type.cores,
+            machine_type.gpus,
+            machine_type.memory_gb,
+            spot=spot,
+        )
 
     def copy(self) -> Bin:
-        """The same room, to be used up by itself."""
+        """The same capacity, to be used up by itself."""
         return Bin(
             self.machine_type,
             self.zone,
-            self.spot,
             self.cores,
             self.gpus,
             self.memory_gb,
             self.name,
-            self.has_regular_tasks,
+            spot=self.spot,
+            has_regular_tasks=self.has_regular_tasks,
         )
 
 
 @dataclass
 class Demand:
-    """Tasks of one shape that need room at a time of the horizon."""
+    """Tasks of one shape that need capacity at a time of the horizon."""
 
     shape: Shape
     count: float
     needed_until_s: float
     machines_by_zone: dict[str, int] = field(default_factory=dict)
+    """Machines that the demand may use, those to be provisioned included."""
     max_tasks_by_zone: dict[str, int] | None = None
-    """For jobs that spread: how many more of their tasks each zone may take. None: any number."""
+    """For jobs that spread: how many more of their tasks each zone may take. None: no limit."""
     represents_job_class: bool = False
-    """Stands for its lane in the forecast of arrivals."""
+    """Whether what is expected to arrive of the job class counts for this shape."""
     expensive_types: ExpensiveTypes = NO_EXPENSIVE_TYPES
-    """Types that best-effort work neither rents nor keeps."""
-
-    def can_use(self, room: Bin) -> bool:
-        """Whether the room counts for this demand."""
-        return allowed(self.shape, room.machine_type, room.zone, room.spot) and (
-            room.has_regular_tasks
-            or (room.machine_type.name, room.spot) not in self.expensive_types
+    """Types that are neither provisioned nor kept for best-effort work."""
+
+    def can_use(self, free_bin: Bin) -> bool:
+        """Whether the capacity counts for this demand."""
+        machine_type = free_bin.machine_type
+        return allowed(self.shape, machine_type, free_bin.zone, free_bin.spot) and (
+            free_bin.has_regular_tasks
+            or (machine_type.name, free_bin.spot) not in self.expensive_types
         )
 
     def max_tasks_in(self, zone: str) -> int:
         """How many more tasks the zone may take."""
-        return ANY_NUMBER if self.max_tasks_by_zone is None else self.max_tasks_by_zone.get(zone, 0)
+        return NO_LIMIT if self.max_tasks_by_zone is None else self.max_tasks_by_zone.get(zone, 0)
 
-    def add_tasks(self, count: float, length: float) -> None:
-        """That many tasks more, which run that long."""
-        whole = self.count + count
-        if whole:
-            self.needed_until_s = (self.needed_until_s * self.count + length * count) / whole
-        self.count = whole
+    def add_tasks(self, count: float, run_s: float) -> None:
+        """Adds tasks; the demand is needed until the mean of all their run times."""
+        total = self.count + count
+        if total:
+            self.needed_until_s = (self.needed_until_s * self.count + run_s * count) / total
+        self.count = total
 
     def record_packed(self, zone: str, count: int) -> None:
-        """That many tasks were packed in the zone."""
+        """Counts tasks that were packed in the zone against its limit."""
         if self.max_tasks_by_zone is not None:
             self.max_tasks_by_zone[zone] = self.max_tasks_in(zone) - count
 
 
-class _PoolKey(NamedTuple):
+class _BinKey(NamedTuple):
     """What decides whether a demand may use a bin."""
 
-    kind: str
+    machine_type: str
     zone: str
     spot: bool
-    anchored: bool
+    has_regular_tasks: bool
 
 
 class FreeCapacity:
-    """The bins of one step, by pool, in the order in which they came."""
+    """The bins of one step, by pool, in the order in which they were added."""
 
     def __init__(self, bins: Iterable[Bin] = ()) -> None:
-        self._pools: dict[_PoolKey, list[Bin]] = {}
-        for room in bins:
-            self.add_bin(room)
-
-    def add_bin(self, room: Bin) -> None:
-        """One more machine's room."""
-        key = _PoolKey(room.machine_type.name, room.zone, room.spot, room.has_regular_tasks)
-        self._pools.setdefault(key, []).append(room)
+        """`bins` are not copied: packing uses them up."""
+        self._bins: dict[_BinKey, list[Bin]] = {}
+        for free_bin in bins:
+            self.add_bin(free_bin)
+
+    def add_bin(self, free_bin: Bin) -> None:
+        """Adds one more machine's capacity."""
+        key = _BinKey(
+            free_bin.machine_type.name, free_bin.zone, free_bin.spot, free_bin.has_regular_tasks
+        )
+        self._bins.setdefault(key, []).append(free_bin)
 
     def copy(self, without: Collection[str] = ()) -> FreeCapacity:
-        """The same rooms, to be used up by themselves, less those of the machines named."""
+        """The same capacity, to be used up by itself, less that of the machines named."""
         copied = FreeCapacity()
-        copied._pools = {
-            key: [room.copy() for room in rooms if room.name not in without]
-            for key, rooms in self._pools.items()
+        copied._bins = {
+            key: [free_bin.copy() for free_bin in bins if free_bin.name not in without]
+            for key, bins in self._bins.items()
         }
         return copied
 
-    def drop_full_bins(self, demands: Iterable[Demand], needs: GpuNeeds) -> None:
-        """Drops the bins in which no task of any demand finds room: packing passes over them."""
+    def drop_full_bins(self, demands: Iterable[Demand], gpu_reservations: GpuNeeds) -> None:
+        """Drops the bins that have no slot for any demand: packing passes over them."""
         demands = list(demands)
-        for key, rooms in self._pools.items():
-            shapes = [demand.shape for demand in demands if rooms and demand.can_use(rooms[0])]
-            least = [
+        for key, bins in self._bins.items():
+            shapes = [demand.shape for demand in demands if bins and demand.can_use(bins[0])]
+            smallest = [
                 size
                 for size in (
-                    _least(shape for shape in shapes if shape.gpus),
-                    _least(shape for shape in shapes if not shape.gpus),
+                    _smallest_size(shape for shape in shapes if shape.gpus),
+                    _smallest_size(shape for shape in shapes if not shape.gpus),
                 )
                 if size is not None
             ]
-            self._pools[key] = [
-                room for room in rooms if any(count_slots(size, room, needs) for size in least)
+            self._bins[key] = [
+                free_bin
+                for free_bin in bins
+                if any(count_slots(size, free_bin, gpu_reservations) for size in smallest)
             ]
 
     def bins_for(self, demand: Demand) -> list[list[Bin]]:
-        """The pools that count for the demand, those that it is to use first at the front.
+        """The bins that count for the demand, by pool, those to be used first at the front.
 
         Spot machines first for what may use them, plain ones first for what needs no GPU.
         """
         shape = demand.shape
-        found = [rooms for rooms in self._pools.values() if rooms and demand.can_use(rooms[0])]
-        found.sort(
-            key=lambda rooms: (
-                shape.spot and not rooms[0].spot,
-                bool(rooms[0].machine_type.gpus) and not shape.gpus,
+        pools = [bins for bins in self._bins.values() if bins and demand.can_use(bins[0])]
+        pools.sort(
+            key=lambda bins: (
+                shape.spot and not bins[0].spot,
+                bool(bins[0].machine_type.gpus) and not shape.gpus,
             )
         )
-        return found
+        return pools
 
 
 class Size(Protocol):
     """What a task takes of its machine."""
 
     @property
-    def cores(self) -> float: ...
+    def cores(self) -> float:
+        """Processor cores."""
+        ...
 
     @property
-    def gpus(self) -> float: ...
+    def gpus(self) -> float:
+        """GPUs."""
+        ...
 
     @property
-    def memory_gb(self) -> float: ...
+    def memory_gb(self) -> float:
+        """Memory."""
+        ...
 
 
 class _Size(NamedTuple):
@@ -190,7 +219,7 @@
     memory_gb: float
 
 
-def _least(shapes: Iterable[Shape]) -> _Size | None:
+def _smallest_size(shapes: Iterable[Shape]) -> _Size | None:
     """The least that any of the shapes takes, by resource; None: there are none."""
     sizes = [(shape.cores, shape.gpus, shape.memory_gb) for shape in shapes]
     if not sizes:
@@ -199,43 +228,46 @@
     return _Size(min(cores), min(gpus), min(memory_gb))
 
 
-def count_slots(size: Size, room: Bin, needs: GpuNeeds) -> int:
-    """How many tasks of a size a bin still takes."""
-    cores, memory_gb, kind = room.cores, room.memory_gb, room.machine_type
-    if not size.gpus and kind.gpus:
-        cores -= room.gpus * min(needs.cores, kind.cores / kind.gpus)
-        memory_gb -= room.gpus * min(needs.memory_gb, kind.memory_gb / kind.gpus)
-    most = math.inf
+def count_slots(size: Size, free_bin: Bin, gpu_reservations: GpuNeeds) -> int:
+    """How many more tasks of a size the bin takes."""
+    cores = free_bin.cores
+    memory_gb = free_bin.memory_gb
+    machine_type = free_bin.machine_type
+    if not size.gpus and machine_type.gpus:
+        cores -= free_bin.gpus * min(gpu_reservations.cores, machine_type.cores / machine_type.gpus)
+        memory_gb -= free_bin.gpus * min(
+            gpu_reservations.memory_gb, machine_type.memory_gb / machine_type.gpus
+        )
+    slots = math.inf
     if size.cores:
-        most = (cores + SLACK) / size.cores
+        slots = (cores + SLACK) / size.cores
     if size.gpus:
-        most = min(most, (room.gpus + SLACK) / size.gpus)
+        slots = min(slots, (free_bin.gpus + SLACK) / size.gpus)
     if size.memory_gb:
-        most = min(most, (memory_gb + SLACK) / size.memory_gb)
-    return max(0, int(most)) if most < math.inf else ANY_NUMBER
-
-
-def take_slots(size: Size, room: Bin, count: int) -> None:
-    """Uses up the room of that many tasks."""
-    room.cores -= size.cores * count
-    room.gpus -= size.gpus * count
-    room.memory_gb -= size.memory_gb * count
-
-
-def pack_demand(demand: Demand, rooms: FreeCapacity, needs: GpuNeeds) -> int:
-    """Packs the demand into the rooms, which it uses up; gives how many tasks are left over."""
-    left = int(demand.count)
-    if left <= 0:
-        return left
-    for bins in rooms.bins_for(demand):
-        for room in bins:
-            count = min(
-                left, count_slots(demand.shape, room, needs), demand.max_tasks_in(room.zone)
-            )
+        slots = min(slots, (memory_gb + SLACK) / size.memory_gb)
+    return max(0, int(slots)) if slots < math.inf else NO_LIMIT
+
+
+def take_slots(size: Size, free_bin: Bin, count: int) -> None:
+    """Uses up the capacity of that many tasks."""
+    free_bin.cores -= size.cores * count
+    free_bin.gpus -= size.gpus * count
+    free_bin.memory_gb -= size.memory_gb * count
+
+
+def pack_demand(demand: Demand, free_capacity: FreeCapacity, gpu_reservations: GpuNeeds) -> int:
+    """Packs the demand into the capacity, which it uses up; gives how many tasks are left over."""
+    unplaced = int(demand.count)
+    if unplaced <= 0:
+        return unplaced
+    for bins in free_capacity.bins_for(demand):
+        for free_bin in bins:
+            slots = count_slots(demand.shape, free_bin, gpu_reservations)
+            count = min(unplaced, slots, demand.max_tasks_in(free_bin.zone))
             if count:
-                take_slots(demand.shape, room, count)
-                demand.record_packed(room.zone, count)
-                left -= count
-                if left <= 0:
-                    return left
-    return left
+                take_slots(demand.shape, free_bin, count)
+                demand.record_packed(free_bin.zone, count)
+                unplaced -= count
+                if unplaced <= 0:
+                    return unplaced
+    return unplaced
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -202,7 +202,7 @@
 
     def bins() -> list[Bin]:
         return [
-            Bin(KINDS[kind], zone, spot, 16.0 - cores, float(8 - gpus), 64.0 - 4 * memory_gb)
+            Bin(KINDS[kind], zone, 16.0 - cores, float(8 - gpus), 64.0 - 4 * memory_gb, spot=spot)
             for kind, zone, spot, cores, gpus, memory_gb, _, _ in drawn_machines
         ]
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -19,13 +19,13 @@
 from flaxtally.ledger.cluster_state import ClusterState, InvalidRecordError
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.planning.choice import choose
-from flaxtally.planning.consolidate import pick
+from flaxtally.planning.consolidation import EmptyingRules, TargetSearch, choose_machine_to_empty
 from flaxtally.planning.fleet import Machine, Pool
 from flaxtally.planning.forecast import Arrivals
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Bin, Demand, FreeCapacity, pack_demand
 from flaxtally.planning.placement import GpuNeeds, gpu_needs
-from flaxtally.planning.provisioning import plan_provisioning
+from flaxtally.planning.provisioning import ForecastStep, ProvisionDecision, Provisioner
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.http import MalformedMessageError, Parser
@@ -315,7 +315,7 @@
 
 def room(kind: str, zone: str = "a", spot: bool = False) -> Bin:
     entry = KINDS[kind]
-    return Bin(entry, zone, spot, entry.cores, entry.gpus, entry.memory_gb)
+    return Bin.empty(entry, zone, spot=spot)
 
 
 def test_forecast_averages_and_leaves_the_burst_out() -> None:
@@ -339,22 +339,22 @@
     assert arrivals.length("other", 20.0) == 0.0
 
 
+def plan(
+    steps: list[ForecastStep], kinds: dict[str, wire.MachineType], pools: list[Pool]
+) -> list[ProvisionDecision]:
+    return Provisioner(kinds, pools, NEEDS, 1.1).plan(steps, 9)
+
+
 def test_fill_takes_the_cheapest_per_work_and_the_open_zone() -> None:
     gate = Shape.of(spec("j-000001"))
     pools = [Pool(kind, zone, spot) for kind in KINDS for zone in "ab" for spot in (False, True)]
-    rents = plan_provisioning(
-        [(0.0, [Demand(gate, 10, 300.0)], FreeCapacity())], KINDS, pools, NEEDS, 1.1, 9
-    )
+    rents = plan([ForecastStep(0.0, [Demand(gate, 10, 300.0)], FreeCapacity())], KINDS, pools)
     assert [(rent.pool.machine_type, rent.pool.spot) for rent in rents] == [("c16", False)] * 2
     gpu = Shape.of(batch("j-000002", 8))
-    rents = plan_provisioning(
-        [(0.0, [Demand(gpu, 8, 60.0)], FreeCapacity())], KINDS, pools, NEEDS, 1.1, 9
-    )
+    rents = plan([ForecastStep(0.0, [Demand(gpu, 8, 60.0)], FreeCapacity())], KINDS, pools)
     assert [(rent.pool.machine_type, rent.pool.spot) for rent in rents] == [("g8", True)]
     assert (
-        plan_provisioning(
-            [(0.0, [Demand(gpu, 8, 60.0)], FreeCapacity([room("g8")]))], KINDS, pools, NEEDS, 1.1, 9
-        )
+        plan([ForecastStep(0.0, [Demand(gpu, 8, 60.0)], FreeCapacity([room("g8")]))], KINDS, pools)
         == []
     )
 
@@ -364,9 +364,7 @@
     gate = Shape.of(spec("j-000001", tasks=2))
     pools = [Pool("c16", zone, False) for zone in "ab"]
     demand = Demand(gate, 2, 300.0, max_tasks_by_zone={"a": 1, "b": 1})
-    rents = plan_provisioning(
-        [(0.0, [demand], FreeCapacity([room("c16", "a")]))], KINDS, pools, NEEDS, 1.1, 9
-    )
+    rents = plan([ForecastStep(0.0, [demand], FreeCapacity([room("c16", "a")]))], KINDS, pools)
     assert [rent.pool.zone for rent in rents] == ["b"]
 
 
@@ -381,23 +379,21 @@
         return {"c16": msgspec.structs.replace(quick, hourly_price=price), "g8": slow}
 
     steps = [
-        (30.0, [Demand(gate, 8, 300.0)], FreeCapacity()),
-        (60.0, [Demand(gate, 8, 300.0)], FreeCapacity()),
+        ForecastStep(30.0, [Demand(gate, 8, 300.0)], FreeCapacity()),
+        ForecastStep(60.0, [Demand(gate, 8, 300.0)], FreeCapacity()),
     ]
     assert [
-        rent.pool.machine_type
-        for rent in plan_provisioning(copy.deepcopy(steps), kinds_for(0.6), pools, NEEDS, 1.1, 9)
+        rent.pool.machine_type for rent in plan(copy.deepcopy(steps), kinds_for(0.6), pools)
     ] == ["c16"]
     assert [
-        rent.pool.machine_type
-        for rent in plan_provisioning(copy.deepcopy(steps), kinds_for(5.0), pools, NEEDS, 1.1, 9)
+        rent.pool.machine_type for rent in plan(copy.deepcopy(steps), kinds_for(5.0), pools)
     ] == ["g8"]
 
 
 def test_pieces_of_room_do_not_add_up() -> None:
     # The sum of free GPUs would hold the task; no single machine does.
     big = Demand(Shape.of(batch("j-000001", 1, image="x")), 1, 60.0)
-    half = [Bin(KINDS["g8"], "a", True, 32.0, 0.5, 256.0) for _ in range(4)]
+    half = [Bin(KINDS["g8"], "a", 32.0, 0.5, 256.0, spot=True) for _ in range(4)]
     assert pack_demand(big, FreeCapacity(half), NEEDS) == 1
 
 
@@ -447,9 +443,14 @@
 
     def pick_with(moving: list[Machine]) -> Machine | None:
         usable = [machine for machine in fleet if machine not in moving]
-        return pick(
-            usable, KINDS, NEEDS, 24, random.Random(1), lambda *_: (), lambda _: True, True, moving
-        )[0]
+        return choose_machine_to_empty(
+            usable,
+            KINDS,
+            random.Random(1),
+            TargetSearch(NEEDS, 24, lambda *_: ()),
+            EmptyingRules(lambda _: True, allow_finite_tasks=True),
+            moving,
+        ).machine
 
     assert pick_with([]) in fleet
     assert pick_with([x]) is None
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -5,9 +5,10 @@
 import random
 from typing import TYPE_CHECKING
 
-from flaxtally.leader.autoscaling.autoscaler import MAX_SCALE_IN_CHECKS, Autoscaler
+from flaxtally.leader.autoscaling.forecast import Forecast
+from flaxtally.leader.autoscaling.idle_machines import MAX_SCALE_IN_CHECKS
 from flaxtally.ledger.cluster_state import Job, Placement
-from flaxtally.planning.consolidate import can_take
+from flaxtally.planning.consolidation import can_move
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Demand
@@ -112,8 +113,10 @@
     used = {world.machine_of(f"j-000001/{task}") for task in range(2)}
     spare = {world.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)}
     packed: list[int] = []
-    left = Autoscaler._left
-    monkeypatch.setattr(Autoscaler, "_left", lambda *args: packed.append(1) or left(*args))
+    count_unplaced = Forecast._count_unplaced
+    monkeypatch.setattr(
+        Forecast, "_count_unplaced", lambda *args: packed.append(1) or count_unplaced(*args)
+    )
     most = 0
     for _ in range(60):
         packed.clear()
@@ -217,14 +220,14 @@
         for number, kind in enumerate(("g8", "c16", "g8"))
     )
     gate = spec("j-000001")
-    assert can_take(dear, cheap, gate, kinds)
-    assert not can_take(cheap, dear, gate, kinds)
-    assert not can_take(dear, other, gate, kinds)
+    assert can_move(dear, cheap, gate, kinds)
+    assert not can_move(cheap, dear, gate, kinds)
+    assert not can_move(dear, other, gate, kinds)
     other.placements[1, 0] = Placement(Job(1, 0.0, gate), 0, 1, "n-2", "a")
-    assert not can_take(dear, other, gate, kinds)
+    assert not can_move(dear, other, gate, kinds)
     other.images["img-1"] = 1.0
-    assert can_take(dear, other, gate, kinds)
-    assert not can_take(dear, cheap, spec("j-000002", gpus=1.0), kinds)
+    assert can_move(dear, other, gate, kinds)
+    assert not can_move(dear, cheap, spec("j-000002", gpus=1.0), kinds)
 
 
 def test_a_flood_of_submissions_delays_neither_reports_nor_leadership() -> None:
