--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -5,12 +5,12 @@
     LAUNCHING  committed and sent; no task has its image yet, as far as is known
     WAITING    some tasks wait for the others on their machines
     RUNNING    the tasks run
-    STOPPING   all were told to save and exit
+    STOPPING   all were ordered to save a checkpoint and exit
     BROKEN     a task is gone, and the others are to exit
     DONE       a task completed, and with it the gang
 
-Nothing of this is kept: it follows from the ledger's placements and from what the workers report,
-so that a leader that begins finds each gang in its state.
+None of this is stored: it follows from the ledger's placements and from what the workers report, so
+that a new leader finds each gang in its phase.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
     from ..ledger.cluster_state import Job
 
 REPLACEMENT_WINDOW_SHARE = 0.5
-"""Of `gang_wait_s`: who is replaced later than that after the launch would come too late."""
+"""Of `gang_wait_s`: a task replaced later than that after the launch would come too late."""
 
 
 class Phase(enum.Enum):
@@ -48,9 +48,9 @@
 
     NOTHING = "nothing"
     PLACE = "place"
-    """All tasks, under a new attempt number."""
+    """Place all tasks, under a new attempt number."""
     REPLACE = "replace"
-    """The missing tasks, under the attempt number of the others."""
+    """Place the missing tasks, under the attempt number of the others."""
     ABANDON = "abandon"
     """Stop all that is left, so that the next attempt can begin."""
 
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class GangStatus:
-    """What is known of a gang. Times in seconds."""
+    """What is known of a gang."""
 
     task_count: int
     members: tuple[Member, ...]
@@ -76,68 +76,44 @@
     has_run: bool = False
     """Some task of the attempt was seen running."""
     is_broken: bool = False
-    """The attempt was given up."""
+    """The attempt was abandoned."""
     since_stop_s: float | None = None
-    """Since the first order to save and exit."""
+    """Since the first command to save and exit; None: there was none."""
     since_launch_s: float = 0.0
     """Since the attempt was launched, as far as this leader knows."""
 
 
 @dataclass(frozen=True)
 class GangTimeouts:
-    """What workers are set to, in seconds."""
+    """What workers are configured with."""
 
     wait_s: float
+    """How long a task waits for the others."""
     peer_s: float
+    """How long a task runs without contact to the others."""
 
 
-def build_gang_status(
-    job: Job,
-    has_run: bool,
-    is_broken: bool,
-    stopping_for: float | None,
-    launched_for: float,
-) -> GangStatus:
-    """The situation of a gang in the ledger, with what the leader knows beside it."""
-    members = tuple(
-        Member(placed.attempt, placed.is_committed, placed.state)
-        for placed in job.placements.values()
-    )
-    return GangStatus(
-        job.spec.tasks,
-        members,
-        job.is_done,
-        job.is_cancelled,
-        has_run,
-        is_broken,
-        stopping_for,
-        launched_for,
-    )
-
-
-def derive_phase(now: GangStatus) -> Phase:
-    """Where the gang stands."""
-    states = {member.state for member in now.members}
-    if now.is_done:
+def derive_phase(status: GangStatus) -> Phase:
+    """The phase that follows from what is known."""
+    members = status.members
+    states = {member.state for member in members}
+    has_lost_running_task = status.has_run and len(members) < status.task_count
+    if status.is_done:
         return Phase.DONE
-    if not now.members:
+    if not members:
         return Phase.PENDING
-    if not all(member.is_committed for member in now.members):
+    if not all(member.is_committed for member in members):
         return Phase.RESERVED
-    if now.since_stop_s is not None:
+    if status.since_stop_s is not None:
         return Phase.STOPPING
-    if (
-        now.is_broken
-        or is_mixed(now.members)
-        or (now.has_run and len(now.members) < now.task_count)
-    ):
+    if status.is_broken or has_mixed_attempts(members) or has_lost_running_task:
         return Phase.BROKEN
     if states & {wire.RUNNING, wire.FLUSHING}:
         return Phase.RUNNING
     return Phase.WAITING if wire.WAITING in states else Phase.LAUNCHING
 
 
-def is_mixed(members: Iterable[Member]) -> bool:
+def has_mixed_attempts(members: Iterable[Member]) -> bool:
     """Whether the members are of several attempts, which never meet.
 
     No version that knows gangs commits this: the tasks were placed one by one by an older one.
@@ -145,10 +121,10 @@
     return len({member.attempt for member in members}) > 1
 
 
-def decide_action(now: GangStatus, times: GangTimeouts, save: float) -> Action:
-    """What to do next. `save`: seconds that a task needs to save."""
-    phase = derive_phase(now)
-    if now.is_cancelled or phase in (Phase.DONE, Phase.RESERVED):
+def decide_action(status: GangStatus, timeouts: GangTimeouts, checkpoint_save_s: float) -> Action:
+    """Decides what to do next about a gang whose tasks need that long to save."""
+    phase = derive_phase(status)
+    if status.is_cancelled or phase in (Phase.DONE, Phase.RESERVED):
         # A cancelled gang is stopped like any cancelled job.
         return Action.NOTHING
     if phase is Phase.PENDING:
@@ -156,13 +132,43 @@
     if phase is Phase.BROKEN:
         return Action.ABANDON
     if phase is Phase.STOPPING:
-        late = (now.since_stop_s or 0.0) > save + 2 * times.peer_s
-        return Action.ABANDON if late else Action.NOTHING
-    if len(now.members) == now.task_count:
+        is_late = (status.since_stop_s or 0.0) > checkpoint_save_s + 2 * timeouts.peer_s
+        return Action.ABANDON if is_late else Action.NOTHING
+    if len(status.members) == status.task_count:
         return Action.NOTHING
-    if phase is Phase.RUNNING or now.since_launch_s > REPLACEMENT_WINDOW_SHARE * times.wait_s:
+    return _decide_about_lost_task(status, timeouts, phase)
+
+
+def _decide_about_lost_task(status: GangStatus, timeouts: GangTimeouts, phase: Phase) -> Action:
+    max_delay_s = REPLACEMENT_WINDOW_SHARE * timeouts.wait_s
+    if phase is Phase.RUNNING or status.since_launch_s > max_delay_s:
         return Action.ABANDON
-    if not all(member.state for member in now.members):
+    if not all(member.state for member in status.members):
         # Whether the gang has begun is not known before all have reported.
         return Action.NOTHING
     return Action.REPLACE
+
+
+def build_gang_status(
+    job: Job,
+    *,
+    has_run: bool,
+    is_broken: bool,
+    since_stop_s: float | None,
+    since_launch_s: float,
+) -> GangStatus:
+    """The status of a gang: from the ledger, and from what the leader knows besides."""
+    members = tuple(
+        Member(placed.attempt, placed.is_committed, placed.state)
+        for placed in job.placements.values()
+    )
+    return GangStatus(
+        job.spec.tasks,
+        members,
+        job.is_done,
+        job.is_cancelled,
+        has_run,
+        is_broken,
+        since_stop_s,
+        since_launch_s,
+    )
--- /dev/null
+++ b/flaxtally/leader/gang_scheduling/gang_attempts.py
@@ -0,0 +1,104 @@
+"""What the leader knows of the attempts of gangs besides the ledger."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ...gangs.lifecycle import (
+    Action,
+    GangStatus,
+    GangTimeouts,
+    Phase,
+    build_gang_status,
+    decide_action,
+    derive_phase,
+)
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job
+
+
+class GangAttempt:
+    """What this leader knows of an attempt of a gang besides the ledger."""
+
+    __slots__ = (
+        "grace_s",
+        "has_run",
+        "is_broken",
+        "is_done",
+        "launched_at",
+        "lost_on",
+        "number",
+        "stopped_at",
+    )
+
+    def __init__(self, number: int, launched_at: float) -> None:
+        """An attempt of which nothing but its launch is known."""
+        self.number = number
+        self.launched_at = launched_at
+        self.has_run = False
+        """Some task was seen running."""
+        self.is_broken = False
+        """It can't be completed any more; all its tasks are to exit."""
+        self.is_done = False
+        self.stopped_at: float | None = None
+        """When its tasks were ordered to save and exit."""
+        self.grace_s = 0.0
+        """How long they have for that."""
+        self.lost_on: set[str] = set()
+        """Machines that may still report a task of the attempt that has ended there."""
+
+
+class GangAttempts(TermActor):
+    """Owns the attempts of this term, and derives from them where each gang stands."""
+
+    def __init__(self, term: Term) -> None:
+        """Begins without attempts: those of an earlier term are built when they are asked for."""
+        super().__init__(term)
+        self.timeouts = GangTimeouts(self.settings.gang_wait_s, self.settings.gang_peer_s)
+        self._attempts: dict[int, GangAttempt] = {}
+
+    def attempt_of(self, job: Job) -> GangAttempt:
+        """The newest attempt of the gang."""
+        newest = job.newest_attempt
+        attempt = self._attempts.get(job.number)
+        if attempt is None or attempt.number != newest:
+            # Of an earlier term: what its tasks did is learnt from heartbeats.
+            attempt = GangAttempt(newest, self.term.began_at)
+            self._attempts[job.number] = attempt
+        return attempt
+
+    def start_attempt(self, job: Job, number: int) -> None:
+        """Notes the launch of an attempt, unless tasks are only added to it."""
+        known = self._attempts.get(job.number)
+        if known is None or known.number != number:
+            self._attempts[job.number] = GangAttempt(number, self.runtime.now())
+
+    def job_numbers(self) -> list[int]:
+        """The gangs of which an attempt is known."""
+        return list(self._attempts)
+
+    def forget(self, job_number: int) -> None:
+        """Forgets the attempt of a gang that is over."""
+        del self._attempts[job_number]
+
+    def phase_of(self, job: Job) -> Phase:
+        """Where the gang stands."""
+        return derive_phase(self._status_of(job))
+
+    def next_action(self, job: Job) -> Action:
+        """What is to be done next about the gang."""
+        return decide_action(self._status_of(job), self.timeouts, job.spec.checkpoint_save_s)
+
+    def _status_of(self, job: Job) -> GangStatus:
+        attempt = self.attempt_of(job)
+        now = self.runtime.now()
+        stopped_at = attempt.stopped_at
+        return build_gang_status(
+            job,
+            has_run=attempt.has_run,
+            is_broken=attempt.is_broken,
+            since_stop_s=None if stopped_at is None else now - stopped_at,
+            since_launch_s=now - attempt.launched_at,
+        )
--- /dev/null
+++ b/flaxtally/leader/gang_scheduling/gang_machines.py
@@ -0,0 +1,90 @@
+"""Choice of machines for a gang, under the limits of its team and its objective for the wait."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import replace
+from typing import TYPE_CHECKING
+
+from ...gangs.gang_capacity import (
+    GangMachines,
+    GangMachineSearch,
+    MachineFilter,
+    choose_machines_for_gang,
+    choose_machines_for_missing,
+)
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job
+    from ...planning.fleet import Machine
+    from ...planning.machine_index import MachineIndex
+    from ..jobs import JobRegistry
+    from .gang_attempts import GangAttempts
+
+MAX_FETCH_SHARE = 0.8
+"""Of `gang_wait_s`, and of a wait objective: a gang whose last image takes longer would be late."""
+
+
+class GangMachineChooser(TermActor):
+    """Chooses machines for all tasks of a gang, or for those that it lost."""
+
+    def __init__(self, term: Term, jobs: JobRegistry, attempts: GangAttempts) -> None:
+        """`attempts`: knows where tasks of an attempt were lost."""
+        super().__init__(term)
+        self.jobs = jobs
+        self._attempts = attempts
+        self._max_wait_s_by_class = {
+            objective.job_class: objective.within
+            for objective in self.settings.objectives
+            if objective.kind == "wait" and objective.job_class is not None and objective.within
+        }
+
+    def choose_machines(
+        self,
+        job: Job,
+        task_count: int,
+        index: MachineIndex,
+        machine_filter: MachineFilter | None,
+        *,
+        reserve_for_gpus: bool,
+    ) -> GangMachines | None:
+        """Machines for the tasks of the gang that are missing; None: not for all of them."""
+        if not self.jobs.is_within_limit(job.spec, task_count):
+            return None
+        search = GangMachineSearch(
+            job.spec,
+            job.number,
+            index,
+            self.jobs.gpu_reservations if reserve_for_gpus else None,
+            self.policy.sample,
+            machine_filter,
+        )
+        max_fetch_s = MAX_FETCH_SHARE * self._attempts.timeouts.wait_s
+        if not job.placements:
+            return self._choose_for_all(search, max_fetch_s)
+        lost_on = self._attempts.attempt_of(job).lost_on
+
+        def is_usable(machine: Machine) -> bool:
+            return machine.name not in lost_on and (
+                machine_filter is None or machine_filter(machine)
+            )
+
+        search = replace(search, machine_filter=is_usable)
+        return choose_machines_for_missing(
+            search, task_count, self.fleet.zones, job.zone_counts, max_fetch_s
+        )
+
+    def _choose_for_all(self, search: GangMachineSearch, max_fetch_s: float) -> GangMachines | None:
+        """Machines for all tasks; where the images would be late, GPU machines too.
+
+        What these reserve for GPU tasks is taken for a gang's short time: images are there sooner.
+        """
+        choice = choose_machines_for_gang(search, self.fleet.zones, max_fetch_s)
+        max_wait_s = self._max_wait_s_by_class.get(search.spec.job_class, math.inf)
+        timely_fetch_s = MAX_FETCH_SHARE * max_wait_s
+        is_timely = choice is not None and choice.fetch_s <= timely_fetch_s
+        if search.gpu_reservations is None or is_timely or timely_fetch_s == math.inf:
+            return choice
+        unreserved = replace(search, gpu_reservations=None)
+        return choose_machines_for_gang(unreserved, self.fleet.zones, timely_fetch_s) or choice
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -1,4 +1,4 @@
-"""Room that is held for a gang that has waited for long, so that small work doesn't overtake it."""
+"""Machines reserved for a gang that has waited for long, so that small work doesn't overtake it."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Collection, Iterator
+    from collections.abc import Collection, Iterator
 
-    from ...ledger.cluster_state import Job
+    from ...gangs.gang_capacity import MachineFilter
+    from ...ledger.cluster_state import Job, Placement
     from ...planning.fleet import Machine
     from ...planning.machine_index import MachineIndex
     from ..jobs import JobRegistry
@@ -27,108 +28,119 @@
 class _GangReservation:
     """Machines on which nothing of the gang's rank or lower is placed, until a time."""
 
-    no: int
+    job_number: int
     rank: int
-    until: float
+    expires_at: float
     machines: frozenset[str]
 
 
 class GangReservations(TermActor):
-    """Owns the machines held for gangs: for one gang of each rank at a time, and not for long.
+    """Owns the machines reserved for gangs: for one gang of each rank at a time, and not for long.
 
-    What runs there ends by itself; those whose tasks end first are held. A gang for which they were
-    held in vain lets another go first.
+    What runs there ends by itself; the machines whose tasks end first are reserved. A gang for
+    which they were reserved in vain lets another one go first.
     """
 
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
+        """`jobs`: tells whether a gang with a reservation is still pending."""
         super().__init__(term)
         self.jobs = jobs
-        self._holds: dict[int, _GangReservation] = {}
+        self._reservations: dict[int, _GangReservation] = {}
         """By rank."""
-        self._rests: dict[int, float] = {}
-        """Gangs that were held for in vain, and until when nothing is held for them."""
-        self._ended: set[str] = set()
-        """Machines that were held, since `take_released_machines` was asked."""
+        self._ineligible_until: dict[int, float] = {}
+        """Gangs with a reservation in vain, and until when they get no other."""
+        self._released_machines: set[str] = set()
+        """Machines whose reservation ended since `take_released_machines` was called."""
 
     def reserve_machines(self, job: Job, index: MachineIndex) -> None:
-        """Holds machines for the gang, if nothing is held at its rank."""
-        rank, now = wire.RANKS[job.spec.rank], self.runtime.now()
-        self._expire(now)
-        if rank in self._holds or self._rests.get(job.number, 0.0) > now or job.spec.spread:
+        """Reserves machines for the gang, if there is no reservation of its rank."""
+        rank = wire.RANKS[job.spec.rank]
+        now = self.runtime.now()
+        self._expire_reservations(now)
+        is_ineligible = self._ineligible_until.get(job.number, 0.0) > now
+        if rank in self._reservations or is_ineligible or job.spec.spread:
             return
-        machines = self._choose(job, index, now)
+        machines = self._choose_machines(job, index, now)
         if machines is None:
             return
-        until = now + self.policy.keep_patience
-        self._holds[rank] = _GangReservation(job.number, rank, until, machines)
-        self._rests[job.number] = until + self.policy.keep_patience
+        expires_at = now + self.policy.keep_patience
+        self._reservations[rank] = _GangReservation(job.number, rank, expires_at, machines)
+        self._ineligible_until[job.number] = expires_at + self.policy.keep_patience
         log.info(
-            "event=gang_hold term=%d job=%s machines=%d",
+            "event=gang_machines_reserved term=%d job=%s machines=%d",
             self.term.number,
             job.spec.ref,
             len(machines),
         )
 
     def on_gang_placed(self, job: Job) -> None:
-        """The gang is placed: nothing is held for it any more."""
-        self._rests.pop(job.number, None)
-        hold = self._holds.get(wire.RANKS[job.spec.rank])
-        if hold is not None and hold.no == job.number:
-            self._end(hold)
-
-    def machine_filter_for(self, job: Job) -> Callable[[Machine], bool] | None:
-        """Whether a machine is not held against the job; None: none is."""
-        self._expire(self.runtime.now())
+        """Ends the reservation of a gang that is placed."""
+        self._ineligible_until.pop(job.number, None)
+        reservation = self._reservations.get(wire.RANKS[job.spec.rank])
+        if reservation is not None and reservation.job_number == job.number:
+            self._end_reservation(reservation)
+
+    def machine_filter_for(self, job: Job) -> MachineFilter | None:
+        """Accepts machines that aren't reserved against the job; None: none is reserved."""
+        self._expire_reservations(self.runtime.now())
         rank = wire.RANKS[job.spec.rank]
-        held = [
-            hold.machines
-            for hold in self._holds.values()
-            if hold.rank <= rank and hold.no != job.number
+        reserved = [
+            reservation.machines
+            for reservation in self._reservations.values()
+            if reservation.rank <= rank and reservation.job_number != job.number
         ]
-        if not held:
+        if not reserved:
             return None
-        names = frozenset(itertools.chain.from_iterable(held))
+        names = frozenset(itertools.chain.from_iterable(reserved))
         return lambda machine: machine.name not in names
 
     def take_released_machines(self) -> set[str]:
-        """The machines that are held no more since this was last asked."""
-        self._expire(self.runtime.now())
-        ended, self._ended = self._ended, set()
-        return ended
-
-    def _expire(self, now: float) -> None:
-        for hold in list(self._holds.values()):
-            job = self.jobs.live_jobs.get(hold.no)
-            if now >= hold.until or job is None or job.is_terminal or job.placements:
-                self._end(hold)
-        self._rests = {no: until for no, until in self._rests.items() if until > now}
-
-    def _end(self, hold: _GangReservation) -> None:
-        del self._holds[hold.rank]
-        self._ended |= hold.machines
-
-    def _choose(self, job: Job, index: MachineIndex, now: float) -> frozenset[str] | None:
-        def candidates(shut: Collection[str]) -> Iterator[Candidate]:
-            most = placement.WIDEN**2 * self.policy.sample
-            for machine, kind in itertools.islice(index.walk(job.spec, shut), most):
-                free = placement.room(machine, kind)
-                yield Candidate(machine, kind, free, self._ending(machine, now))
-
-        def longest_wait(found: list[MachineSlots]) -> float:
-            return max(share.preemption_cost for share in found)
-
-        found = choose_cheapest_machines(
-            job.spec, self.fleet.zones, candidates, placement.GpuNeeds(), longest_wait
+        """The machines whose reservation ended since the last call."""
+        self._expire_reservations(self.runtime.now())
+        released = self._released_machines
+        self._released_machines = set()
+        return released
+
+    def _expire_reservations(self, now: float) -> None:
+        for reservation in list(self._reservations.values()):
+            job = self.jobs.live_jobs.get(reservation.job_number)
+            if now >= reservation.expires_at or job is None or job.is_terminal or job.placements:
+                self._end_reservation(reservation)
+        self._ineligible_until = {
+            number: until for number, until in self._ineligible_until.items() if until > now
+        }
+
+    def _end_reservation(self, reservation: _GangReservation) -> None:
+        del self._reservations[reservation.rank]
+        self._released_machines |= reservation.machines
+
+    def _choose_machines(self, job: Job, index: MachineIndex, now: float) -> frozenset[str] | None:
+        """The machines that together hold the gang soonest, as their finite tasks end."""
+
+        def candidates_outside(excluded_zones: Collection[str]) -> Iterator[Candidate]:
+            max_machines = placement.WIDEN**2 * self.policy.sample
+            machines = itertools.islice(index.walk(job.spec, excluded_zones), max_machines)
+            for machine, machine_type in machines:
+                free = placement.room(machine, machine_type)
+                yield Candidate(machine, machine_type, free, _finite_tasks(machine, now))
+
+        chosen = choose_cheapest_machines(
+            job.spec, self.fleet.zones, candidates_outside, placement.GpuNeeds(), _longest_wait_s
         )
-        return None if found is None else frozenset(share.machine.name for share in found)
-
-    @staticmethod
-    def _ending(machine: Machine, now: float) -> list[Victim]:
-        """The tasks that end by themselves, each with the seconds until it is estimated to."""
-        return [
-            Victim(
-                placed,
-                max(0.0, placed.job.spec.estimated_run_s - (now - (placed.started_at or now))),
-            )
-            for placed in machine.finite_placements.values()
-        ]
+        return None if chosen is None else frozenset(slots.machine.name for slots in chosen)
+
+
+def _finite_tasks(machine: Machine, now: float) -> list[Victim]:
+    """The tasks that end by themselves; the seconds until then are the cost."""
+    return [
+        Victim(placed, _estimated_remaining_s(placed, now))
+        for placed in machine.finite_placements.values()
+    ]
+
+
+def _estimated_remaining_s(placed: Placement, now: float) -> float:
+    return max(0.0, placed.job.spec.estimated_run_s - (now - (placed.started_at or now)))
+
+
+def _longest_wait_s(chosen: list[MachineSlots]) -> float:
+    return max(slots.preemption_cost for slots in chosen)
--- /dev/null
+++ b/flaxtally/leader/gang_scheduling/gang_stops.py
@@ -0,0 +1,93 @@
+"""Stops of gangs: all tasks of an attempt are ordered to save and exit, or just to exit."""
+
+from __future__ import annotations
+
+import logging
+from typing import TYPE_CHECKING
+
+from ...protocol import wire
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.cluster_state import Job, Placement
+    from ..commands import CommandSender
+    from .gang_attempts import GangAttempt, GangAttempts
+
+log = logging.getLogger(__name__)
+
+
+class GangStops(TermActor):
+    """Stops attempts as a whole, and repeats the commands until they are carried out."""
+
+    def __init__(self, term: Term, commands: CommandSender, attempts: GangAttempts) -> None:
+        """`commands`: carries the stops to the workers."""
+        super().__init__(term)
+        self.commands = commands
+        self._attempts = attempts
+
+    def stop_gang(self, job: Job, reason: str) -> None:
+        """Orders all tasks to save and exit: one decision for the whole gang."""
+        attempt = self._attempts.attempt_of(job)
+        if attempt.stopped_at is not None or attempt.is_broken:
+            return
+        attempt.stopped_at = self.runtime.now()
+        attempt.grace_s = job.spec.checkpoint_save_s if job.spec.checkpoint_interval_s else 0.0
+        log.info(
+            "event=gang_stopping term=%d job=%s attempt=%d why=%r",
+            self.term.number,
+            job.spec.ref,
+            attempt.number,
+            reason,
+        )
+        for placed in job.placements.values():
+            self.commands.stop_task(placed, attempt.grace_s)
+
+    def abandon_gang(self, job: Job, reason: str) -> None:
+        """Orders all that is left of an attempt to exit at once."""
+        attempt = self._attempts.attempt_of(job)
+        if attempt.is_broken and attempt.stopped_at is None and _are_all_stopping(job):
+            return
+        log.info(
+            "event=gang_abandoned term=%d job=%s attempt=%d left=%d ran=%s why=%r",
+            self.term.number,
+            job.spec.ref,
+            attempt.number,
+            len(job.placements),
+            attempt.has_run,
+            reason,
+        )
+        attempt.is_broken = True
+        attempt.stopped_at = None
+        attempt.grace_s = 0.0
+        for placed in job.placements.values():
+            if placed.is_committed:
+                self.commands.stop_task(placed, 0.0)
+
+    def resume_stop(self, job: Job) -> None:
+        """Continues a stop that an earlier leader began: all tasks must be ordered in time."""
+        is_saving = any(placed.state == wire.FLUSHING for placed in job.placements.values())
+        if is_saving and len(job.placements) == job.spec.tasks:
+            self.stop_gang(job, "an earlier leader began it")
+
+    def repeat_stops(self, job: Job) -> None:
+        """Repeats commands to stop that were not carried out."""
+        attempt = self._attempts.attempt_of(job)
+        if not attempt.is_broken and attempt.stopped_at is None:
+            return
+        now = self.runtime.now()
+        for placed in job.placements.values():
+            is_due = now - placed.command_sent_at > self.policy.retry
+            if is_due and _must_repeat_stop(placed, attempt):
+                self.commands.stop_task(placed, attempt.grace_s)
+
+
+def _are_all_stopping(job: Job) -> bool:
+    return all(placed.stopping_at is not None for placed in job.placements.values())
+
+
+def _must_repeat_stop(placed: Placement, attempt: GangAttempt) -> bool:
+    is_saving = placed.state == wire.FLUSHING and not attempt.is_broken
+    if is_saving or not placed.is_committed:
+        return False
+    # An unanswered launch is repeated first: only a task that is reported can be proven over.
+    return not placed.launches_in_flight or placed.was_reported
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -175,7 +175,9 @@
     def place_gang(self, job: Job, index: MachineIndex, overdue: bool) -> int:
         if not self.gang_scheduler.is_due(job):
             return 0
-        count = self.gang_scheduler.place_gang(job, index, not overdue, self.keep_for(job))
+        count = self.gang_scheduler.place_gang(
+            job, index, self.keep_for(job), reserve_for_gpus=not overdue
+        )
         if count:
             self.preemption.gang_placed(job)
             self.gang_reservations.on_gang_placed(job)
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -20,8 +20,10 @@
 from .scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
+    from ..ledger.cluster_state import Placement
     from ..lending.feature import LendingFeature
     from .reclaim.loan_accounts import LoanAccounts
+    from .reconciliation.attempt_finisher import EndReason
     from .term import Term
 
 
@@ -40,7 +42,7 @@
         self.jobs = JobRegistry(term, self.commands)
         self.stragglers = Stragglers(term, self.jobs, self.commands)
         self.failure_attribution = FailureAttribution(term, self.jobs)
-        self.gang_scheduler = GangScheduler(term, self.jobs, self.commands)
+        self.gang_scheduler = GangScheduler(term, self.jobs, self.commands, self._finish_attempt)
         self.reconciler = Reconciler(
             term,
             self.jobs,
@@ -62,7 +64,6 @@
             HealthChecks(term, self.commands),
             self.reconciler.scale_in,
         )
-        self.gang_scheduler.finish_attempt = self.reconciler.attempts.finish_attempt
         self.commands.on_heartbeat = self.heartbeat_handler.handle_heartbeat
         self.quota_reclaim = QuotaReclaim(
             term, self.jobs, self.commands, self.gang_scheduler, lending
@@ -78,6 +79,9 @@
             term, self.jobs, self.reconciler, self.commands, self.autoscaler, self.scheduler
         )
 
+    def _finish_attempt(self, placement: Placement, reason: EndReason) -> None:
+        self.reconciler.attempts.finish_attempt(placement, reason)
+
     def _create_loan_accounts(self, lending: LendingFeature | None) -> LoanAccounts | None:
         if lending is None:
             return None
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -41,21 +41,21 @@
     st.builds(
         Member,
         attempt=st.sampled_from([1, 1, 1, 2]),
-        committed=st.sampled_from([True, True, True, False]),
+        is_committed=st.sampled_from([True, True, True, False]),
         state=st.sampled_from(["", wire.FETCHING, wire.WAITING, wire.RUNNING, wire.FLUSHING]),
     ),
     max_size=4,
 )
 situations = st.builds(
     GangStatus,
-    tasks=st.just(4),
+    task_count=st.just(4),
     members=members.map(tuple),
     is_done=st.sampled_from([False, False, True]),
     is_cancelled=st.sampled_from([False, False, True]),
     has_run=st.booleans(),
     is_broken=st.sampled_from([False, False, True]),
-    stopping_for=st.sampled_from([None, None, 0.5, 30.0]),
-    launched_for=st.sampled_from([0.5, 15.0]),
+    since_stop_s=st.sampled_from([None, None, 0.5, 30.0]),
+    since_launch_s=st.sampled_from([0.5, 15.0]),
 )
 
 
@@ -94,13 +94,13 @@
 def test_a_gang_that_lost_a_task_is_never_left_as_it_is(now: GangStatus) -> None:
     step = decide_action(now, TIMES, SAVE)
     incomplete = 0 < len(now.members) < now.task_count
-    heard = all(member.is_committed and member.state for member in now.members)
+    reported = all(member.is_committed and member.state for member in now.members)
     saving = now.since_stop_s is not None and now.since_stop_s < SAVE + 2 * TIMES.peer_s
-    if incomplete and heard and not (saving or now.is_done or now.is_cancelled):
+    if incomplete and reported and not (saving or now.is_done or now.is_cancelled):
         assert step in (Action.REPLACE, Action.ABANDON)
 
 
-# Rooms
+# Capacity
 
 
 def fleet(rng: random.Random, count: int) -> list[Machine]:
@@ -183,30 +183,30 @@
     candidates, most = [], 0
     for number, machine in enumerate(fleet(rng, 5)):
         kind = KINDS[machine.machine_type]
-        leaving = []
+        victims = []
         for task in range(number * 8, number * 8 + rng.randrange(4)):
             book.apply(["P", 1, task, 1, machine.name, machine.zone], 1)
-            leaving.append(Victim(book.jobs[1].placements[task], rng.uniform(0, 50)))
+            victims.append(Victim(book.jobs[1].placements[task], rng.uniform(0, 50)))
         free = Room(kind.cores - machine.cores, 0.0, 64.0)
-        candidates.append(Candidate(machine, kind, free, leaving))
-        most += int((free.cores + 3.0 * len(leaving) + 1e-6) / 3.0)
+        candidates.append(Candidate(machine, kind, free, victims))
+        most += int((free.cores + 3.0 * len(victims) + 1e-6) / 3.0)
     found = choose_machines(job, tasks, candidates, GpuNeeds())
     assert (found is not None) == (most >= tasks)
     if found is None:
         return
-    assert sum(share.task_count for share in found) >= tasks
+    assert sum(slots.task_count for slots in found) >= tasks
     by_machine = {candidate.machine: candidate for candidate in candidates}
-    for share in found:
-        candidate = by_machine[share.machine]
-        left = candidate.free.cores + 3.0 * len(share.victims)
-        assert share.task_count * 3.0 <= left + 1e-6
+    for slots in found:
+        candidate = by_machine[slots.machine]
+        left = candidate.free.cores + 3.0 * len(slots.victims)
+        assert slots.task_count * 3.0 <= left + 1e-6
         # Nobody leaves without whom as many tasks would fit.
         assert (
-            not share.victims or (share.task_count * 3.0) > left - 3.0 * len(share.victims) + 1e-6
+            not slots.victims or (slots.task_count * 3.0) > left - 3.0 * len(slots.victims) + 1e-6
         )
-        losses = [
-            leaving.preemption_cost
-            for leaving in candidate.victims
-            if leaving.placement in share.victims
+        costs = [
+            victim.preemption_cost
+            for victim in candidate.victims
+            if victim.placement in slots.victims
         ]
-        assert share.preemption_cost == pytest.approx(sum(losses))
+        assert slots.preemption_cost == pytest.approx(sum(costs))
