--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -5,12 +5,12 @@
     LAUNCHING  committed and sent; no task has its image yet, as far as is known
     WAITING    some tasks wait for the others on their machines
     RUNNING    the tasks run
-    STOPPING   all were told to save and exit
+    STOPPING   all were ordered to save a checkpoint and exit
     BROKEN     a task is gone, and the others are to exit
     DONE       a task completed, and with it the gang
 
-Nothing of this is kept: it follows from the ledger's placements and from what the workers report,
-so that a leader that begins finds each gang in its state.
+None of this is stored: it follows from the ledger's placements and from what the workers report, so
+that a new leader finds each gang in its phase.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 
     from ..ledger.job import Job
 
-WAIT_SHARE = 0.5
-"""Of `gang_wait_s`: who is replaced later than that after the launch would come too late."""
+REPLACEMENT_WINDOW_SHARE = 0.5
+"""Of `gang_wait_s`: a task replaced later than that after the launch would come too late."""
 
 
 class Phase(enum.Enum):
@@ -43,14 +43,14 @@
     DONE = "done"
 
 
-class Step(enum.Enum):
+class Action(enum.Enum):
     """What the leader does next about a gang."""
 
     NOTHING = "nothing"
     PLACE = "place"
-    """All tasks, under a new attempt number."""
+    """Place all tasks, under a new attempt number."""
     REPLACE = "replace"
-    """The missing tasks, under the attempt number of the others."""
+    """Place the missing tasks, under the attempt number of the others."""
     ABANDON = "abandon"
     """Stop all that is left, so that the next attempt can begin."""
 
@@ -60,80 +60,60 @@
     """A task of a gang that is placed and not proven over."""
 
     attempt: int
-    committed: bool
+    is_committed: bool
     state: str
     """As last reported; empty: nothing was reported of it."""
 
 
 @dataclass(frozen=True)
-class Situation:
-    """What is known of a gang. Times in seconds."""
+class GangStatus:
+    """What is known of a gang."""
 
-    tasks: int
+    task_count: int
     members: tuple[Member, ...]
     is_done: bool = False
     is_cancelled: bool = False
     has_run: bool = False
     """Some task of the attempt was seen running."""
     is_broken: bool = False
-    """The attempt was given up."""
-    stopping_for: float | None = None
-    """Since the first order to save and exit."""
-    launched_for: float = 0.0
+    """The attempt was abandoned."""
+    since_stop_s: float | None = None
+    """Since the first command to save and exit; None: there was none."""
+    since_launch_s: float = 0.0
     """Since the attempt was launched, as far as this leader knows."""
 
 
 @dataclass(frozen=True)
-class Times:
-    """What workers are set to, in seconds."""
+class GangTimeouts:
+    """What workers are configured with."""
 
-    wait: float
-    peer: float
+    wait_s: float
+    """How long a task waits for the others."""
+    peer_s: float
+    """How long a task runs without contact to the others."""
 
 
-def situation_of(
-    job: Job,
-    has_run: bool,
-    is_broken: bool,
-    stopping_for: float | None,
-    launched_for: float,
-) -> Situation:
-    """The situation of a gang in the ledger, with what the leader knows beside it."""
-    members = tuple(
-        Member(placed.attempt, placed.is_committed, placed.state)
-        for placed in job.placements.values()
-    )
-    return Situation(
-        job.spec.tasks,
-        members,
-        job.is_done,
-        job.is_cancelled,
-        has_run,
-        is_broken,
-        stopping_for,
-        launched_for,
-    )
-
-
-def phase_of(now: Situation) -> Phase:
-    """Where the gang stands."""
-    states = {member.state for member in now.members}
-    if now.is_done:
+def derive_phase(status: GangStatus) -> Phase:
+    """The phase that follows from what is known."""
+    members = status.members
+    states = {member.state for member in members}
+    has_lost_running_task = status.has_run and len(members) < status.task_count
+    if status.is_done:
         return Phase.DONE
-    if not now.members:
+    if not members:
         return Phase.PENDING
-    if not all(member.committed for member in now.members):
+    if not all(member.is_committed for member in members):
         return Phase.RESERVED
-    if now.stopping_for is not None:
+    if status.since_stop_s is not None:
         return Phase.STOPPING
-    if now.is_broken or is_mixed(now.members) or (now.has_run and len(now.members) < now.tasks):
+    if status.is_broken or has_mixed_attempts(members) or has_lost_running_task:
         return Phase.BROKEN
     if states & {wire.RUNNING, wire.FLUSHING}:
         return Phase.RUNNING
     return Phase.WAITING if wire.WAITING in states else Phase.LAUNCHING
 
 
-def is_mixed(members: Iterable[Member]) -> bool:
+def has_mixed_attempts(members: Iterable[Member]) -> bool:
     """Whether the members are of several attempts, which never meet.
 
     No version that knows gangs commits this: the tasks were placed one by one by an older one.
@@ -141,24 +121,54 @@
     return len({member.attempt for member in members}) > 1
 
 
-def next_step(now: Situation, times: Times, save: float) -> Step:
-    """What to do next. `save`: seconds that a task needs to save."""
-    phase = phase_of(now)
-    if now.is_cancelled or phase in (Phase.DONE, Phase.RESERVED):
+def decide_action(status: GangStatus, timeouts: GangTimeouts, checkpoint_save_s: float) -> Action:
+    """Decides what to do next about a gang whose tasks need that long to save."""
+    phase = derive_phase(status)
+    if status.is_cancelled or phase in (Phase.DONE, Phase.RESERVED):
         # A cancelled gang is stopped like any cancelled job.
-        return Step.NOTHING
+        return Action.NOTHING
     if phase is Phase.PENDING:
-        return Step.PLACE
+        return Action.PLACE
     if phase is Phase.BROKEN:
-        return Step.ABANDON
+        return Action.ABANDON
     if phase is Phase.STOPPING:
-        late = (now.stopping_for or 0.0) > save + 2 * times.peer
-        return Step.ABANDON if late else Step.NOTHING
-    if len(now.members) == now.tasks:
-        return Step.NOTHING
-    if phase is Phase.RUNNING or now.launched_for > WAIT_SHARE * times.wait:
-        return Step.ABANDON
-    if not all(member.state for member in now.members):
+        is_late = (status.since_stop_s or 0.0) > checkpoint_save_s + 2 * timeouts.peer_s
+        return Action.ABANDON if is_late else Action.NOTHING
+    if len(status.members) == status.task_count:
+        return Action.NOTHING
+    return _decide_about_lost_task(status, timeouts, phase)
+
+
+def _decide_about_lost_task(status: GangStatus, timeouts: GangTimeouts, phase: Phase) -> Action:
+    max_delay_s = REPLACEMENT_WINDOW_SHARE * timeouts.wait_s
+    if phase is Phase.RUNNING or status.since_launch_s > max_delay_s:
+        return Action.ABANDON
+    if not all(member.state for member in status.members):
         # Whether the gang has begun is not known before all have reported.
-        return Step.NOTHING
-    return Step.REPLACE
+        return Action.NOTHING
+    return Action.REPLACE
+
+
+def build_gang_status(
+    job: Job,
+    *,
+    has_run: bool,
+    is_broken: bool,
+    since_stop_s: float | None,
+    since_launch_s: float,
+) -> GangStatus:
+    """The status of a gang: from the ledger, and from what the leader knows besides."""
+    members = tuple(
+        Member(placed.attempt, placed.is_committed, placed.state)
+        for placed in job.placements.values()
+    )
+    return GangStatus(
+        job.spec.tasks,
+        members,
+        job.is_done,
+        job.is_cancelled,
+        has_run,
+        is_broken,
+        since_stop_s,
+        since_launch_s,
+    )
