--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -149,7 +149,7 @@
     def _add_expected(self, by_shape: dict[Shape, Demand], now: float) -> None:
         """Shapes of which nothing waits, but more is expected."""
         arrivals = self.jobs.arrivals
-        for shape, spec in self.jobs.shapes.typical():
+        for shape, spec in self.jobs.shapes.typical_shapes():
             expected = arrivals.rate(shape.job_class, now) > 0 or shape.job_class in self._reserve
             if shape in by_shape or not expected:
                 continue
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -51,7 +51,7 @@
             if not job.is_terminal or job.placements:
                 self.live_jobs[job.number] = job
                 self.queue.restore(job)
-                self.shapes.note(job.shape, job.spec)
+                self.shapes.record_shape(job.shape, job.spec)
             job.pending_since = now
             if job.is_cancelled:
                 job.cancelled_at = now
@@ -89,7 +89,7 @@
         job.known_at = job.pending_since = now
         self.live_jobs[no] = job
         self.queue.add(job)
-        self.shapes.note(job.shape, job.spec)
+        self.shapes.record_shape(job.shape, job.spec)
         self.arrivals.note(spec.job_class, spec.tasks, self.expected_run_s(spec), now)
         self.term.request_pass()
 
@@ -236,7 +236,7 @@
     @property
     def gpu_reservations(self) -> placement.GpuNeeds:
         """What GPU tasks need beside their GPUs."""
-        return self.shapes.gpu_needs
+        return self.shapes.gpu_reservations
 
     def excluded_zones(self, job: Job, leaving: Placement | None = None) -> frozenset[str]:
         """The zones in which none of the job's tasks may be placed now.
--- a/flaxtally/leader/resource_shapes.py
+++ b/flaxtally/leader/resource_shapes.py
@@ -1,4 +1,4 @@
-"""The shapes that jobs had lately, by lane."""
+"""The resource shapes of recently submitted jobs, by job class."""
 
 from __future__ import annotations
 
@@ -13,44 +13,46 @@
     from ..protocol import wire
     from ..protocol.shape import Shape
 
-MOST_SHAPES = 256
-"""Of a lane: those first seen last stand for it. Where sizes vary freely, every job has its own."""
+MAX_SHAPES = 256
+"""Of a job class: the newest shapes stand for it. Where sizes vary freely, each job has its own."""
 
 
 class ResourceShapes:
-    """A job of each shape that was seen lately."""
+    """Keeps one job specification of each recently submitted shape."""
 
     def __init__(self) -> None:
+        """Starts without shapes."""
         self._job_classes: dict[str, OrderedDict[Shape, wire.Spec]] = {}
-        self._needs: placement.GpuNeeds | None = placement.GpuNeeds()
+        self._gpu_reservations: placement.GpuNeeds | None = placement.GpuNeeds()
+        """None: to be computed when next asked for."""
 
-    def note(self, shape: Shape, spec: wire.Spec) -> None:
-        """A job of that shape came."""
+    def record_shape(self, shape: Shape, spec: wire.Spec) -> None:
+        """Records that a job of that shape was submitted."""
         shapes = self._job_classes.setdefault(shape.job_class, OrderedDict())
         if shape in shapes:
             return
         shapes[shape] = spec
-        if len(shapes) > MOST_SHAPES:
+        if len(shapes) > MAX_SHAPES:
             shapes.popitem(last=False)
         if spec.gpus:
-            self._needs = None
+            self._gpu_reservations = None
 
     @property
-    def gpu_needs(self) -> placement.GpuNeeds:
-        """What tasks need beside each GPU."""
-        if self._needs is None:
-            self._needs = placement.gpu_needs(
+    def gpu_reservations(self) -> placement.GpuNeeds:
+        """The cores and memory to reserve for each GPU."""
+        if self._gpu_reservations is None:
+            self._gpu_reservations = placement.gpu_needs(
                 spec for shapes in self._job_classes.values() for spec in shapes.values()
             )
-        return self._needs
+        return self._gpu_reservations
 
     def is_typical(self, shape: Shape) -> bool:
-        """One shape stands for its lane in the forecast of arrivals: the last new one."""
+        """Whether the shape stands for its job class in the forecast: the newest one does."""
         shapes = self._job_classes.get(shape.job_class)
         return shapes is not None and next(reversed(shapes)) == shape
 
-    def typical(self) -> Iterator[tuple[Shape, wire.Spec]]:
-        """The shape that stands for each lane, with a job of it."""
+    def typical_shapes(self) -> Iterator[tuple[Shape, wire.Spec]]:
+        """Yields the shape that stands for each job class, with a specification of that shape."""
         for shapes in self._job_classes.values():
             shape = next(reversed(shapes))
             yield shape, shapes[shape]
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -96,11 +96,11 @@
 
     def unclaimed_by(self, rank: int) -> Callable[[Machine], bool] | None:
         """Whether a machine's room is not kept for somebody more important; None: nothing is."""
-        return self._claims.unclaimed_by(rank) if self._claims else None
+        return self._claims.filter_for_rank(rank) if self._claims else None
 
     def placed(self, key: TaskKey) -> None:
         """The task is placed: its claim is made good."""
-        self._claims.made_good(key)
+        self._claims.fulfil(key)
 
     def is_entitled(self, job: Job) -> bool:
         """Whether the job's next task has a right to room that others use beyond a guarantee."""
@@ -248,7 +248,7 @@
         self.quota_reclaim.gang_placed(job)
         for task in range(job.spec.tasks):
             if self._preempted.pop((job.number, task), None) is not None:
-                self._claims.made_good((job.number, task))
+                self._claims.fulfil((job.number, task))
 
     def _least_gang_loss(self, job: Job, index: MachineIndex, now: float) -> list[Share] | None:
         spec = job.spec
@@ -276,7 +276,7 @@
     def make_room_to_move(self, placed: Placement, machine: Machine) -> None:
         """Stops best-effort tasks on the machine so that a replica can move there."""
         key = placed.job.number, placed.task
-        if self._claims.has(key):
+        if self._claims.has_task(key):
             return
         kind, now = self.term.machine_types[machine.machine_type], self.runtime.now()
         victims = self._victims(placed.job, machine, kind, False, now)
@@ -422,7 +422,7 @@
     def _unclaimed_room(self, machine: Machine, kind: wire.MachineType) -> placement.Room:
         """What is left there: what is being stopped for another task can't make room twice."""
         left = placement.room(machine, kind)
-        for claim in self._claims.on(machine.name):
+        for claim in self._claims.list_on(machine.name):
             left = left.minus(claim.spec)
         for spec in self.quota_reclaim.kept_on(machine.name):
             left = left.minus(spec)
--- a/flaxtally/leader/scheduling/reservations.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Room that is kept for a task while others are stopped to make it."""
+"""Capacity that is reserved for a task while other tasks are stopped to free it."""
 
 from __future__ import annotations
 
@@ -16,71 +16,78 @@
 
 
 class Reservation(NamedTuple):
-    """Room on a machine that is kept for a task until a time."""
+    """Capacity on a machine that is reserved for a task until a time."""
 
     rank: int
-    until: float
+    expires_at: float
     spec: wire.Spec
-    moving: bool
-    """The task still runs elsewhere, and moves when there is room."""
+    is_move: bool
+    """The task still runs elsewhere, and moves once the capacity is free."""
 
 
 class Reservations:
-    """Owns the claims by machine and task."""
+    """Owns the reservations by machine and task."""
 
     def __init__(self) -> None:
-        self._claims: dict[str, dict[TaskKey, Reservation]] = {}
-        self._freed: set[str] = set()
-        """Machines on which a claim was made good since the last `expire`."""
+        """Starts without reservations."""
+        self._by_machine: dict[str, dict[TaskKey, Reservation]] = {}
+        self._freed_machines: set[str] = set()
+        """Machines on which a reservation was fulfilled since the last `expire`."""
 
     def __bool__(self) -> bool:
-        return bool(self._claims)
+        return bool(self._by_machine)
 
-    def add(self, machine: str, key: TaskKey, claim: Reservation) -> None:
-        """Keeps room on the machine for the task."""
-        self._claims.setdefault(machine, {})[key] = claim
+    def add(self, machine: str, key: TaskKey, reservation: Reservation) -> None:
+        """Reserves capacity on the machine for the task."""
+        self._by_machine.setdefault(machine, {})[key] = reservation
 
-    def on(self, machine: str) -> Iterable[Reservation]:
-        """The claims on a machine."""
-        return self._claims.get(machine, {}).values()
+    def list_on(self, machine: str) -> Iterable[Reservation]:
+        """Returns the reservations on a machine."""
+        return self._by_machine.get(machine, {}).values()
 
-    def has(self, key: TaskKey) -> bool:
-        """Whether room is kept for the task anywhere."""
-        return any(key in claims for claims in self._claims.values())
+    def has_task(self, key: TaskKey) -> bool:
+        """Whether capacity is reserved for the task on any machine."""
+        return any(key in reservations for reservations in self._by_machine.values())
 
-    def unclaimed_by(self, rank: int) -> Callable[[Machine], bool]:
-        """Whether a machine's room is not claimed by somebody more important."""
+    def filter_for_rank(self, rank: int) -> Callable[[Machine], bool]:
+        """Returns a filter of machines without a reservation for a more important rank."""
 
-        def keep(machine: Machine) -> bool:
-            return all(rank <= claim.rank for claim in self.on(machine.name))
+        def is_available(machine: Machine) -> bool:
+            return all(rank <= reservation.rank for reservation in self.list_on(machine.name))
 
-        return keep
+        return is_available
 
-    def made_good(self, key: TaskKey) -> None:
-        """The task is placed: who comes later must not count its claim beside the placement."""
-        for name, claims in self._claims.items():
-            if claims.pop(key, None) is not None:
-                self._freed.add(name)
+    def fulfil(self, key: TaskKey) -> None:
+        """Drops the reservations of a placed task.
 
-    def expire(self, now: float, book: ClusterState) -> set[str]:
-        """Drops claims that were made good or have waited too long; returns their machines."""
-        kept, freed = {}, self._freed
-        self._freed = set()
-        for name, claims in self._claims.items():
+        Otherwise later searches would count them in addition to the placement.
+        """
+        for machine, reservations in self._by_machine.items():
+            if reservations.pop(key, None) is not None:
+                self._freed_machines.add(machine)
+
+    def expire(self, now: float, state: ClusterState) -> set[str]:
+        """Drops reservations that are fulfilled or expired; returns the machines they were on."""
+        live_by_machine = {}
+        freed_machines = self._freed_machines
+        self._freed_machines = set()
+        for machine, reservations in self._by_machine.items():
             live = {
-                key: claim for key, claim in claims.items() if self._is_live(key, claim, now, book)
+                key: reservation
+                for key, reservation in reservations.items()
+                if self._is_live(key, reservation, now, state)
             }
             if live:
-                kept[name] = live
-            if len(live) < len(claims):
-                freed.add(name)
-        self._claims = kept
-        return freed
+                live_by_machine[machine] = live
+            if len(live) < len(reservations):
+                freed_machines.add(machine)
+        self._by_machine = live_by_machine
+        return freed_machines
 
     @staticmethod
-    def _is_live(key: TaskKey, claim: Reservation, now: float, book: ClusterState) -> bool:
+    def _is_live(key: TaskKey, reservation: Reservation, now: float, state: ClusterState) -> bool:
         number, task = key
-        job = book.jobs.get(number)
-        return (
-            claim.until > now and job is not None and (claim.moving or task not in job.placements)
-        )
+        job = state.jobs.get(number)
+        if job is None or reservation.expires_at <= now:
+            return False
+        return reservation.is_move or task not in job.placements
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -72,7 +72,7 @@
         self._needs = jobs.gpu_reservations
         self._grown: dict[str, Machine] = {}
         """Machines with more room than in the last pass."""
-        term.request_pass = self.request_pass
+        term.pass_requests.subscribe(self.request_pass)
 
     def request_pass(self) -> None:
         if not self._pass_requested and self.term.active:
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -8,10 +8,10 @@
 from ..lending.entitlement import NOTHING, Amounts, Guarantee
 from ..planning.fleet import Machine
 from ..runtime.actor import Actor
+from .pass_requests import PassRequests
 
 if TYPE_CHECKING:
     import random
-    from collections.abc import Callable
 
     from ..clients.cloud import Cloud
     from ..ledger.write_ahead_log import WriteAheadLog
@@ -90,8 +90,11 @@
         """How often the process stood still: what timed out across a pause proves nothing."""
         self.began_at = context.runtime.now()
         self.fleet = Fleet(context.runtime, context.ledger, context.settings.zones)
-        self.request_pass: Callable[[], None] = lambda: None
-        """Requests a scheduling pass."""
+        self.pass_requests = PassRequests()
+
+    def request_pass(self) -> None:
+        """Asks the scheduler for a pass over the pending jobs."""
+        self.pass_requests.publish()
 
     def quota(self, team: str) -> Guarantee:
         """A team's quota as it is now."""
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -16,7 +16,7 @@
 from flaxtally.cluster.store_relay import MOST_INFLATED, decode_batch, encode_batch
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.leader.reconciliation.reconciler import Reconciler
-from flaxtally.leader.resource_shapes import MOST_SHAPES, ResourceShapes
+from flaxtally.leader.resource_shapes import MAX_SHAPES, ResourceShapes
 from flaxtally.ledger import terminal_jobs
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.forecast import Arrivals
@@ -231,20 +231,20 @@
     # Where sizes vary, every job had a shape of its own, for ever, and each new one had all of them
     # looked at.
     known = ResourceShapes()
-    for number in range(4 * MOST_SHAPES):
+    for number in range(4 * MAX_SHAPES):
         job = with_ram(16.0 + number / 100)
-        known.note(Shape.of(job), job)
+        known.record_shape(Shape.of(job), job)
     gate = spec("j-900000", gpus=2.0, cores=8.0, memory_gb=4.0)
-    known.note(Shape.of(gate), gate)
-    assert len(known._job_classes["batch"]) == MOST_SHAPES
-    last = with_ram(16.0 + (4 * MOST_SHAPES - 1) / 100)
+    known.record_shape(Shape.of(gate), gate)
+    assert len(known._job_classes["batch"]) == MAX_SHAPES
+    last = with_ram(16.0 + (4 * MAX_SHAPES - 1) / 100)
     assert known.is_typical(Shape.of(last))
     assert not known.is_typical(Shape.of(batch("j-000001", 1)))
-    assert [shape.job_class for shape, _ in known.typical()] == ["batch", "gate"]
+    assert [shape.job_class for shape, _ in known.typical_shapes()] == ["batch", "gate"]
     # Of the class that takes most on average, as of the shapes that are kept.
-    assert known.gpu_needs.cores == 4.0
-    mean = sum(16.0 + number / 100 for number in range(3 * MOST_SHAPES, 4 * MOST_SHAPES))
-    assert abs(known.gpu_needs.memory_gb - mean / MOST_SHAPES) < 1e-6
+    assert known.gpu_reservations.cores == 4.0
+    mean = sum(16.0 + number / 100 for number in range(3 * MAX_SHAPES, 4 * MAX_SHAPES))
+    assert abs(known.gpu_reservations.memory_gb - mean / MAX_SHAPES) < 1e-6
 
 
 @pytest.mark.real_processes
