--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -106,7 +106,7 @@
         """Whether the job's next task has a right to room that others use beyond a guarantee."""
         if self.quota_reclaim.is_enabled:
             return self.quota_reclaim.is_entitled(job)
-        return job.number not in self.jobs.queue.teams_over_quota
+        return job.number not in self.jobs.queue.jobs_over_quota
 
     def party(self, job: Job) -> Hashable:
         """For whom others are stopped: equal where the same tasks may be."""
@@ -373,7 +373,7 @@
             return self._may_be_taken(placed, spec, entitled)
         return wire.RANKS[other.rank] > wire.RANKS[spec.rank] or (
             entitled
-            and placed.job.number in self.jobs.queue.teams_over_quota
+            and placed.job.number in self.jobs.queue.jobs_over_quota
             and other.team != spec.team
             and other.job_kind != wire.SERVICE
             and self._loss(placed, now) < self.policy.settle
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -45,7 +45,7 @@
     world.run(15)
     leader = world.nodes[leader_of(world)].leader
     by_ref = leader.state.jobs_by_ref
-    assert by_ref["j-000002"].number in leader.duties.jobs.queue.teams_over_quota
+    assert by_ref["j-000002"].number in leader.duties.jobs.queue.jobs_over_quota
     assert "j-000003" not in by_ref
     assert any("j-000003 refused (422)" in line for line in world.trace)
     ends_well(world)
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -754,9 +754,13 @@
     jobs = [leader.state.jobs_by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
     began = jobs[0].accepted_at
     # At 14 s: the first can keep three times its deadline until 18 s, the third until 24 s.
-    order = sorted(jobs, key=lambda job: leader.duties.jobs.queue.urgency(job, began + 14.0))
+    order = sorted(
+        jobs, key=lambda job: leader.duties.jobs.queue.compute_urgency(job, began + 14.0)
+    )
     assert [job.spec.ref for job in order] == ["j-000002", "j-000001", "j-000003"]
-    order = sorted(jobs, key=lambda job: leader.duties.jobs.queue.urgency(job, began + 20.0))
+    order = sorted(
+        jobs, key=lambda job: leader.duties.jobs.queue.compute_urgency(job, began + 20.0)
+    )
     assert [job.spec.ref for job in order] == ["j-000002", "j-000003", "j-000001"]
 
 
