--- /dev/null
+++ b/flaxtally/leader/job_admission.py
@@ -0,0 +1,56 @@
+"""Which submitted jobs are admitted: known team, machine types that fit, and the team's limit."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..planning import placement
+from ..protocol import wire
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from ..settings import Team
+    from .term import Term
+
+
+class JobAdmission:
+    """Decides whether a submitted job could ever run."""
+
+    def __init__(self, term: Term) -> None:
+        """`term`: its settings hold the teams; its machine types are what can be provisioned."""
+        self._term = term
+
+    def rejection_reason(self, spec: wire.Spec) -> str | None:
+        """Returns why the job is rejected; None: it is admitted."""
+        team = self._term.settings.teams.get(spec.team)
+        if team is None:
+            return "unknown team"
+        if next(self._allowed_zones(spec), None) is None:
+            return "no allowed machine type holds a task"
+        if spec.job_kind == wire.GANG and not self._can_hold_gang(spec):
+            return "no zones hold all tasks at the same time"
+        if _exceeds_limit(spec, team):
+            return "more than the team's limit"
+        return None
+
+    def _allowed_zones(self, spec: wire.Spec) -> Iterator[str]:
+        """Yields the zone of each machine type and zone that may take a task of the job."""
+        for machine_type in self._term.machine_types.values():
+            for zone in machine_type.zones:
+                if placement.allowed(spec, machine_type, zone, spot=False):
+                    yield zone
+
+    def _can_hold_gang(self, spec: wire.Spec) -> bool:
+        """Whether the zones can hold all tasks of a gang that is spread over zones."""
+        if not (spec.spread and spec.tasks > spec.zone_share):
+            return True
+        return not spec.one_zone and len(set(self._allowed_zones(spec))) > 1
+
+
+def _exceeds_limit(spec: wire.Spec, team: Team) -> bool:
+    """Whether what must run at the same time, of an array one task, is beyond the hard limit."""
+    count = 1 if spec.job_kind == wire.ARRAY else spec.tasks
+    exceeds_cores = team.cores_max and spec.cores * count > team.cores_max + placement.SLACK
+    exceeds_gpus = team.gpus_max and spec.gpus * count > team.gpus_max + placement.SLACK
+    return bool(exceeds_cores or exceeds_gpus)
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -23,7 +23,7 @@
     from ..lending.feature import LendingFeature
     from ..protocol import wire
     from .commands import CommandTransport
-    from .jobs import Answer
+    from .replies import OnReply
 
 log = logging.getLogger(__name__)
 
@@ -144,28 +144,28 @@
 
     # Requests of users and operators
 
-    def submit(self, spec: wire.Spec, answer: Answer) -> None:
+    def submit(self, spec: wire.Spec, answer: OnReply) -> None:
         """Accepts a job, or answers why it is refused."""
         if self.term.active:
             self.duties.jobs.submit(spec, answer)
         else:
             answer(503, None)
 
-    def query_status(self, ref: str, answer: Answer) -> None:
+    def query_status(self, ref: str, answer: OnReply) -> None:
         """Answers a job's state."""
         if self.term.active:
             self.duties.jobs.query_status(ref, answer)
         else:
             answer(503, None)
 
-    def cancel(self, ref: str, answer: Answer) -> None:
+    def cancel(self, ref: str, answer: OnReply) -> None:
         """Cancels a job; the answer follows once none of its tasks can run any more."""
         if self.term.active:
             self.duties.jobs.cancel(ref, answer)
         else:
             answer(503, None)
 
-    def query_loans(self, answer: Answer) -> None:
+    def query_loans(self, answer: OnReply) -> None:
         """Answers what the teams lend and borrow, for operators."""
         loan_accounts = self.duties.loan_accounts
         if not self.term.active:
--- /dev/null
+++ b/flaxtally/leader/replies.py
@@ -0,0 +1,28 @@
+"""What the leader replies to a request of a user or an operator."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+OK = 200
+CREATED = 201
+NOT_FOUND = 404
+UNPROCESSABLE = 422
+UNAVAILABLE = 503
+
+ReplyBody = dict[str, Any] | None
+"""An object with the fields of the HTTP API; None: no body."""
+
+OnReply = Callable[[int, ReplyBody], None]
+"""Takes an HTTP status and a body, once."""
+
+
+def reply_unavailable(on_reply: OnReply) -> None:
+    """Asks the client to try again later."""
+    on_reply(UNAVAILABLE, None)
+
+
+def reply_error(on_reply: OnReply, status: int, reason: str) -> None:
+    """Refuses the request for a reason that is given to the client."""
+    on_reply(status, {"error": reason})
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -10,7 +10,7 @@
 from ...planning.machine_index import Fit, MachineIndex
 from ...protocol import wire
 from ..gang_scheduling.gang_reservations import GangReservations
-from ..jobs import MOST_BACKLOG, JobRegistry
+from ..jobs import MAX_BACKLOG, JobRegistry
 from ..reconciliation.attempt_finisher import EndReason
 from ..term import Term, TermActor
 from .preemption import Preemption
@@ -84,7 +84,7 @@
         self._pass_requested = False
         if not self.term.may_act or not self.term.machine_types:
             return
-        if self.ledger.backlog > MOST_BACKLOG:
+        if self.ledger.backlog > MAX_BACKLOG:
             self._request_pass_later()
             return
         now = self.runtime.now()
