--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -1,245 +1,230 @@
-"""Which task goes to which machine: when passes are made, and what a placement does."""
+"""When scheduling passes are made, and what a placement does."""
 
 from __future__ import annotations
 
-import logging
 from typing import TYPE_CHECKING
 
 from ...ledger.records import TaskPlaced
 from ...planning import placement
-from ...planning.machine_index import Fit, MachineIndex
+from ...planning.machine_index import Fit
 from ...protocol import wire
 from ..gang_scheduling.gang_reservations import GangReservations
 from ..jobs import MAX_BACKLOG, JobRegistry
 from ..reconciliation.attempt_finisher import EndReason
 from ..term import Term, TermActor
 from .preemption import Preemption
+from .schedulable_machines import SchedulableMachines
 from .scheduling_pass import SchedulingPass
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Collection, Hashable
+    from collections.abc import Collection
 
     from ...ledger.job import Job
     from ...ledger.placement import Placement
     from ...planning.fleet import Machine
+    from ...planning.machine_index import MachineIndex
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
     from ..reclaim.quota_reclaim import QuotaReclaim
     from ..reconciliation.reconciler import Reconciler
     from .pending_queue import PendingJob
+    from .scheduling_pass import MachineFilter
 
-log = logging.getLogger(__name__)
-
-PASSES_A_HEARTBEAT = 8
-"""At most."""
-SHORTEST_WAIT_S = 0.002
+MAX_PASSES_PER_HEARTBEAT = 8
+MIN_PASS_DELAY_S = 0.002
+"""Requests that come together lead to one pass."""
 
 
 class Scheduler(TermActor):
-    """Owns the passes over the queue and the index of the machines that may be used."""
+    """Owns the scheduling passes over the pending queue."""
 
     def __init__(
         self,
         term: Term,
         jobs: JobRegistry,
-        tracker: Reconciler,
-        orders: CommandSender,
-        gangs: GangScheduler,
-        lending: QuotaReclaim,
+        reconciler: Reconciler,
+        commands: CommandSender,
+        gang_scheduler: GangScheduler,
+        quota_reclaim: QuotaReclaim,
     ) -> None:
+        """Subscribes to the term's requests for a pass."""
         super().__init__(term)
-        self.quota_reclaim = lending
-        lending.find_room = lambda job: self.preemption.find_room(job, self._index)
-        self.jobs, self.reconciler, self.commands, self.gang_scheduler = (
-            jobs,
-            tracker,
-            orders,
-            gangs,
-        )
-        self.preemption = Preemption(term, jobs, orders, gangs, lending)
+        self.jobs = jobs
+        self.reconciler = reconciler
+        self.commands = commands
+        self.gang_scheduler = gang_scheduler
+        self.quota_reclaim = quota_reclaim
+        quota_reclaim.find_room = lambda job: self.preemption.find_room(job, self._machines.index)
+        self.preemption = Preemption(term, jobs, commands, gang_scheduler, quota_reclaim)
         self.gang_reservations = GangReservations(term, jobs)
-        self.looked = 0
-        """Machines that the scheduler looked at, in all."""
-        self._pass_requested = False
-        self._next_pass = 0.0
+        self.examined_count = 0
+        """Machines that passes have examined."""
         self.hints: dict[tuple[int, int], str] = {}
-        """Where moved tasks are to go."""
-        self._full = placement.Exhausted()
-        """Who found no room in the passes up to now; only where there is more now they look again.
-        """
-        self._index = self._empty_index()
-        self._indexed_kinds: Hashable = None
-        self._needs = jobs.gpu_reservations
-        self._grown: dict[str, Machine] = {}
-        """Machines with more room than in the last pass."""
+        """By job number and task: the machine to which a moved task is to go."""
+        self._is_pass_requested = False
+        self._next_pass_at = 0.0
+        self._machines = SchedulableMachines(term, reconciler)
+        self._infeasible = placement.Exhausted()
+        """Requests that found no capacity up to now; they search only where there is more now."""
+        self._gpu_reservations = jobs.gpu_reservations
+        """Those that the last pass went by."""
         term.pass_requests.subscribe(self.request_pass)
 
+    # Passes
+
     def request_pass(self) -> None:
-        if not self._pass_requested and self.term.active:
-            self._pass_requested = True
-            wait = self._next_pass - self.runtime.now()
-            self.later(max(SHORTEST_WAIT_S, wait), self._schedule)
+        """Makes a pass soon, unless one is already due."""
+        if not self._is_pass_requested and self.term.active:
+            self._is_pass_requested = True
+            delay = self._next_pass_at - self.runtime.now()
+            self.later(max(MIN_PASS_DELAY_S, delay), self._schedule)
 
     def _schedule(self) -> None:
-        self._pass_requested = False
+        self._is_pass_requested = False
         if not self.term.may_act or not self.term.machine_types:
             return
         if self.ledger.backlog > MAX_BACKLOG:
             self._request_pass_later()
             return
-        now = self.runtime.now()
+        began_at = self.runtime.now()
         queue = self.jobs.queue.ordered_jobs()
-        is_full = bool(queue) and self._pass(queue, now)
-        ended = self.runtime.now()
-        rest = max(
-            self.policy.pass_rest * (ended - now), self.policy.heartbeat / PASSES_A_HEARTBEAT
-        )
-        self._next_pass = ended + rest
-        if is_full:
+        is_unfinished = bool(queue) and self._run_pass(queue, began_at)
+        ended_at = self.runtime.now()
+        self._next_pass_at = ended_at + self._rest_s(ended_at - began_at)
+        if is_unfinished:
             self.request_pass()
 
-    def _pass(self, queue: list[PendingJob], now: float) -> bool:
-        """Places what can be placed of all that waits; whether it ended before all were tried.
-
-        Who found no room in an earlier pass looks only where there is more now.
-        """
-        freed = self.preemption.begin_pass() | self.gang_reservations.ended()
-        self._take_up_changes()
-        for name in freed:
-            machine = self.fleet.machines.get(name)
-            if machine is not None:
-                self._grown[name] = machine
-        if self.jobs.gpu_reservations != self._needs:
-            # What GPU tasks need beside their GPUs decides about room: all look everywhere.
-            self._needs, self._full = self.jobs.gpu_reservations, placement.Exhausted()
-        grown = self._empty_index(by_image=False)
-        for machine in self._grown.values():
-            grown.update(machine)
-        self._grown = {}
-        one_pass = SchedulingPass(self, self._index, grown, now)
-        looked = self._index.looked
-        self._full = one_pass.run(queue, self._full)
-        self.looked += self._index.looked - looked + grown.looked
-        return one_pass.is_full
-
-    # The index
-
-    def _empty_index(self, by_image: bool = True) -> MachineIndex:
-        return MachineIndex(
-            self.term.machine_types, self.rng, self.reconciler.is_schedulable, by_image
+    def _rest_s(self, pass_s: float) -> float:
+        """How long no other pass is made after one that took so long."""
+        return max(self.policy.pass_rest * pass_s, self.policy.heartbeat / MAX_PASSES_PER_HEARTBEAT)
+
+    def _run_pass(self, queue: list[PendingJob], now: float) -> bool:
+        """Places what can be placed; returns whether it ended before all jobs were tried."""
+        freed_machines = self.preemption.begin_pass() | self.gang_reservations.ended()
+        if self._machines.apply_changes():
+            self._infeasible = placement.Exhausted()
+        self._machines.mark_grown(freed_machines)
+        if self.jobs.gpu_reservations != self._gpu_reservations:
+            # They decide which capacity is free for others: all requests search everywhere again.
+            self._gpu_reservations = self.jobs.gpu_reservations
+            self._infeasible = placement.Exhausted()
+        index = self._machines.index
+        grown = self._machines.take_grown()
+        examined_before = index.looked
+        scheduling_pass = SchedulingPass(
+            self, index=index, grown=grown, infeasible=self._infeasible, now=now
         )
+        self._infeasible = scheduling_pass.run(queue)
+        self.examined_count += index.looked - examined_before + grown.looked
+        return scheduling_pass.is_full
 
-    def _take_up_changes(self) -> None:
-        """Brings the index up to date with what happened to machines."""
-        kinds = self.term.machine_types
-        if self._index.machine_types is not kinds:
-            sizes = tuple(
-                (kind.name, kind.cores, kind.gpus, kind.memory_gb) for kind in kinds.values()
-            )
-            if sizes != self._indexed_kinds:
-                self._indexed_kinds, self._full = sizes, placement.Exhausted()
-                self._index = self._empty_index()
-                self.fleet.changed_machines.update(dict.fromkeys(self.fleet.machines.values()))
-            self._index.machine_types = kinds
-        changed = self.fleet.changed_machines
-        while changed:
-            machine, _ = changed.popitem()
-            if self._index.update(machine):
-                self._grown[machine.name] = machine
-
-    def reconcile(self) -> None:
-        """Looks at all machines anew: some become usable, or not, by time alone."""
-        for machine in self.fleet.machines.values():
-            if self.reconciler.is_schedulable(machine) != (machine in self._index):
-                machine.mark_changed()
-
-    # Placing
+    def _request_pass_later(self) -> None:
+        self.later(self.policy.retry, self.request_pass)
+
+    def resume_backed_off_jobs(self) -> None:
+        """Requests a pass if the backoff of a job ends soon; forgets those that ended long ago."""
+        now = self.runtime.now()
+        backoff = self.jobs.backoff
+        if any(now < until < now + 2 * self.policy.retry for until in backoff.values()):
+            self._request_pass_later()
+        self.jobs.backoff = {
+            number: until for number, until in backoff.items() if until > now - self.policy.settle
+        }
+
+    def refresh_machines(self) -> None:
+        """Takes up which machines became schedulable, or not, by time alone."""
+        self._machines.refresh()
+
+    # Which machine
 
     def has_hint(self, job: Job) -> bool:
-        """Whether it is said where the job's next task is to go."""
-        hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
-        return hinted or self.quota_reclaim.room_for(job) is not None
+        """Whether a machine is chosen for the job's next task."""
+        is_hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
+        return is_hinted or self.quota_reclaim.room_for(job) is not None
 
-    def hinted(
-        self, job: Job, shut: Collection[str], keep: Callable[[Machine], bool] | None
+    def take_hinted_machine(
+        self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
     ) -> Machine | None:
-        """Where the job's next task was moved to, or room was recalled, if it can go there."""
+        """Returns where the job's next task was moved, or capacity reclaimed, if it fits there."""
         hint = self.hints.pop((job.number, job.next_pending_task()), "")
         machine = self.fleet.machines.get(hint) or self.quota_reclaim.room_for(job)
-        if machine is None or not self.reconciler.is_schedulable(machine) or machine.zone in shut:
+        if machine is None or machine.zone in excluded_zones:
+            return None
+        if not self.reconciler.is_schedulable(machine):
             return None
-        kind, spec = self.term.machine_types[machine.machine_type], job.spec
-        fits = Fit(spec, self.jobs.gpu_reservations, keep)
-        allowed = placement.allowed(spec, kind, machine.zone, machine.spot)
-        return machine if allowed and fits(machine, kind) else None
+        spec = job.spec
+        machine_type = self.term.machine_types[machine.machine_type]
+        fits = Fit(spec, self.jobs.gpu_reservations, is_available)
+        is_allowed = placement.allowed(spec, machine_type, machine.zone, machine.spot)
+        return machine if is_allowed and fits(machine, machine_type) else None
+
+    def availability_filter(self, job: Job) -> MachineFilter | None:
+        """Returns a filter of machines whose capacity isn't reserved against the job.
 
-    def place_gang(self, job: Job, index: MachineIndex, overdue: bool) -> int:
+        It may be reserved for a more important rank, for a gang, or by a reclaim. None: nothing is
+        reserved.
+        """
+        candidates = (
+            self.preemption.unclaimed_by(wire.RANKS[job.spec.rank]),
+            self.gang_reservations.free_for(job),
+            self.quota_reclaim.free_for(job),
+        )
+        filters = [each for each in candidates if each is not None]
+        if len(filters) < 2:
+            return filters[0] if filters else None
+        return lambda machine: all(is_available(machine) for is_available in filters)
+
+    # Placements
+
+    def place_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> int:
+        """Places all that is due of a gang, or nothing; returns how many tasks."""
         if not self.gang_scheduler.is_due(job):
             return 0
-        count = self.gang_scheduler.place_gang(job, index, not overdue, self.keep_for(job))
+        count = self.gang_scheduler.place_gang(
+            job, index, not is_overdue, self.availability_filter(job)
+        )
         if count:
             self.preemption.gang_placed(job)
             self.gang_reservations.placed(job)
-            self._take_up_changes()
+            self._machines.apply_changes()
         elif not job.placements and self.jobs.is_within_limit(job.spec, job.spec.tasks):
-            self._make_gang_room(job, index, overdue)
+            self._make_gang_room(job, index, is_overdue=is_overdue)
         return count
 
-    def _make_gang_room(self, job: Job, index: MachineIndex, overdue: bool) -> None:
-        """Stops others for the gang, or keeps new work off machines that it can use in a while."""
-        if not self.preemption.make_gang_room(job, index) and overdue:
+    def _make_gang_room(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> None:
+        """Preempts others for the gang, or reserves machines that it can use in a while."""
+        if not self.preemption.make_gang_room(job, index) and is_overdue:
             self.gang_reservations.hold(job, index)
 
-    def keep_for(self, job: Job) -> Callable[[Machine], bool] | None:
-        """Whether a machine's room is kept neither for somebody more important nor for a gang."""
-        rules = (
-            self.preemption.unclaimed_by(wire.RANKS[job.spec.rank]),
-            self.gang_reservations.free_for(job),
-            self.quota_reclaim.free_for(job),
-        )
-        kept = [accepts for accepts in rules if accepts is not None]
-        if len(kept) < 2:
-            return kept[0] if kept else None
-        return lambda machine: all(accepts(machine) for accepts in kept)
-
-    def place(self, job: Job, machine: Machine) -> None:
+    def place_task(self, job: Job, machine: Machine) -> None:
         """Proposes the placement of the job's next task; it is launched once that is committed."""
         task = job.next_pending_task()
         attempt = job.attempts.get(task, 0) + 1
         now = self.runtime.now()
 
-        def committed() -> None:
-            if job.placements.get(task) is not placed:
-                # Its machine was released meanwhile.
-                return
-            placed.is_committed = True
-            if job.is_cancelled:
-                # Cancelled between proposal and commit: it was never launched, so it is over.
-                self.reconciler.attempts.finish_attempt(placed, EndReason.CANCELLED_BEFORE_LAUNCH)
-            else:
-                self.commands.launch_task(placed)
+        def on_committed() -> None:
+            self._launch_if_current(placed)
 
         self.ledger.propose(
-            TaskPlaced(job.number, task, attempt, machine.name, machine.zone), committed
+            TaskPlaced(job.number, task, attempt, machine.name, machine.zone), on_committed
         )
         placed: Placement = job.placements[task]
-        placed.proposed_at = job.pending_since = now
+        placed.proposed_at = now
+        job.pending_since = now
         machine.add_placement(placed)
         self.preemption.placed((job.number, task))
         self.quota_reclaim.placed(job, machine)
-        self._take_up_changes()
-
-    # Passes that nothing asks for
-
-    def _request_pass_later(self) -> None:
-        self.later(self.policy.retry, self.request_pass)
+        self._machines.apply_changes()
 
-    def wake(self) -> None:
-        """A pass for jobs that were held back and no longer are."""
-        now = self.runtime.now()
-        held = self.jobs.backoff
-        if any(now < until < now + 2 * self.policy.retry for until in held.values()):
-            self._request_pass_later()
-        self.jobs.backoff = {
-            no: until for no, until in held.items() if until > now - self.policy.settle
-        }
+    def _launch_if_current(self, placed: Placement) -> None:
+        """Launches a task whose placement is committed, unless its job or machine is gone."""
+        job = placed.job
+        if job.placements.get(placed.task) is not placed:
+            # Its machine was removed meanwhile.
+            return
+        placed.is_committed = True
+        if job.is_cancelled:
+            # Cancelled between proposal and commit: it was never launched, so it is over.
+            self.reconciler.attempts.finish_attempt(placed, EndReason.CANCELLED_BEFORE_LAUNCH)
+        else:
+            self.commands.launch_task(placed)
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -1,4 +1,4 @@
-"""One pass over the waiting jobs: what can be placed is placed."""
+"""One pass over the pending jobs: what can be placed is placed."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from .pending_queue import PendingJob
     from .preemption import Preemption
 
-MOST_PLACED = 400
-"""Tasks a pass: one large array on an idle fleet must not hold up reports and users."""
+MAX_PLACEMENTS = 400
+"""Tasks per pass: one large array on an idle fleet must not hold up heartbeats and users."""
 
-Keep = Callable[[Machine], bool]
+MachineFilter = Callable[[Machine], bool]
 
 
-class Placer(Protocol):
+class TaskPlacer(Protocol):
     """What a pass needs of the scheduler."""
 
     jobs: JobRegistry
@@ -35,196 +35,250 @@
     term: Term
 
     def has_hint(self, job: Job) -> bool:
-        """Whether it is said where the job's next task is to go."""
+        """Whether a machine is chosen for the job's next task."""
 
-    def hinted(self, job: Job, shut: Collection[str], keep: Keep | None) -> Machine | None:
-        """Where the job's next task is to go, if it can still go there."""
+    def take_hinted_machine(
+        self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
+    ) -> Machine | None:
+        """Returns the machine chosen for the job's next task, if that can still go there."""
 
-    def place(self, job: Job, machine: Machine) -> None:
+    def place_task(self, job: Job, machine: Machine) -> None:
         """Places the job's next task."""
 
-    def keep_for(self, job: Job) -> Keep | None:
-        """Which machines' room is not kept from the job; None: none is."""
+    def availability_filter(self, job: Job) -> MachineFilter | None:
+        """Returns a filter of machines whose capacity isn't reserved against the job; None: all."""
 
-    def place_gang(self, job: Job, index: MachineIndex, overdue: bool) -> int:
+    def place_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> int:
         """Places all that is due of a gang, or nothing; returns how many tasks.
 
-        `overdue`: it takes any room, like others that have waited for long.
+        `is_overdue`: it takes any capacity, like other jobs that have waited for long.
         """
 
 
-class _Search(NamedTuple):
-    """Whom a search speaks for: those who may use the same machines, and ask for no less."""
+class _SearchKey(NamedTuple):
+    """Equal for requests that may use the same machines, and that reserve the same for others."""
 
-    like: Hashable
-    overdue: bool
-    """It has waited for long and takes any room: that of slow machines, and what is kept for GPU
-    tasks.
+    constraints: Hashable
+    is_overdue: bool
+    """The job has waited for long and takes any capacity: that of slow machines, and what is
+    reserved for GPU tasks.
     """
 
 
-class SchedulingPass:
-    """Places tasks in the queue's order. Within a pass room only shrinks.
+class _TaskRequest(NamedTuple):
+    """A search for a machine for a job's next task."""
 
-    `grown`: the machines that have more room than in the last pass. Who found no room before
-    (`full`) looks only there.
-    """
+    job: Job
+    excluded_zones: frozenset[str]
+    key: _SearchKey
+    is_available: MachineFilter | None
+    """Machines whose capacity isn't reserved against the job; None: all."""
+
+
+class SchedulingPass:
+    """Places tasks in the queue's order. Within a pass free capacity only shrinks."""
 
     def __init__(
-        self, scheduler: Placer, index: MachineIndex, grown: MachineIndex, now: float
+        self,
+        scheduler: TaskPlacer,
+        *,
+        index: MachineIndex,
+        grown: MachineIndex,
+        infeasible: placement.Exhausted,
+        now: float,
     ) -> None:
-        self._scheduler, self._now = scheduler, now
-        self._jobs, self._preemption = scheduler.jobs, scheduler.preemption
-        self._policy, self._term = scheduler.policy, scheduler.term
-        self._index, self._grown = index, grown
+        """Prepares a pass over the machines of `index`.
+
+        `infeasible`: requests that found no capacity in earlier passes. They search only `grown`,
+        the machines with more free capacity than in the last pass.
+        """
+        self._scheduler = scheduler
+        self._jobs = scheduler.jobs
+        self._preemption = scheduler.preemption
+        self._policy = scheduler.policy
+        self._term = scheduler.term
+        self._index = index
+        self._grown = grown
         self._has_grown = len(grown) > 0
-        self.unfit = placement.Exhausted()
-        """Who found no room in this pass: their like needn't look."""
-        self._worth: dict[int, Keep] = {}
+        self._now = now
+        self._infeasible_before = infeasible
+        self._infeasible = placement.Exhausted()
+        """Requests that found no capacity in this pass: the same ones and larger ones don't search.
+        """
+        self._best_effort_filters: dict[int, MachineFilter] = {}
         """By job, whether best-effort work may use a machine."""
-        self._asked: set[Hashable] = set()
-        """Shapes of batch work for which others were stopped in this pass."""
-        self.placed = 0
+        self._preempted_for: set[Hashable] = set()
+        """Shapes of batch work for which others were preempted in this pass."""
+        self._placed_count = 0
 
     @property
     def is_full(self) -> bool:
         """Whether the pass has placed as many tasks as one may."""
-        return self.placed >= MOST_PLACED
+        return self._placed_count >= MAX_PLACEMENTS
 
-    def run(self, queue: list[PendingJob], full: placement.Exhausted) -> placement.Exhausted:
-        """Places what it can; returns who is known to find no room from here on."""
+    def run(self, queue: list[PendingJob]) -> placement.Exhausted:
+        """Places what it can; returns the requests known to find no capacity from here on."""
         hopeless: set[Hashable] = set()
         backoff = self._jobs.backoff
-        for _, job, alike in list(queue):
+        for _, job, equivalence_class in list(queue):
             if self.is_full:
                 break
-            kin = alike, self._jobs.excluded_zones(job)
-            if kin in hopeless and not self._scheduler.has_hint(job):
+            key = equivalence_class, self._jobs.excluded_zones(job)
+            if key in hopeless and not self._scheduler.has_hint(job):
                 continue
             if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
                 continue
-            if not self._place_tasks(job, full) and alike is not None:
-                # As it is now: some of its tasks may have been placed.
-                hopeless.add((alike, self._jobs.excluded_zones(job)))
-        # Who did not look this time has not seen what grew.
-        return self.unfit if self._has_grown else full
-
-    def _place_tasks(self, job: Job, full: placement.Exhausted) -> bool:
-        """Places the job's waiting tasks; False: there is no room for one, nor for its like."""
-        spec = job.spec
-        suspect = job.number in self._jobs.suspects
-        if suspect and job.placements and spec.job_kind != wire.GANG:
-            return True
-        if spec.job_kind == wire.GANG:
-            self.placed += self._scheduler.place_gang(job, self._index, self._is_overdue(job))
+            if not self._place_job(job) and equivalence_class is not None:
+                # With the zones excluded now: some of its tasks may have been placed.
+                hopeless.add((equivalence_class, self._jobs.excluded_zones(job)))
+        # Requests that did not search in this pass have not seen the machines that grew.
+        return self._infeasible if self._has_grown else self._infeasible_before
+
+    def _place_job(self, job: Job) -> bool:
+        """Places the job's pending tasks; False: there is no capacity for one, nor for equivalents.
+
+        Of a suspect job at most one task runs at a time.
+        """
+        if job.spec.job_kind == wire.GANG:
+            self._placed_count += self._scheduler.place_gang(
+                job, self._index, is_overdue=self._is_overdue(job)
+            )
             return True
-        keep = self._scheduler.keep_for(job)
-        last: Machine | None = None
+        if job.number in self._jobs.suspects:
+            return bool(job.placements) or self._try_suspect(job)
+        return self._place_tasks(job)
+
+    def _try_suspect(self, job: Job) -> bool:
+        """Places one task, without preemption: it will likely fail. False: it is over the limit."""
+        is_available = self._scheduler.availability_filter(job)
+        if not self._jobs.is_within_limit(job.spec):
+            return False
+        request = self._request(job, is_available)
+        machine = self._find_machine(request, None)
+        if machine is not None:
+            self._place_task(job, machine)
+        return True
+
+    def _place_tasks(self, job: Job) -> bool:
+        is_available = self._scheduler.availability_filter(job)
+        machine: Machine | None = None
         while job.pending_count and not self.is_full:
-            if not self._jobs.is_within_limit(spec):
+            if not self._jobs.is_within_limit(job.spec):
                 return False
-            shut = self._jobs.excluded_zones(job)
-            machine = self._scheduler.hinted(job, shut, keep)
-            search = self._search(job, shut)
-            if machine is None and last is not None and last.zone not in shut:
-                machine = self._same_again(last, job, search, keep)
-            if machine is None and not self.unfit.covers(search, spec):
-                machine = self._choose(job, shut, search, full, keep)
+            request = self._request(job, is_available)
+            machine = self._find_machine(request, machine)
             if machine is None:
-                if suspect:
-                    # Nobody is stopped for what will likely fail.
-                    return True
-                self._preempt(job, shut, search)
+                self._preempt(request)
                 return False
-            self._scheduler.place(job, machine)
-            self.placed += 1
-            last = machine
-            if suspect:
-                return True
+            self._place_task(job, machine)
         return True
 
-    def _same_again(
-        self, machine: Machine, job: Job, search: _Search, keep: Keep | None
-    ) -> Machine | None:
-        """The machine of the task before, if it can hold one more task of an array.
+    def _place_task(self, job: Job, machine: Machine) -> None:
+        self._scheduler.place_task(job, machine)
+        self._placed_count += 1
 
-        It was the best of a sample, and is more so the less room it has left.
-        """
-        if job.spec.job_kind != wire.ARRAY:
-            return None
-        needs = None if search.overdue else self._jobs.gpu_reservations
-        fit = Fit(job.spec, needs, self._accept(job, search, keep))
-        return machine if fit(machine, self._term.machine_types[machine.machine_type]) else None
-
-    def _accept(self, job: Job, search: _Search, keep: Keep | None) -> Keep | None:
-        """Which machines the job may use, beside its own conditions; None: any."""
-        if not job.spec.is_best_effort or search.overdue:
-            return keep
-        if job.number not in self._worth:
-            self._worth[job.number] = self._worth_using(job.spec, keep)
-        return self._worth[job.number]
-
-    def _search(self, job: Job, shut: frozenset[str]) -> _Search:
+    def _request(self, job: Job, is_available: MachineFilter | None) -> _TaskRequest:
         spec = job.spec
-        like = (
+        excluded_zones = self._jobs.excluded_zones(job)
+        constraints = (
             spec.machine_types,
             spec.zone,
             spec.spot,
             spec.job_kind,
             wire.RANKS[spec.rank],
             bool(spec.gpus),
-            shut,
+            excluded_zones,
         )
-        return _Search(like, self._is_overdue(job))
+        key = _SearchKey(constraints, self._is_overdue(job))
+        return _TaskRequest(job, excluded_zones, key, is_available)
 
     def _is_overdue(self, job: Job) -> bool:
         return self._now - job.pending_since > self._preemption.quota_reclaim.patience(job)
 
-    def _choose(
-        self,
-        job: Job,
-        shut: frozenset[str],
-        search: _Search,
-        full: placement.Exhausted,
-        keep: Keep | None,
-    ) -> Machine | None:
-        spec = job.spec
-        known = full.covers(search, spec)
-        needs = None if search.overdue else self._jobs.gpu_reservations
-        accept = self._accept(job, search, keep)
-        where = self._grown if known else self._index
-        machine = choose(spec, job.number, where, needs, self._policy.sample, shut, accept)
-        if machine is None:
-            self.unfit.add(search, spec)
-            if not (known or self._has_grown):
-                full.add(search, spec)
+    # Finding a machine
+
+    def _find_machine(self, request: _TaskRequest, previous: Machine | None) -> Machine | None:
+        """Returns a machine for the task; `previous`: that of the job's task placed before."""
+        job, excluded_zones, key, is_available = request
+        machine = self._scheduler.take_hinted_machine(job, excluded_zones, is_available)
+        if machine is None and previous is not None and previous.zone not in excluded_zones:
+            machine = self._reuse_machine(previous, request)
+        if machine is None and not self._infeasible.covers(key, job.spec):
+            machine = self._search(request)
         return machine
 
-    def _worth_using(self, spec: wire.Spec, keep: Keep | None) -> Keep:
-        """Whether best-effort work may use a machine: not a dear one that nothing else is on."""
-        dear = dear_types(
+    def _reuse_machine(self, machine: Machine, request: _TaskRequest) -> Machine | None:
+        """Returns the machine of the task before, if it can hold one more task of an array.
+
+        It was the best of a sample, and is more so the less capacity it has left.
+        """
+        spec = request.job.spec
+        if spec.job_kind != wire.ARRAY:
+            return None
+        fits = Fit(spec, self._gpu_reservations_for(request), self._machine_filter(request))
+        return machine if fits(machine, self._term.machine_types[machine.machine_type]) else None
+
+    def _search(self, request: _TaskRequest) -> Machine | None:
+        """Chooses a machine; where the request is known as infeasible, among those that grew."""
+        spec = request.job.spec
+        was_infeasible = self._infeasible_before.covers(request.key, spec)
+        machine = choose(
             spec,
+            request.job.number,
+            self._grown if was_infeasible else self._index,
+            self._gpu_reservations_for(request),
+            self._policy.sample,
+            request.excluded_zones,
+            self._machine_filter(request),
+        )
+        if machine is None:
+            self._infeasible.add(request.key, spec)
+            if not (was_infeasible or self._has_grown):
+                self._infeasible_before.add(request.key, spec)
+        return machine
+
+    def _gpu_reservations_for(self, request: _TaskRequest) -> placement.GpuNeeds | None:
+        """Returns what the task must leave for GPU tasks; None: nothing."""
+        return None if request.key.is_overdue else self._jobs.gpu_reservations
+
+    def _machine_filter(self, request: _TaskRequest) -> MachineFilter | None:
+        """Returns which machines the job may use, beside its own constraints; None: all."""
+        job = request.job
+        if not job.spec.is_best_effort or request.key.is_overdue:
+            return request.is_available
+        if job.number not in self._best_effort_filters:
+            self._best_effort_filters[job.number] = self._best_effort_filter(request)
+        return self._best_effort_filters[job.number]
+
+    def _best_effort_filter(self, request: _TaskRequest) -> MachineFilter:
+        """Returns a filter without expensive machines that would be kept for this job alone."""
+        is_available = request.is_available
+        expensive_types = dear_types(
+            request.job.spec,
             self._term.machine_types,
             self._jobs.gpu_reservations,
             self._policy.best_effort_price,
         )
 
-        def worth(machine: Machine) -> bool:
-            if not machine.anchors and (machine.machine_type, machine.spot) in dear:
+        def is_worth_using(machine: Machine) -> bool:
+            if not machine.anchors and (machine.machine_type, machine.spot) in expensive_types:
                 return False
-            return keep is None or keep(machine)
+            return is_available is None or is_available(machine)
 
-        return worth
+        return is_worth_using
 
-    def _preempt(self, job: Job, shut: frozenset[str], search: _Search) -> None:
-        """Stops others for the job's next task, where that is due.
+    # Preemption
 
-        Batch work stops others for one task of a shape at a time. For services, who may be stopped
-        depends on the team too, while they are within its guarantee.
+    def _preempt(self, request: _TaskRequest) -> None:
+        """Preempts others for the job's next task, where that is due.
+
+        Batch work preempts for one task of a shape at a time. For services, who may be preempted
+        depends on the team too, while it is within its quota.
         """
-        spec = job.spec
-        kin = search.like, self._preemption.party(job)
-        if self._preemption.found_nobody(kin, spec) or (job.shape, kin) in self._asked:
+        job = request.job
+        key = request.key.constraints, self._preemption.party(job)
+        if self._preemption.found_nobody(key, job.spec) or (job.shape, key) in self._preempted_for:
             return
-        if self._preemption.make_room(job, kin, self._index, shut) and not spec.spread:
-            self._asked.add((job.shape, kin))
+        is_preempting = self._preemption.make_room(job, key, self._index, request.excluded_zones)
+        if is_preempting and not job.spec.spread:
+            self._preempted_for.add((job.shape, key))
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -94,8 +94,8 @@
         self.quota_reclaim.watch()
         self.consolidation.continue_moves(self.term.runtime.now())
         self.reconciler.scale_in.flush()
-        self.scheduler.reconcile()
-        self.scheduler.wake()
+        self.scheduler.refresh_machines()
+        self.scheduler.resume_backed_off_jobs()
         # Compacting only as often as the fleet is planned fell behind where jobs are many and
         # short.
         self.term.ledger.compact()
--- a/tests/test_guests.py
+++ b/tests/test_guests.py
@@ -9,7 +9,7 @@
 import pytest
 
 from flaxtally.leader.scheduling.scheduler import Scheduler
-from flaxtally.leader.scheduling.scheduling_pass import MOST_PLACED
+from flaxtally.leader.scheduling.scheduling_pass import MAX_PLACEMENTS
 from flaxtally.settings import Objective, Team
 
 from .scenarios import ends_well, leader_of
@@ -141,13 +141,13 @@
     # 6,000 tasks of some seconds on an idle fleet: a pass places a bounded number of them, commits
     # stay within the state service's limits, others go on, and cancelling it halfway ends it all.
     placed: Counter[float] = Counter()
-    place = Scheduler.place
+    place = Scheduler.place_task
 
     def counted(scheduler: Scheduler, job: Job, machine: Machine) -> None:
         placed[scheduler.runtime.now()] += 1
         place(scheduler, job, machine)
 
-    monkeypatch.setattr(Scheduler, "place", counted)
+    monkeypatch.setattr(Scheduler, "place_task", counted)
     world = SimulatedCluster(guests=(GUEST,), capacity=3)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
@@ -162,7 +162,7 @@
     for number in range(20):
         world.after(number, world.submit, batch(f"j-{300 + number:06d}", 1), 2.0, number)
     world.run(30)
-    assert MOST_PLACED / 2 < max(placed.values()) <= MOST_PLACED
+    assert MAX_PLACEMENTS / 2 < max(placed.values()) <= MAX_PLACEMENTS
     assert not world.state.over_limit
     assert world.state.changes < 40 * world.sim.time
     assert all(f"j-{300 + number:06d}" in world.accepted for number in range(20))
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -96,7 +96,7 @@
     "committed": (QuotaReclaim, "_stop", False, always),
     "ordered": (CommandSender, "_send_batch", True, is_stop),
     "proven": (AttemptFinisher, "finish_attempt", True, of_borrower),
-    "placing": (Scheduler, "place", False, of_lender),
+    "placing": (Scheduler, "place_task", False, of_lender),
 }
 """What is called, and whether the leader ends after or in place of the call."""
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -52,7 +52,7 @@
     leader = world.leader()
     assert leader
     starts = sum(" start " in line for line in world.trace)
-    looked = world.nodes[leader].leader.duties.scheduler.looked
+    looked = world.nodes[leader].leader.duties.scheduler.examined_count
     assert starts > 1000
     assert looked < starts * len(world.workers) / 2, (looked, starts)
     world.crash(leader, back_after=5.0)
