--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -171,7 +171,7 @@
     def _add_expected(self, by_shape: dict[Shape, Demand], now: float) -> None:
         """Adds shapes of which nothing is pending, but more is expected."""
         arrivals = self.jobs.arrivals
-        for shape, spec in self.jobs.shapes.typical():
+        for shape, spec in self.jobs.shapes.typical_shapes():
             job_class = shape.job_class
             is_expected = (
                 arrivals.rate(job_class, now) > 0 or job_class in self._classes_with_headroom
