--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -100,8 +100,8 @@
 
     def _run_pass(self, queue: list[PendingJob], now: float) -> bool:
         """Places what can be placed; returns whether it ended before all jobs were tried."""
-        freed_machines = self.preemption.begin_pass()
-        freed_machines |= self.gang_reservations.take_released_machines()
+        released = self.gang_reservations.take_released_machines
+        freed_machines = self.preemption.begin_pass() | released()
         if self._machines.apply_changes():
             self._infeasible = placement.Exhausted()
         self._machines.mark_grown(freed_machines)
