--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -145,7 +145,7 @@
                 entry.state,
             )
             machine = self.fleet.add_machine(
-                entry.machine, entry.machine_type, entry.zone, entry.spot
+                entry.machine, entry.machine_type, entry.zone, spot=entry.spot
             )
             machine.provisioned_at = now - entry.age_s
         return machine
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -126,7 +126,7 @@
         pool = request.pool
         for name in machines:
             if name not in self.fleet.removed_machines:
-                machine = self.fleet.add_machine(name, pool.machine_type, pool.zone, pool.spot)
+                machine = self.fleet.add_machine(name, pool.machine_type, pool.zone, spot=pool.spot)
                 if machine.is_booting:
                     machine.provisioned_at = request.requested_at
         refusals = self._consecutive_refusals.get(pool, 0)
--- a/flaxtally/leader/reconciliation/heartbeat_handler.py
+++ b/flaxtally/leader/reconciliation/heartbeat_handler.py
@@ -68,9 +68,11 @@
 
     def _discover_machine(self, heartbeat: wire.Heartbeat) -> Machine:
         """A machine that neither this leader provisioned nor the cloud has listed yet."""
-        log.info("event=machine_discovered term=%d machine=%s", self.term.number, heartbeat.machine)
+        log.info(
+            "event=unknown_machine_reported term=%d machine=%s", self.term.number, heartbeat.machine
+        )
         return self.fleet.add_machine(
-            heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot
+            heartbeat.machine, heartbeat.machine_type, heartbeat.zone, spot=heartbeat.spot
         )
 
     def _record_contact(self, machine: Machine, server: str, heartbeat: wire.Heartbeat) -> None:
@@ -86,9 +88,11 @@
 
     def _end_silence(self, machine: Machine) -> None:
         now = self.runtime.now()
-        if now - machine.last_heartbeat_at >= self.policy.machine_suspect:
+        silent_s = now - machine.last_heartbeat_at
+        if silent_s >= self.policy.machine_suspect:
             machine.mark_changed()
-        machine.last_heartbeat_at = max(machine.last_heartbeat_at, now)
+        if silent_s > 0:
+            machine.last_heartbeat_at = now
 
     def _on_booted(self, machine: Machine) -> None:
         now = self.runtime.now()
--- a/flaxtally/leader/takeover.py
+++ b/flaxtally/leader/takeover.py
@@ -31,7 +31,7 @@
     """Those whose heartbeats this controller answered itself, as a follower."""
     for heartbeat in transport.recent_heartbeats():
         machine = term.fleet.add_machine(
-            heartbeat.machine, heartbeat.machine_type, heartbeat.zone, heartbeat.spot
+            heartbeat.machine, heartbeat.machine_type, heartbeat.zone, spot=heartbeat.spot
         )
         machine.address = heartbeat.address
         machine.is_booting = False
@@ -42,7 +42,7 @@
     """Their type is unknown until they send a heartbeat or the cloud lists them."""
     for name, placements in term.ledger.state.placements_by_machine.items():
         zone = next(iter(placements.values())).zone
-        term.fleet.add_machine(name, "", zone, False).is_booting = False
+        term.fleet.add_machine(name, "", zone, spot=False).is_booting = False
 
 
 def _send_fencing_tokens(duties: TermDuties) -> None:
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -35,13 +35,18 @@
         """Those whose free capacity, images or usability changed since the last scheduling pass."""
         self.zones = set(zones)
 
-    def add_machine(self, name: str, machine_type: str, zone: str, spot: bool) -> Machine:
+    def add_machine(self, name: str, machine_type: str, zone: str, *, spot: bool) -> Machine:
         """Returns the machine of that name; creates it with its placements where it is new."""
         machine = self.machines.get(name)
         if machine is None:
             now = self._runtime.now()
             machine = self.machines[name] = Machine(
-                name, machine_type, zone, spot, now, self.changed_machines
+                name,
+                machine_type,
+                zone,
+                spot=spot,
+                now=now,
+                changed_machines=self.changed_machines,
             )
             self.zones.add(zone)
             for placement in self._ledger.state.placements_by_machine.get(name, {}).values():
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -1,8 +1,9 @@
-"""What is proven, and what is believed, about each machine."""
+"""Machines as the leader knows them."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from dataclasses import KW_ONLY, InitVar, dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..protocol import wire
@@ -11,171 +12,161 @@
     from ..ledger.placement import Placement
 
 UNRESPONSIVE_AFTER_FAILURES = 2
-"""Orders in a row without an answer."""
+"""Commands in a row without an answer."""
+NEVER = float("-inf")
+"""As the time of something that has not happened yet."""
 
 
 class Pool(NamedTuple):
-    """What machines are asked for by: type, zone and kind of rental."""
+    """An instance pool, from which machines are provisioned."""
 
     machine_type: str
     zone: str
     spot: bool
 
 
+@dataclass(eq=False, repr=False, slots=True)
 class Machine:
-    """A machine that the leader knows. `is_reconciled`: it has reported under the present token."""
-
-    __slots__ = (
-        "_changed",
-        "address",
-        "anchors",
-        "converged_tasks",
-        "cores",
-        "empty_command_at",
-        "failed_commands",
-        "failed_jobs",
-        "failed_probes",
-        "finite_placements",
-        "gpus",
-        "idle_since",
-        "images",
-        "incarnation",
-        "is_booting",
-        "is_cordoned",
-        "is_reconciled",
-        "is_slow",
-        "is_terminating",
-        "last_heartbeat_at",
-        "machine_type",
-        "memory_gb",
-        "name",
-        "newest_foreign_heartbeat",
-        "open_probes",
-        "pinned",
-        "placements",
-        "preempted_by_cloud_at",
-        "provisioned_at",
-        "quarantine_count",
-        "quarantined_until",
-        "sequence_number",
-        "shard_owner",
-        "spot",
-        "termination_tried_at",
-        "unneeded_since",
-        "zone",
-    )
-
-    def __init__(
-        self,
-        name: str,
-        machine_type: str,
-        zone: str,
-        spot: bool,
-        now: float,
-        changed: dict[Machine, None] | None = None,
-    ) -> None:
-        """`changed`: where the machine notes that its room, its images or its use changed."""
-        self.name, self.machine_type, self.zone, self.spot = name, machine_type, zone, spot
-        self._changed = {} if changed is None else changed
-        self.address = ""
-        self.shard_owner: str | None = None
-        self.is_booting = True
-        self.is_reconciled = False
-        self.incarnation = self.sequence_number = 0
-        self.newest_foreign_heartbeat = (0, 0)
-        """Session and sequence of its newest report under an older token."""
-        self.last_heartbeat_at = self.provisioned_at = now
-        self.idle_since = self.unneeded_since = now
-        self.anchors = 0
-        """Placements other than best-effort ones: they are what the machine is kept for."""
-        self.preempted_by_cloud_at: float | None = None
-        self.is_cordoned = False
-        self.is_slow = False
-        """Runs its tasks slower than others: batch tasks go elsewhere."""
-        self.is_terminating = False
-        self.termination_tried_at = float("-inf")
-        self.open_probes = 0
-        """Probes under way."""
-        self.failed_probes = 0
-        self.failed_commands = 0
-        self.empty_command_at = float("-inf")
-        """When it was last sent an order that only its answer is wanted of."""
-        self.converged_tasks: list[wire.TaskStatus] | None = None
-        """What it last reported of its tasks, if a report of the same says nothing new."""
-        self.failed_jobs: set[str] = set()
-        """Jobs whose tasks failed here since one last ended with its result; not those that fail
-        everywhere.
-        """
-        self.quarantined_until: float | None = None
-        """Until when it drains for such failures."""
-        self.quarantine_count = 0
-        """How often it was found faulty."""
-        self.images: OrderedDict[str, float] = OrderedDict()
-        self.placements: dict[tuple[int, int], Placement] = {}
-        self.finite_placements: dict[tuple[int, int], Placement] = {}
-        """Those of them that run to an end by themselves."""
-        self.cores = self.gpus = self.memory_gb = 0.0
-        self.pinned = 0.0
-        """How much services take here, as a number that only serves to compare machines."""
+    """A machine that the leader knows: what is proven about it and what is believed."""
+
+    name: str
+    machine_type: str
+    zone: str
+    _: KW_ONLY
+    spot: bool
+    now: InitVar[float]
+    changed_machines: dict[Machine, None] = field(default_factory=dict)
+    """Where the machine enters itself when its capacity, images or usability change."""
+
+    address: str = ""
+    shard_owner: str | None = None
+    """The controller that receives its heartbeats."""
+    is_booting: bool = True
+    provisioned_at: float = field(init=False)
+
+    # Heartbeats
+
+    is_reconciled: bool = False
+    """It has reported under the present fencing token."""
+    incarnation: int = 0
+    sequence_number: int = 0
+    newest_foreign_heartbeat: tuple[int, int] = (0, 0)
+    """Incarnation and sequence number of its newest heartbeat under another token."""
+    last_heartbeat_at: float = field(init=False)
+    converged_tasks: list[wire.TaskStatus] | None = None
+    """The tasks that it last reported, if the same report once more would change nothing."""
+
+    # Probes and commands
+
+    open_probes: int = 0
+    """Probes under way."""
+    failed_probes: int = 0
+    failed_commands: int = 0
+    empty_command_at: float = NEVER
+    """When it was last sent a command of which only the answer is wanted."""
+
+    # Whether it takes new tasks
+
+    preempted_by_cloud_at: float | None = None
+    is_cordoned: bool = False
+    is_slow: bool = False
+    """It runs tasks slower than others: batch tasks go elsewhere."""
+    failed_jobs: set[str] = field(default_factory=set)
+    """Jobs whose tasks failed here since one last succeeded; not those that fail everywhere."""
+    quarantined_until: float | None = None
+    """How long it is cordoned for such failures."""
+    quarantine_count: int = 0
+    is_terminating: bool = False
+    termination_tried_at: float = NEVER
+
+    # Tasks and resources
+
+    images: OrderedDict[str, float] = field(default_factory=OrderedDict)
+    """Sizes of the images that its cache should hold, the least recently used first."""
+    placements: dict[tuple[int, int], Placement] = field(default_factory=dict)
+    finite_placements: dict[tuple[int, int], Placement] = field(default_factory=dict)
+    """Those of them that run to an end by themselves."""
+    anchors: int = 0
+    """Placements other than best-effort ones: the machine is kept for them."""
+    pinned: float = 0.0
+    """How much services take here, as a number that only serves to compare machines."""
+    cores: float = 0.0
+    """Reserved, as are `gpus` and `memory_gb`."""
+    gpus: float = 0.0
+    memory_gb: float = 0.0
+    idle_since: float = field(init=False)
+    unneeded_since: float = field(init=False)
+    """Since when it has no placements but best-effort ones."""
+
+    def __post_init__(self, now: float) -> None:
+        """All that is counted from the moment at which the leader learnt of the machine."""
+        self.provisioned_at = now
+        self.last_heartbeat_at = now
+        self.idle_since = now
+        self.unneeded_since = now
 
     def mark_changed(self) -> None:
-        """Room, images, or whether it may be used at all: who chooses machines looks at it anew."""
-        self._changed[self] = None
+        """Capacity, images or usability changed: schedulers evaluate the machine again."""
+        self.changed_machines[self] = None
 
     @property
     def pool(self) -> Pool:
-        """The pool that it is of."""
+        """The pool that it was provisioned from."""
         return Pool(self.machine_type, self.zone, self.spot)
 
     @property
     def is_unresponsive(self) -> bool:
-        """Orders get no answer: what it reports may be well, but nothing can be placed there."""
+        """Commands get no answer: it may send heartbeats, but nothing can be launched there."""
         return self.failed_commands >= UNRESPONSIVE_AFTER_FAILURES
 
     def is_newer(self, incarnation: int, sequence_number: int) -> bool:
+        """Whether a heartbeat with these numbers is newer than the last one that counted."""
         return (incarnation, sequence_number) > (self.incarnation, self.sequence_number)
 
     def reserve(self, spec: wire.Spec, count: int) -> None:
-        """Counts the room of that many tasks as taken (less than 0: as free again)."""
+        """Reserves the resources of `count` tasks; releases them where it is negative."""
         self.cores += spec.cores * count
         self.gpus += spec.gpus * count
         self.memory_gb += spec.memory_gb * count
         self.mark_changed()
 
     def add_placement(self, placement: Placement) -> None:
+        """Reserves what the placement takes, once."""
         key = (placement.job.number, placement.task)
         if key not in self.placements:
             self.reserve(placement.job.spec, 1)
             self.anchors += not placement.is_best_effort
-            self.pinned += _pins(placement.job.spec)
+            self.pinned += _service_weight(placement.job.spec)
         self.placements[key] = placement
         if placement.job.spec.job_kind != wire.SERVICE:
             self.finite_placements[key] = placement
         self.converged_tasks = None
 
     def remove_placement(self, placement: Placement, now: float) -> None:
+        """Releases what the placement took: its attempt is over."""
         self.converged_tasks = None
         key = (placement.job.number, placement.task)
         self.finite_placements.pop(key, None)
         if self.placements.pop(key, None) is not None:
             self.reserve(placement.job.spec, -1)
-            self.pinned -= _pins(placement.job.spec)
+            self.pinned -= _service_weight(placement.job.spec)
             self.idle_since = now
             if not placement.is_best_effort:
                 self.anchors -= 1
                 self.unneeded_since = now
 
-    def record_image(self, image: str, size: float, cache: float) -> None:
-        """Remembers the image as the most recently used; forgets what the cache no longer holds."""
+    def record_image(self, image: str, size_gb: float, cache_gb: float) -> None:
+        """Counts the image as the most recently used; forgets those that the cache evicted."""
         if image not in self.images:
             self.mark_changed()
-        self.images[image] = size
+        self.images[image] = size_gb
         self.images.move_to_end(image)
-        total = sum(self.images.values())
-        while total > cache and len(self.images) > 1:
-            total -= self.images.popitem(last=False)[1]
+        total_gb = sum(self.images.values())
+        while total_gb > cache_gb and len(self.images) > 1:
+            total_gb -= self.images.popitem(last=False)[1]
 
     def images_being_fetched(self) -> set[str]:
+        """The images of tasks that have not begun to run."""
         return {
             placement.job.spec.image
             for placement in self.placements.values()
@@ -183,11 +174,11 @@
         }
 
     def forget_images(self) -> None:
-        """Its session is a new one: what its cache holds is not known."""
+        """Its agent began anew: what its cache holds is unknown."""
         self.images.clear()
         self.mark_changed()
 
 
-def _pins(spec: wire.Spec) -> float:
-    """What a task counts for `Machine.pinned`."""
+def _service_weight(spec: wire.Spec) -> float:
+    """How much a task adds to `Machine.pinned`."""
     return spec.cores + 4 * spec.gpus if spec.job_kind == wire.SERVICE else 0.0
--- a/tests/test_gang_life.py
+++ b/tests/test_gang_life.py
@@ -108,7 +108,7 @@
     found = []
     for number in range(count):
         kind = rng.choice(TYPES)
-        machine = Machine(f"n-{number:06d}", kind.name, rng.choice(ZONES), False, 0.0)
+        machine = Machine(f"n-{number:06d}", kind.name, rng.choice(ZONES), spot=False, now=0.0)
         machine.cores = float(rng.randrange(int(kind.cores) + 1))
         machine.is_booting = False
         found.append(machine)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -62,7 +62,7 @@
 
 def make(number: int, drawn: tuple) -> Machine:  # type: ignore[type-arg]
     kind, zone, spot, cores, gpus, memory_gb, slow, image = drawn
-    machine = Machine(f"n-{number}", kind, zone, spot, 0.0)
+    machine = Machine(f"n-{number}", kind, zone, spot=spot, now=0.0)
     machine.cores, machine.memory_gb, machine.is_slow = cores, memory_gb * 4, slow
     machine.gpus = float(gpus) if kind == "g8" else 0.0
     if image:
@@ -148,7 +148,10 @@
 def test_a_search_in_a_full_fleet_of_thousands_looks_at_the_few_with_room() -> None:
     # A pass looked at every machine for each shape that waited.
     index = MachineIndex(KINDS, random.Random(1))
-    fleet = [Machine(f"n-{number}", "c16", "ab"[number % 2], False, 0.0) for number in range(4000)]
+    fleet = [
+        Machine(f"n-{number}", "c16", "ab"[number % 2], spot=False, now=0.0)
+        for number in range(4000)
+    ]
     for number, machine in enumerate(fleet):
         machine.cores = 10.0 if number % 1000 == 7 else 15.0
         machine.record_image("img-1", 1.0, 40.0)
@@ -173,7 +176,7 @@
 def test_what_falls_silent_without_an_event_is_not_found() -> None:
     silent: set[Machine] = set()
     index = MachineIndex(KINDS, random.Random(1), lambda machine: machine not in silent)
-    one, two = (Machine(f"n-{number}", "c16", "a", False, 0.0) for number in range(2))
+    one, two = (Machine(f"n-{number}", "c16", "a", spot=False, now=0.0) for number in range(2))
     index.update(one)
     index.update(two)
     silent.add(one)
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -403,7 +403,7 @@
 def test_placement_prefers_cached_images_and_leaves_gpus_their_cores() -> None:
     gate, work = spec("j-000001", image_gb=8.0), batch("j-000002", 1)
     cold, warm, gpu = (
-        Machine(name, kind, "a", False, 0.0)
+        Machine(name, kind, "a", spot=False, now=0.0)
         for name, kind in (("n-1", "c16"), ("n-2", "c16"), ("n-3", "g8"))
     )
     warm.record_image("img-1", 8.0, 40.0)
@@ -434,7 +434,7 @@
     # Several machines are emptied at a time in a large fleet: two must not count on the same room.
     book, fleet = (
         ClusterState(),
-        [Machine(name, "c16", "a", False, 0.0) for name in ("x", "y", "z")],
+        [Machine(name, "c16", "a", spot=False, now=0.0) for name in ("x", "y", "z")],
     )
     for number, machine in enumerate(fleet, 1):
         book.apply(accepted(number, 0.0, spec(f"j-{number:06d}", cores=7.0)), 1)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -74,7 +74,7 @@
     # that waited. What is remembered must be forgotten in time, or tasks wait beside free room.
     index = MachineIndex({kind.name: kind for kind in TYPES}, random.Random(1))
     one, two, three = (
-        Machine(f"n-{number}", TYPES[1].name, "a", False, 0.0) for number in range(3)
+        Machine(f"n-{number}", TYPES[1].name, "a", spot=False, now=0.0) for number in range(3)
     )
     assert [index.update(machine) for machine in (one, two, three)] == [True] * 3
     assert [index.update(machine) for machine in (one, two, three)] == [False] * 3
@@ -217,7 +217,7 @@
     # machines stood idle beside them, since none of these held an image.
     kinds = {kind.name: kind for kind in TYPES}
     dear, cheap, other = (
-        Machine(f"n-{number}", kind, "a", False, 0.0)
+        Machine(f"n-{number}", kind, "a", spot=False, now=0.0)
         for number, kind in enumerate(("g8", "c16", "g8"))
     )
     gate = spec("j-000001")
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -76,7 +76,7 @@
 
 
 def machine(number: int) -> Machine:
-    return Machine(f"n-{number:06d}", "g8", "zone-1", False, 1.0)
+    return Machine(f"n-{number:06d}", "g8", "zone-1", spot=False, now=1.0)
 
 
 def report(tasks: int) -> wire.Heartbeat:
