--- a/flaxtally/leader/__init__.py
+++ b/flaxtally/leader/__init__.py
@@ -1,4 +1,9 @@
-"""The leader's duties, one actor each, wired for a term by `leader`.
+"""The leader: one controller decides for all, by the replicated state and by proofs from machines.
 
-Imports all below it; users' and workers' sides import it. Start with `leader`, then `scheduler`.
+A term's duties are actors in rooms of their own: `scheduling` and `gang_scheduling` place tasks,
+`reclaim` takes borrowed quota back, `reconciliation` says what heartbeats prove, `autoscaling`
+provisions and terminates machines. `jobs` answers users, `commands` reaches the machines.
+
+Begin with `leader` (when terms begin and end), then `term_duties` (how the duties are connected),
+then `scheduling`.
 """
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -93,7 +93,7 @@
             machine_type.memory_gb - machine.memory_gb,
             machine.name,
             spot=machine.spot,
-            has_regular_tasks=machine.anchors > 0,
+            has_regular_tasks=machine.non_best_effort_count > 0,
         )
         bins = [first, *(first.copy() for _ in steps_s[1:])]
         for placed in machine.finite_placements.values():
--- a/flaxtally/leader/autoscaling/idle_machines.py
+++ b/flaxtally/leader/autoscaling/idle_machines.py
@@ -45,7 +45,7 @@
 
     def _has_only_leftovers(self, machine: Machine, now: float) -> bool:
         """Whether for long only best-effort tasks ran here, for which it is too expensive."""
-        if machine.anchors or now - machine.unneeded_since <= self.policy.cool_down:
+        if machine.non_best_effort_count or now - machine.unneeded_since <= self.policy.cool_down:
             return False
         is_too_expensive: dict[int, bool] = {}
         for placed in machine.placements.values():
--- /dev/null
+++ b/flaxtally/leader/fleet.py
@@ -0,0 +1,43 @@
+"""The fleet as a leader knows it in one term."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ..planning.fleet import Machine
+
+if TYPE_CHECKING:
+    from ..ledger.write_ahead_log import WriteAheadLog
+    from ..runtime.loop import Runtime
+
+
+class Fleet:
+    """The machines that the leader knows in this term, and the names of the terminated ones."""
+
+    def __init__(self, runtime: Runtime, ledger: WriteAheadLog, zones: tuple[str, ...]) -> None:
+        """`zones`: those of the settings; machines may be in others."""
+        self._runtime = runtime
+        self._ledger = ledger
+        self.machines: dict[str, Machine] = {}
+        self.removed_machines: set[str] = set()
+        self.changed_machines: dict[Machine, None] = {}
+        """Those whose free capacity, images or usability changed since the last scheduling pass."""
+        self.zones = set(zones)
+
+    def add_machine(self, name: str, machine_type: str, zone: str, *, spot: bool) -> Machine:
+        """Returns the machine of that name; creates it with its placements where it is new."""
+        machine = self.machines.get(name)
+        if machine is None:
+            now = self._runtime.now()
+            machine = self.machines[name] = Machine(
+                name,
+                machine_type,
+                zone,
+                spot=spot,
+                now=now,
+                changed_machines=self.changed_machines,
+            )
+            self.zones.add(zone)
+            for placement in self._ledger.state.placements_by_machine.get(name, {}).values():
+                machine.add_placement(placement)
+        return machine
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -261,7 +261,10 @@
         )
 
         def is_worth_using(machine: Machine) -> bool:
-            if not machine.anchors and (machine.machine_type, machine.spot) in expensive_types:
+            if (
+                not machine.non_best_effort_count
+                and (machine.machine_type, machine.spot) in expensive_types
+            ):
                 return False
             return is_available is None or is_available(machine)
 
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from ..lending.entitlement import NOTHING, Amounts, Guarantee
-from ..planning.fleet import Machine
 from ..runtime.actor import Actor
+from .fleet import Fleet
 from .pass_requests import PassRequests
 
 if TYPE_CHECKING:
@@ -22,38 +22,6 @@
     from .team_limits import TeamLimits
 
 
-class Fleet:
-    """The machines that the leader knows in this term, and the names of the terminated ones."""
-
-    def __init__(self, runtime: Runtime, ledger: WriteAheadLog, zones: tuple[str, ...]) -> None:
-        """`zones`: those of the settings; machines may be in others."""
-        self._runtime = runtime
-        self._ledger = ledger
-        self.machines: dict[str, Machine] = {}
-        self.removed_machines: set[str] = set()
-        self.changed_machines: dict[Machine, None] = {}
-        """Those whose free capacity, images or usability changed since the last scheduling pass."""
-        self.zones = set(zones)
-
-    def add_machine(self, name: str, machine_type: str, zone: str, *, spot: bool) -> Machine:
-        """Returns the machine of that name; creates it with its placements where it is new."""
-        machine = self.machines.get(name)
-        if machine is None:
-            now = self._runtime.now()
-            machine = self.machines[name] = Machine(
-                name,
-                machine_type,
-                zone,
-                spot=spot,
-                now=now,
-                changed_machines=self.changed_machines,
-            )
-            self.zones.add(zone)
-            for placement in self._ledger.state.placements_by_machine.get(name, {}).values():
-                machine.add_placement(placement)
-        return machine
-
-
 @dataclass(frozen=True, kw_only=True)
 class LeaderContext:
     """What a leader works with in all of its terms."""
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -57,7 +57,7 @@
             ),
             float(spec.spot and not machine.spot),
             # Services pin a machine for long: the fewer are pinned, the more can be given back.
-            -round(machine.pinned, 3),
+            -round(machine.service_load, 3),
             after,
         )
         if best is None or score < best[0]:
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -86,9 +86,9 @@
     placements: dict[tuple[int, int], Placement] = field(default_factory=dict)
     finite_placements: dict[tuple[int, int], Placement] = field(default_factory=dict)
     """Those of them that run to an end by themselves."""
-    anchors: int = 0
+    non_best_effort_count: int = 0
     """Placements other than best-effort ones: the machine is kept for them."""
-    pinned: float = 0.0
+    service_load: float = 0.0
     """How much services take here, as a number that only serves to compare machines."""
     cores: float = 0.0
     """Reserved, as are `gpus` and `memory_gb`."""
@@ -135,8 +135,8 @@
         key = (placement.job.number, placement.task)
         if key not in self.placements:
             self.reserve(placement.job.spec, 1)
-            self.anchors += not placement.is_best_effort
-            self.pinned += _service_weight(placement.job.spec)
+            self.non_best_effort_count += not placement.is_best_effort
+            self.service_load += _service_weight(placement.job.spec)
         self.placements[key] = placement
         if placement.job.spec.job_kind != wire.SERVICE:
             self.finite_placements[key] = placement
@@ -149,10 +149,10 @@
         self.finite_placements.pop(key, None)
         if self.placements.pop(key, None) is not None:
             self.reserve(placement.job.spec, -1)
-            self.pinned -= _service_weight(placement.job.spec)
+            self.service_load -= _service_weight(placement.job.spec)
             self.idle_since = now
             if not placement.is_best_effort:
-                self.anchors -= 1
+                self.non_best_effort_count -= 1
                 self.unneeded_since = now
 
     def record_image(self, image: str, size_gb: float, cache_gb: float) -> None:
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -39,7 +39,11 @@
     def of(cls, machine: Machine) -> CapacityTaken:
         """What is taken of the machine now."""
         return cls(
-            machine.cores, machine.gpus, machine.memory_gb, machine.is_slow, not machine.anchors
+            machine.cores,
+            machine.gpus,
+            machine.memory_gb,
+            machine.is_slow,
+            not machine.non_best_effort_count,
         )
 
     def leaves_more_than(self, before: CapacityTaken) -> bool:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -335,9 +335,9 @@
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
-    tracker = world.nodes[world.leader() or ""].leader.duties.reconciler
+    reconciler = world.nodes[world.leader() or ""].leader.duties.reconciler
     asked: list[tuple[float, Callable[[object], None]]] = []
-    tracker.cloud.list_machines = lambda done: asked.append((world.sim.time, done))
+    reconciler.cloud.list_machines = lambda done: asked.append((world.sim.time, done))
     world.run(30.0)
     assert len(asked) == 1
     began, done = asked[0]
@@ -431,9 +431,9 @@
     compared: list[str] = []
     compare = Reconciler.reconcile
 
-    def counted(tracker: Reconciler, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
+    def counted(reconciler: Reconciler, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
         compared.append(machine.name)
-        compare(tracker, machine, tasks)
+        compare(reconciler, machine, tasks)
 
     monkeypatch.setattr(Reconciler, "reconcile", counted)
     world.run(10.0)
