--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -43,8 +43,8 @@
     ) -> None:
         """`reconciler`: owner of the terminations; `commands`: carries stops to the workers."""
         super().__init__(term)
-        self.jobs = jobs
-        self.commands = commands
+        self._jobs = jobs
+        self._commands = commands
         self._scale_in = reconciler.scale_in
         self._step_count = 0
         self._scale_out = ScaleOut(term, self.scale)
@@ -119,7 +119,7 @@
             "event=fleet_summary term=%d %s pending=%s",
             self.term.number,
             describe_fleet(self.fleet.machines.values(), self.term.machine_types),
-            count_pending_tasks(self.jobs.queue),
+            count_pending_tasks(self._jobs.queue),
         )
 
     # Scale-out
@@ -131,7 +131,7 @@
         provisioner = Provisioner(
             self.term.machine_types,
             self._available_pools(),
-            self.jobs.gpu_reservations,
+            self._jobs.gpu_reservations,
             SPOT_PRICE_FACTOR,
         )
         decisions_by_pool: dict[Pool, list[ProvisionDecision]] = {}
@@ -168,7 +168,7 @@
             else:
                 idle_s = now - machine.idle_since
                 self._scale_in.terminate(machine, f"idle for {idle_s:.0f}s, no step needs it")
-        self._scale_in.flush()
+        self._scale_in.send_terminations()
 
     def _drain_best_effort(self, machine: Machine) -> None:
         """Cordons the machine, which is terminated once empty.
@@ -185,7 +185,7 @@
         )
         machine.is_cordoned = True
         machine.mark_changed()
-        self.commands.stop_best_effort(machine)
+        self._commands.stop_best_effort(machine)
 
 
 def _without_spot_prices(machine_types: list[wire.MachineType]) -> list[wire.MachineType]:
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -48,10 +48,10 @@
     ) -> None:
         """`autoscaler`: checks whether the fleet can do without a machine."""
         super().__init__(term)
-        self.jobs = jobs
-        self.reconciler = reconciler
-        self.commands = commands
-        self.autoscaler = autoscaler
+        self._jobs = jobs
+        self._reconciler = reconciler
+        self._commands = commands
+        self._autoscaler = autoscaler
         self._moves = ReplicaMoves(term, jobs, reconciler, commands, scheduler)
         self._skipped_until: dict[str, float] = {}
         """Machines that could not be emptied, and until when they are skipped."""
@@ -78,7 +78,7 @@
             machine = self._choose_machine(rules, mean_price, now)
             if machine is None:
                 return
-            can_spare = can_spare or self.autoscaler.make_spare_check(demands, now)
+            can_spare = can_spare or self._autoscaler.make_spare_check(demands, now)
             chosen.add(machine.name)
             if not can_spare(chosen):
                 self._skipped_until[machine.name] = now + self.policy.settle
@@ -93,7 +93,7 @@
             and self._moves.is_fleet_in_contact(now)
             and not any(
                 wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or job.spec.job_kind == wire.GANG
-                for job in self.jobs.queue.pending_jobs()
+                for job in self._jobs.queue.pending_jobs()
             )
         )
 
@@ -107,7 +107,7 @@
             )
 
         only_best_effort_pending = all(
-            job.spec.is_best_effort for job in self.jobs.queue.pending_jobs()
+            job.spec.is_best_effort for job in self._jobs.queue.pending_jobs()
         )
         return EmptyingRules(
             is_settled, allow_finite_tasks=only_best_effort_pending, skipped=self._skipped_until
@@ -129,7 +129,7 @@
         """The next machine to empty; those found to be impossible are skipped for a while."""
         emptying = self._moves.machines_being_emptied()
         price_factor = self.policy.move_worth if not emptying else 1.0
-        schedulable = self.reconciler.schedulable_machines()
+        schedulable = self._reconciler.schedulable_machines()
         with without_best_effort(schedulable):
             choice = choose_machine_to_empty(
                 schedulable,
@@ -154,4 +154,4 @@
         self._moves.start_emptying(machine, now)
         machine.is_cordoned = True
         machine.mark_changed()
-        self.commands.stop_best_effort(machine)
+        self._commands.stop_best_effort(machine)
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -33,7 +33,7 @@
     ) -> None:
         """`is_in_backoff`: whether a pool refused a short while ago."""
         super().__init__(term)
-        self.jobs = jobs
+        self._jobs = jobs
         self._gang_zones = GangZones(term, jobs, is_in_backoff)
         self._classes_with_headroom = {
             objective.job_class
@@ -86,7 +86,7 @@
 
     def _expected_count(self, demand: Demand, step_s: float, now: float) -> float:
         """How many tasks of the job class will have arrived and be there in `step_s` seconds."""
-        arrivals = self.jobs.arrivals
+        arrivals = self._jobs.arrivals
         job_class = demand.shape.job_class
         # Not by the last job's own run time: one long job made the plan provision for a hundred
         # machines' work.
@@ -103,21 +103,21 @@
 
     def _count_running(self) -> None:
         self._running_by_class = Counter()
-        for job in self.jobs.live_jobs.values():
+        for job in self._jobs.live_jobs.values():
             self._running_by_class[job.spec.job_class] += len(job.placements)
 
     def _add_pending(self, by_shape: dict[Shape, Demand]) -> None:
         """Adds pending tasks, as far as their teams' hard limits allow."""
         headroom: dict[str, tuple[float, float]] = {}
-        for entry in self.jobs.queue.ordered_jobs():
+        for entry in self._jobs.queue.ordered_jobs():
             job = entry.job
-            if not job.pending_count or job.number in self.jobs.suspects:
+            if not job.pending_count or job.number in self._jobs.suspects:
                 continue
             count = self._take_headroom(job, headroom)
             if count is None:
                 continue
             demand = self._demand_of(by_shape, job)
-            demand.add_tasks(count, self.jobs.expected_run_s(job.spec))
+            demand.add_tasks(count, self._jobs.expected_run_s(job.spec))
             if job.spec.spread:
                 zone_share = job.spec.zone_share
                 _add_zone_limits(
@@ -159,26 +159,26 @@
         Their capacity counts as free, so that they get what all other demand leaves, or cheap
         machines.
         """
-        for job in self.jobs.live_jobs.values():
+        for job in self._jobs.live_jobs.values():
             if not job.placements or job.is_terminal or not job.spec.is_best_effort:
                 continue
             demand = self._demand_of(by_shape, job)
-            demand.add_tasks(len(job.placements), self.jobs.expected_run_s(job.spec))
+            demand.add_tasks(len(job.placements), self._jobs.expected_run_s(job.spec))
             if job.spec.spread:
                 zones = self.settings.zones
                 _add_zone_limits(demand, {zone: job.placements_in_zone(zone) for zone in zones})
 
     def _add_expected(self, by_shape: dict[Shape, Demand], now: float) -> None:
         """Adds shapes of which nothing is pending, but more is expected."""
-        arrivals = self.jobs.arrivals
-        for shape, spec in self.jobs.shapes.typical_shapes():
+        arrivals = self._jobs.arrivals
+        for shape, spec in self._jobs.shapes.typical_shapes():
             job_class = shape.job_class
             is_expected = (
                 arrivals.rate(job_class, now) > 0 or job_class in self._classes_with_headroom
             )
             if shape in by_shape or not is_expected:
                 continue
-            run_s = arrivals.length(job_class, now) or self.jobs.expected_run_s(spec)
+            run_s = arrivals.length(job_class, now) or self._jobs.expected_run_s(spec)
             demand = Demand(shape, 0.0, run_s, represents_job_class=True)
             by_shape[shape] = demand
             if spec.spread:
@@ -192,8 +192,8 @@
             demand = by_shape[shape] = Demand(
                 shape,
                 0.0,
-                self.jobs.expected_run_s(job.spec),
-                represents_job_class=self.jobs.shapes.is_typical(shape),
+                self._jobs.expected_run_s(job.spec),
+                represents_job_class=self._jobs.shapes.is_typical(shape),
             )
         return demand
 
@@ -205,7 +205,7 @@
                 demand.expensive_types = find_expensive_types(
                     demand.shape,
                     self.term.machine_types,
-                    self.jobs.gpu_reservations,
+                    self._jobs.gpu_reservations,
                     self.policy.best_effort_price,
                 )
 
--- a/flaxtally/leader/autoscaling/forecast.py
+++ b/flaxtally/leader/autoscaling/forecast.py
@@ -26,7 +26,7 @@
     def __init__(self, term: Term, jobs: JobRegistry, scale_out: ScaleOut) -> None:
         """`scale_out`: knows the machines requested, and the pools in backoff."""
         super().__init__(term)
-        self.jobs = jobs
+        self._jobs = jobs
         self._capacity = CapacityForecast(term, scale_out)
         self._demand = DemandForecast(term, jobs, scale_out.is_in_backoff)
 
@@ -67,14 +67,14 @@
         for step_s, bins in zip(self._capacity.steps_s, bins_by_step, strict=True):
             projected = [self._demand.project_demand(demand, step_s, now) for demand in demands]
             free_capacity = FreeCapacity(bins)
-            free_capacity.drop_full_bins(projected, self.jobs.gpu_reservations)
+            free_capacity.drop_full_bins(projected, self._jobs.gpu_reservations)
             steps.append(ForecastStep(step_s, projected, free_capacity))
         return steps
 
     def _count_unplaced(self, demands: list[Demand], free_capacity: FreeCapacity) -> list[int]:
         """How many tasks of each demand find no capacity; uses up `free_capacity`."""
         return [
-            pack_demand(_copy_limits(demand), free_capacity, self.jobs.gpu_reservations)
+            pack_demand(_copy_limits(demand), free_capacity, self._jobs.gpu_reservations)
             for demand in demands
         ]
 
--- a/flaxtally/leader/autoscaling/idle_machines.py
+++ b/flaxtally/leader/autoscaling/idle_machines.py
@@ -24,7 +24,7 @@
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
         """`jobs`: knows what GPU tasks need beside their GPUs."""
         super().__init__(term)
-        self.jobs = jobs
+        self._jobs = jobs
 
     def find_idle(self, now: float) -> list[Machine]:
         """The idle machines, the most expensive ones first."""
@@ -60,7 +60,7 @@
         expensive_types = find_expensive_types(
             job.shape,
             self.term.machine_types,
-            self.jobs.gpu_reservations,
+            self._jobs.gpu_reservations,
             self.policy.best_effort_price,
         )
         return (machine.machine_type, machine.spot) in expensive_types
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -39,9 +39,9 @@
     ) -> None:
         """`scheduler`: places a stopped replica on the machine that was chosen for it."""
         super().__init__(term)
-        self.jobs = jobs
-        self.reconciler = reconciler
-        self.commands = commands
+        self._jobs = jobs
+        self._reconciler = reconciler
+        self._commands = commands
         self._scheduler = scheduler
         self._emptying_since: dict[str, float] = {}
         self._image_fetches_since: dict[Placement, float] = {}
@@ -77,7 +77,7 @@
     def target_search(self) -> TargetSearch:
         """How machines are searched to which replicas can move."""
         return TargetSearch(
-            self.jobs.gpu_reservations, self.policy.sample, self.jobs.excluded_zones
+            self._jobs.gpu_reservations, self.policy.sample, self._jobs.excluded_zones
         )
 
     def _small_share_of_fleet(self) -> int:
@@ -109,11 +109,11 @@
             )
             if not must_wait and not is_moving:
                 if index is None:
-                    index = self._index_schedulable(self.reconciler.schedulable_machines())
+                    index = self._index_schedulable(self._reconciler.schedulable_machines())
                 self._move_next_replica(machine, index, now)
 
     def _is_pending(self, job_kind: str) -> bool:
-        return any(job.spec.job_kind == job_kind for job in self.jobs.queue.pending_jobs())
+        return any(job.spec.job_kind == job_kind for job in self._jobs.queue.pending_jobs())
 
     def _abandon(self, machine: Machine) -> None:
         log.info("event=emptying_abandoned term=%d machine=%s", self.term.number, machine.name)
@@ -143,7 +143,7 @@
                 return
             self._image_fetches_since[placed] = now
         self._scheduler.hints[placed.job.number, placed.task] = target.name
-        self.commands.stop_task(placed, 0.0)
+        self._commands.stop_task(placed, 0.0)
 
     def _forget_completed_fetches(self, now: float) -> None:
         """Forgets replicas that run on their new machine, or should have long ago."""
@@ -156,10 +156,10 @@
     def _preempt_best_effort_for(self, machine: Machine) -> None:
         """Stops best-effort tasks elsewhere where that frees capacity for the replicas."""
         if not any(
-            job.placements and job.spec.is_best_effort for job in self.jobs.live_jobs.values()
+            job.placements and job.spec.is_best_effort for job in self._jobs.live_jobs.values()
         ):
             return
-        schedulable = self.reconciler.schedulable_machines()
+        schedulable = self._reconciler.schedulable_machines()
         with without_best_effort(schedulable):
             index = self._index_schedulable(schedulable)
             search = self.target_search()
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -30,7 +30,7 @@
     ) -> None:
         """`on_machine_removed`: called once a machine is proven to be gone."""
         super().__init__(term)
-        self.commands = commands
+        self._commands = commands
         self._on_machine_removed = on_machine_removed
         self._is_terminating = False
         self._is_listing = False
@@ -41,7 +41,7 @@
     def terminate(self, machine: Machine, reason: str) -> None:
         """Marks a machine for termination with all that is on it.
 
-        Nothing is placed there from now on; `flush` sends the request.
+        Nothing is placed there from now on; `send_terminations` sends the request.
         """
         log.info(
             "event=machine_termination_requested term=%d machine=%s type=%s zone=%s spot=%s "
@@ -57,7 +57,7 @@
         machine.is_terminating = True
         machine.mark_changed()
 
-    def flush(self) -> None:
+    def send_terminations(self) -> None:
         """Asks the cloud to terminate the machines marked for it, one request at a time."""
         now = self.runtime.now()
         names = [machine.name for machine in self.fleet.machines.values() if machine.is_terminating]
@@ -113,7 +113,7 @@
         for entry in entries:
             if entry.machine not in self.fleet.removed_machines:
                 self._update_machine(self._find_or_add_machine(entry, now), entry, now)
-        self.flush()
+        self.send_terminations()
 
     def _terminate_unlisted(self, listed: set[str], requested_at: float) -> None:
         """Terminates machines that an earlier leader terminated and could not commit.
@@ -158,7 +158,7 @@
         if entry.address and not machine.address:
             machine.address = entry.address
             if entry.state != wire.BOOTING:
-                self.commands.send_fencing_token(machine)
+                self._commands.send_fencing_token(machine)
         if entry.state == wire.FAILED and not machine.is_terminating:
             self.terminate(machine, "listed as failed")
         elif entry.state == wire.RUNNING and machine.is_booting and not machine.is_reconciled:
--- a/flaxtally/leader/gang_scheduling/gang_attempts.py
+++ b/flaxtally/leader/gang_scheduling/gang_attempts.py
@@ -64,13 +64,13 @@
         newest = job.newest_attempt
         attempt = self._attempts.get(job.number)
         if attempt is None or attempt.number != newest:
-            # Of an earlier term: what its tasks did is learnt from heartbeats.
+            # Of an earlier term: what its tasks did becomes known from heartbeats.
             attempt = GangAttempt(newest, self.term.began_at)
             self._attempts[job.number] = attempt
         return attempt
 
     def start_attempt(self, job: Job, number: int) -> None:
-        """Notes the launch of an attempt, unless tasks are only added to it."""
+        """Records the launch of an attempt, unless tasks are only added to it."""
         known = self._attempts.get(job.number)
         if known is None or known.number != number:
             self._attempts[job.number] = GangAttempt(number, self.runtime.now())
--- a/flaxtally/leader/gang_scheduling/gang_machines.py
+++ b/flaxtally/leader/gang_scheduling/gang_machines.py
@@ -32,7 +32,7 @@
     def __init__(self, term: Term, jobs: JobRegistry, attempts: GangAttempts) -> None:
         """`attempts`: knows where tasks of an attempt were lost."""
         super().__init__(term)
-        self.jobs = jobs
+        self._jobs = jobs
         self._attempts = attempts
         self._max_wait_s_by_class = {
             objective.job_class: objective.within
@@ -50,13 +50,13 @@
         reserve_for_gpus: bool,
     ) -> GangMachines | None:
         """Machines for the tasks of the gang that are missing; None: not for all of them."""
-        if not self.jobs.is_within_limit(job.spec, task_count):
+        if not self._jobs.is_within_limit(job.spec, task_count):
             return None
         search = GangMachineSearch(
             job.spec,
             job.number,
             index,
-            self.jobs.gpu_reservations if reserve_for_gpus else None,
+            self._jobs.gpu_reservations if reserve_for_gpus else None,
             self.policy.sample,
             machine_filter,
         )
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -45,7 +45,7 @@
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
         """`jobs`: tells whether a gang with a reservation is still pending."""
         super().__init__(term)
-        self.jobs = jobs
+        self._jobs = jobs
         self._reservations: dict[int, _GangReservation] = {}
         """By rank."""
         self._ineligible_until: dict[int, float] = {}
@@ -104,7 +104,7 @@
 
     def _expire_reservations(self, now: float) -> None:
         for reservation in list(self._reservations.values()):
-            job = self.jobs.live_jobs.get(reservation.job_number)
+            job = self._jobs.live_jobs.get(reservation.job_number)
             if now >= reservation.expires_at or job is None or job.is_terminal or job.placements:
                 self._end_reservation(reservation)
         self._ineligible_until = {
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -47,8 +47,8 @@
         The reconciler, which owns the proofs that a placement is over, gives it.
         """
         super().__init__(term)
-        self.jobs = jobs
-        self.commands = commands
+        self._jobs = jobs
+        self._commands = commands
         self._finish_attempt = finish_attempt
         self._attempts = GangAttempts(term)
         self._machines = GangMachineChooser(term, jobs, self._attempts)
@@ -130,7 +130,7 @@
         is_given_up = job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
         if len(job.placements) == job.spec.tasks and not is_given_up:
             for placed in current:
-                self.commands.launch_task(placed)
+                self._commands.launch_task(placed)
             return
         # A machine was terminated meanwhile, or it was called off: nothing of it was launched.
         for placed in current:
@@ -186,10 +186,10 @@
         """Repeats commands to stop that were not carried out; forgets gangs that are over."""
         self._request_pass_for_waiting()
         for number in self._attempts.job_numbers():
-            if number not in self.jobs.live_jobs:
+            if number not in self._jobs.live_jobs:
                 self._attempts.forget(number)
                 self._no_capacity_until.pop(number, None)
-        for job in list(self.jobs.live_jobs.values()):
+        for job in list(self._jobs.live_jobs.values()):
             if job.spec.job_kind == wire.GANG and job.placements and not job.is_terminal:
                 self._stops.resume_stop(job)
                 self._abandon_if_lost(job)
--- a/flaxtally/leader/gang_scheduling/gang_stops.py
+++ b/flaxtally/leader/gang_scheduling/gang_stops.py
@@ -23,7 +23,7 @@
     def __init__(self, term: Term, commands: CommandSender, attempts: GangAttempts) -> None:
         """`commands`: carries the stops to the workers."""
         super().__init__(term)
-        self.commands = commands
+        self._commands = commands
         self._attempts = attempts
 
     def stop_gang(self, job: Job, reason: str) -> None:
@@ -41,7 +41,7 @@
             reason,
         )
         for placed in job.placements.values():
-            self.commands.stop_task(placed, attempt.grace_s)
+            self._commands.stop_task(placed, attempt.grace_s)
 
     def abandon_gang(self, job: Job, reason: str) -> None:
         """Orders all that is left of an attempt to exit at once."""
@@ -62,7 +62,7 @@
         attempt.grace_s = 0.0
         for placed in job.placements.values():
             if placed.is_committed:
-                self.commands.stop_task(placed, 0.0)
+                self._commands.stop_task(placed, 0.0)
 
     def resume_stop(self, job: Job) -> None:
         """Continues a stop that an earlier leader began: all tasks must be ordered in time."""
@@ -79,7 +79,7 @@
         for placed in job.placements.values():
             is_due = now - placed.command_sent_at > self.policy.retry
             if is_due and _must_repeat_stop(placed, attempt):
-                self.commands.stop_task(placed, attempt.grace_s)
+                self._commands.stop_task(placed, attempt.grace_s)
 
 
 def _are_all_stopping(job: Job) -> bool:
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -31,7 +31,7 @@
     ) -> None:
         """`is_in_backoff`: whether a pool refused a short while ago."""
         super().__init__(term)
-        self.jobs = jobs
+        self._jobs = jobs
         self._is_in_backoff = is_in_backoff
         self._zone_by_class: dict[str, str] = {}
 
@@ -41,7 +41,7 @@
             shape = demand.shape
             if not shape.one_zone or shape.zone is not None:
                 continue
-            largest_job = self.jobs.arrivals.largest(shape.job_class, now)
+            largest_job = self._jobs.arrivals.largest(shape.job_class, now)
             zone = self._choose_zone(shape, max(math.ceil(demand.count), largest_job))
             if zone is not None:
                 self._zone_by_class[shape.job_class] = zone
@@ -91,7 +91,7 @@
                 free.memory_gb,
                 spot=machine.spot,
             )
-            free_slots[machine.zone] += count_slots(shape, free_bin, self.jobs.gpu_reservations)
+            free_slots[machine.zone] += count_slots(shape, free_bin, self._jobs.gpu_reservations)
         return free_slots
 
     def _can_provision(self, shape: Shape, zone: str) -> bool:
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -97,7 +97,7 @@
         self.gang_scheduler.watch()
         self.quota_reclaim.watch()
         self.consolidation.continue_moves(self.term.runtime.now())
-        self.reconciler.scale_in.flush()
+        self.reconciler.scale_in.send_terminations()
         self.scheduler.refresh_machines()
         self.scheduler.resume_backed_off_jobs()
         # Compacting only as often as the fleet is planned fell behind where jobs are many and
