--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -15,7 +15,8 @@
 from ..api.heartbeat_endpoint import HeartbeatEndpoint, ShardOwner, owner
 from ..clients.key_value_store import KeyValueStore
 from ..cluster.leader_key import LEADER_KEY
-from ..cluster.peer_links import PeerLinks
+from ..cluster.peer_links import LinkListener, PeerLinks
+from ..cluster.peer_liveness import PeerLiveness
 from ..runtime.actor import Actor
 from .allotment import Allotment
 from .cell_cloud import CellCloud
@@ -147,14 +148,12 @@
         }
         self.links = PeerLinks(
             self.runtime,
-            settings.node,
-            None,
+            PeerLiveness(self.runtime, settings.node, others, self._policy.peer_silence * 2),
             others,
-            self._policy.peer_silence * 2,
-            self._policy.gather,
-            lambda sender, frame: self.gateway.receive(sender, frame),
+            LinkListener(on_frame=lambda sender, frame: self.gateway.receive(sender, frame)),
+            batch_delay_s=self._policy.gather,
         )
-        peers.sibling = self.links
+        peers.accept_for(self.links)
         self.gateway = Gateway(
             self.runtime,
             self._policy,
--- a/flaxtally/cluster/__init__.py
+++ b/flaxtally/cluster/__init__.py
@@ -1,4 +1,5 @@
-"""Controllers among themselves: links, frames through the state service, who leads.
+"""Controllers among themselves: links, typed messages, the store relay, leader election.
 
-Owns the leader key, the term and the view of live controllers. Start with `election`.
+Owns the leader key, the term and the membership view. Start with `leader_election` and
+`peer_links`.
 """
--- a/flaxtally/cluster/election_state.py
+++ b/flaxtally/cluster/election_state.py
@@ -91,18 +91,18 @@
     def become_candidate(self, reason: TransitionReason) -> None:
         """Follower to candidate for the next term; other roles stay."""
         if self.role is Role.FOLLOWER:
-            self._log_transition("candidacy_begun", self.term + 1, reason)
+            self._log("event=candidacy_begun", self.term + 1, reason)
             self.role = Role.CANDIDATE
 
     def end_candidacy(self, reason: TransitionReason) -> None:
         """Candidate to follower; other roles stay."""
         if self.role is Role.CANDIDATE:
-            self._log_transition("candidacy_ended", self.term + 1, reason)
+            self._log("event=candidacy_ended", self.term + 1, reason)
             self.role = Role.FOLLOWER
 
     def become_leader(self, term: int, reason: TransitionReason) -> None:
         """Any state to leader; it serves requests only after `mark_ready`."""
-        self._log_transition("leader_elected", term, reason)
+        self._log("event=leader_elected", term, reason)
         self.role = Role.LEADER
         self.term = term
         self.leader = self._node
@@ -115,10 +115,10 @@
 
     def step_down(self, reason: TransitionReason) -> None:
         """Leader to follower, of whom is not known."""
-        self._log_transition("leader_stepped_down", self.term, reason)
+        self._log("event=leader_stepped_down", self.term, reason)
         self.role = Role.FOLLOWER
         self.leader = None
         self.is_ready = False
 
-    def _log_transition(self, event: str, term: int, reason: TransitionReason) -> None:
-        log.info("event=%s node=%s term=%d reason=%s", event, self._node, term, reason.value)
+    def _log(self, event: str, term: int, reason: TransitionReason) -> None:
+        log.info("%s node=%s term=%d reason=%s", event, self._node, term, reason.value)
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -1,64 +1,44 @@
-"""Links between controllers: length-prefixed cbor2 frames, heartbeats, the live view.
+"""Links between controllers: each dials each other, and sends only on connections that it dialled.
 
-Each node dials each other node and speaks only on the connection it dialled; what it accepted it
-only reads. A frame may be lost with its connection, or held by the network and come minutes late:
-those who send and receive must be safe under both.
+A frame may be lost with its connection, or be held by the network and come minutes late: those who
+send and receive must be safe under both.
 """
 
 from __future__ import annotations
 
 import logging
-import struct
-from typing import TYPE_CHECKING, Any
-
-import cbor2
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from ..protocol import formats
 from ..runtime.actor import Actor
-from .messages import HEARTBEAT_KIND, HELLO_KIND, Frame, Hello, to_frame
+from .frame_codec import encode_frame
+from .inbound_connection import InboundConnection
+from .messages import HEARTBEAT_KIND, Frame, Hello, to_frame
 
 if TYPE_CHECKING:
     from collections.abc import Callable
+    from typing import Any
 
     from ..runtime.loop import Address, Runtime, Stream
+    from .peer_liveness import PeerLiveness
     from .store_relay import StoreRelay
 
 log = logging.getLogger(__name__)
 
-FRAME_LIMIT = 1 << 20
-_length = struct.Struct(">I")
-
-
-def encode(frame: Frame) -> bytes:
-    """A frame as bytes, with its length before it."""
-    body = cbor2.dumps(frame)
-    return _length.pack(len(body)) + body
-
-
-class Frames:
-    """Cuts a byte stream into frames; raises ValueError on nonsense."""
 
-    def __init__(self) -> None:
-        self._buffer = bytearray()
+@dataclass(frozen=True)
+class LinkListener:
+    """Who is called for what happens on the links."""
 
-    def feed(self, data: bytes) -> list[Frame]:
-        self._buffer += data
-        found: list[Frame] = []
-        while len(self._buffer) >= 4:
-            size = _length.unpack_from(self._buffer)[0]
-            if size > FRAME_LIMIT:
-                raise ValueError("frame too long")
-            if len(self._buffer) < 4 + size:
-                break
-            try:
-                frame = cbor2.loads(bytes(self._buffer[4 : 4 + size]))
-            except (cbor2.CBORDecodeError, ValueError, TypeError) as fault:
-                raise ValueError(str(fault)) from None
-            del self._buffer[: 4 + size]
-            if not isinstance(frame, dict) or not isinstance(frame.get("k"), str):
-                raise ValueError("not a frame")
-            found.append(frame)
-        return found
+    on_frame: Callable[[str, Frame], None]
+    """Gets the sender and the frame."""
+    on_hello: Callable[[str, int, Any], None] | None = None
+    """Gets the peer of a new connection, the connection's number in the order in which they were
+    accepted, and the formats that the peer states.
+    """
+    on_refused: Callable[[], None] | None = None
+    """A peer's address refused a connection."""
 
 
 class _Link:
@@ -68,63 +48,98 @@
         self.address = address
         self.stream: Stream | None = None
         self.dialled_at = float("-inf")
-        self.refused_at = float("-inf")
-        self.is_unresponsive = False
-        self.gathered = bytearray()
+        self.unsent = bytearray()
+        """Frames that wait to be sent together."""
+
+    def flush(self) -> None:
+        """Sends what waits, if there is a connection; otherwise it is dropped."""
+        if self.unsent and self.stream is not None:
+            self.stream.send(bytes(self.unsent))
+        self.unsent.clear()
 
 
 class PeerLinks(Actor):
-    """Owns the links. `heard[node]` is when a frame of that node last came."""
+    """Owns the links to a set of peers."""
 
     def __init__(
         self,
         runtime: Runtime,
-        node: str,
-        listen: Address | None,
-        others: dict[str, Address],
-        silence: float,
-        gather: float,
-        receive: Callable[[str, Frame], None],
+        liveness: PeerLiveness,
+        addresses: dict[str, Address],
+        listener: LinkListener,
+        *,
+        batch_delay_s: float,
+        listen: Address | None = None,
+        relay: StoreRelay | None = None,
     ) -> None:
-        """Without `listen`, another `PeerLinks` (with these `sibling` it) accepts connections."""
-        super().__init__(runtime)
-        self.sibling: PeerLinks | None = None
-        """Links to nodes that are no peers of ours, and speak on connections accepted here."""
-        self._node, self._silence, self._gather, self._receive = node, silence, gather, receive
-        self._links = {name: _Link(address) for name, address in others.items()}
-        self.last_heard_at: dict[str, float] = {name: float("-inf") for name in others}
-        self.relay: StoreRelay | None = None
-        self.on_refused: Callable[[], None] = lambda: None
-        self.on_hello: Callable[[str, int, Any], None] = lambda *_: None
-        """Told of a peer's first frame on a connection: the peer, the connection's number in the
-        order in which they were accepted, and the formats that the peer states.
+        """`batch_delay_s`: for so long frames are gathered, to be sent together.
+
+        Without `listen`, other links (that `accept_for` these) accept the peers' connections.
+        `relay`: the way for frames to a peer whose link is silent.
         """
-        self._accepted = 0
+        super().__init__(runtime)
+        self._node = liveness.node
+        self._liveness = liveness
+        self._listener = listener
+        self._batch_delay_s = batch_delay_s
+        self._silence_s = liveness.silence_s
+        self._links = {name: _Link(address) for name, address in addresses.items()}
+        self.relay = relay
+        self._siblings: list[PeerLinks] = []
+        self._accepted_count = 0
         if listen is not None:
             runtime.listen(listen, self._accept)
 
+    def accept_for(self, links: PeerLinks) -> None:
+        """Peers of other links may speak on connections that are accepted here."""
+        self._siblings.append(links)
+
+    def on_pause(self, lost_s: float) -> None:
+        """The process stood still: peers were not silent meanwhile, nor are links stale for it."""
+        now = self.runtime.now()
+        self._liveness.on_pause(lost_s)
+        for link in self._links.values():
+            link.dialled_at = min(now, link.dialled_at + lost_s)
+        if self.relay is not None:
+            self.relay.on_pause(lost_s)
+
+    # Reachability
+
+    @property
+    def last_heard_at(self) -> dict[str, float]:
+        """By peer: when a frame of it last came over its link."""
+        return self._liveness.last_heard_at
+
     def is_directly_reachable(self, node: str) -> bool:
         """Whether the node was lately heard over its link."""
-        return (
-            node == self._node
-            or self.runtime.now() - self.last_heard_at.get(node, float("-inf")) < self._silence
-        )
+        return self._liveness.is_directly_reachable(node)
 
     def is_reachable(self, node: str) -> bool:
-        """Whether the node was lately heard at all, over its link or by mail."""
-        return self.is_directly_reachable(node) or (
+        """Whether the node was lately heard at all, over its link or through the store relay."""
+        return self._liveness.is_directly_reachable(node) or (
             self.relay is not None and self.relay.is_reachable(node)
         )
 
-    def on_pause(self, lost: float) -> None:
-        """The process stood still: peers were not silent meanwhile, nor are links stale for it."""
-        now = self.runtime.now()
-        for node, link in self._links.items():
-            self.last_heard_at[node] = min(now, self.last_heard_at[node] + lost)
-            link.refused_at = min(now, link.refused_at + lost)
-            link.dialled_at = min(now, link.dialled_at + lost)
-        if self.relay is not None:
-            self.relay.on_pause(lost)
+    def is_silent(self, node: str) -> bool:
+        """Whether one of the two directions of the link seems dead."""
+        return self._liveness.is_silent(node)
+
+    def refuses_connections(self, node: str) -> bool:
+        """Whether the node's process is likely dead.
+
+        Its address refused a connection after it was last heard, and no frame of it comes through
+        the store relay. A cut hangs instead; a filter refuses too, but then frames will be relayed.
+        """
+        if node not in self._links or not self._liveness.refused_last(node):
+            return False
+        return self.relay is None or not self.relay.is_reachable(node)
+
+    # Sending
+
+    def broadcast(self, frame: Frame) -> None:
+        """Sends to every peer, with a note on whether we hear it."""
+        for node in self._links:
+            self.send(node, frame | {"hears": self.is_directly_reachable(node)})
 
     def send(self, node: str, frame: Frame) -> None:
         """Sends if the link is up or can be dialled; no promise that it arrives."""
@@ -133,127 +148,77 @@
             return
         if self.relay is not None and self.is_silent(node):
             self.relay.enqueue(node, frame)
+        self._ensure_connected(node, link)
+        if link.stream is None:
+            return
+        # Frames go a few at a time: hundreds of requests and heartbeats a second were as many sends
+        # and wake-ups.
+        if not link.unsent:
+            self.later(self._batch_delay_s, link.flush)
+        link.unsent += encode_frame(frame)
+        if frame["k"] == HEARTBEAT_KIND:
+            link.flush()
+
+    def _ensure_connected(self, node: str, link: _Link) -> None:
+        """Replaces a connection that seems dead, and dials if there is none, but not too often."""
         now = self.runtime.now()
-        stale = (
-            now - self.last_heard_at[node] > 2 * self._silence
-            and now - link.dialled_at > 2 * self._silence
-        )
-        unheard = link.is_unresponsive and now - link.dialled_at > 2 * self._silence
-        if link.stream is not None and (stale or unheard):
+        if link.stream is not None and self._is_stale(node, link):
             # A cut may hold packets for minutes: what waits in the old connection is better lost.
-            # And the peer may have begun anew during a cut: then this connection leads nowhere, and
-            # nothing says so but the peer itself, whose own connection to us works.
+            # And the peer may have been restarted during a cut: then this connection leads nowhere,
+            # and nothing says so but the peer itself, whose own connection to us works.
             link.stream.close()
             link.stream = None
-        if link.stream is None:
-            if now - link.dialled_at < self._silence / 4:
-                return
+        if link.stream is None and now - link.dialled_at >= self._silence_s / 4:
             self._dial(node, link)
-        if link.stream is None:
-            return
-        # Frames go a few at a time: hundreds of questions and reports a second were as many sends
-        # and wake-ups.
-        if not link.gathered:
-            self.later(self._gather, self._flush, link)
-        link.gathered += encode(frame)
-        if frame["k"] == HEARTBEAT_KIND:
-            self._flush(link)
 
-    @staticmethod
-    def _flush(link: _Link) -> None:
-        if link.gathered and link.stream is not None:
-            link.stream.send(bytes(link.gathered))
-        link.gathered.clear()
+    def _is_stale(self, node: str, link: _Link) -> bool:
+        patience_s = 2 * self._silence_s
+        if self.runtime.now() - link.dialled_at <= patience_s:
+            return False
+        liveness = self._liveness
+        return liveness.silent_for_s(node) > patience_s or liveness.is_unresponsive(node)
 
     def _dial(self, node: str, link: _Link) -> None:
         link.dialled_at = self.runtime.now()
         link.stream = self.runtime.connect(link.address)
-        link.stream.on_close = lambda: self._lost(node, link)
+        link.stream.on_close = lambda: self._on_link_closed(node, link)
         hello = Hello(node=self._node, formats=list(formats.OWN))
-        link.stream.send(encode(to_frame(hello)))
+        link.stream.send(encode_frame(to_frame(hello)))
 
-    def is_silent(self, node: str) -> bool:
-        """Whether one of the two directions of the link seems dead."""
-        link = self._links.get(node)
-        return not self.is_directly_reachable(node) or (
-            link is not None and (link.is_unresponsive or self._refused(node, link))
-        )
-
-    def broadcast(self, frame: Frame) -> None:
-        """To every peer, with word on whether we hear it."""
-        for node in self._links:
-            self.send(node, frame | {"hears": self.is_directly_reachable(node)})
-
-    def _lost(self, node: str, link: _Link) -> None:
+    def _on_link_closed(self, node: str, link: _Link) -> None:
         link.stream = None
-        now = self.runtime.now()
-        if now - link.dialled_at < self._silence / 4:
-            link.refused_at = now
-            self.runtime.soon(self.on_refused)
-        else:
-            # Dialled again at once: a dead process refuses at once, a cut hangs.
+        if self.runtime.now() - link.dialled_at >= self._silence_s / 4:
+            # Dialled again at once: the host of a dead process refuses at once, a cut hangs.
             self._dial(node, link)
+            return
+        self._liveness.on_refused(node)
+        if self._listener.on_refused is not None:
+            self.runtime.soon(self._listener.on_refused)
 
-    def refuses_connections(self, node: str) -> bool:
-        """Whether the node's process is likely dead.
+    # Receiving
 
-        Its address refused a connection after it was last heard, and no mail of it comes. A cut
-        hangs instead; a filter refuses too, but then mail will come.
-        """
-        link = self._links.get(node)
-        if link is None or not self._refused(node, link):
-            return False
-        return self.relay is None or not self.relay.is_reachable(node)
+    def _accept(self, stream: Stream) -> None:
+        self._accepted_count += 1
+        InboundConnection(stream, self._accepted_count, self._find_links_of)
 
-    def _refused(self, node: str, link: _Link) -> bool:
-        return link.refused_at > self.last_heard_at[node]
+    def _find_links_of(self, node: str) -> PeerLinks | None:
+        """The links, these or those accepted for, whose peer the node is."""
+        for links in (self, *self._siblings):
+            if node in links._links:
+                return links
+        return None
 
-    def _accept(self, stream: Stream) -> None:
-        frames = Frames()
-        self._accepted += 1
-        connection = self._accepted
-        speaker: list[tuple[PeerLinks, str]] = []
-        """Once it said who it is: the links that it belongs to, and its name."""
-
-        def data(piece: bytes) -> None:
-            try:
-                found = frames.feed(piece)
-            except ValueError as fault:
-                log.warning("peer sent nonsense: %s", fault)
-                stream.close()
-                return
-            for frame in found:
-                if not speaker:
-                    node = frame.get("node")
-                    owner = self._links_of(node) if frame["k"] == HELLO_KIND else None
-                    if owner is None:
-                        log.warning("a peer did not say who it is")
-                        stream.close()
-                        return
-                    speaker.append((owner, str(node)))
-                    owner.on_hello(str(node), connection, frame.get("formats"))
-                    continue
-                links, name = speaker[0]
-                links.handle_frame(name, frame)
-
-        stream.on_data = data
-
-    def _links_of(self, node: Any) -> PeerLinks | None:
-        """Whose peer the node is."""
-        if node in self._links:
-            return self
-        return (
-            self.sibling
-            if self.sibling is not None and node in self.sibling.last_heard_at
-            else None
-        )
+    def handle_hello(self, hello: Hello, connection: int) -> None:
+        """A peer's first frame on a connection that was accepted."""
+        if self._listener.on_hello is not None:
+            self._listener.on_hello(hello.node, connection, hello.formats)
 
     def handle_frame(self, sender: str, frame: Frame) -> None:
-        """A frame of a peer, as it came."""
-        self.last_heard_at[sender] = self.runtime.now()
+        """A later frame of a peer."""
+        self._liveness.on_frame(sender)
         if "hears" in frame:
-            self._links[sender].is_unresponsive = frame["hears"] is False
+            self._liveness.on_hears(sender, is_hearing=frame["hears"] is not False)
         try:
-            self._receive(sender, frame)
+            self._listener.on_frame(sender, frame)
         except Exception:
-            log.exception("frame %s of %s failed", frame.get("k"), sender)
+            log.exception("event=frame_handler_failed peer=%s kind=%s", sender, frame.get("k"))
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -21,8 +21,9 @@
     Frame,
     Heartbeat,
 )
-from .cluster.peer_links import PeerLinks
-from .cluster.store_relay import StoreRelay
+from .cluster.peer_links import LinkListener, PeerLinks
+from .cluster.peer_liveness import PeerLiveness
+from .cluster.store_relay import RelayLimits, StoreRelay
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
 from .leader.term import LeaderContext
@@ -77,15 +78,8 @@
             runtime, settings.state, policy.call, policy.first_call, prefix
         )
         workers = Workers(runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE))
-        self.peers = PeerLinks(
-            runtime,
-            settings.node,
-            settings.peer_listen,
-            {name: address for name, (_, address) in settings.peers.items()},
-            policy.peer_silence,
-            policy.gather,
-            self._receive,
-        )
+        self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
+        self.peers = self._link_peers(runtime, settings, policy)
         self.election = LeaderElection(
             runtime,
             settings.node,
@@ -100,20 +94,6 @@
                 on_step_down=lambda: runtime.soon(self.leader.end_term),
             ),
         )
-        self.peers.on_refused = self.election.on_connection_refused
-        self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
-        self.peers.on_hello = self.formats.on_hello
-        self.peers.relay = StoreRelay(
-            runtime,
-            settings.node,
-            list(settings.peers),
-            store,
-            policy.mail,
-            int(settings.state_limits.value_bytes * PAGE_SHARE),
-            self.peers.is_silent,
-            self._mails,
-            self._receive_mailed,
-        )
         self.dispatch = HeartbeatEndpoint(
             runtime, settings, policy, self.election, self.peers, workers, self.formats
         )
@@ -194,8 +174,34 @@
 
         return Membership(runtime, settings, policy, cells)
 
-    def _mails(self, peer: str) -> bool:
-        """Whether frames for the peer may go through the state service.
+    def _link_peers(self, runtime: Runtime, settings: Settings, policy: Policy) -> PeerLinks:
+        """The links to the other controllers, with the relay for those that are silent."""
+        liveness = PeerLiveness(runtime, settings.node, settings.peers, policy.peer_silence)
+        max_batch_chars = int(settings.state_limits.value_bytes * PAGE_SHARE)
+        relay = StoreRelay(
+            runtime,
+            self._store,
+            liveness,
+            RelayLimits(policy.mail, max_batch_chars),
+            may_relay_to=self._may_relay_to,
+            on_frame=self._receive_relayed,
+        )
+        return PeerLinks(
+            runtime,
+            liveness,
+            {name: address for name, (_, address) in settings.peers.items()},
+            LinkListener(
+                on_frame=self._receive,
+                on_hello=self.formats.on_hello,
+                on_refused=lambda: self.election.on_connection_refused(),
+            ),
+            batch_delay_s=policy.gather,
+            listen=settings.peer_listen,
+            relay=relay,
+        )
+
+    def _may_relay_to(self, peer: str) -> bool:
+        """Whether frames for the peer may go through the key-value store.
 
         Only a leader and its followers write to each other: changes there are few.
         """
@@ -222,7 +228,7 @@
         if self.membership is not None:
             self.membership.on_pause(lost)
 
-    def _receive_mailed(self, sender: str, frame: Frame) -> None:
+    def _receive_relayed(self, sender: str, frame: Frame) -> None:
         if frame["k"] == HEARTBEAT_KIND:
             self.formats.on_relayed_heartbeat(sender, frame.get("formats"))
         self._receive(sender, frame)
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..cluster.peer_links import Frames, encode
+from ..cluster.frame_codec import FrameDecoder, encode_frame
 from ..protocol import wire
 
 if TYPE_CHECKING:
@@ -132,7 +132,7 @@
         receive: Callable[[Channel, Any], None],
         closed: Callable[[Channel], None],
     ) -> None:
-        self._stream, self._receive, self._frames = stream, receive, Frames()
+        self._stream, self._receive, self._frames = stream, receive, FrameDecoder()
         self.role, self.number = "", 0
         stream.on_data = self._data
         stream.on_close = lambda: closed(self)
@@ -143,7 +143,7 @@
         return f"{self.role}-{self.number}"
 
     def send(self, message: Message) -> None:
-        self._stream.send(encode(msgspec.to_builtins(message)))
+        self._stream.send(encode_frame(msgspec.to_builtins(message)))
 
     def _data(self, data: bytes) -> None:
         try:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from flaxtally.cluster.peer_links import FRAME_LIMIT, encode
+from flaxtally.cluster.frame_codec import MAX_FRAME_BYTES, encode_frame
 from flaxtally.protocol import wire
 
 from .scenarios import term
@@ -68,11 +68,11 @@
     "data",
     [
         b"GET / HTTP/1.1\r\n\r\n",
-        struct.pack(">I", FRAME_LIMIT + 1),
+        struct.pack(">I", MAX_FRAME_BYTES + 1),
         struct.pack(">I", 3) + b"\xff\xff\xff",
-        encode({"k": "hello", "node": "nobody"}),
-        encode({"k": "hb", "term": 10**6, "leader": "hearth-0"}),
-        encode({"k": "hello", "node": "hearth-1"}) + struct.pack(">I", 1) + b"\x00",
+        encode_frame({"k": "hello", "node": "nobody"}),
+        encode_frame({"k": "hb", "term": 10**6, "leader": "hearth-0"}),
+        encode_frame({"k": "hello", "node": "hearth-1"}) + struct.pack(">I", 1) + b"\x00",
     ],
 )
 def test_nonsense_between_controllers_ends_just_its_connection(data: bytes) -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 
 from flaxtally.cells.map import CellIndex, read_file
 from flaxtally.cli import main
-from flaxtally.cluster.peer_links import encode
+from flaxtally.cluster.frame_codec import encode_frame
 from flaxtally.emulator import limits
 from flaxtally.emulator.controller_settings import cells_page, node_settings
 from flaxtally.emulator.fake_environment import RemoteCloud
@@ -509,7 +509,7 @@
     pipe, received = Pipe(), list[Message]()
     Channel(pipe, lambda _, message: received.append(message), lambda _: None)
     with caplog.at_level(logging.ERROR):
-        pipe.on_data(encode(frame) + encode({"k": "begin"}))
+        pipe.on_data(encode_frame(frame) + encode_frame({"k": "begin"}))
     assert len(caplog.records) == 1
     assert len(received) == 1
     assert not pipe.closed
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from flaxtally.cluster.peer_links import encode
+from flaxtally.cluster.frame_codec import encode_frame
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
@@ -456,17 +456,17 @@
     world = busy(services=2, arrays=0)
     leader = leader_of(world)
     before = dict(world.running)
-    hello = encode({"k": "hello", "node": next(name for name in NODES if name != leader)})
+    hello = encode_frame({"k": "hello", "node": next(name for name in NODES if name != leader)})
     nonsense = [
         b"\xff" * 40,
-        encode({"k": "hb"}),
-        hello + encode({"k": "hb", "term": "x", "leader": 3}),
-        hello + encode({"k": "ord", "a": 1, "o": []}),
-        hello + encode({"k": "rep", "t": term(world), "b": b"x"}),
-        hello + encode({"k": "ans", "i": "x"}),
-        hello + encode({"k": "done", "i": [1]}),
-        hello + encode({"k": "?"}),
-        hello + encode({"k": "ask", "i": 1, "w": "poll", "s": 7}),
+        encode_frame({"k": "hb"}),
+        hello + encode_frame({"k": "hb", "term": "x", "leader": 3}),
+        hello + encode_frame({"k": "ord", "a": 1, "o": []}),
+        hello + encode_frame({"k": "rep", "t": term(world), "b": b"x"}),
+        hello + encode_frame({"k": "ans", "i": "x"}),
+        hello + encode_frame({"k": "done", "i": [1]}),
+        hello + encode_frame({"k": "?"}),
+        hello + encode_frame({"k": "ask", "i": 1, "w": "poll", "s": 7}),
         hello + b"\x00\x00\x00\x01\xff",
     ]
     with caplog.at_level(logging.WARNING):
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -13,7 +13,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from flaxtally.cluster.store_relay import decode_batch
+from flaxtally.cluster.relay_batch import decode_batch
 from flaxtally.ledger.batch import split_batch
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import decode_record, record_size
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from flaxtally.cli import controller_commands, main
-from flaxtally.cluster.store_relay import MOST_INFLATED, decode_batch, encode_batch
+from flaxtally.cluster.relay_batch import MAX_INFLATED_BYTES, decode_batch, encode_batch
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.leader.reconciliation.reconciler import Reconciler
 from flaxtally.leader.resource_shapes import MAX_SHAPES, ResourceShapes
@@ -296,7 +296,7 @@
     # Long frames of one letter are short when compressed; the reader takes no more than so much.
     frames = [{"k": "rep", "m": f"n-{number}", "b": b"x" * LONG} for number in range(100)]
     text, count = encode_batch(frames, 7000, 1.0)
-    assert 0 < count <= MOST_INFLATED // LONG
+    assert 0 < count <= MAX_INFLATED_BYTES // LONG
     assert decode_batch(text) == (1.0, frames[:count])
 
 
@@ -311,16 +311,16 @@
     one.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"new"})
     one.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"newer"})
     one.enqueue("hearth-1", {"k": "hb"})
-    box = one._boxes["hearth-1"]
-    assert [frame["k"] for frame in box.in_order()] == ["hb", "ord", "rep"]
-    box.version = 0
-    one._write("hearth-1", box)
-    assert [frame.get("b") for frame in box.in_order()] == [b"newer"]
+    relay = one._relays["hearth-1"]
+    assert [frame["k"] for frame in relay.queue.list_by_urgency()] == ["hb", "ord", "rep"]
+    relay.written_version = 0
+    one._write("hearth-1", relay)
+    assert [frame.get("b") for frame in relay.queue.list_by_urgency()] == [b"newer"]
     one.enqueue("hearth-1", {"k": "ask", "i": 1})
-    box.forget(world.sim.time + 1.0)
-    assert [frame["k"] for frame in box.in_order()] == ["rep"]
-    box.clear()
-    assert not box.holds_any
+    relay.queue.drop_queued_before(world.sim.time + 1.0)
+    assert [frame["k"] for frame in relay.queue.list_by_urgency()] == ["rep"]
+    relay.queue.clear()
+    assert not relay.queue.has_frames
 
 
 # The cloud's list
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -8,8 +8,8 @@
 import pytest
 
 from flaxtally.cluster import messages
+from flaxtally.cluster.frame_codec import encode_frame
 from flaxtally.cluster.frame_router import MAX_UNKNOWN_KINDS, FrameRouter
-from flaxtally.cluster.peer_links import encode
 
 if TYPE_CHECKING:
     from flaxtally.cluster.messages import Frame, Message
@@ -85,7 +85,7 @@
 def test_a_message_has_the_bytes_of_its_frame_and_comes_back(
     message: Message, frame: Frame
 ) -> None:
-    assert encode(messages.to_frame(message)) == encode(frame)
+    assert encode_frame(messages.to_frame(message)) == encode_frame(frame)
     assert messages.from_frame(frame, type(message)) == message
     assert frame["k"] == message.KIND
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -15,7 +15,7 @@
 
 from flaxtally.api.heartbeat_endpoint import owner
 from flaxtally.cli import main
-from flaxtally.cluster.peer_links import Frames, encode
+from flaxtally.cluster.frame_codec import FrameDecoder, encode_frame
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import InvalidRecordError
 from flaxtally.ledger.snapshot import page_records
@@ -83,13 +83,13 @@
 
 
 def test_peer_frames_survive_any_cut_and_refuse_nonsense() -> None:
-    frames, data = Frames(), encode({"k": "hb", "term": 3}) * 2
+    frames, data = FrameDecoder(), encode_frame({"k": "hb", "term": 3}) * 2
     found = [frame for byte in data for frame in frames.feed(bytes([byte]))]
     assert found == [{"k": "hb", "term": 3}] * 2
     with pytest.raises(ValueError, match="too long"):
-        Frames().feed(b"\xff\xff\xff\xff")
+        FrameDecoder().feed(b"\xff\xff\xff\xff")
     with pytest.raises(ValueError, match="not a frame"):
-        Frames().feed(b"\x00\x00\x00\x01\x05")
+        FrameDecoder().feed(b"\x00\x00\x00\x01\x05")
 
 
 # Settings and the command line
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -48,10 +48,10 @@
     ],
     "peers": [
         "cluster.peer_links:PeerLinks.send",
-        "cluster.peer_links:PeerLinks._flush",
-        "cluster.peer_links:Frames.feed",
+        "cluster.peer_links:_Link.flush",
+        "cluster.frame_codec:FrameDecoder.feed",
     ],
-    "mail": ["cluster.store_relay:StoreRelay._turn"],
+    "mail": ["cluster.store_relay:StoreRelay._relay_frames"],
     "heartbeats": [
         "cluster.leader_election:LeaderElection._send_heartbeat",
         "cluster.leader_election:LeaderElection.on_heartbeat",
