--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -26,7 +26,9 @@
 from .leader.leader import Leader
 from .leader.team_limits import SettingsLimits, TeamLimits
 from .leader.term import LeaderContext
-from .ledger.write_ahead_log import PAGE_SHARE, WriteAheadLog
+from .ledger.group_commit import LedgerTimings
+from .ledger.pages import PAGE_SHARE
+from .ledger.write_ahead_log import WriteAheadLog
 from .runtime.http import Server
 
 if TYPE_CHECKING:
@@ -121,9 +123,9 @@
             runtime,
             store,
             settings.state_limits,
-            policy.retry,
-            policy.first_call,
-            policy.gather,
+            LedgerTimings(
+                retry_s=policy.retry, first_call_s=policy.first_call, gather_s=policy.gather
+            ),
             self.election.step_down,
             self.election.refuse_to_lead,
         )
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -1,7 +1,7 @@
-"""Leadership confirmed after a question was asked.
+"""A read barrier: leadership is confirmed after a request came.
 
-An answer that is not final may only be given by a controller that leads *after* the question came.
-A compare-only transaction on the leader key's version, sent after it, shows that.
+An answer that may still change may only be given by a controller that leads *after* the request
+came. A transaction that only compares the leader key's version, sent after it, shows that.
 """
 
 from __future__ import annotations
@@ -19,89 +19,104 @@
 
 
 class _Request:
-    """Who wants leadership confirmed, until it is told once."""
+    """A request to confirm leadership, until it is answered once."""
 
-    __slots__ = ("done",)
+    __slots__ = ("_on_done",)
 
-    def __init__(self, done: Callable[[bool], None]) -> None:
-        self.done: Callable[[bool], None] | None = done
+    def __init__(self, on_done: Callable[[bool], None]) -> None:
+        self._on_done: Callable[[bool], None] | None = on_done
 
-    def tell(self, leading: bool) -> None:
-        done, self.done = self.done, None
-        if done is not None:
-            done(leading)
+    @property
+    def is_answered(self) -> bool:
+        """Whether it was answered."""
+        return self._on_done is None
+
+    def answer(self, *, is_leading: bool) -> None:
+        """Answers the request, unless it was answered before."""
+        on_done = self._on_done
+        self._on_done = None
+        if on_done is not None:
+            on_done(is_leading)
 
 
 class LeadershipBarrier(Actor):
     """Owns the requests to confirm leadership under one version of the leader key.
 
-    One transaction is under way at a time and serves all who asked before it was sent. `lost` is
-    called when somebody else leads.
+    One transaction is under way at a time and serves all requests that came before it was sent.
     """
 
     def __init__(
         self,
         runtime: Runtime,
         store: KeyValueStore,
-        version: int,
-        first_call: float,
-        gather: float,
-        lost: Callable[[], None],
+        leader_key_version: int,
+        first_call_s: float,
+        gather_s: float,
+        on_leadership_lost: Callable[[], None],
     ) -> None:
+        """`on_leadership_lost` is called when somebody else leads."""
         super().__init__(runtime)
-        self._store, self._version, self._lost = store, version, lost
-        self._first_call, self._gather = first_call, gather
+        self._store = store
+        self._leader_key_version = leader_key_version
+        self._on_leadership_lost = on_leadership_lost
+        self._first_call_s = first_call_s
+        self._gather_s = gather_s
         self._waiting: list[_Request] = []
-        self._open = True
-        self._asking = False
+        self._is_open = True
+        self._is_asking = False
         self._round = 0
 
-    def confirm(self, done: Callable[[bool], None]) -> None:
-        """`done(True)` once a transaction sent after this call shows that this node leads."""
-        self._waiting.append(_Request(done))
-        if not self._asking:
-            self._asking = True
-            self.later(self._gather / 2, self._ask)
+    def confirm(self, on_done: Callable[[bool], None]) -> None:
+        """`on_done(True)` once a transaction sent after this call shows that we lead."""
+        self._waiting.append(_Request(on_done))
+        if not self._is_asking:
+            self._is_asking = True
+            self.later(self._gather_s / 2, self._ask)
 
     def close(self) -> None:
-        """The version is none of ours any more: who waits is told that leadership is not sure."""
-        self._open = False
-        waiting, self._waiting = self._waiting, []
+        """The version is none of ours any more: requests are answered that it is not sure."""
+        self._is_open = False
+        waiting = self._waiting
+        self._waiting = []
         for request in waiting:
-            request.tell(False)
+            request.answer(is_leading=False)
 
     def _ask(self) -> None:
-        if not self._open:
+        if not self._is_open:
             return
-        asked, self._waiting = self._waiting, []
+        asked = self._waiting
+        self._waiting = []
         number = self._round
 
-        def told(outcome: Outcome, _: int) -> None:
+        def on_reply(outcome: Outcome, _: int) -> None:
             timer.cancel()
-            for request in asked:
-                request.tell(self._open and outcome is Outcome.COMMITTED)
-            if self._open and outcome is Outcome.CONFLICT:
-                self._lost()
-            else:
-                self._next_round(number)
-
-        def unanswered() -> None:
-            # The answer may be lost: they are asked for again with whoever came since. An answer
-            # still counts.
-            if self._open and number == self._round:
-                self._waiting = [
-                    request for request in asked if request.done is not None
-                ] + self._waiting
-                self._next_round(number)
-
-        timer = self.later(self._first_call, unanswered)
-        self._store.compare_and_swap({LEADER_KEY: self._version}, {}, [], told)
+            self._on_reply(number, asked, outcome)
+
+        timer = self.later(self._first_call_s, self._on_unanswered, number, asked)
+        self._store.compare_and_swap({LEADER_KEY: self._leader_key_version}, {}, [], on_reply)
+
+    def _on_reply(self, number: int, asked: list[_Request], outcome: Outcome) -> None:
+        for request in asked:
+            request.answer(is_leading=self._is_open and outcome is Outcome.COMMITTED)
+        if self._is_open and outcome is Outcome.CONFLICT:
+            self._on_leadership_lost()
+        else:
+            self._next_round(number)
+
+    def _on_unanswered(self, number: int, asked: list[_Request]) -> None:
+        """The answer may be lost: it is asked again for them and whoever came since.
+
+        An answer that comes later still counts.
+        """
+        if self._is_open and number == self._round:
+            self._waiting = [each for each in asked if not each.is_answered] + self._waiting
+            self._next_round(number)
 
     def _next_round(self, number: int) -> None:
-        if not self._open or number != self._round:
+        if not self._is_open or number != self._round:
             return
         self._round += 1
         if self._waiting:
-            self.later(self._gather, self._ask)
+            self.later(self._gather_s, self._ask)
         else:
-            self._asking = False
+            self._is_asking = False
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -48,7 +48,7 @@
     if job.is_done:
         # A gang that is done while some of its attempts are not proven to have ended: each of its
         # tasks counts as done.
-        all_tasks = TaskRun(0, job.spec.tasks, job.newest_attempt, True)
+        all_tasks = TaskRun(first=0, count=job.spec.tasks, attempt=job.newest_attempt, is_done=True)
         return [accepted, *placed, TasksRestored(job.number, [all_tasks])]
     runs = _runs_of_unplaced_tasks(job)
     restored = [
--- a/flaxtally/ledger/terminal_jobs.py
+++ b/flaxtally/ledger/terminal_jobs.py
@@ -1,6 +1,6 @@
-"""The final states of jobs, which are kept for ever: a few bytes each.
+"""The stages of terminal jobs, which are kept for ever: a few bytes each. Pure.
 
-A job's id is a text of digits, so an id and its state fit a number of 64 bits. Numbers are kept in
+A job's id is a text of digits, so an id and its stage fit a number of 64 bits. Numbers are kept in
 sorted blocks; a text and an entry of a dict for each would take ten times the memory.
 """
 
@@ -16,9 +16,9 @@
     from collections.abc import Iterator
 
 PREFIX = "j-"
-_MOST_RECENT = 4096
-"""States that are kept apart until they are worth sorting in."""
-_MOST_IN_BLOCK = 1 << 16
+_MAX_RECENT = 4096
+"""Stages that are kept apart until they are worth sorting into a block."""
+_MAX_MERGED_BLOCK = 1 << 16
 """Blocks that are larger aren't merged: it would hold up the loop."""
 
 
@@ -32,18 +32,21 @@
 
 
 class TerminalJobs:
-    """By id, whether a job was done or cancelled. What is final never changes."""
+    """By id, whether a job was done or cancelled. The stage of a terminal job never changes."""
 
     def __init__(self) -> None:
+        """No job is terminal yet."""
         self._recent: dict[int, int] = {}
-        """By number, the same with its state."""
+        """By the number of an id, the number with its stage."""
         self._blocks: list[array[int]] = []
-        """Numbers with their states, in order within each block."""
+        """Numbers with their stages, in order within each block."""
 
     def __len__(self) -> int:
+        """How many jobs are terminal."""
         return len(self._recent) + sum(len(block) for block in self._blocks)
 
     def __contains__(self, ref: str) -> bool:
+        """Whether the job is terminal."""
         return self.get(ref) is not None
 
     def __iter__(self) -> Iterator[str]:
@@ -55,58 +58,60 @@
                 yield _ref_of(coded >> 1)
 
     def get(self, ref: str) -> str | None:
-        """The state of a job that is over; None: it is not, or the text is no job's id."""
+        """The stage of a terminal job; None: it is none, or the text is no job's id."""
         number = _number_of(ref)
         coded = None if number is None else self._find(number)
         if coded is None:
             return None
         return wire.ABORTED if coded & 1 else wire.DONE
 
-    def add(self, ref: str, state: str) -> None:
-        """Keeps the final state of a job; raises ValueError if the text is no job's id."""
+    def add(self, ref: str, stage: str) -> None:
+        """Keeps the stage of a terminal job; raises ValueError if the text is no job's id."""
         number = _number_of(ref)
         if number is None:
             raise ValueError(f"{ref!r} is no job's id")
         if self._find(number) is not None:
             return
-        self._recent[number] = number << 1 | (state == wire.ABORTED)
-        if len(self._recent) >= _MOST_RECENT:
-            self._sort_in()
+        self._recent[number] = number << 1 | (stage == wire.ABORTED)
+        if len(self._recent) >= _MAX_RECENT:
+            self._merge_recent()
 
     def _find(self, number: int) -> int | None:
-        """The number with its state; None: the job is not over."""
+        """The number with its stage; None: the job is not terminal."""
         if number in self._recent:
             return self._recent[number]
         sought = number << 1
         for block in self._blocks:
             if block[0] >> 1 <= number <= block[-1] >> 1:
-                at = bisect_left(block, sought)
-                if at < len(block) and block[at] >> 1 == number:
-                    return block[at]
+                index = bisect_left(block, sought)
+                if index < len(block) and block[index] >> 1 == number:
+                    return block[index]
         return None
 
-    def _sort_in(self) -> None:
-        """Makes a block of the recent states; small blocks become one."""
+    def _merge_recent(self) -> None:
+        """Makes a block of the recent stages; small blocks become one."""
         block = array("Q", sorted(self._recent.values()))
         self._recent = {}
-        while self._blocks and len(self._blocks[-1]) <= len(block) < _MOST_IN_BLOCK:
+        while self._blocks and len(self._blocks[-1]) <= len(block) < _MAX_MERGED_BLOCK:
             block = array("Q", sorted([*self._blocks.pop(), *block]))
         self._blocks.append(block)
 
 
 class TerminalJobPage:
-    """The ids of final jobs whose records stand in one page, in order."""
+    """The ids of terminal jobs whose records stand in one page, in order."""
 
     __slots__ = ("_numbers",)
 
     def __init__(self) -> None:
+        """No record stands in the page yet."""
         self._numbers = array("Q")
 
     def __iter__(self) -> Iterator[str]:
+        """The ids, in the order of their records."""
         return map(_ref_of, self._numbers)
 
     def add(self, ref: str) -> None:
-        """One more record of a final job; raises ValueError if the text is no job's id."""
+        """One more record of a terminal job; raises ValueError if the text is no job's id."""
         number = _number_of(ref)
         if number is None:
             raise ValueError(f"{ref!r} is no job's id")
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -422,7 +422,7 @@
     world.submit(spec("j-000009", tasks=2))
     world.run(25.0)
     world.submit(gang("j-000001", 390, cores=0.5, memory_gb=0.5), run_time=5.0)
-    assert world.until(lambda: world.nodes[leader_of(world)].ledger._busy, 30.0)
+    assert world.until(lambda: world.nodes[leader_of(world)].ledger.is_committing, 30.0)
     world.state.enforce(2048, 4, 15.0)
     ends_done(world, "j-000001", 150.0)
     assert begun(world, "j-000001") in ([1], [2])
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -496,8 +496,8 @@
     known: dict[str, str], others: list[str], recent: int, most: int
 ) -> None:
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(terminal_jobs, "_MOST_RECENT", recent)
-        patch.setattr(terminal_jobs, "_MOST_IN_BLOCK", most)
+        patch.setattr(terminal_jobs, "_MAX_RECENT", recent)
+        patch.setattr(terminal_jobs, "_MAX_MERGED_BLOCK", most)
         states = terminal_jobs.TerminalJobs()
         for ref, state in known.items():
             states.add(ref, state)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -139,7 +139,7 @@
         old = leader_of(world)
         world.submit(batch(ref, 1), run_time=3.0, node=number)
         ledger = world.nodes[old].leader._context.ledger
-        assert world.until(lambda ledger=ledger: ledger._busy, 5)  # type: ignore[misc]
+        assert world.until(lambda ledger=ledger: ledger.is_committing, 5)  # type: ignore[misc]
         world.look_closely(ref)
         world.after(0.3, world.cancel, ref, number + 1)
         world.freeze(old, for_s)
@@ -155,5 +155,5 @@
     leader = world.nodes[leader_of(world)].leader
     told: list[bool] = []
     leader._context.ledger.confirm_leadership(told.append)
-    leader._context.ledger.replay(leader._context.ledger._version, lambda: None)
+    leader._context.ledger.replay(leader._context.ledger.leader_key_version, lambda: None)
     assert told == [False]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -323,7 +323,7 @@
 
     def is_cleaning() -> bool:
         leader = world.leader()
-        cleaning[0] = leader is not None and world.nodes[leader].ledger._cleaning
+        cleaning[0] = leader is not None and world.nodes[leader].ledger.is_compacting
         return cleaning[0]
 
     for number in range(160):
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -62,8 +62,8 @@
     ],
     "commit": [
         "ledger.write_ahead_log:WriteAheadLog.propose",
-        "ledger.write_ahead_log:WriteAheadLog._commit",
-        "ledger.write_ahead_log:WriteAheadLog._committed",
+        "ledger.group_commit:GroupCommit._commit",
+        "ledger.group_commit:GroupCommit._on_outcome",
         "ledger.leadership_barrier:LeadershipBarrier._ask",
     ],
     "cleaning": ["ledger.write_ahead_log:WriteAheadLog.compact"],
