--- a/flaxtally/api/__init__.py
+++ b/flaxtally/api/__init__.py
@@ -1,4 +1,4 @@
-"""What users and workers ask of a controller, and the orders that it carries.
+"""The controller's endpoints: heartbeats of workers, users' requests, relayed commands.
 
-Imports the leader; only cells and the node import it. Start with `intake`.
+Imports the leader; only cells and the controller import it. Start with `job_api`.
 """
--- /dev/null
+++ b/flaxtally/api/command_relay.py
@@ -0,0 +1,178 @@
+"""Carries the leader's commands to workers, through the controllers that answer their heartbeats.
+
+The leader's controller asks the owner of the machine's shard to send the commands; its answer
+brings the worker's reply back.
+"""
+
+from __future__ import annotations
+
+import itertools
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+import msgspec
+
+from ..cluster.messages import RelayedCommand, RelayedCommandResult, to_frame
+from ..leader.commands import CommandTransport
+from ..runtime.actor import Actor
+from .command_deduplicator import CommandDeduplicator
+from .sharding import zones_of_controllers
+
+if TYPE_CHECKING:
+    from ..clients.workers import Workers
+    from ..cluster.leader_election import LeaderElection
+    from ..cluster.peer_links import PeerLinks
+    from ..policy import Policy
+    from ..protocol import wire
+    from ..runtime.loop import Runtime, Timer
+    from ..settings import Settings
+    from .recent_heartbeats import RecentHeartbeats
+
+OnCommandReply = Callable[[int, bytes], None]
+"""Status and body of a worker's reply; status 0 when no reply came."""
+NO_REPLY = 0
+MIN_REMEMBERED_COMMANDS = 4096
+REMEMBERED_COMMANDS_PER_SOCKET = 4
+"""Numbers of a leader's commands, against frames that come twice: by the machines that a controller
+may have to carry commands to.
+"""
+RELAY_TIMEOUT_FACTOR = 1.25
+"""Of the time-out of a call to a worker, until the controller that was asked must have answered."""
+
+
+class _RelayedCommand(NamedTuple):
+    """A batch of commands that another controller was asked to send."""
+
+    controller: str
+    on_reply: OnCommandReply
+    timer: Timer
+
+
+class CommandRelay(Actor, CommandTransport):
+    """Owns the commands on their way through other controllers, and the numbers of those seen."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        settings: Settings,
+        policy: Policy,
+        election: LeaderElection,
+        peers: PeerLinks,
+        workers: Workers,
+        heartbeats: RecentHeartbeats,
+    ) -> None:
+        """`workers`: the client by which this controller calls workers itself."""
+        super().__init__(runtime)
+        self._node = settings.node
+        self._zone_by_controller = zones_of_controllers(settings)
+        self._reply_timeout_s = policy.order_call * RELAY_TIMEOUT_FACTOR
+        self._election = election
+        self._peers = peers
+        self._workers = workers
+        self._heartbeats = heartbeats
+        self._numbers = itertools.count(election.incarnation)
+        self._relayed: dict[int, _RelayedCommand] = {}
+        """By number."""
+        self._deduplicators: dict[str, CommandDeduplicator] = {}
+        """By leader, for the present term: within it a leader has one life, and numbers rise."""
+        self._deduplicators_term = 0
+        self._max_remembered = max(
+            MIN_REMEMBERED_COMMANDS, REMEMBERED_COMMANDS_PER_SOCKET * settings.max_sockets
+        )
+
+    # At the leader
+
+    def send(
+        self,
+        server: str | None,
+        machine: str,
+        address: str,
+        body: dict[str, Any] | None,
+        done: OnCommandReply,
+    ) -> None:
+        """Sends commands (or, with no body, a status question) to a machine's worker.
+
+        Through the controller `server`, or directly if that is this one or can't be reached.
+        """
+        if server is None or server == self._node or not self._peers.is_reachable(server):
+            self._call_worker(address, body, done)
+            return
+        number = next(self._numbers)
+        timer = self.later(self._reply_timeout_s, self._on_reply_timeout, number)
+        self._relayed[number] = _RelayedCommand(server, done, timer)
+        command = RelayedCommand(number=number, machine=machine, address=address, commands=body)
+        self._peers.send(server, to_frame(command))
+
+    def other_controllers(self, zone: str) -> list[str]:
+        """The other live controllers that can relay commands, those of the zone first."""
+        live = [
+            name
+            for name in self._election.live_members
+            if name != self._node and self._peers.is_directly_reachable(name)
+        ]
+        return sorted(live, key=lambda name: self._zone_by_controller.get(name) != zone)
+
+    def recent_heartbeats(self) -> list[wire.Heartbeat]:
+        """The last heartbeats that came to this controller, for a leader that has just begun."""
+        return self._heartbeats.list_recent()
+
+    def handle_result(self, sender: str, result: RelayedCommandResult) -> None:
+        """The answer of a controller that was asked to send commands."""
+        relayed = self._relayed.get(result.number)
+        if relayed is None or relayed.controller != sender:
+            return
+        del self._relayed[result.number]
+        relayed.timer.cancel()
+        relayed.on_reply(result.status, result.body)
+
+    def _on_reply_timeout(self, number: int) -> None:
+        relayed = self._relayed.pop(number, None)
+        if relayed is not None:
+            relayed.on_reply(NO_REPLY, b"")
+
+    # At the controller that is asked
+
+    def handle_command(self, sender: str, command: RelayedCommand) -> None:
+        """The leader asks this controller to send commands.
+
+        Late ones are harmless: they name the fencing token and the worker's incarnation.
+        """
+        if command.commands is not None and not self._is_due(
+            sender, command.commands, command.number
+        ):
+            return
+
+        def on_reply(status: int, body: bytes) -> None:
+            result = RelayedCommandResult(
+                number=command.number,
+                status=status,
+                body=body,
+                machine=command.machine if status != NO_REPLY else msgspec.UNSET,
+            )
+            self._peers.send(sender, to_frame(result))
+
+        self._call_worker(command.address, command.commands, on_reply)
+
+    def _is_due(self, sender: str, commands: dict[str, Any], number: int) -> bool:
+        """Whether the commands are of the present term and come for the first time."""
+        term = self._election.term
+        if commands.get("baton") != term:
+            return False
+        if term != self._deduplicators_term:
+            self._deduplicators_term = term
+            self._deduplicators = {}
+        deduplicator = self._deduplicators.get(sender)
+        if deduplicator is None:
+            deduplicator = CommandDeduplicator(self._max_remembered)
+            self._deduplicators[sender] = deduplicator
+        return deduplicator.is_new(number)
+
+    # To the worker
+
+    def _call_worker(
+        self, address: str, body: dict[str, Any] | None, on_reply: OnCommandReply
+    ) -> None:
+        if body is None:
+            self._workers.query_status(address, on_reply)
+        else:
+            self._workers.send_commands(address, body, on_reply)
--- /dev/null
+++ b/flaxtally/api/expiry.py
@@ -0,0 +1,38 @@
+"""Drops entries on machines that have not reported for long."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Protocol
+
+from ..runtime.actor import Actor
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from ..runtime.loop import Runtime
+
+KEPT_LEASES = 4
+"""Entries are kept for so many leases: longer than any of them is looked at."""
+
+
+class ExpiringTable(Protocol):
+    """A table by machine whose entries carry the time of their last use."""
+
+    def expire(self, before: float) -> None:
+        """Drops entries that were last used before that time."""
+
+
+class ExpiryTimer(Actor):
+    """Expires old entries of the given tables once a lease."""
+
+    def __init__(self, runtime: Runtime, lease_s: float, tables: Sequence[ExpiringTable]) -> None:
+        """`lease_s`: the lease of a worker."""
+        super().__init__(runtime)
+        self._lease_s = lease_s
+        self._tables = tables
+        self.every(lease_s, self._expire)
+
+    def _expire(self) -> None:
+        before = self.runtime.now() - KEPT_LEASES * self._lease_s
+        for table in self._tables:
+            table.expire(before)
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -1,10 +1,10 @@
-"""Passes what machines report on to the leader.
+"""Forwards heartbeats that workers sent to this controller to the leader.
 
 While the link to the leader is silent frames go through the state service, whose values are small:
-whole reports of all machines of a cut-off zone don't fit, most machines were silent to the leader,
-and it released them one by one. So each batch says which machines reported lately; a report goes
-whole only if it differs from the last one that was passed, and now and then, since mail may be
-lost.
+whole heartbeats of all machines of a cut-off zone don't fit; with those alone most machines were
+silent to the leader, and it terminated them one by one. So each batch lists the machines that
+reported lately; a heartbeat goes whole only if it differs from the last one that was forwarded, and
+now and then, since frames through the state service may be lost.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from ..cluster.messages import FORWARDED_HEARTBEAT_KIND, MACHINES_ALIVE_KIND
+from ..cluster.messages import ForwardedHeartbeat, MachinesAlive, to_frame
 from ..protocol import formats, wire
 from ..runtime.actor import Actor
 
@@ -24,77 +24,80 @@
     from ..cluster.format_negotiation import FormatNegotiation
     from ..cluster.leader_election import LeaderElection
     from ..cluster.peer_links import PeerLinks
+    from ..policy import Policy
     from ..runtime.loop import Runtime
+    from ..settings import Settings
 
 DIGEST_BYTES = 8
-BYTES_A_NAME = 16
+BYTES_PER_NAME = 16
 """Of a value for each name of a list: names compress to a third of that."""
 
 
-def digest(report: wire.Heartbeat) -> bytes:
-    """Equal for reports that differ in nothing but their number."""
-    content = msgspec.msgpack.encode(msgspec.structs.replace(report, sequence_number=0))
+def digest_of(heartbeat: wire.Heartbeat) -> bytes:
+    """Equal for heartbeats that differ in nothing but their sequence number."""
+    content = msgspec.msgpack.encode(msgspec.structs.replace(heartbeat, sequence_number=0))
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(frozen=True)
-class _Passed:
-    """The last whole report of a machine that was passed on."""
+class _ForwardedHeartbeat:
+    """The last whole heartbeat of a machine that was forwarded."""
 
     term: int
     digest: bytes
-    at: float
+    sent_at: float
 
 
 class HeartbeatForwarding(Actor):
-    """Owns what was passed on while the link to the leader is silent."""
+    """Owns what was forwarded while the link to the leader is silent."""
 
     def __init__(
         self,
         runtime: Runtime,
+        settings: Settings,
+        policy: Policy,
         election: LeaderElection,
         peers: PeerLinks,
         members: FormatNegotiation,
-        period: float,
-        whole_every: float,
-        value_bytes: int,
     ) -> None:
-        """Seconds between lists of machines that reported, and until a report goes whole again.
-
-        `value_bytes`: of a value of the state service, which lists share with other frames.
-        """
+        """`members`: tells whether the leader's program knows lists of live machines."""
         super().__init__(runtime)
-        self._election, self._peers, self._members = election, peers, members
-        self._whole_every = whole_every
-        self._most_listed = value_bytes // BYTES_A_NAME
-        self._passed: dict[str, _Passed] = {}
-        self._reported: dict[str, None] = {}
-        """Machines that reported since they were last listed; who waits for longest first."""
-        self.every(period, self._list_reported)
-
-    def forward(self, report: wire.Heartbeat, body: bytes) -> None:
-        """Passes a report, whose bytes are `body`, on to the leader that is followed."""
-        if not self._by_mail():
-            self._passed.pop(report.machine, None)
-            self._send_whole(report, body)
+        self._election = election
+        self._peers = peers
+        self._members = members
+        self._max_age_s = settings.lease_s / 2
+        """After this time an unchanged heartbeat goes whole again."""
+        self._max_names = settings.state_limits.value_bytes // BYTES_PER_NAME
+        """In one list, which shares a value of the state service with other frames."""
+        self._forwarded: dict[str, _ForwardedHeartbeat] = {}
+        self._unlisted: dict[str, None] = {}
+        """Machines that reported since they were last listed; those that wait longest first."""
+        self.every(policy.mail, self._send_liveness)
+
+    def forward(self, heartbeat: wire.Heartbeat, body: bytes) -> None:
+        """Forwards a heartbeat, whose bytes are `body`, to the leader that is followed."""
+        if not self._uses_store_relay():
+            self._forwarded.pop(heartbeat.machine, None)
+            self._send_whole(heartbeat, body)
             return
-        self._reported[report.machine] = None
-        now, term, found = self.runtime.now(), self._election.term, digest(report)
-        last = self._passed.get(report.machine)
-        if (
-            last is None
-            or (last.term, last.digest) != (term, found)
-            or now - last.at > self._whole_every
-        ):
-            self._passed[report.machine] = _Passed(term, found, now)
-            self._send_whole(report, body)
-
-    def forget(self, before: float) -> None:
-        """Drops what was passed on before that time."""
-        self._passed = {name: entry for name, entry in self._passed.items() if entry.at > before}
-
-    def _by_mail(self) -> bool:
-        """Whether the leader is reached by mail alone, and knows lists of machines."""
+        self._unlisted[heartbeat.machine] = None
+        now = self.runtime.now()
+        term = self._election.term
+        digest = digest_of(heartbeat)
+        last = self._forwarded.get(heartbeat.machine)
+        is_unchanged = last is not None and last.term == term and last.digest == digest
+        if last is None or not is_unchanged or now - last.sent_at > self._max_age_s:
+            self._forwarded[heartbeat.machine] = _ForwardedHeartbeat(term, digest, now)
+            self._send_whole(heartbeat, body)
+
+    def expire(self, before: float) -> None:
+        """Drops what was forwarded before that time."""
+        self._forwarded = {
+            machine: last for machine, last in self._forwarded.items() if last.sent_at > before
+        }
+
+    def _uses_store_relay(self) -> bool:
+        """Whether the leader is reached through the state service alone, and knows the lists."""
         leader = self._election.leader
         return (
             leader is not None
@@ -103,24 +106,20 @@
             and self._members.newest_format_of(leader) >= formats.GANGS
         )
 
-    def _list_reported(self) -> None:
+    def _send_liveness(self) -> None:
         leader = self._election.leader
-        if leader is None or not self._by_mail():
-            self._reported.clear()
+        if leader is None or not self._uses_store_relay():
+            self._unlisted.clear()
             return
-        names = list(itertools.islice(self._reported, self._most_listed))
+        names = list(itertools.islice(self._unlisted, self._max_names))
         for name in names:
-            del self._reported[name]
+            del self._unlisted[name]
         if names:
-            self._peers.send(
-                leader, {"k": MACHINES_ALIVE_KIND, "t": self._election.term, "m": sorted(names)}
-            )
-
-    def _send_whole(self, report: wire.Heartbeat, body: bytes) -> None:
-        frame = {
-            "k": FORWARDED_HEARTBEAT_KIND,
-            "t": self._election.term,
-            "m": report.machine,
-            "b": body,
-        }
-        self._peers.send(self._election.leader or "", frame)
+            message = MachinesAlive(term=self._election.term, machines=sorted(names))
+            self._peers.send(leader, to_frame(message))
+
+    def _send_whole(self, heartbeat: wire.Heartbeat, body: bytes) -> None:
+        message = ForwardedHeartbeat(
+            term=self._election.term, machine=heartbeat.machine, heartbeat=body
+        )
+        self._peers.send(self._election.leader or "", to_frame(message))
--- /dev/null
+++ b/flaxtally/api/sharding.py
@@ -0,0 +1,38 @@
+"""Which controller answers a machine's heartbeats: machines are sharded by rendezvous hashing."""
+
+from __future__ import annotations
+
+import hashlib
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from ..settings import Settings
+
+WEIGHT_BYTES = 8
+
+
+def rendezvous_weight(key: str, name: str) -> bytes:
+    """Orders names for a key, evenly and the same in every process (rendezvous hashing)."""
+    return hashlib.blake2b(f"{key} {name}".encode(), digest_size=WEIGHT_BYTES).digest()
+
+
+def shard_owner(
+    machine: str, zone: str, controllers: list[str], zone_by_controller: dict[str, str]
+) -> str | None:
+    """The controller whose shard the machine belongs to; None if there are no controllers.
+
+    Controllers of the machine's own zone are preferred: when zones can't reach each other, a worker
+    that must first try the controllers of other zones, at some seconds each, loses its lease on the
+    way.
+    """
+    in_zone = [name for name in controllers if zone_by_controller.get(name) == zone]
+    return max(
+        in_zone or controllers, key=lambda name: rendezvous_weight(machine, name), default=None
+    )
+
+
+def zones_of_controllers(settings: Settings) -> dict[str, str]:
+    """The zone of each controller, this one included."""
+    zones = {settings.node: settings.zone}
+    zones.update({name: zone for name, (zone, _) in settings.peers.items()})
+    return zones
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..api.heartbeat_endpoint import rendezvous_weight
+from ..api.sharding import rendezvous_weight
 from ..protocol import wire
 from ..runtime.actor import Actor
 from .directory import Directory, Entry, Found
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -12,7 +12,8 @@
 from functools import cached_property
 from typing import TYPE_CHECKING
 
-from ..api.heartbeat_endpoint import HeartbeatEndpoint, ShardOwner, owner
+from ..api.heartbeat_endpoint import CellRedirect
+from ..api.sharding import shard_owner
 from ..clients.key_value_store import KeyValueStore
 from ..cluster.leader_key import LEADER_KEY
 from ..cluster.peer_links import PeerLinks
@@ -29,7 +30,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ..api.job_api import JobApi
+    from ..api.leader_requests import LeaderRequests
     from ..clients.cloud import Cloud
     from ..cluster.leader_election import LeaderElection
     from ..leader.leader import Leader
@@ -133,11 +134,10 @@
         self,
         election: LeaderElection,
         peers: PeerLinks,
-        intake: JobApi,
-        dispatch: HeartbeatEndpoint,
+        requests: LeaderRequests,
         leader: Leader,
     ) -> None:
-        """Puts the cell's gateway between users and leader, and sends strange machines home."""
+        """Creates the gateway, which passes users' requests on to the job's cell."""
         self._leader, self._election = leader, election
         settings = self._settings
         others = {
@@ -164,13 +164,11 @@
             election,
             self.links,
             self.directory,
-            intake.ask_leader,
+            requests.forward_to_leader,
             self._state,
             peers.broadcast,
             int(settings.max_sockets * PASSED_PART),
         )
-        intake.route = self.gateway.ask
-        dispatch.home_of = self._home_of
 
     def take_part(self, start: Callable[[], None]) -> None:
         """Has the controller take part in its cell once that is sure to be the only one there."""
@@ -199,13 +197,14 @@
         """The process stood still: other cells were not silent meanwhile."""
         self.links.on_pause(lost)
 
-    def _home_of(self, report: wire.Heartbeat) -> ShardOwner | None:
+    def redirect_to_cell(self, heartbeat: wire.Heartbeat) -> CellRedirect | None:
+        """Where a machine of another cell reports; None for a machine of this cell."""
         index: CellIndex = self.keeper.index
-        home = index.by_zone.get(report.zone)
+        home = index.by_zone.get(heartbeat.zone)
         if home is None or home.name == self._setup.cell.name:
             return None
         known = self.gateway.cells.able(home) or list(home.controllers)
-        return ShardOwner(owner(report.machine, report.zone, known, {}))
+        return CellRedirect(shard_owner(heartbeat.machine, heartbeat.zone, known, {}))
 
     def _state(self) -> CellState:
         election, leader = self._election, self._leader
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -1,12 +1,19 @@
-"""A controller: wires the actors."""
+"""A controller: creates the actors and connects them with each other."""
 
 from __future__ import annotations
 
 import logging
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from .api.heartbeat_endpoint import HeartbeatEndpoint
+from .api.command_relay import CommandRelay
+from .api.expiry import ExpiryTimer
+from .api.heartbeat_endpoint import HeartbeatEndpoint, HeartbeatTables
+from .api.heartbeat_forwarding import HeartbeatForwarding
 from .api.job_api import JobApi
+from .api.leader_requests import LeaderRequests
+from .api.recent_heartbeats import RecentHeartbeats
+from .api.shard_redirects import ShardRedirects
 from .clients.cloud import Cloud
 from .clients.key_value_store import KeyValueStore
 from .clients.workers import CALLED_SHARE, Workers
@@ -14,12 +21,15 @@
 from .cluster.frame_router import FrameRouter
 from .cluster.leader_election import LeaderElection, LeadershipListener
 from .cluster.messages import (
-    FORWARDED_HEARTBEAT_KIND,
     HEARTBEAT_KIND,
-    MACHINES_ALIVE_KIND,
-    RELAYED_COMMAND_RESULT_KIND,
+    ForwardedHeartbeat,
     Frame,
     Heartbeat,
+    JobRequest,
+    JobResponse,
+    MachinesAlive,
+    RelayedCommand,
+    RelayedCommandResult,
 )
 from .cluster.peer_links import PeerLinks
 from .cluster.store_relay import StoreRelay
@@ -32,6 +42,7 @@
 if TYPE_CHECKING:
     import random
 
+    from .api.job_api import RequestRouter
     from .cells.membership import CellSetup, Membership
     from .lending.feature import LendingFeature
     from .policy import Policy
@@ -45,6 +56,36 @@
 """Of the sockets, for users and workers; another share is for calls to workers, the rest for peers,
 state service and cloud.
 """
+IDLE_CONNECTION_LEASES = 3
+"""A connection of a user or worker is closed when it was idle for so many leases."""
+
+
+@dataclass(frozen=True)
+class _Scope:
+    """What a controller is responsible for: the whole fleet, or one of its cells."""
+
+    settings: Settings
+    """As the leader of the fleet or cell sees them."""
+    cloud: Cloud
+    limits: TeamLimits
+    key_prefix: str
+    """Before every key at the state service."""
+    membership: Membership | None
+    """None where the fleet is not divided."""
+
+
+def _fleet_scope(runtime: Runtime, settings: Settings, policy: Policy) -> _Scope:
+    cloud = Cloud(runtime, settings.cloud, settings.cloud_rps, policy.call * 2)
+    return _Scope(settings, cloud, SettingsLimits(settings), key_prefix="", membership=None)
+
+
+def _cell_scope(runtime: Runtime, settings: Settings, policy: Policy, cells: CellSetup) -> _Scope:
+    # Imported here: a controller of an undivided fleet does without cells and their library.
+    from .cells.membership import Membership
+
+    membership = Membership(runtime, settings, policy, cells)
+    cloud = cells.cloud(runtime, policy)
+    return _Scope(cells.own, cloud, membership.allotment, cells.prefix, membership)
 
 
 class Controller:
@@ -63,20 +104,34 @@
 
         `lending`: loans between teams are recalled.
         """
-        self._name = settings.node
-        self.membership: Membership | None = None
-        prefix = ""
-        limits: TeamLimits = SettingsLimits(settings)
         if cells is None:
-            cloud = Cloud(runtime, settings.cloud, settings.cloud_rps, policy.call * 2)
+            scope = _fleet_scope(runtime, settings, policy)
         else:
-            self.membership = self._join(runtime, settings, policy, cells)
-            limits, cloud = self.membership.allotment, cells.cloud(runtime, policy)
-            prefix, settings = cells.prefix, cells.own
-        store = self._store = KeyValueStore(
-            runtime, settings.state, policy.call, policy.first_call, prefix
+            scope = _cell_scope(runtime, settings, policy, cells)
+        self._runtime = runtime
+        self._settings = scope.settings
+        self._policy = policy
+        self.membership = scope.membership
+        self._store = KeyValueStore(
+            runtime, scope.settings.state, policy.call, policy.first_call, scope.key_prefix
+        )
+        self._frame_router = FrameRouter()
+        # Each of these starts its timers as it is created: their order is part of a seeded run.
+        self._create_cluster(rng)
+        self._create_heartbeat_tables()
+        self._create_leader(scope, rng, lending)
+        self._create_endpoints()
+        self._add_frame_handlers()
+        self._start()
+
+    # Creating the actors
+
+    def _create_cluster(self, rng: random.Random) -> None:
+        """Links to the other controllers, the election, and what goes with them."""
+        runtime, settings, policy = self._runtime, self._settings, self._policy
+        self._workers = Workers(
+            runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE)
         )
-        workers = Workers(runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE))
         self.peers = PeerLinks(
             runtime,
             settings.node,
@@ -84,42 +139,60 @@
             {name: address for name, (_, address) in settings.peers.items()},
             policy.peer_silence,
             policy.gather,
-            self._receive,
+            self._frame_router.route,
         )
         self.election = LeaderElection(
             runtime,
             settings.node,
             policy,
-            store,
+            self._store,
             self.peers,
             rng,
-            LeadershipListener(
-                on_elected=lambda term, version: runtime.soon(
-                    self.leader.begin_term, term, version
-                ),
-                on_step_down=lambda: runtime.soon(self.leader.end_term),
-            ),
+            LeadershipListener(on_elected=self._on_elected, on_step_down=self._on_step_down),
         )
         self.peers.on_refused = self.election.on_connection_refused
-        self.formats = FormatNegotiation(runtime, settings.peers, store, policy.retry)
+        self.formats = FormatNegotiation(runtime, settings.peers, self._store, policy.retry)
         self.peers.on_hello = self.formats.on_hello
         self.peers.relay = StoreRelay(
             runtime,
             settings.node,
             list(settings.peers),
-            store,
+            self._store,
             policy.mail,
             int(settings.state_limits.value_bytes * PAGE_SHARE),
             self.peers.is_silent,
-            self._mails,
-            self._receive_mailed,
+            self._may_relay_to,
+            self._on_relayed_frame,
         )
-        self.dispatch = HeartbeatEndpoint(
-            runtime, settings, policy, self.election, self.peers, workers, self.formats
+
+    def _create_heartbeat_tables(self) -> None:
+        """What this controller remembers of the machines that report to it."""
+        runtime, settings = self._runtime, self._settings
+        forwarding = HeartbeatForwarding(
+            runtime, settings, self._policy, self.election, self.peers, self.formats
+        )
+        self.recent_heartbeats = RecentHeartbeats(runtime, settings.lease_s)
+        redirects = ShardRedirects(settings, self.election, self.peers)
+        self._heartbeat_tables = HeartbeatTables(forwarding, self.recent_heartbeats, redirects)
+        ExpiryTimer(runtime, settings.lease_s, [forwarding, self.recent_heartbeats, redirects])
+
+    def _create_leader(
+        self, scope: _Scope, rng: random.Random, lending: LendingFeature | None
+    ) -> None:
+        """The duties of the leader, which rest while another controller leads."""
+        runtime, settings, policy = self._runtime, self._settings, self._policy
+        self.command_relay = CommandRelay(
+            runtime,
+            settings,
+            policy,
+            self.election,
+            self.peers,
+            self._workers,
+            self.recent_heartbeats,
         )
         self.ledger = WriteAheadLog(
             runtime,
-            store,
+            self._store,
             settings.state_limits,
             policy.retry,
             policy.first_call,
@@ -133,50 +206,61 @@
                 settings=settings,
                 policy=policy,
                 ledger=self.ledger,
-                cloud=cloud,
+                cloud=scope.cloud,
                 rng=rng,
-                limits=limits,
+                limits=scope.limits,
             ),
             election=self.election,
-            transport=self.dispatch,
+            transport=self.command_relay,
             formats=self.formats,
             lending=lending,
         )
-        self.dispatch.deliver_to(self.leader.handle_heartbeat, self.leader.handle_liveness)
-        self.intake = JobApi(
+
+    def _create_endpoints(self) -> None:
+        """What workers, users and other controllers call."""
+        runtime, settings, policy = self._runtime, self._settings, self._policy
+        self.leader_requests = LeaderRequests(
+            runtime, policy, self.election, self.peers, self.leader, settings.max_sockets
+        )
+        route: RequestRouter = self.leader_requests.forward_to_leader
+        if self.membership is not None:
+            self.membership.connect(self.election, self.peers, self.leader_requests, self.leader)
+            route = self.membership.gateway.ask
+        self.heartbeat_endpoint = HeartbeatEndpoint(
             runtime,
+            settings.node,
             policy,
             self.election,
-            self.peers,
             self.leader,
-            self.dispatch.handle_heartbeat,
-            settings.max_sockets,
-            self.formats,
+            self._heartbeat_tables,
+            self.membership,
         )
+        self.job_api = JobApi(
+            self.election, self.formats, self.heartbeat_endpoint, self.leader_requests, route
+        )
+
+    def _add_frame_handlers(self) -> None:
+        """Says who handles which messages of other controllers."""
+        router = self._frame_router
+        endpoint = self.heartbeat_endpoint
+        router.add_message_handler(Heartbeat, self.election.on_heartbeat)
+        router.add_message_handler(ForwardedHeartbeat, endpoint.handle_forwarded_heartbeat)
+        router.add_message_handler(MachinesAlive, endpoint.handle_liveness)
+        router.add_message_handler(RelayedCommand, self.command_relay.handle_command)
+        router.add_message_handler(RelayedCommandResult, self.command_relay.handle_result)
+        router.add_message_handler(JobRequest, self.leader_requests.handle_request)
+        router.add_message_handler(JobResponse, self.leader_requests.handle_response)
         if self.membership is not None:
-            self.membership.connect(
-                self.election, self.peers, self.intake, self.dispatch, self.leader
-            )
-        self._router = FrameRouter()
-        self._router.add_message_handler(Heartbeat, self.election.on_heartbeat)
-        frame_handlers = {
-            FORWARDED_HEARTBEAT_KIND: self.dispatch.forwarded,
-            MACHINES_ALIVE_KIND: self.dispatch.alive,
-            "ord": self.dispatch.order,
-            RELAYED_COMMAND_RESULT_KIND: self.dispatch.carried,
-            "ask": self.intake.asked,
-            "ans": self.intake.answered,
-        }
-        if self.membership is not None:
-            frame_handlers[self.membership.state_frame] = self.membership.gateway.receive
-        for kind, handle in frame_handlers.items():
-            self._router.add_frame_handler(kind, handle)
+            router.add_frame_handler(self.membership.state_frame, self.membership.gateway.receive)
+
+    def _start(self) -> None:
+        runtime, settings, policy = self._runtime, self._settings, self._policy
         Server(
             runtime,
             settings.listen,
-            self.intake.handle,
+            self.job_api.handle_request,
             int(settings.max_sockets * ACCEPTED_SHARE),
-            settings.lease_s * 3,
+            settings.lease_s * IDLE_CONNECTION_LEASES,
             policy.retry,
         )
         runtime.on_pause(policy.process_pause, self._on_pause)
@@ -185,16 +269,19 @@
             self.election.start()
         else:
             self.membership.take_part(self.election.start)
-        log.info("event=start node=%s zone=%s", settings.node, settings.zone)
+        log.info("event=controller_started node=%s zone=%s", settings.node, settings.zone)
+
+    # Leadership
 
-    @staticmethod
-    def _join(runtime: Runtime, settings: Settings, policy: Policy, cells: CellSetup) -> Membership:
-        # Imported here: a controller that stands alone does without cells and their library.
-        from .cells.membership import Membership
+    def _on_elected(self, term: int, version: int) -> None:
+        self._runtime.soon(self.leader.begin_term, term, version)
 
-        return Membership(runtime, settings, policy, cells)
+    def _on_step_down(self) -> None:
+        self._runtime.soon(self.leader.end_term)
 
-    def _mails(self, peer: str) -> bool:
+    # Frames of other controllers
+
+    def _may_relay_to(self, peer: str) -> bool:
         """Whether frames for the peer may go through the state service.
 
         Only a leader and its followers write to each other: changes there are few.
@@ -202,30 +289,29 @@
         election = self.election
         return election.is_store_reachable and (election.is_leader or election.leader == peer)
 
+    def _on_relayed_frame(self, sender: str, frame: Frame) -> None:
+        if frame["k"] == HEARTBEAT_KIND:
+            self.formats.on_relayed_heartbeat(sender, frame.get("formats"))
+        self._frame_router.route(sender, frame)
+
+    # The process
+
     def _on_delay(self, delay: LoopDelay) -> None:
         """For operators: this controller has more to do than its share of a processor allows."""
         log.warning(
             "event=loop_behind node=%s late=%.2f longest=%.2f callback=%s",
-            self._name,
+            self._settings.node,
             delay.late,
             delay.longest,
             delay.callback,
         )
 
-    def _on_pause(self, lost: float) -> None:
-        """What was silent while this process stood still is not to blame for it."""
-        log.warning("event=process_pause node=%s lost=%.1f", self._name, lost)
-        self._store.on_pause(lost)
-        self.peers.on_pause(lost)
-        self.election.on_pause(lost)
-        self.leader.on_pause(lost)
+    def _on_pause(self, lost_s: float) -> None:
+        """The process stood still: silence during that time is not held against the others."""
+        log.warning("event=process_pause node=%s lost=%.1f", self._settings.node, lost_s)
+        self._store.on_pause(lost_s)
+        self.peers.on_pause(lost_s)
+        self.election.on_pause(lost_s)
+        self.leader.on_pause(lost_s)
         if self.membership is not None:
-            self.membership.on_pause(lost)
-
-    def _receive_mailed(self, sender: str, frame: Frame) -> None:
-        if frame["k"] == HEARTBEAT_KIND:
-            self.formats.on_relayed_heartbeat(sender, frame.get("formats"))
-        self._receive(sender, frame)
-
-    def _receive(self, sender: str, frame: Frame) -> None:
-        self._router.route(sender, frame)
+            self.membership.on_pause(lost_s)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -12,6 +12,7 @@
 import msgspec
 import pytest
 
+from flaxtally.cluster.messages import RelayedCommandResult
 from flaxtally.cluster.peer_links import encode
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
@@ -411,20 +412,20 @@
     world.run(5)
     assert len(answers) == 2
     # Neither do orders' answers of another peer, or of another life, count.
-    dispatch = world.nodes[leader].dispatch
+    relay = world.nodes[leader].command_relay
     told: list[int] = []
-    dispatch.send(
+    relay.send(
         node,
         "n",
         "10.1.99.99:9000",
         wire.orders_body(1, 1, []),
         lambda status, _: told.append(status),
     )
-    number = next(iter(dispatch._carried))
-    dispatch.carried(node, {"k": "done", "i": 1, "s": 200, "b": b""})
-    dispatch.carried("hearth-9", {"k": "done", "i": number, "s": 200, "b": b""})
+    number = next(iter(relay._relayed))
+    relay.handle_result(node, RelayedCommandResult(number=1, status=200, body=b""))
+    relay.handle_result("hearth-9", RelayedCommandResult(number=number, status=200, body=b""))
     assert told == []
-    dispatch.carried(node, {"k": "done", "i": number, "s": 200, "b": b""})
+    relay.handle_result(node, RelayedCommandResult(number=number, status=200, body=b""))
     assert told == [200]
 
 
@@ -487,14 +488,14 @@
         assert len(caplog.records) == 3
     copy = world.workers[sorted(world.workers)[0]].report()
     world.run(3)
-    newest = world.nodes[leader].dispatch._heard[copy.machine][1].sequence_number
+    recent = world.nodes[leader].recent_heartbeats
+    before_copy = recent.newest_of(copy.machine)
     world._deliver_copy(leader, copy)
     world.run(0.2)
-    assert (
-        world.nodes[leader].dispatch._heard[copy.machine][1].sequence_number
-        >= newest
-        > copy.sequence_number
-    )
+    after_copy = recent.newest_of(copy.machine)
+    assert before_copy is not None
+    assert after_copy is not None
+    assert after_copy.sequence_number >= before_copy.sequence_number > copy.sequence_number
     assert world.running == before
     ends_well(world, 10)
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from flaxtally.api.heartbeat_endpoint import HeartbeatEndpoint
+from flaxtally.api.command_relay import CommandRelay
 from flaxtally.cluster.peer_links import PeerLinks
 from flaxtally.fakes.worker import Worker
 
@@ -15,6 +15,7 @@
 if TYPE_CHECKING:
     import pytest
 
+    from flaxtally.cluster.messages import RelayedCommand
     from flaxtally.protocol import wire
 
 
@@ -54,19 +55,19 @@
     # second began, 70 s later, and its launches were carried out again; a task ran twice.
     sent: dict[tuple[str, int], float] = {}
     ages: list[float] = []
-    send, order = PeerLinks.send, HeartbeatEndpoint.order
+    send, handle_command = PeerLinks.send, CommandRelay.handle_command
 
     def noted(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
         if frame["k"] == "ord":
             sent.setdefault((peers._node, frame["i"]), peers.runtime.now())
         send(peers, node, frame)
 
-    def checked(dispatch: HeartbeatEndpoint, sender: str, frame: dict[str, Any]) -> None:
-        ages.append(dispatch.runtime.now() - sent[sender, frame["i"]])
-        order(dispatch, sender, frame)
+    def checked(relay: CommandRelay, sender: str, command: RelayedCommand) -> None:
+        ages.append(relay.runtime.now() - sent[sender, command.number])
+        handle_command(relay, sender, command)
 
     monkeypatch.setattr(PeerLinks, "send", noted)
-    monkeypatch.setattr(HeartbeatEndpoint, "order", checked)
+    monkeypatch.setattr(CommandRelay, "handle_command", checked)
     world = SimulatedCluster(3)
     for turn in range(3):
         for number in range(12):
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -37,14 +37,14 @@
 DUTIES: dict[str, list[str]] = {
     "reports": [
         "api.heartbeat_endpoint:HeartbeatEndpoint.handle_heartbeat",
-        "api.heartbeat_endpoint:HeartbeatEndpoint.forwarded",
+        "api.heartbeat_endpoint:HeartbeatEndpoint.handle_forwarded_heartbeat",
         "leader.reconciliation.heartbeat_handler:HeartbeatHandler.handle_heartbeat",
     ],
     "users": [
-        "api.job_api:JobApi.handle",
-        "api.job_api:JobApi.asked",
-        "api.job_api:JobApi.answered",
-        "api.job_api:JobApi._renew",
+        "api.job_api:JobApi.handle_request",
+        "api.leader_requests:LeaderRequests.handle_request",
+        "api.leader_requests:LeaderRequests.handle_response",
+        "api.leader_requests:LeaderRequests._resend_to_successor",
     ],
     "peers": [
         "cluster.peer_links:PeerLinks.send",
@@ -70,8 +70,8 @@
     "replay": ["ledger.write_ahead_log:WriteAheadLog.replay", "leader.leader:Leader._on_replayed"],
     "orders": [
         "leader.commands:CommandSender._send",
-        "api.heartbeat_endpoint:HeartbeatEndpoint.order",
-        "api.heartbeat_endpoint:HeartbeatEndpoint.carried",
+        "api.command_relay:CommandRelay.handle_command",
+        "api.command_relay:CommandRelay.handle_result",
     ],
     "pass": ["leader.scheduling.scheduler:Scheduler._schedule"],
     "plan": ["leader.autoscaling.autoscaler:Autoscaler.scale"],
