--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -154,7 +154,7 @@
             return
         home = self.home_of(report)
         if home is not None:
-            request.reply(421, wire.report_elsewhere(home.node))
+            request.reply(421, wire.Redirect(home.node))
             return
         election, now, name = self._election, self.runtime.now(), report.machine
         if (
@@ -164,11 +164,11 @@
         ):
             # Begun anew where nothing can be reached: it keeps the tasks of those who ask it, and
             # orders nothing.
-            request.reply(200, wire.beat_answer(report.fencing_token))
+            request.reply(200, wire.HeartbeatReply(report.fencing_token))
             return
         if report.fencing_token > election.term:
             # Somebody with a higher term commands it: we are not entitled to act.
-            request.reply(421, wire.report_elsewhere(None))
+            request.reply(421, wire.Redirect(None))
             return
         if election.term == 0 or election.seconds_since_leader_contact > self._policy.unattended:
             request.reply(503, None)
@@ -187,9 +187,9 @@
                 # Never at its first report here: it may come from an owner that does not answer it
                 # (cut off from workers alone, or standing still), and that took half of its lease.
                 self._sent_on[name] = now
-                request.reply(421, wire.report_elsewhere(theirs))
+                request.reply(421, wire.Redirect(theirs))
                 return
-        request.reply(200, wire.beat_answer(election.term))
+        request.reply(200, wire.HeartbeatReply(election.term))
         self._note(report)
         if election.is_leader:
             self._deliver(self._settings.node, report)
@@ -251,7 +251,7 @@
         server: str | None,
         machine: str,
         address: str,
-        body: dict[str, Any] | None,
+        body: wire.CommandBatch | None,
         done: Told,
     ) -> None:
         if server is None or server == self._settings.node or not self._peers.is_reachable(server):
@@ -260,7 +260,9 @@
         number = next(self._ids)
         timer = self.later(self._policy.order_call * 1.25, self._carry_timed_out, number)
         self._carried[number] = (server, done, timer)
-        self._peers.send(server, {"k": "ord", "i": number, "m": machine, "a": address, "o": body})
+        commands = None if body is None else msgspec.to_builtins(body)
+        frame = {"k": "ord", "i": number, "m": machine, "a": address, "o": commands}
+        self._peers.send(server, frame)
 
     def other_controllers(self, zone: str) -> list[str]:
         here = self._settings.node
@@ -271,7 +273,7 @@
         ]
         return sorted(live, key=lambda node: self._zones.get(node) != zone)
 
-    def _send(self, address: str, body: dict[str, Any] | None, done: Told) -> None:
+    def _send(self, address: str, body: wire.CommandBatch | None, done: Told) -> None:
         if body is None:
             self._workers.query_status(address, done)
         else:
@@ -287,9 +289,14 @@
 
         Late ones are harmless: they name term and session.
         """
-        address, body, number = frame.get("a"), frame.get("o"), frame.get("i")
-        if not isinstance(address, str) or not isinstance(body, dict | None):
-            log.warning("orders of %s are none", sender)
+        address, number = frame.get("a"), frame.get("i")
+        try:
+            body = msgspec.convert(frame.get("o"), wire.CommandBatch | None)
+        except msgspec.ValidationError as error:
+            log.warning("the commands of %s are malformed: %s", sender, error)
+            return
+        if not isinstance(address, str):
+            log.warning("the commands of %s are malformed: no address", sender)
             return
         if body is not None and not self._is_due(sender, body, number):
             return
@@ -302,10 +309,10 @@
 
         self._send(address, body, told)
 
-    def _is_due(self, sender: str, body: dict[str, Any], number: Any) -> bool:
+    def _is_due(self, sender: str, body: wire.CommandBatch, number: Any) -> bool:
         """Whether the orders are of the present term and come for the first time."""
         term = self._election.term
-        if body.get("baton") != term or not isinstance(number, int):
+        if body.fencing_token != term or not isinstance(number, int):
             return False
         if term != self._order_term:
             self._order_term, self._order_numbers = term, {}
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -234,7 +234,8 @@
         number = frame.get("i")
 
         def answer(status: int, body: Any) -> None:
-            self._peers.send(sender, {"k": "ans", "i": number, "s": status, "b": body})
+            reply = msgspec.to_builtins(body)
+            self._peers.send(sender, {"k": "ans", "i": number, "s": status, "b": reply})
 
         if self._election.is_leader:
             self._serve(str(frame.get("w")), frame.get("s"), answer)
--- a/flaxtally/clients/__init__.py
+++ b/flaxtally/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the outside systems: state service, cloud, workers.
+"""Clients of the outside systems: key-value store, cloud, workers.
 
-Owns their calls, budgets and outcomes; decides nothing. Start with `store`.
+Owns their calls, budgets and outcomes; decides nothing. Start with `key_value_store`.
 """
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -2,15 +2,25 @@
 
 from __future__ import annotations
 
+import enum
 import heapq
 import itertools
 import logging
-from functools import partial
-from typing import TYPE_CHECKING, Any, TypeVar
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING, TypeVar
 
 import msgspec
 
-from ..protocol import wire
+from ..protocol import paths
+from ..protocol.cloud import (
+    ListedMachine,
+    MachineList,
+    MachineType,
+    MachineTypeList,
+    ProvisionReply,
+    ProvisionRequest,
+    TerminateRequest,
+)
 from ..runtime.http import Client, Reply
 from ..runtime.token_bucket import TokenBucket
 
@@ -21,154 +31,220 @@
 
 log = logging.getLogger(__name__)
 
-T = TypeVar("T")
-_catalog = msgspec.msgpack.Decoder(wire.Catalog)
-_rented = msgspec.msgpack.Decoder(wire.Rented)
-_listing = msgspec.msgpack.Decoder(wire.Listing)
+Message = TypeVar("Message")
 
-URGENT, RENT, ROUTINE = 0, 1, 2
-MOST_RELEASED = 100
-MOST_RENTED = 50
+MAX_TERMINATED = 100
+"""Machines in one call."""
+MAX_PROVISIONED = 50
+"""Machines in one call."""
+MAX_CONNECTIONS = 3
+MACHINES_PER_PAGE = 500
+BUDGET_SHARE = 0.9
+"""Of the cloud's limit of calls a second."""
+
+_machine_type_list_decoder = msgspec.msgpack.Decoder(MachineTypeList)
+_provision_reply_decoder = msgspec.msgpack.Decoder(ProvisionReply)
+_machine_list_decoder = msgspec.msgpack.Decoder(MachineList)
+
+
+class ProvisionOutcome(enum.Enum):
+    """How a request for machines ended."""
+
+    PROVISIONED = enum.auto()
+    NO_CAPACITY = enum.auto()
+    UNAVAILABLE = enum.auto()
+    """Not executed: an outage, or too many calls."""
+    INDETERMINATE = enum.auto()
+    """No reply: it may have been executed, or may still be."""
+
+
+class _Priority(enum.IntEnum):
+    """Which of the waiting calls go first."""
+
+    TERMINATE = 0
+    PROVISION = 1
+    LIST = 2
+
+
+@dataclass(frozen=True)
+class _Request:
+    """A call as it is sent, and who waits for its reply."""
+
+    priority: _Priority
+    method: str
+    path: str
+    body: ProvisionRequest | TerminateRequest | None
+    on_reply: Callable[[Reply], None]
+
+
+@dataclass(order=True, frozen=True)
+class _QueueEntry:
+    """A waiting call; those of one priority go in the order in which they came."""
+
+    priority: _Priority
+    sequence_number: int
+    request: _Request = field(compare=False)
 
 
 class Cloud:
-    """The cloud's calls. Every `done` gets None when there was no answer that can be believed."""
-
-    def __init__(self, runtime: Runtime, address: Address, rps: float, timeout: float) -> None:
-        self._runtime, self._timeout = runtime, timeout
-        self._client = Client(runtime, address, most=3)
-        # Three nodes share no budget: only the leader calls, and a fresh leader must not start with
-        # the burst that its predecessor may just have used.
-        self._bucket = TokenBucket(runtime, rps * 0.9, rps)
-        self._waiting: list[tuple[int, int, tuple[Any, ...]]] = []
-        self._order = itertools.count()
-        self._armed = self._held = False
+    """The calls to the cloud.
+
+    Every `on_done` of a listing gets None when no reply came that can be believed.
+    """
+
+    def __init__(self, runtime: Runtime, address: Address, rps: float, timeout_s: float) -> None:
+        """Takes the cloud's address, its limit of calls a second, and the time-out of a call."""
+        self._runtime = runtime
+        self._timeout_s = timeout_s
+        self._client = Client(runtime, address, MAX_CONNECTIONS)
+        # The controllers share no budget: only the leader calls, and a new leader must not start
+        # with the burst that its predecessor may just have used.
+        self._bucket = TokenBucket(runtime, rps * BUDGET_SHARE, rps)
+        self._queue: list[_QueueEntry] = []
+        self._sequence_numbers = itertools.count()
+        self._is_send_scheduled = False
+        self._is_paused = False
         self.troubled_at = float("-inf")
+        """When a call last got no reply, or a refusal."""
         self.last_contact_at = float("-inf")
+        """When the cloud last served a call."""
+
+    @property
+    def is_troubled(self) -> bool:
+        """Whether its last reply was none, or of no use."""
+        return self.troubled_at > self.last_contact_at
 
-    def list_machine_types(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
-        self._call(
-            ROUTINE,
-            "GET",
-            wire.CATALOG,
-            None,
-            lambda reply: done(self._read(reply, _catalog, "types")),
-        )
+    # Calls
+
+    def list_machine_types(self, on_done: Callable[[list[MachineType] | None], None]) -> None:
+        """Reads the machine types that the cloud offers."""
+
+        def on_reply(reply: Reply) -> None:
+            offered = self._decode(reply, _machine_type_list_decoder)
+            on_done(None if offered is None else offered.types)
+
+        self._enqueue(_Request(_Priority.LIST, "GET", paths.MACHINE_TYPES, None, on_reply))
 
     def provision(
         self,
-        request: str,
-        kind: str,
-        zone: str,
-        spot: bool,
-        count: int,
-        done: Callable[[str, list[str]], None],
+        request: ProvisionRequest,
+        on_done: Callable[[ProvisionOutcome, list[str]], None],
     ) -> None:
-        """Asks for machines.
-
-        `done(outcome, machines)`: `rented`, `none` (no capacity), `trouble` (not executed) or
-        `unknown` (no answer: it may have been, or may still be).
-        """
+        """Asks for machines; `on_done` gets the outcome and the names of the new machines."""
 
-        def told(reply: Reply) -> None:
-            machines = self._read(reply, _rented, "machines")
-            if machines is not None:
-                done("rented", machines)
-            elif reply.status == 503 and b"capacity" in reply.body:
+        def on_reply(reply: Reply) -> None:
+            provisioned = self._decode(reply, _provision_reply_decoder)
+            if provisioned is not None:
+                on_done(ProvisionOutcome.PROVISIONED, provisioned.machines)
+            elif _is_out_of_capacity(reply):
                 self.last_contact_at = self._runtime.now()
-                done("none", [])
+                on_done(ProvisionOutcome.NO_CAPACITY, [])
             elif reply.status in (429, 503):
-                done("trouble", [])
+                on_done(ProvisionOutcome.UNAVAILABLE, [])
             else:
-                done("unknown", [])
+                on_done(ProvisionOutcome.INDETERMINATE, [])
 
-        self._call(RENT, "POST", wire.RENTALS, wire.rental(request, kind, zone, spot, count), told)
+        self._enqueue(_Request(_Priority.PROVISION, "POST", paths.MACHINES, request, on_reply))
 
-    def terminate(self, machines: list[str], done: Callable[[bool], None]) -> None:
-        """`done(True)` only on a 200: then the machines and everything on them are gone."""
+    def terminate(self, machines: list[str], on_done: Callable[[bool], None]) -> None:
+        """Terminates machines.
 
-        def told(reply: Reply) -> None:
-            if reply.status == 200:
+        `on_done(True)` only after a 200: then the machines and everything on them are gone.
+        """
+
+        def on_reply(reply: Reply) -> None:
+            is_terminated = reply.status == 200
+            if is_terminated:
                 self.last_contact_at = self._runtime.now()
-            done(reply.status == 200)
+            on_done(is_terminated)
 
-        self._call(URGENT, "POST", wire.RELEASE, wire.release(machines), told)
+        body = TerminateRequest(machines)
+        self._enqueue(_Request(_Priority.TERMINATE, "POST", paths.TERMINATE, body, on_reply))
 
-    def list_machines(self, done: Callable[[list[wire.Listed] | None], None]) -> None:
-        found: list[wire.Listed] = []
+    def list_machines(self, on_done: Callable[[list[ListedMachine] | None], None]) -> None:
+        """Reads the list of machines, page by page; None when a page can't be read."""
+        found: list[ListedMachine] = []
 
-        def told(reply: Reply) -> None:
-            page: wire.Listing | None = self._read(reply, _listing, None)
+        def on_reply(reply: Reply) -> None:
+            page = self._decode(reply, _machine_list_decoder)
             if page is None:
-                done(None)
+                on_done(None)
                 return
             found.extend(page.machines)
             if page.more and page.machines:
-                ask(page.machines[-1].machine)
+                request_page(page.machines[-1].machine)
             else:
-                done(found)
+                on_done(found)
 
-        def ask(after: str | None) -> None:
-            self._call(ROUTINE, "GET", wire.listing_path(after, 500), None, told)
+        def request_page(after: str | None) -> None:
+            path = paths.list_machines_path(after, MACHINES_PER_PAGE)
+            self._enqueue(_Request(_Priority.LIST, "GET", path, None, on_reply))
 
-        ask(None)
+        request_page(None)
 
-    @property
-    def is_troubled(self) -> bool:
-        """Whether its last answer was none, or of no use."""
-        return self.troubled_at > self.last_contact_at
+    # Whether calls are sent
 
     def forget(self) -> None:
-        """Drops what still waits to be called; for a leader that is one no more."""
-        self._waiting.clear()
-        self._held = False
+        """Drops the calls that still wait, for a controller that no longer leads."""
+        self._queue.clear()
+        self._is_paused = False
 
     def hold(self) -> None:
         """Sends nothing until `resume`; calls wait in their order."""
-        self._held = True
+        self._is_paused = True
 
     def resume(self) -> None:
-        """Goes on after `hold`."""
-        self._held = False
-        self._pump()
+        """Sends calls again after `hold`."""
+        self._is_paused = False
+        self._send_queued()
+
+    # Sending and replies
+
+    def _enqueue(self, request: _Request) -> None:
+        entry = _QueueEntry(request.priority, next(self._sequence_numbers), request)
+        heapq.heappush(self._queue, entry)
+        self._send_queued()
+
+    def _send_queued(self) -> None:
+        self._is_send_scheduled = False
+        while self._queue and not self._is_paused:
+            wait_s = self._bucket.wait(1.0)
+            if wait_s > 0:
+                self._is_send_scheduled = True
+                self._runtime.after(wait_s, self._send_scheduled)
+                return
+            self._bucket.take(1.0)
+            self._send(heapq.heappop(self._queue).request)
+
+    def _send_scheduled(self) -> None:
+        if self._is_send_scheduled:
+            self._send_queued()
+
+    def _send(self, request: _Request) -> None:
+        def on_reply(reply: Reply) -> None:
+            self._record_trouble(reply)
+            request.on_reply(reply)
 
-    def _read(self, reply: Reply, decoder: Any, field: str | None) -> Any:
+        self._client.request(request.method, request.path, request.body, self._timeout_s, on_reply)
+
+    def _record_trouble(self, reply: Reply) -> None:
+        if reply.status == 429:
+            self._bucket.empty()
+        is_outage = reply.status == 503 and not _is_out_of_capacity(reply)
+        if reply.status in (0, 429) or is_outage:
+            self.troubled_at = self._runtime.now()
+
+    def _decode(self, reply: Reply, decoder: msgspec.msgpack.Decoder[Message]) -> Message | None:
         if reply.status != 200:
             return None
         self.last_contact_at = self._runtime.now()
         try:
-            message = decoder.decode(reply.body)
-        except msgspec.DecodeError as fault:
-            log.warning("cloud: %s", fault)
+            return decoder.decode(reply.body)
+        except msgspec.DecodeError as error:
+            log.warning("the cloud's reply can't be decoded: %s", error)
             return None
-        return message if field is None else getattr(message, field)
-
-    def _call(
-        self, urgency: int, method: str, path: str, body: Any, told: Callable[[Reply], None]
-    ) -> None:
-        heapq.heappush(self._waiting, (urgency, next(self._order), (method, path, body, told)))
-        self._pump()
-
-    def _pump(self) -> None:
-        self._armed = False
-        while self._waiting and not self._held:
-            wait = self._bucket.wait(1.0)
-            if wait > 0:
-                self._armed = True
-                self._runtime.after(wait, self._again)
-                return
-            self._bucket.take(1.0)
-            method, path, body, told = heapq.heappop(self._waiting)[2]
-            done = partial(self._told, told=told)
-            self._client.request(method, path, body, self._timeout, done)
 
-    def _again(self) -> None:
-        if self._armed:
-            self._pump()
 
-    def _told(self, reply: Reply, told: Callable[[Reply], None]) -> None:
-        if reply.status == 429:
-            self._bucket.empty()
-        if reply.status in (0, 429) or (reply.status == 503 and b"capacity" not in reply.body):
-            self.troubled_at = self._runtime.now()
-        told(reply)
+def _is_out_of_capacity(reply: Reply) -> bool:
+    """Whether the cloud has none of the machines that were asked for."""
+    return reply.status == 503 and b"capacity" in reply.body
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -1,18 +1,19 @@
-"""Client of the state service: typed calls, one outcome each.
+"""Client of the key-value store: typed calls, one outcome each.
 
-Outcomes keep apart what matters to a writer: done, a guard that failed, surely not executed
-(refused), and unknown (it may have been executed, or may yet be).
+Outcomes keep apart what matters to a writer: committed, conflict (a version differs), unavailable
+(surely not executed), and indeterminate (it may have been executed, or may yet be).
 """
 
 from __future__ import annotations
 
 import enum
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import msgspec
 
-from ..protocol import wire
+from ..protocol import paths
+from ..protocol.store import Lease, LeaseRequest, Revision, Row, Rows, Transaction
 from ..runtime.http import Client, Reply
 
 if TYPE_CHECKING:
@@ -22,91 +23,97 @@
 
 log = logging.getLogger(__name__)
 
-_row = msgspec.msgpack.Decoder(wire.Row)
-_rows = msgspec.msgpack.Decoder(wire.Rows)
-_revision = msgspec.msgpack.Decoder(wire.Revision)
-_hold = msgspec.msgpack.Decoder(wire.Lease)
+Message = TypeVar("Message")
+
+MAX_CONNECTIONS = 8
+"""More than are needed while all calls are answered: one that gets no reply keeps its connection
+until its time-out.
+"""
+KEYS_PER_PAGE = 500
+SERVED = frozenset({200, 201, 404, 409, 410})
+"""Statuses of a store that serves calls; 429 and 503 are refusals."""
+
+_row_decoder = msgspec.msgpack.Decoder(Row)
+_rows_decoder = msgspec.msgpack.Decoder(Rows)
+_revision_decoder = msgspec.msgpack.Decoder(Revision)
+_lease_decoder = msgspec.msgpack.Decoder(Lease)
 
 
 class Outcome(enum.Enum):
     """How a transaction ended."""
 
-    COMMITTED = "done"
-    CONFLICT = "failed"
-    UNAVAILABLE = "refused"
-    """Not now: an outage, or too many requests. The same can be sent again."""
+    COMMITTED = "committed"
+    CONFLICT = "conflict"
+    """Not executed: a key has another version than expected."""
+    UNAVAILABLE = "unavailable"
+    """Not executed: an outage, or too many requests. The same can be sent again."""
     INVALID = "invalid"
-    """Never: a value or the transaction is too large, or its lease has ended."""
-    INDETERMINATE = "unknown"
+    """Never executed: a value or the transaction is too large, or its lease has ended."""
+    INDETERMINATE = "indeterminate"
+    """No reply: it may have been executed, or may yet be."""
 
 
 class KeyValueStore:
-    """Client of the consensus-backed key-value store: keys, compare-and-swap and leases.
-
-    `last_contact_at` is when the store last answered for real.
-    """
+    """Client of the consensus-backed key-value store: keys, compare-and-swap and leases."""
 
     def __init__(
-        self, runtime: Runtime, address: Address, timeout: float, first: float, prefix: str = ""
+        self,
+        runtime: Runtime,
+        address: Address,
+        timeout_s: float,
+        first_timeout_s: float,
+        prefix: str = "",
     ) -> None:
-        """`first`: how long to wait for the answer to a transaction's first try.
+        """Takes the store's address and the time-outs of calls and of a transaction's first try.
 
-        `prefix`: put before every key, and taken off those that are read.
+        `prefix` is put before every key, and taken off those that are read.
         """
+        self._runtime = runtime
+        self._timeout_s = timeout_s
+        self._first_timeout_s = first_timeout_s
         self._prefix = prefix
-        self._runtime, self._timeout, self._first = runtime, timeout, first
-        # More than are needed while all is answered: calls whose answers are lost keep theirs for a
-        # while.
-        self._client = Client(runtime, address, most=8)
-        self._commits = Client(runtime, address, most=1)
+        self._client = Client(runtime, address, MAX_CONNECTIONS)
+        self._commit_client = Client(runtime, address, 1)
         self.last_contact_at = float("-inf")
+        """When the store last served a call; a refusal doesn't count."""
+
+    # Keys
 
-    def get(self, key: str, on_done: Callable[[bool, wire.Row | None], None]) -> None:
-        """`on_done(True, row or None)`, or `on_done(False, None)` when the service can't tell."""
+    def get(self, key: str, on_done: Callable[[bool, Row | None], None]) -> None:
+        """Reads a key.
 
-        def told(reply: Reply) -> None:
-            if self._served(reply) and reply.status in (200, 404):
-                try:
-                    on_done(True, _row.decode(reply.body) if reply.status == 200 else None)
-                    return
-                except msgspec.DecodeError as fault:
-                    log.warning("state service: %s", fault)
-            on_done(False, None)
+        `on_done(True, row or None)`, or `on_done(False, None)` when the store can't tell.
+        """
 
-        path = f"{wire.STORE}/{self._prefix}{key}"
-        self._client.request("GET", path, None, self._timeout, told)
+        def on_reply(reply: Reply) -> None:
+            self._note_contact(reply)
+            row = self._decode(reply, _row_decoder) if reply.status == 200 else None
+            on_done(row is not None or reply.status == 404, row)
 
-    def list_prefix(self, prefix: str, on_done: Callable[[list[wire.Row] | None], None]) -> None:
-        """All rows with the prefix, over as many calls as it takes; None when one fails."""
-        found: list[wire.Row] = []
+        path = f"{paths.KEYS}/{self._prefix}{key}"
+        self._client.request("GET", path, None, self._timeout_s, on_reply)
 
-        def told(reply: Reply) -> None:
-            if not self._served(reply) or reply.status != 200:
-                on_done(None)
-                return
-            try:
-                page = _rows.decode(reply.body)
-            except msgspec.DecodeError as fault:
-                log.warning("state service: %s", fault)
+    def list_prefix(self, prefix: str, on_done: Callable[[list[Row] | None], None]) -> None:
+        """Reads all rows with the prefix, over as many calls as it takes; None when one fails."""
+        found: list[Row] = []
+
+        def on_reply(reply: Reply) -> None:
+            self._note_contact(reply)
+            page = self._decode(reply, _rows_decoder) if reply.status == 200 else None
+            if page is None:
                 on_done(None)
                 return
-            found.extend(self._own_row(row) for row in page.rows)
+            found.extend(self._without_prefix(row) for row in page.rows)
             if page.more and page.rows:
-                ask(page.rows[-1].key)
+                request_page(page.rows[-1].key)
             else:
                 on_done(found)
 
-        def ask(after: str | None) -> None:
-            path = wire.rows_path(self._prefix + prefix, after, 500)
-            self._client.request("GET", path, None, self._timeout * 2, told)
+        def request_page(after: str | None) -> None:
+            path = paths.list_keys_path(self._prefix + prefix, after, KEYS_PER_PAGE)
+            self._client.request("GET", path, None, self._timeout_s * 2, on_reply)
 
-        ask(None)
-
-    def _own_row(self, row: wire.Row) -> wire.Row:
-        """The row under its key without the prefix."""
-        if not self._prefix:
-            return row
-        return wire.Row(row.key[len(self._prefix) :], row.value, row.version)
+        request_page(None)
 
     def compare_and_swap(
         self,
@@ -114,76 +121,96 @@
         writes: dict[str, Any],
         deletes: list[str],
         on_done: Callable[[Outcome, int], None],
+        *,
         lease: int | None = None,
         commit: bool = False,
         first: bool = False,
     ) -> None:
-        """`on_done(outcome, revision)`; the revision is that of the change when it was done.
+        """Changes keys if all of the expected versions are still theirs.
 
-        `commit` puts it on the connection kept for the ledger's commits; `first` tries are waited
-        for less long.
+        `on_done(outcome, revision)`: the revision is that of the changes once committed, else 0.
+        `lease` is attached to every key that is written. `commit` uses the connection that is kept
+        for the write-ahead log; `first`: a first try has a shorter time-out.
         """
 
-        def told(reply: Reply) -> None:
-            if self._served(reply):
-                if reply.status == 200:
-                    try:
-                        on_done(Outcome.COMMITTED, _revision.decode(reply.body).revision)
-                        return
-                    except msgspec.DecodeError as fault:
-                        log.warning("state service: %s", fault)
-                elif reply.status == 409:
-                    on_done(Outcome.CONFLICT, 0)
-                    return
-            if reply.status == 400:
-                log.warning("state service refused a transaction: %r", reply.body[:200])
-                on_done(Outcome.INVALID, 0)
-            elif reply.status in (429, 503):
-                on_done(Outcome.UNAVAILABLE, 0)
-            else:
-                on_done(Outcome.INDETERMINATE, 0)
-
-        client = self._commits if commit else self._client
-        timeout = self._first if first else self._timeout
-        prefix = self._prefix
-        if prefix:
-            expected_versions = {
-                prefix + key: version for key, version in expected_versions.items()
-            }
-            writes = {prefix + key: value for key, value in writes.items()}
-            deletes = [prefix + key for key in deletes]
-        client.request(
-            "POST", wire.TXN, wire.txn(expected_versions, writes, deletes, lease), timeout, told
-        )
-
-    def grant_lease(self, life: float, on_done: Callable[[int | None], None]) -> None:
-        def told(reply: Reply) -> None:
-            lease = None
-            if self._served(reply) and reply.status in (200, 201):
-                try:
-                    lease = _hold.decode(reply.body).lease
-                except msgspec.DecodeError as fault:
-                    log.warning("state service: %s", fault)
-            on_done(lease)
-
-        self._client.request("POST", wire.HOLDS, wire.hold_body(life), self._timeout, told)
+        def on_reply(reply: Reply) -> None:
+            on_done(*self._read_outcome(reply))
+
+        if self._prefix:
+            expected_versions = self._with_prefix(expected_versions)
+            writes = self._with_prefix(writes)
+            deletes = [self._prefix + key for key in deletes]
+        transaction = Transaction.build(expected_versions, writes, deletes, lease)
+        client = self._commit_client if commit else self._client
+        timeout_s = self._first_timeout_s if first else self._timeout_s
+        client.request("POST", paths.TRANSACTIONS, transaction, timeout_s, on_reply)
+
+    # Leases
+
+    def grant_lease(self, duration_s: float, on_done: Callable[[int | None], None]) -> None:
+        """Asks for a lease; `on_done` gets its number, or None when it is not known."""
+
+        def on_reply(reply: Reply) -> None:
+            self._note_contact(reply)
+            is_granted = reply.status in (200, 201)
+            granted = self._decode(reply, _lease_decoder) if is_granted else None
+            on_done(None if granted is None else granted.lease)
+
+        body = LeaseRequest(int(duration_s * 1000))
+        self._client.request("POST", paths.LEASES, body, self._timeout_s, on_reply)
 
     def renew_lease(self, lease: int, on_done: Callable[[bool | None], None]) -> None:
         """`on_done(True)`: renewed; `on_done(False)`: it has expired; `on_done(None)`: unknown."""
 
-        def told(reply: Reply) -> None:
-            self._served(reply)
+        def on_reply(reply: Reply) -> None:
+            self._note_contact(reply)
             on_done({200: True, 404: False}.get(reply.status))
 
-        self._client.request("POST", f"{wire.HOLDS}/{lease}/extend", None, self._timeout, told)
+        path = f"{paths.LEASES}/{lease}/extend"
+        self._client.request("POST", path, None, self._timeout_s, on_reply)
+
+    # Contact with the store
 
-    def on_pause(self, lost: float) -> None:
-        """The process stood still: the service was not silent meanwhile."""
-        self.last_contact_at = min(self._runtime.now(), self.last_contact_at + lost)
+    def on_pause(self, pause_s: float) -> None:
+        """The process stood still this long: the store was not silent meanwhile."""
+        self.last_contact_at = min(self._runtime.now(), self.last_contact_at + pause_s)
 
-    def _served(self, reply: Reply) -> bool:
-        """Whether the service really answered (429 and 503 are refusals)."""
-        served = reply.status in (200, 201, 404, 409, 410)
-        if served:
+    def _note_contact(self, reply: Reply) -> None:
+        if reply.status in SERVED:
             self.last_contact_at = self._runtime.now()
-        return served
+
+    # Reading replies
+
+    def _read_outcome(self, reply: Reply) -> tuple[Outcome, int]:
+        self._note_contact(reply)
+        if reply.status == 200:
+            committed = self._decode(reply, _revision_decoder)
+            if committed is None:
+                return Outcome.INDETERMINATE, 0
+            return Outcome.COMMITTED, committed.revision
+        if reply.status == 409:
+            return Outcome.CONFLICT, 0
+        if reply.status == 400:
+            log.warning("the store refused a transaction as invalid: %r", reply.body[:200])
+            return Outcome.INVALID, 0
+        if reply.status in (429, 503):
+            return Outcome.UNAVAILABLE, 0
+        return Outcome.INDETERMINATE, 0
+
+    @staticmethod
+    def _decode(reply: Reply, decoder: msgspec.msgpack.Decoder[Message]) -> Message | None:
+        try:
+            return decoder.decode(reply.body)
+        except msgspec.DecodeError as error:
+            log.warning("the store's reply can't be decoded: %s", error)
+            return None
+
+    # The prefix of keys
+
+    def _with_prefix(self, by_key: dict[str, Message]) -> dict[str, Message]:
+        return {self._prefix + key: value for key, value in by_key.items()}
+
+    def _without_prefix(self, row: Row) -> Row:
+        if not self._prefix:
+            return row
+        return Row(row.key.removeprefix(self._prefix), row.value, row.version)
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -1,29 +1,33 @@
-"""Client of the workers: direct orders and status questions, one kept connection a machine."""
+"""Client of the workers: commands and status queries, few kept connections a machine."""
 
 from __future__ import annotations
 
 import logging
 from collections import deque
-from functools import partial
-from typing import TYPE_CHECKING, Any, NamedTuple
+from collections.abc import Callable
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 
-from ..protocol import wire
+from ..protocol import paths
+from ..protocol.workers import CommandBatch, Heartbeat
 from ..runtime.http import Client, OpenConnections, Reply
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
     from ..runtime.loop import Address, Runtime
 
 log = logging.getLogger(__name__)
 
 CALLED_SHARE = 0.3
 """Of the sockets, for calls to workers."""
-A_WORKER = 2
-"""Connections to one worker at a time."""
-decode_report = msgspec.msgpack.Decoder(wire.Heartbeat).decode
+CONNECTIONS_PER_WORKER = 2
+
+OnReply = Callable[[int, bytes], None]
+"""Gets the status and the body of a worker's reply.
+
+Status 0 means that no reply came, so the commands may yet be executed.
+"""
+decode_report = msgspec.msgpack.Decoder(Heartbeat).decode
 
 
 def parse_address(text: str) -> Address | None:
@@ -32,81 +36,87 @@
     return (host, int(port)) if host and port.isdigit() else None
 
 
-class _Call(NamedTuple):
-    """A call that waits for a connection; its time runs from when it was asked for."""
+class _Request(NamedTuple):
+    """A call to a worker; `batch` None: a status query."""
 
     address: str
+    batch: CommandBatch | None
+    on_reply: OnReply
+
+
+class _QueuedCall(NamedTuple):
+    """A call that waits for a connection; its time runs from when it was asked for."""
+
+    request: _Request
     target: Address
-    method: str
-    path: str
-    body: Any
-    done: Callable[[int, bytes], None]
-    until: float
+    deadline_at: float
 
 
 class Workers:
-    """`done(status, body)`: status 0 means that no answer came, so the orders may yet be executed.
+    """Sends commands and status queries to workers over a bounded number of connections.
 
-    At most `most` connections at a time, in all: those that were used last are kept, a call beyond
-    them waits.
+    Those that were used last are kept; a call beyond the bound waits.
     """
 
-    def __init__(self, runtime: Runtime, timeout: float, most: int) -> None:
-        self._runtime, self._timeout, self._most = runtime, timeout, max(A_WORKER, most)
+    def __init__(self, runtime: Runtime, timeout_s: float, max_connections: int) -> None:
+        """Takes the time-out of a call, and how many connections there may be in all."""
+        self._runtime = runtime
+        self._timeout_s = timeout_s
+        self._max_connections = max(CONNECTIONS_PER_WORKER, max_connections)
         self._opened = OpenConnections()
         self._clients: dict[str, Client] = {}
         """By address, the one called longest ago first."""
-        self._waiting: deque[_Call] = deque()
+        self._queue: deque[_QueuedCall] = deque()
 
-    def send_commands(
-        self, address: str, body: dict[str, Any], done: Callable[[int, bytes], None]
-    ) -> None:
-        self._call(address, "POST", wire.ORDERS, body, done)
+    def send_commands(self, address: str, batch: CommandBatch, on_reply: OnReply) -> None:
+        """Sends commands to the worker at the address."""
+        self._enqueue(_Request(address, batch, on_reply))
 
-    def query_status(self, address: str, done: Callable[[int, bytes], None]) -> None:
-        self._call(address, "GET", wire.STATUS, None, done)
+    def query_status(self, address: str, on_reply: OnReply) -> None:
+        """Asks the worker at the address for its status."""
+        self._enqueue(_Request(address, None, on_reply))
 
-    def _call(
-        self, address: str, method: str, path: str, body: Any, done: Callable[[int, bytes], None]
-    ) -> None:
-        target = parse_address(address)
+    def _enqueue(self, request: _Request) -> None:
+        target = parse_address(request.address)
         if target is None:
-            log.warning("worker address %r is none", address)
-            done(0, b"")
+            log.warning("a worker's address is none: %r", request.address)
+            request.on_reply(0, b"")
             return
-        self._waiting.append(
-            _Call(address, target, method, path, body, done, self._runtime.now() + self._timeout)
-        )
-        self._pump()
-
-    def _pump(self) -> None:
-        while self._waiting:
-            call, now = self._waiting[0], self._runtime.now()
-            if call.until <= now:
-                self._waiting.popleft()
-                call.done(0, b"")
+        deadline_at = self._runtime.now() + self._timeout_s
+        self._queue.append(_QueuedCall(request, target, deadline_at))
+        self._send_queued()
+
+    def _send_queued(self) -> None:
+        while self._queue:
+            call = self._queue[0]
+            now = self._runtime.now()
+            if call.deadline_at <= now:
+                self._queue.popleft()
+                call.request.on_reply(0, b"")
                 continue
-            client = self._clients.pop(call.address, None)
+            client = self._use_client(call)
             if client is None:
-                if not self._room():
-                    return
-                client = Client(self._runtime, call.target, A_WORKER, self._opened)
-            self._clients[call.address] = client
-            self._waiting.popleft()
-            client.request(
-                call.method,
-                call.path,
-                call.body,
-                call.until - now,
-                partial(self._told, call),
-            )
-
-    def _room(self) -> bool:
-        """Whether one more machine may be called.
+                return
+            self._queue.popleft()
+            self._send(client, call.request, call.deadline_at - now)
+
+    def _use_client(self, call: _QueuedCall) -> Client | None:
+        """The client for the call, as the one used last; None: there is no connection for it."""
+        address = call.request.address
+        client = self._clients.pop(address, None)
+        if client is None:
+            if not self._make_capacity():
+                return None
+            client = Client(self._runtime, call.target, CONNECTIONS_PER_WORKER, self._opened)
+        self._clients[address] = client
+        return client
+
+    def _make_capacity(self) -> bool:
+        """Whether one more worker may be called.
 
         Closes the connections that were used longest ago.
         """
-        if self._opened.count + A_WORKER <= self._most:
+        if self._opened.count + CONNECTIONS_PER_WORKER <= self._max_connections:
             return True
         for address, client in self._clients.items():
             if not client.busy:
@@ -115,7 +125,13 @@
                 return True
         return False
 
-    def _told(self, call: _Call, reply: Reply) -> None:
-        call.done(reply.status, reply.body)
-        if self._waiting:
-            self._pump()
+    def _send(self, client: Client, request: _Request, timeout_s: float) -> None:
+        def on_reply(reply: Reply) -> None:
+            request.on_reply(reply.status, reply.body)
+            if self._queue:
+                self._send_queued()
+
+        if request.batch is None:
+            client.request("GET", paths.WORKER_STATUS, None, timeout_s, on_reply)
+        else:
+            client.request("POST", paths.COMMANDS, request.batch, timeout_s, on_reply)
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -95,7 +95,7 @@
         self._reported_at = self._runtime.now()
         super()._beat()
 
-    def _launch(self, order: wire.WorkerCommand) -> None:
+    def _launch(self, order: wire.Command) -> None:
         super()._launch(order)
         held = self.tasks[order.task, order.attempt]
         if held.timer is not None and held.state == wire.FETCHING:
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -80,18 +80,22 @@
         if request.method == "POST":
             self.callers.append((request.far, path))
         if path == wire.RENTALS and request.method == "POST":
-            self.asked.append(msgspec.msgpack.decode(request.body, type=wire.Rental).request)
+            self.asked.append(
+                msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest).request
+            )
         if self.down:
             request.reply(503, {"error": "trouble"})
         elif self.limit is not None and not self.limit.try_take(1):
             self.limited += 1
             request.reply(429, {"error": "too many"})
         elif path == wire.CATALOG:
-            request.reply(200, wire.Catalog(self._types))
+            request.reply(200, wire.MachineTypeList(self._types))
         elif path == wire.RELEASE:
-            self._release(request, msgspec.msgpack.decode(request.body, type=wire.Release).machines)
+            self._release(
+                request, msgspec.msgpack.decode(request.body, type=wire.TerminateRequest).machines
+            )
         elif request.method == "POST":
-            self._rent(request, msgspec.msgpack.decode(request.body, type=wire.Rental))
+            self._rent(request, msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest))
         else:
             self._list_page(request)
 
@@ -104,7 +108,7 @@
         query = parse_qs(request.path.partition("?")[2])
         after, most = query.get("after", [""])[0], int(query.get("most", [str(MOST_LISTED)])[0])
         machines = [machine for machine in self._list() if machine.machine > after]
-        request.reply(200, wire.Listing(machines[:most], len(machines) > most))
+        request.reply(200, wire.MachineList(machines[:most], len(machines) > most))
 
     def _list(self) -> list[wire.Listed]:
         """The machines as they were a while ago, in the order of their names."""
@@ -120,16 +124,16 @@
                 listed.append(msgspec.structs.replace(machine, age_s=age, state=state))
         return listed
 
-    def _rent(self, request: Request, rental: wire.Rental) -> None:
+    def _rent(self, request: Request, rental: wire.ProvisionRequest) -> None:
         if rental.request not in self._answers:
-            pool = (rental.type, rental.zone, rental.spot)
+            pool = (rental.machine_type, rental.zone, rental.spot)
             used = sum((m.machine_type, m.zone, m.spot) == pool for m in self.machines.values())
             count = min(rental.count, self._capacity.get(pool, 0) - used)
             if count <= 0:
                 request.reply(503, {"error": "no capacity"})
                 return
             self._answers[rental.request] = [self.add(*pool) for _ in range(count)]
-        request.reply(200, wire.Rented(self._answers[rental.request]))
+        request.reply(200, wire.ProvisionReply(self._answers[rental.request]))
 
     def add_running(self, machine: wire.Listed) -> None:
         """A machine that is up already, with its worker, and was rented long ago."""
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -91,7 +91,7 @@
             else:
                 request.reply(200, wire.Row(key, row[0], row[1]))
         elif path == wire.HOLDS:
-            life = msgspec.msgpack.decode(request.body, type=wire.Life).milliseconds / 1000
+            life = msgspec.msgpack.decode(request.body, type=wire.LeaseRequest).milliseconds / 1000
             lease, self._next_lease = self._next_lease, self._next_lease + 1
             self._leases[lease] = (life, self._runtime.now() + life)
             request.reply(200, wire.Lease(lease))
@@ -130,11 +130,15 @@
         request.reply(200, wire.Rows(found, len(keys) > most))
 
     def _txn(self, request: Request) -> None:
-        txn = msgspec.msgpack.decode(request.body, type=wire.Txn)
+        txn = msgspec.msgpack.decode(request.body, type=wire.Transaction)
         before = len(self.over_limit)
-        if len(txn.apply) > self.txn_ops or len(txn.guards) > 4 * self.txn_ops:
-            self.over_limit.append(f"{len(txn.apply)} changes, {len(txn.guards)} guards")
-        for change in txn.apply:
+        if len(txn.changes) > self.txn_ops or len(txn.expected_versions) > 4 * self.txn_ops:
+            self.over_limit.append(
+                f"{len(txn.changes)} changes, {len(txn.expected_versions)} guards"
+            )
+        for change in txn.changes:
+            if change.put is None:
+                continue
             size = len(msgspec.json.encode(change.value))
             if size > self.value_bytes:
                 self.over_limit.append(f"{change.put}: {size} bytes")
@@ -144,7 +148,7 @@
         if self.lost_share and self._rng.random() < self.lost_share:
             self._runtime.after(self._rng.uniform(*self.lost_delay), self._late, txn)
             return
-        if self.change_limit is not None and not self.change_limit.try_take(len(txn.apply)):
+        if self.change_limit is not None and not self.change_limit.try_take(len(txn.changes)):
             self._refuse(request)
             return
         status, body = self.transact(txn)
@@ -154,25 +158,25 @@
         self.limited += 1
         request.reply(429, {"error": "too many"})
 
-    def _late(self, txn: wire.Txn) -> None:
+    def _late(self, txn: wire.Transaction) -> None:
         self.late.append(self.transact(txn)[0])
 
-    def transact(self, txn: wire.Txn) -> tuple[int, Any]:
+    def transact(self, txn: wire.Transaction) -> tuple[int, Any]:
         if any(
             change.put and change.lease is not None and change.lease not in self._leases
-            for change in txn.apply
+            for change in txn.changes
         ):
             return 400, {"error": "no such lease"}
         failed = [
             guard.key
-            for guard in txn.guards
+            for guard in txn.expected_versions
             if self.rows.get(guard.key, (None, 0))[1] != guard.version
         ]
         if failed:
             return 409, {"failed": failed, "ledger": self.revision}
-        if txn.apply:
+        if txn.changes:
             self.revision += 1
-        for change in txn.apply:
+        for change in txn.changes:
             self.changes += 1
             if change.put is not None:
                 self.rows[change.put] = (change.value, self.revision, change.lease)
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -119,13 +119,13 @@
                 reply = Reply(0)
             delay = self._report_s * self._rng.uniform(0.75, 1.25)
             if reply.status == 200 and not self.hung:
-                answer = msgspec.msgpack.decode(reply.body, type=wire.WorkerCommands)
+                answer = msgspec.msgpack.decode(reply.body, type=wire.HeartbeatReply)
                 if answer.fencing_token >= self.token and session == self.session:
                     delay = 0.5 if answer.fencing_token > self.token else delay
                     self.token, self._renewed = answer.fencing_token, now
-                    self._execute(answer.orders)
+                    self._execute(answer.commands)
             elif reply.status == 421:
-                target = msgspec.msgpack.decode(reply.body, type=wire.Elsewhere).node
+                target = msgspec.msgpack.decode(reply.body, type=wire.Redirect).controller
                 known = target in self._nodes and target != node
                 self._at = target if known and target else self._other(node)
                 delay = self._rng.uniform(0, 0.5) if known else 1.0
@@ -172,18 +172,18 @@
         if request.path == wire.STATUS:
             request.reply(200, self.report())
             return
-        orders = msgspec.msgpack.decode(request.body, type=wire.WorkerCommands)
+        orders = msgspec.msgpack.decode(request.body, type=wire.CommandBatch)
         if orders.fencing_token < self.token or orders.incarnation != self.session:
             request.reply(409, self.report())
             return
         raised = orders.fencing_token > self.token
         self.token = orders.fencing_token
-        self._execute(orders.orders)
+        self._execute(orders.commands)
         request.reply(200, self.report())
         if raised:
             self.changed()
 
-    def _execute(self, orders: list[wire.WorkerCommand]) -> None:
+    def _execute(self, orders: list[wire.Command]) -> None:
         for order in orders:
             held = self.tasks.get((order.task, order.attempt))
             if order.verb == wire.LAUNCH and held is None:
@@ -191,8 +191,8 @@
             elif order.verb == wire.STOP and held is not None and held.state != wire.EXITED:
                 is_gang = held.state in (wire.WAITING, wire.RUNNING) and self._is_gang(held)
                 if self._gangs is not None and is_gang:
-                    self._gangs.stop(self, held, order.grace_s)
-                elif not self._begins_to_save(held, order.grace_s):
+                    self._gangs.stop(self, held, order.grace_s or 0.0)
+                elif not self._begins_to_save(held, order.grace_s or 0.0):
                     self.exit(held, wire.CAUSE_HALTED)
             elif order.verb == wire.FORGET and held is not None and held.state == wire.EXITED:
                 del self.tasks[order.task, order.attempt]
@@ -220,7 +220,7 @@
         held.kept = True
         self.exit(held, wire.CAUSE_HALTED)
 
-    def _launch(self, order: wire.WorkerCommand) -> None:
+    def _launch(self, order: wire.Command) -> None:
         held = self.tasks[order.task, order.attempt] = Held(
             order.task, order.attempt, wire.FETCHING
         )
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ...clients.cloud import MOST_RENTED
+from ...clients.cloud import MAX_PROVISIONED
 from ...planning.fleet import Machine, Pool
 from ...planning.provisioning import ProvisionDecision, Provisioner
 from ...protocol import wire
@@ -135,10 +135,10 @@
             SPOT_PRICE_FACTOR,
         )
         decisions_by_pool: dict[Pool, list[ProvisionDecision]] = {}
-        for decision in provisioner.plan(steps, max_calls * MOST_RENTED):
+        for decision in provisioner.plan(steps, max_calls * MAX_PROVISIONED):
             decisions_by_pool.setdefault(decision.pool, []).append(decision)
         for pool, group in list(decisions_by_pool.items())[:max_calls]:
-            self._scale_out.provision(pool, min(len(group), MOST_RENTED), group[0])
+            self._scale_out.provision(pool, min(len(group), MAX_PROVISIONED), group[0])
 
     def _available_pools(self) -> list[Pool]:
         return [
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -7,6 +7,8 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
+from ...clients.cloud import ProvisionOutcome
+from ...protocol.cloud import ProvisionRequest
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
@@ -102,20 +104,18 @@
         pool = request.pool
         self._awaiting_reply.add(name)
         self.cloud.provision(
-            name,
-            pool.machine_type,
-            pool.zone,
-            pool.spot,
-            request.count,
+            ProvisionRequest(name, pool.machine_type, pool.zone, pool.spot, request.count),
             partial(self._on_reply, name, request),
         )
 
-    def _on_reply(self, name: str, request: _Request, outcome: str, machines: list[str]) -> None:
+    def _on_reply(
+        self, name: str, request: _Request, outcome: ProvisionOutcome, machines: list[str]
+    ) -> None:
         self._awaiting_reply.discard(name)
-        if not self.term.active or outcome == "unknown":
+        if not self.term.active or outcome is ProvisionOutcome.INDETERMINATE:
             return
         self._requests.pop(name, None)
-        if outcome == "trouble":
+        if outcome is ProvisionOutcome.UNAVAILABLE:
             # It was not executed, and the next plan knows better what is needed by then.
             return
         self._add_machines(request, machines)
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import logging
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 from ..ledger.records import JobAccepted, JobCancelled
 from ..planning import placement
@@ -106,7 +106,7 @@
 
         def on_committed() -> None:
             job.is_committed = True
-            on_reply(CREATED, wire.job_status(job.spec.ref, wire.PENDING))
+            on_reply(CREATED, wire.JobStatus(job.spec.ref, wire.PENDING))
 
         self.ledger.propose(record, on_committed)
         job = self.ledger.state.jobs[record.number]
@@ -127,7 +127,7 @@
         job = self.ledger.state.jobs_by_ref.get(ref)
         terminal_stage = self.ledger.state.terminal_jobs.get(ref) if job is None else None
         if terminal_stage is not None:
-            on_reply(OK, wire.job_status(ref, terminal_stage))
+            on_reply(OK, wire.JobStatus(ref, terminal_stage))
         elif job is not None and job.reported_stage:
             on_reply(OK, self._status(job))
         else:
@@ -143,25 +143,22 @@
         else:
             stage = self.ledger.state.terminal_jobs.get(ref)
             if stage:
-                on_reply(OK, wire.job_status(ref, stage))
+                on_reply(OK, wire.JobStatus(ref, stage))
             else:
                 on_reply(NOT_FOUND, None)
 
     @staticmethod
-    def _status(job: Job) -> dict[str, Any]:
-        """The fields of the HTTP API that describe the job."""
+    def _status(job: Job) -> wire.JobStatus:
         running = sum(placed.state == wire.RUNNING for placed in job.placements.values())
         stage = job.reported_stage or (wire.RUNNING if running else wire.PENDING)
         done = len(job.done_tasks)
         if stage in (wire.PENDING, wire.RUNNING) and job.spec.job_kind != wire.SERVICE:
             # The last task counts as done only with the job, whose end is being committed.
             done = min(done, job.spec.tasks - 1)
-        status = wire.job_status(job.spec.ref, stage, done, running)
+        status = wire.JobStatus(job.spec.ref, stage, done, running)
         if job.spec.job_kind == wire.GANG and not job.reported_stage:
-            status["try"] = job.newest_attempt
-            status["waiting"] = sum(
-                placed.state == wire.WAITING for placed in job.placements.values()
-            )
+            status.attempt = job.newest_attempt
+            status.waiting = sum(placed.state == wire.WAITING for placed in job.placements.values())
         return status
 
     def _confirm_then(self, on_reply: OnReply, on_confirmed: Callable[[], None]) -> None:
@@ -233,7 +230,7 @@
             return
         job.reported_stage = wire.ABORTED
         for on_reply in self._cancellation_replies.pop(job.number, ()):
-            on_reply(OK, wire.job_status(job.spec.ref, wire.ABORTED))
+            on_reply(OK, wire.JobStatus(job.spec.ref, wire.ABORTED))
 
     # What limits placements
 
--- a/flaxtally/leader/replies.py
+++ b/flaxtally/leader/replies.py
@@ -5,14 +5,16 @@
 from collections.abc import Callable
 from typing import Any
 
+from ..protocol.jobs import JobStatus
+
 OK = 200
 CREATED = 201
 NOT_FOUND = 404
 UNPROCESSABLE = 422
 UNAVAILABLE = 503
 
-ReplyBody = dict[str, Any] | None
-"""An object with the fields of the HTTP API; None: no body."""
+ReplyBody = JobStatus | dict[str, Any] | None
+"""A job's status, or another object with the fields of the HTTP API; None: no body."""
 
 OnReply = Callable[[int, ReplyBody], None]
 """Takes an HTTP status and a body, once."""
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -22,6 +22,7 @@
 if TYPE_CHECKING:
     from ..ledger.placement import Placement
     from ..lending.feature import LendingFeature
+    from ..protocol import wire
     from .reclaim.loan_accounts import LoanAccounts
     from .reconciliation.attempt_finisher import EndReason
     from .term import Term
@@ -38,7 +39,7 @@
         `lending`: loans between teams are reclaimed; None: only ranks decide who is preempted.
         """
         self.term = term
-        self.commands = CommandSender(term, transport)
+        self.commands = CommandSender(term, transport, self._handle_heartbeat)
         self.jobs = JobRegistry(term, self.commands)
         self.stragglers = Stragglers(term, self.jobs, self.commands)
         self.failure_attribution = FailureAttribution(term, self.jobs)
@@ -64,7 +65,6 @@
             HealthChecks(term, self.commands),
             self.reconciler.scale_in,
         )
-        self.commands.on_heartbeat = self.heartbeat_handler.handle_heartbeat
         self.quota_reclaim = QuotaReclaim(
             term, self.jobs, self.commands, self.gang_scheduler, lending
         )
@@ -79,6 +79,9 @@
             term, self.jobs, self.reconciler, self.commands, self.autoscaler, self.scheduler
         )
 
+    def _handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
+        self.heartbeat_handler.handle_heartbeat(server, heartbeat)
+
     def _finish_attempt(self, placement: Placement, reason: EndReason) -> None:
         self.reconciler.attempts.finish_attempt(placement, reason)
 
--- a/flaxtally/protocol/shape.py
+++ b/flaxtally/protocol/shape.py
@@ -1,15 +1,19 @@
-"""What makes tasks alike: amounts, and the machines that they may use."""
+"""What makes tasks alike for scheduling: resources, and the machines that they may use."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from . import wire
+from .vocabulary import GANG, RANKS, SERVICE
+
+if TYPE_CHECKING:
+    from .jobs import Spec
 
 
 @dataclass(frozen=True)
 class Shape:
-    """Tasks that are alike to the planner."""
+    """The resource shape of tasks; tasks of one shape are interchangeable for the autoscaler."""
 
     job_class: str
     cores: float
@@ -21,17 +25,19 @@
     is_service: bool
     rank: int
     is_gang: bool = False
-    """All tasks of a job begin at the same time."""
+    """All tasks of a job start at the same time."""
     one_zone: bool = False
-    """Of a gang: in one zone."""
+    """Of a gang: all tasks run in one zone."""
 
     @property
     def is_best_effort(self) -> bool:
         """Whether it is of the lowest rank and runs to an end."""
-        return not self.is_service and self.rank == wire.RANKS["idle"]
+        return not self.is_service and self.rank == RANKS["idle"]
 
     @classmethod
-    def of(cls, spec: wire.Spec) -> Shape:
+    def of(cls, spec: Spec) -> Shape:
+        """The shape of a job's tasks."""
+        is_gang = spec.job_kind == GANG
         return cls(
             spec.job_class,
             round(spec.cores, 1),
@@ -40,8 +46,8 @@
             spec.machine_types,
             spec.zone,
             spec.spot,
-            spec.job_kind == wire.SERVICE,
-            wire.RANKS[spec.rank],
-            spec.job_kind == wire.GANG,
-            spec.job_kind == wire.GANG and spec.one_zone,
+            spec.job_kind == SERVICE,
+            RANKS[spec.rank],
+            is_gang,
+            is_gang and spec.one_zone,
         )
--- /dev/null
+++ b/flaxtally/protocol/vocabulary.py
@@ -0,0 +1,63 @@
+"""The words of the wire that are values of fields: kinds, ranks, states, causes and verbs."""
+
+from __future__ import annotations
+
+# Kinds of jobs
+
+ARRAY = "array"
+SERVICE = "daemon"
+GANG = "group"
+
+RANKS = {"critical": 0, "high": 1, "standard": 2, "idle": 3}
+"""Priorities by name; the smaller number goes first."""
+
+# States of jobs; `RUNNING` is also a state of tasks and machines
+
+PENDING = "pending"
+RUNNING = "running"
+DONE = "done"
+ABORTED = "aborted"
+
+# States of tasks
+
+FETCHING = "fetching"
+WAITING = "waiting"
+FLUSHING = "flushing"
+EXITED = "exited"
+TASK_STATES = frozenset({FETCHING, WAITING, RUNNING, FLUSHING, EXITED})
+
+# Causes of a task's exit
+
+CAUSE_DONE = "done"
+CAUSE_ERROR = "error"
+CAUSE_FULL = "full"
+CAUSE_IN_USE = "in_use"
+CAUSE_UNKNOWN = "unknown"
+CAUSE_HALTED = "halted"
+CAUSE_PEERS = "mates_gone"
+"""Of a gang's task: another task of the gang is gone."""
+CAUSE_ALONE = "incomplete"
+"""Of a gang's task: the gang was not complete in time."""
+CAUSES = frozenset(
+    {
+        CAUSE_DONE,
+        CAUSE_ERROR,
+        CAUSE_FULL,
+        CAUSE_IN_USE,
+        CAUSE_UNKNOWN,
+        CAUSE_HALTED,
+        CAUSE_PEERS,
+        CAUSE_ALONE,
+    }
+)
+
+# States of machines in the cloud's list
+
+FAILED = "failed"
+BOOTING = "booting"
+
+# Verbs of commands
+
+LAUNCH = "launch"
+STOP = "stop"
+FORGET = "reap"
--- /dev/null
+++ b/flaxtally/protocol/workers.py
@@ -0,0 +1,106 @@
+"""Messages between controllers and workers: heartbeats, commands and the replies to both."""
+
+from __future__ import annotations
+
+import msgspec
+
+from .vocabulary import FORGET, LAUNCH, STOP
+
+
+class TaskStatus(msgspec.Struct, rename={"task": "hand", "attempt": "try", "state": "stage"}):
+    """One task in a worker's heartbeat."""
+
+    task: str
+    attempt: int
+    state: str
+    cause: str | None = None
+    kept: bool = False
+
+
+class Heartbeat(
+    msgspec.Struct,
+    rename={
+        "machine": "rig",
+        "machine_type": "breed",
+        "zone": "yard",
+        "spot": "loaner",
+        "incarnation": "shift",
+        "sequence_number": "tally",
+        "fencing_token": "baton",
+        "preemption_notice_s": "warningS",
+        "tasks": "hands",
+    },
+):
+    """A worker's heartbeat with its status; also the reply to commands and status queries."""
+
+    machine: str
+    address: str
+    machine_type: str
+    zone: str
+    spot: bool
+    incarnation: int
+    sequence_number: int
+    fencing_token: int
+    tasks: list[TaskStatus]
+    preemption_notice_s: float | None = None
+
+    @property
+    def recency(self) -> tuple[int, int]:
+        """Of two heartbeats of a machine, the one with the larger is the newer."""
+        return self.incarnation, self.sequence_number
+
+
+class Command(
+    msgspec.Struct,
+    omit_defaults=True,
+    rename={"task": "hand", "attempt": "try", "grace_s": "leewayS"},
+):
+    """A command to a worker about one attempt of a task."""
+
+    verb: str
+    task: str
+    attempt: int
+    grace_s: float | None = None
+    """Of a stop: the time to save a checkpoint."""
+
+
+def launch(task: str, attempt: int) -> Command:
+    """The command to start an attempt of a task."""
+    return Command(LAUNCH, task, attempt)
+
+
+def stop(task: str, attempt: int, grace_s: float) -> Command:
+    """The command to stop an attempt, with the time to save a checkpoint."""
+    return Command(STOP, task, attempt, grace_s)
+
+
+def forget(task: str, attempt: int) -> Command:
+    """The command to leave an exited attempt out of the heartbeats from now on."""
+    return Command(FORGET, task, attempt)
+
+
+class CommandBatch(
+    msgspec.Struct,
+    rename={"fencing_token": "baton", "incarnation": "shift", "commands": "orders"},
+):
+    """Commands that a worker executes unless token or incarnation are outdated."""
+
+    fencing_token: int
+    incarnation: int
+    commands: list[Command]
+
+
+class HeartbeatReply(msgspec.Struct, rename={"fencing_token": "baton", "commands": "orders"}):
+    """The reply to a heartbeat: it renews the worker's lease.
+
+    Controllers send commands directly, never with this reply; the protocol would allow both.
+    """
+
+    fencing_token: int
+    commands: list[Command] = []
+
+
+class Redirect(msgspec.Struct, omit_defaults=True, rename={"controller": "foreman"}):
+    """The reply that sends a worker to another controller; None: to any other."""
+
+    controller: str | None = None
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -64,8 +64,7 @@
 
     def put(self, key: str, value: Any) -> None:
         """Writes to the state service as an operator, or a fault, might."""
-        txn = wire.txn({}, {key: value}, [])
-        assert self.state.transact(msgspec.convert(txn, wire.Txn))[0] == 200
+        assert self.state.transact(wire.Transaction.build({}, {key: value}, []))[0] == 200
 
     def put_map(self, newer: CellMap) -> None:
         self.put(MAP_KEY, msgspec.to_builtins(newer))
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -145,7 +145,7 @@
         return TeamShares({}) if stored is None else msgspec.convert(stored[0], TeamShares)
 
     def put(self, key: str, value: object) -> None:
-        txn = msgspec.convert(wire.txn({}, {key: value}, []), wire.Txn)
+        txn = wire.Transaction.build({}, {key: value}, [])
         assert self.state.transact(txn)[0] == 200
 
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -125,8 +125,8 @@
     written: list[str] = []
     transact = world.state.transact
 
-    def noted(txn: wire.Txn) -> tuple[int, object]:
-        written.extend(change.put for change in txn.apply if change.put is not None)
+    def noted(txn: wire.Transaction) -> tuple[int, object]:
+        written.extend(change.put for change in txn.changes if change.put is not None)
         return transact(txn)
 
     monkeypatch.setattr(world.state, "transact", noted)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -121,7 +121,7 @@
     def __init__(self, sim: Simulation, plan: Plan) -> None:
         self._sim = sim
         self.reports: list[tuple[float, wire.Heartbeat]] = []
-        self.orders: list[dict[str, object]] = []
+        self.commands: list[wire.Command] = []
         host = sim.host(HOST)
         for where in plan.node_addresses.values():
             Server(host, where, self._answer, 100, 100.0, 0.2)
@@ -129,8 +129,8 @@
     def _answer(self, request: Request) -> None:
         report = msgspec.msgpack.decode(request.body, type=wire.Heartbeat)
         self.reports.append((self._sim.time, report))
-        orders, self.orders = self.orders, []
-        request.reply(200, {"baton": 1, "orders": orders})
+        commands, self.commands = self.commands, []
+        request.reply(200, wire.HeartbeatReply(1, commands))
 
 
 def hollow(sim: Simulation, events: list[str], number: int = 0) -> HollowWorker:
@@ -175,7 +175,7 @@
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
     task = f"{reference(1)}/0"
-    controller.orders = [wire.launch(task, 1)]
+    controller.commands = [wire.launch(task, 1)]
     play(sim, 10.0)
     assert events == [f"start {task} 1"]
     worker.silence(1.5 * PLAN.lease_s)
@@ -190,7 +190,7 @@
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
-    controller.orders = [wire.launch(f"{reference(1)}/0", 1)]
+    controller.commands = [wire.launch(f"{reference(1)}/0", 1)]
     play(sim, 10.0)
     worker.restart()
     play(sim, 1.0)
@@ -204,8 +204,8 @@
     worker = hollow(sim, events, number=1)
     assert worker.machine.machine_type == CPU_TYPE
     spec = Load(PLAN).job(1).spec
-    controller.orders = [wire.launch(f"{spec.ref}/{task}", 1) for task in range(2)]
-    while controller.orders:
+    controller.commands = [wire.launch(f"{spec.ref}/{task}", 1) for task in range(2)]
+    while controller.commands:
         play(sim, 0.02)
     usual = spec.image_gb / PLAN.types[0].fetch_gb_per_s
     play(sim, usual * 0.6)
@@ -240,13 +240,13 @@
     service.change_limit = TokenBucket(host, 10.0, 10.0)
     user = Answers(sim.host("10.3.0.1"), where)
     for number in range(15):
-        user.ask("POST", wire.TXN, wire.txn({}, {f"k/{number}": 1}, []))
+        user.ask("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
     play(sim, 1.0)
     assert (user.statuses.count(200), user.statuses.count(429)) == (10, 5)
     assert service.limited == 5
     assert len(service.rows) == 10
     play(sim, 1.0)
-    user.ask("POST", wire.TXN, wire.txn({}, {"k/late": 1}, []))
+    user.ask("POST", wire.TXN, wire.Transaction.build({}, {"k/late": 1}, []))
     play(sim, 1.0)
     assert user.statuses[-1] == 200
 
@@ -266,7 +266,7 @@
     plan = msgspec.structs.replace(PLAN, workers_per_process=30)
     cloud = RemoteCloud(sim.host(HOST), plan, told)  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
-    user.ask("POST", wire.RELEASE, wire.release(["n-000000", "n-000001"]))
+    user.ask("POST", wire.RELEASE, wire.TerminateRequest(["n-000000", "n-000001"]))
     play(sim, 1.0)
     assert told.messages == [TakeMachines(1, ["n-000000", "n-000001"])]
     cloud.taken(1)
@@ -283,10 +283,10 @@
     plan = msgspec.structs.replace(PLAN, workers=700)
     RemoteCloud(sim.host(HOST), plan, Told())  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
-    user.ask("GET", wire.listing_path(None, 500))
-    user.ask("GET", wire.listing_path("n-000499", 500))
+    user.ask("GET", wire.list_machines_path(None, 500))
+    user.ask("GET", wire.list_machines_path("n-000499", 500))
     play(sim, 1.0)
-    first, second = (msgspec.msgpack.decode(body, type=wire.Listing) for body in user.bodies)
+    first, second = (msgspec.msgpack.decode(body, type=wire.MachineList) for body in user.bodies)
     assert [len(first.machines), first.more] == [500, True]
     assert [len(second.machines), second.more] == [200, False]
 
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -417,7 +417,7 @@
         node,
         "n",
         "10.1.99.99:9000",
-        wire.orders_body(1, 1, []),
+        wire.CommandBatch(1, 1, []),
         lambda status, _: told.append(status),
     )
     number = next(iter(dispatch._carried))
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -8,6 +8,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
+import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import settings as examples
@@ -260,7 +261,7 @@
 def production_reads(record: list[Any]) -> str:
     """How production's ledger takes a record after a job of two tasks, one of them placed."""
     book = production.under_present_names(production.module("ledger.book").Book())
-    job = wire.msgspec.to_builtins(batch("j-000001", 2))
+    job = msgspec.to_builtins(batch("j-000001", 2))
     book.replay(["J", 1, 1.0, *job], 1)
     book.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
     before = meaning(book)
@@ -276,7 +277,7 @@
     [
         (["V", 2], "KeyError"),
         (["B", True, True, []], "KeyError"),
-        (["J", 2, 1.0, *wire.msgspec.to_builtins(spec("j-000002")), "more"], "taken"),
+        (["J", 2, 1.0, *msgspec.to_builtins(spec("j-000002")), "more"], "taken"),
         (["P", 1, 1, 1, "n-000001", "a", "more"], "TypeError"),
         (["P", 1, 0, 1, "n-000002", "a"], "BookError"),
         (["E", 1, 0, 1, True, "more"], "TypeError"),
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -334,7 +334,7 @@
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     tracker = world.nodes[world.leader() or ""].leader.duties.reconciler
     asked: list[tuple[float, Callable[[object], None]]] = []
-    tracker.cloud.list_machines = lambda done: asked.append((world.sim.time, done))
+    tracker.cloud.list_machines = lambda on_done: asked.append((world.sim.time, on_done))
     world.run(30.0)
     assert len(asked) == 1
     began, done = asked[0]
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -75,8 +75,8 @@
 Step = tuple[type, str, bool, Callable[..., bool]]
 
 
-def is_stop(_: CommandSender, __: Machine, orders: list[dict[str, Any]], ___: Any) -> bool:
-    return any(order["verb"] == wire.STOP for order in orders)
+def is_stop(_: CommandSender, __: Machine, commands: list[wire.Command], ___: Any) -> bool:
+    return any(command.verb == wire.STOP for command in commands)
 
 
 def of_borrower(_: AttemptFinisher, placed: Placement, *__: Any) -> bool:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -26,7 +26,7 @@
     launched: Counter[tuple[str, int]] = Counter()
     launch, send = Worker._launch, PeerLinks.send
 
-    def counted(worker: Worker, order: wire.WorkerCommand) -> None:
+    def counted(worker: Worker, order: wire.Command) -> None:
         launched[order.task, order.attempt] += 1
         launch(worker, order)
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -27,7 +27,6 @@
 from flaxtally.planning.packing import Bin, Demand, FreeCapacity, pack_demand
 from flaxtally.planning.placement import GpuNeeds, gpu_needs
 from flaxtally.planning.provisioning import ForecastStep, ProvisionDecision, Provisioner
-from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.http import MalformedMessageError, Parser
 from flaxtally.settings import SettingsError, StateLimits, parse
@@ -38,6 +37,8 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
+    from flaxtally.protocol import wire
+
 KINDS = {kind.name: kind for kind in TYPES}
 NEEDS = GpuNeeds()
 
@@ -216,7 +217,7 @@
                 if rng.random() < 0.7
                 else spec(f"j-{step:06d}", tasks=3)
             )
-            apply("J", book.next_job_number, 1.0, *wire.msgspec.to_builtins(made))
+            apply("J", book.next_job_number, 1.0, *msgspec.to_builtins(made))
             continue
         job = rng.choice(jobs)
         if action < 0.6 and job.pending_count:
@@ -301,7 +302,7 @@
         ["P", 1, 0, 2, "n-2", "a"],
         ["E", 1, 0, 7, True],
         ["E", 1, 1, 1, True],
-        ["J", 2, 0.0, *wire.msgspec.to_builtins(batch("j-000001", 2))],
+        ["J", 2, 0.0, *msgspec.to_builtins(batch("j-000001", 2))],
     ):
         with pytest.raises(InvalidRecordError):
             book.apply(record(*refused), 1)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -5,6 +5,7 @@
 from typing import Any
 
 from flaxtally.clients.workers import Workers
+from flaxtally.protocol.workers import CommandBatch
 from flaxtally.runtime.http import Client, Request, Server
 
 from .simulation import Host, Simulation
@@ -67,7 +68,7 @@
                 float(turn),
                 workers.send_commands,
                 f"10.1.0.{number}:9000",
-                {},
+                CommandBatch(1, 1, []),
                 lambda status, _: told.append(status),
             )
     while sim.next_time() < 6.0:
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -170,12 +170,12 @@
     # created is cleaned away; its late copy, under the same term, would have brought old records
     # back for the next leader to read.
     world = SimulatedCluster(value_bytes=512)
-    sent: list[wire.Txn] = []
+    sent: list[wire.Transaction] = []
     transact = world.state.transact
 
-    def seen(txn: wire.Txn) -> tuple[int, object]:
+    def seen(txn: wire.Transaction) -> tuple[int, object]:
         status, body = transact(txn)
-        if status == 200 and any((change.put or "").startswith("p/") for change in txn.apply):
+        if status == 200 and any((change.put or "").startswith("p/") for change in txn.changes):
             sent.append(txn)
         return status, body
 
@@ -187,7 +187,9 @@
         txn
         for txn in sent
         if all(
-            change.put not in world.state.rows for change in txn.apply if change.put != "p/00000000"
+            change.put not in world.state.rows
+            for change in txn.changes
+            if change.put != "p/00000000"
         )
     ]
     assert len(gone) > 20
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import msgspec
 import pytest
 
 from flaxtally.protocol import formats, wire
@@ -223,7 +224,7 @@
     world = serving()
     world.roll(every=6.0)
     largest = max(
-        len(wire.msgspec.json.encode(value))
+        len(msgspec.json.encode(value))
         for key, (value, stamp, _) in world.state.rows.items()
         if key.startswith("p/") and stamp > world.state.revision - 40
     )
--- /dev/null
+++ b/tests/test_wire_messages.py
@@ -0,0 +1,96 @@
+"""The bytes of the messages that are sent: fields, their order, and which are omitted."""
+
+from __future__ import annotations
+
+from typing import Any
+
+import msgspec
+import pytest
+
+from flaxtally.protocol import cloud, jobs, store, workers
+from flaxtally.runtime.http import pack
+
+COMMANDS = [workers.launch("j-000001/0", 1), workers.forget("j-000001/2", 3)]
+
+SENT: dict[str, tuple[object, dict[str, Any]]] = {
+    "launch": (workers.launch("j-1/0", 2), {"verb": "launch", "hand": "j-1/0", "try": 2}),
+    "forget": (workers.forget("j-1/0", 2), {"verb": "reap", "hand": "j-1/0", "try": 2}),
+    "stop": (
+        workers.stop("j-1/0", 2, 7.5),
+        {"verb": "stop", "hand": "j-1/0", "try": 2, "leewayS": 7.5},
+    ),
+    "stop at once": (
+        workers.stop("j-1/0", 2, 0.0),
+        {"verb": "stop", "hand": "j-1/0", "try": 2, "leewayS": 0.0},
+    ),
+    "batch": (
+        workers.CommandBatch(7, 3, COMMANDS),
+        {
+            "baton": 7,
+            "shift": 3,
+            "orders": [
+                {"verb": "launch", "hand": "j-000001/0", "try": 1},
+                {"verb": "reap", "hand": "j-000001/2", "try": 3},
+            ],
+        },
+    ),
+    "empty batch": (workers.CommandBatch(7, 1, []), {"baton": 7, "shift": 1, "orders": []}),
+    "heartbeat reply": (workers.HeartbeatReply(7), {"baton": 7, "orders": []}),
+    "redirect": (workers.Redirect("controller-1"), {"foreman": "controller-1"}),
+    "redirect to any": (workers.Redirect(), {}),
+    "provision": (
+        cloud.ProvisionRequest("c-7-1", "g8", "a", True, 3),
+        {"hire": "c-7-1", "breed": "g8", "yard": "a", "loaner": True, "number": 3},
+    ),
+    "terminate": (cloud.TerminateRequest(["n-1"]), {"rigs": ["n-1"]}),
+    "read barrier": (
+        store.Transaction.build({"lead": 4}, {}, []),
+        {"guards": [{"k": "lead", "stamp": 4}]},
+    ),
+    "transaction": (
+        store.Transaction.build({}, {"a": {"x": 1}, "b": None}, ["c"]),
+        {
+            "guards": [],
+            "apply": [{"put": "a", "v": {"x": 1}}, {"put": "b", "v": None}, {"drop": "c"}],
+        },
+    ),
+    "transaction with a lease": (
+        store.Transaction.build({"a": 0}, {"a": 1}, ["c"], lease=5),
+        {
+            "guards": [{"k": "a", "stamp": 0}],
+            "apply": [{"put": "a", "v": 1, "tenure": 5}, {"drop": "c"}],
+        },
+    ),
+    "lease": (store.LeaseRequest(1500), {"lifeMs": 1500}),
+    "accepted": (jobs.JobStatus("j-000001", "pending"), {"ref": "j-000001", "stage": "pending"}),
+    "status": (
+        jobs.JobStatus("j-000001", "running", 0, 2),
+        {"ref": "j-000001", "stage": "running", "done": 0, "running": 2},
+    ),
+    "status of a gang": (
+        jobs.JobStatus("j-000001", "pending", 0, 0, attempt=0, waiting=0),
+        {"ref": "j-000001", "stage": "pending", "done": 0, "running": 0, "try": 0, "waiting": 0},
+    ),
+}
+"""A message and what is to be on the wire."""
+
+
+@pytest.mark.parametrize("name", SENT)
+def test_a_message_has_the_same_bytes_as_ever(name: str) -> None:
+    message, sent = SENT[name]
+    assert pack(message) == pack(sent)
+    # Frames between controllers carry some of them as builtins.
+    assert pack(msgspec.to_builtins(message)) == pack(sent)
+
+
+@pytest.mark.parametrize("name", [name for name in SENT if not name.startswith("transaction")])
+def test_the_other_side_reads_what_was_sent(name: str) -> None:
+    message, sent = SENT[name]
+    assert msgspec.msgpack.decode(pack(sent), type=type(message)) == message
+
+
+def test_a_write_of_nothing_is_no_delete() -> None:
+    sent = store.Transaction.build({}, {"a": None}, ["b"])
+    write, delete = msgspec.msgpack.decode(pack(sent), type=store.Transaction).changes
+    assert (write.put, write.value, write.drop) == ("a", None, None)
+    assert (delete.put, delete.value, delete.drop) == (None, msgspec.UNSET, "b")
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -352,8 +352,11 @@
     leader = world.nodes[world.leader() or ""]
     value, _, _ = world.state.rows[LEADER_KEY]
     world.state.transact(
-        wire.Txn(
-            apply=[wire.Change(put=LEADER_KEY, value=value | {"term": 9, "node": "x", "boot": "x"})]
+        wire.Transaction(
+            expected_versions=[],
+            changes=[
+                wire.Change(put=LEADER_KEY, value=value | {"term": 9, "node": "x", "boot": "x"})
+            ],
         )
     )
     pages = {key: row for key, row in world.state.rows.items() if key.startswith("p/")}
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -69,7 +69,7 @@
     "cleaning": ["ledger.write_ahead_log:WriteAheadLog.compact"],
     "replay": ["ledger.write_ahead_log:WriteAheadLog.replay", "leader.leader:Leader._on_replayed"],
     "orders": [
-        "leader.commands:CommandSender._send",
+        "leader.commands:CommandSender._send_queued",
         "api.heartbeat_endpoint:HeartbeatEndpoint.order",
         "api.heartbeat_endpoint:HeartbeatEndpoint.carried",
     ],
