--- a/flaxtally/cells/cell_cloud.py
+++ b/flaxtally/cells/cell_cloud.py
@@ -1,4 +1,4 @@
-"""The cloud as a cell sees it: its own zones' machines and offers."""
+"""Client of the cloud for a cell: machines and machine types of the cell's own zones."""
 
 from __future__ import annotations
 
@@ -11,37 +11,47 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from ..protocol import wire
+    from ..protocol.cloud import ListedMachine, MachineType
     from ..runtime.loop import Address, Runtime
 
 
 class CellCloud(Cloud):
-    """Leaves out what belongs to other cells: they rent, list and give back in their own zones."""
+    """Leaves out what belongs to other cells, which scale in their own zones."""
 
     def __init__(
-        self, runtime: Runtime, address: Address, rps: float, timeout: float, zones: frozenset[str]
+        self,
+        runtime: Runtime,
+        address: Address,
+        rps: float,
+        timeout_s: float,
+        zones: frozenset[str],
     ) -> None:
-        super().__init__(runtime, address, rps, timeout)
+        """Takes the zones of the cell; the rest as for any client of the cloud."""
+        super().__init__(runtime, address, rps, timeout_s)
         self._zones = zones
 
-    def list_machine_types(self, done: Callable[[list[wire.MachineType] | None], None]) -> None:
-        def told(kinds: list[wire.MachineType] | None) -> None:
-            done(None if kinds is None else self._own_types(kinds))
+    def list_machine_types(self, on_done: Callable[[list[MachineType] | None], None]) -> None:
+        """Reads the machine types that are offered in the cell's zones."""
 
-        super().list_machine_types(told)
+        def on_listed(machine_types: list[MachineType] | None) -> None:
+            on_done(None if machine_types is None else self._in_own_zones(machine_types))
 
-    def _own_types(self, kinds: list[wire.MachineType]) -> list[wire.MachineType]:
+        super().list_machine_types(on_listed)
+
+    def _in_own_zones(self, machine_types: list[MachineType]) -> list[MachineType]:
         found = []
-        for kind in kinds:
-            zones = [zone for zone in kind.zones if zone in self._zones]
+        for machine_type in machine_types:
+            zones = [zone for zone in machine_type.zones if zone in self._zones]
             if zones:
-                found.append(msgspec.structs.replace(kind, zones=zones))
+                found.append(msgspec.structs.replace(machine_type, zones=zones))
         return found
 
-    def list_machines(self, done: Callable[[list[wire.Listed] | None], None]) -> None:
-        def told(listed: list[wire.Listed] | None) -> None:
-            if listed is not None:
-                listed = [machine for machine in listed if machine.zone in self._zones]
-            done(listed)
+    def list_machines(self, on_done: Callable[[list[ListedMachine] | None], None]) -> None:
+        """Reads the list of machines in the cell's zones."""
+
+        def on_listed(machines: list[ListedMachine] | None) -> None:
+            if machines is not None:
+                machines = [machine for machine in machines if machine.zone in self._zones]
+            on_done(machines)
 
-        super().list_machines(told)
+        super().list_machines(on_listed)
