--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -8,7 +8,7 @@
 
 import itertools
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import msgspec
 
@@ -87,20 +87,20 @@
         server: str | None,
         machine: str,
         address: str,
-        body: dict[str, Any] | None,
-        done: OnCommandReply,
+        batch: wire.CommandBatch | None,
+        on_reply: OnCommandReply,
     ) -> None:
-        """Sends commands (or, with no body, a status question) to a machine's worker.
+        """Sends commands to a machine's worker, or a status query where `batch` is None.
 
         Through the controller `server`, or directly if that is this one or can't be reached.
         """
         if server is None or server == self._node or not self._peers.is_reachable(server):
-            self._call_worker(address, body, done)
+            self._call_worker(address, batch, on_reply)
             return
         number = next(self._numbers)
         timer = self.later(self._reply_timeout_s, self._on_reply_timeout, number)
-        self._relayed[number] = _RelayedCommand(server, done, timer)
-        command = RelayedCommand(number=number, machine=machine, address=address, commands=body)
+        self._relayed[number] = _RelayedCommand(server, on_reply, timer)
+        command = RelayedCommand(number=number, machine=machine, address=address, commands=batch)
         self._peers.send(server, to_frame(command))
 
     def other_controllers(self, zone: str) -> list[str]:
@@ -153,10 +153,10 @@
 
         self._call_worker(command.address, command.commands, on_reply)
 
-    def _is_due(self, sender: str, commands: dict[str, Any], number: int) -> bool:
+    def _is_due(self, sender: str, batch: wire.CommandBatch, number: int) -> bool:
         """Whether the commands are of the present term and come for the first time."""
         term = self._election.term
-        if commands.get("baton") != term:
+        if batch.fencing_token != term:
             return False
         if term != self._deduplicators_term:
             self._deduplicators_term = term
@@ -170,9 +170,9 @@
     # To the worker
 
     def _call_worker(
-        self, address: str, body: dict[str, Any] | None, on_reply: OnCommandReply
+        self, address: str, batch: wire.CommandBatch | None, on_reply: OnCommandReply
     ) -> None:
-        if body is None:
+        if batch is None:
             self._workers.query_status(address, on_reply)
         else:
-            self._workers.send_commands(address, body, on_reply)
+            self._workers.send_commands(address, batch, on_reply)
--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -92,7 +92,7 @@
             request.reply(refusal.status, refusal.body)
             return
         election = self._election
-        request.reply(OK, wire.beat_answer(election.term))
+        request.reply(OK, wire.HeartbeatReply(election.term))
         self._recent.record(heartbeat)
         if election.is_leader:
             self._leader.handle_heartbeat(self._node, heartbeat)
@@ -103,22 +103,22 @@
         """The reply to a heartbeat that is not passed to the leader; None if it is to be."""
         cell_redirect = self._cells.redirect_to_cell(heartbeat) if self._cells is not None else None
         if cell_redirect is not None:
-            return _Reply(MISDIRECTED, wire.report_elsewhere(cell_redirect.controller))
+            return _Reply(MISDIRECTED, wire.Redirect(cell_redirect.controller))
         election = self._election
         token = heartbeat.fencing_token
         now = self._runtime.now()
         if election.term == 0 and token and now - self._started_at < self._unattended_s:
             # Restarted where nothing else can be reached: the worker keeps its tasks, and gets no
             # commands.
-            return _Reply(OK, wire.beat_answer(token))
+            return _Reply(OK, wire.HeartbeatReply(token))
         if token > election.term:
             # A controller with a higher term commands the worker: this one is not entitled to act.
-            return _Reply(MISDIRECTED, wire.report_elsewhere(None))
+            return _Reply(MISDIRECTED, wire.Redirect(None))
         if election.term == 0 or election.seconds_since_leader_contact > self._unattended_s:
             return _Reply(UNAVAILABLE, None)
         owner = self._redirects.owner_to_redirect_to(heartbeat, now)
         if owner is not None:
-            return _Reply(MISDIRECTED, wire.report_elsewhere(owner))
+            return _Reply(MISDIRECTED, wire.Redirect(owner))
         return None
 
     def handle_forwarded_heartbeat(self, sender: str, message: ForwardedHeartbeat) -> None:
--- a/flaxtally/cluster/messages.py
+++ b/flaxtally/cluster/messages.py
@@ -15,6 +15,8 @@
 
 import msgspec
 
+from ..protocol.workers import CommandBatch
+
 Frame = dict[str, Any]
 """A message as the links carry it: encoded by cbor2 as a map, in this order of keys."""
 
@@ -122,7 +124,7 @@
     number: int
     machine: str | None = None
     address: str
-    commands: dict[str, Any] | None = None
+    commands: CommandBatch | None = None
     """None: query the worker's status."""
 
 
