--- a/flaxtally/leader/scheduling/__init__.py
+++ b/flaxtally/leader/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""Which pending task goes to which machine, and whose place it may take.
+"""Which pending task goes to which machine, and which tasks are preempted for it.
 
-Owns the pending queue, the passes over it, reservations on machines and preemption. Start with
-`scheduler`.
+Owns the pending queue and the urgency of its jobs, the passes over it, the index of schedulable
+machines, and preemption with its reservations. Start with `scheduler`, then `scheduling_pass`.
 """
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -28,6 +28,7 @@
     from ..reclaim.quota_reclaim import QuotaReclaim
     from ..reconciliation.reconciler import Reconciler
     from .pending_queue import PendingJob
+    from .reservations import TaskKey
     from .scheduling_pass import MachineFilter
 
 MAX_PASSES_PER_HEARTBEAT = 8
@@ -59,8 +60,8 @@
         self.gang_reservations = GangReservations(term, jobs)
         self.examined_count = 0
         """Machines that passes have examined."""
-        self.hints: dict[tuple[int, int], str] = {}
-        """By job number and task: the machine to which a moved task is to go."""
+        self.hints: dict[TaskKey, str] = {}
+        """The machine to which a moved task is to go."""
         self._is_pass_requested = False
         self._next_pass_at = 0.0
         self._machines = SchedulableMachines(term, reconciler)
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -251,7 +251,7 @@
         return self._best_effort_filters[job.number]
 
     def _best_effort_filter(self, request: _TaskRequest) -> MachineFilter:
-        """Returns a filter without expensive machines that would be kept for this job alone."""
+        """Returns a filter without expensive machines that would stay up for this job alone."""
         is_available = request.is_available
         expensive_types = find_expensive_types(
             request.job.spec,
