--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -170,7 +170,7 @@
                 and (target := find_target(placed, machine, index, search)) is not None
             ]
         for placed, target in targets:
-            self._scheduler.preemption.make_room_to_move(placed, target)
+            self._scheduler.preemption.preempt_to_move(placed, target)
 
 
 def _runs_elsewhere(placed: Placement) -> bool:
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -173,7 +173,7 @@
         elif loan_accounts is None:
             answer(404, {"error": "lending is not enabled at the leader"})
         else:
-            loan_accounts.answer(answer)
+            loan_accounts.send_page(answer)
 
     # Heartbeats of machines
 
--- a/flaxtally/leader/reclaim/__init__.py
+++ b/flaxtally/leader/reclaim/__init__.py
@@ -1,4 +1,5 @@
-"""Reclaim of quota that teams lent to each other, as the feature `lending` enables it.
+"""Reclaim of quota that teams lent to each other, where the feature `lending` is enabled.
 
-Owns the open reclaims and the accounts of lent and borrowed time. Start with `quota_reclaim`.
+`open_reclaims` holds the state, `quota_accounting` and `reclaim_admission` decide whether a reclaim
+may start, and `quota_reclaim` carries it out: start there.
 """
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -1,4 +1,4 @@
-"""What the teams borrow and lend, summed up over time, and the operators' question about it."""
+"""What the teams borrow and lend, summed up over time, and the operators' page of it."""
 
 from __future__ import annotations
 
@@ -11,50 +11,55 @@
 from ...ledger.reclaims import LoanAccount
 from ...lending.accounts import TeamAccount, TeamUse, team_accounts
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
-from ...lending.page import page
+from ...lending.page import LoansPage, page
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
     from ..jobs import JobRegistry
-    from .quota_reclaim import QuotaReclaim
+    from .quota_accounting import QuotaAccounting
 
-Answer = Callable[[int, Any], None]
+OnReply = Callable[[int, Any], None]
 
 
 class LoanAccounts(TermActor):
-    """Owns what was borrowed and lent since the accounts were last kept in the ledger."""
+    """Owns what was borrowed and lent since the accounts were last stored in the ledger."""
 
     def __init__(
-        self, term: Term, jobs: JobRegistry, lending: QuotaReclaim, every_s: float
+        self, term: Term, jobs: JobRegistry, quota: QuotaAccounting, store_interval_s: float
     ) -> None:
-        """`every_s`: how often what was summed up is kept, in seconds."""
+        """`store_interval_s`: how often what was summed up is stored."""
         super().__init__(term)
-        self.jobs, self.quota_reclaim, self._every_s = jobs, lending, every_s
+        self._jobs = jobs
+        self._quota = quota
+        self._store_interval_s = store_interval_s
         self._sampled_at: float | None = None
-        self._kept_at = term.began_at
-        self._changed: dict[str, LoanAccount] = {}
+        self._stored_at = term.began_at
+        self._unstored: dict[str, LoanAccount] = {}
+
+    # Accounting
 
     def sample(self) -> None:
-        """Adds what is borrowed and lent now, since the last sample."""
-        if not self.quota_reclaim.is_enabled:
+        """Adds what is borrowed and lent now, for the time since the last sample."""
+        if not self._quota.is_enabled:
             return
         now = self.runtime.now()
-        seconds = now - self._sampled_at if self._sampled_at is not None else 0.0
+        elapsed_s = now - self._sampled_at if self._sampled_at is not None else 0.0
         self._sampled_at = now
-        for account in team_accounts(self._uses({})).values():
-            self._add(account, seconds)
-        if now - self._kept_at >= self._every_s:
-            self._kept_at = now
-            self._keep()
-
-    def _add(self, account: TeamAccount, seconds: float) -> None:
-        before = self._of(account.team)
-        borrows = any(account.borrows)
-        if not (borrows or any(account.lends) or before.borrows_since):
+        for account in team_accounts(self._team_uses({})).values():
+            self._add(account, elapsed_s)
+        if now - self._stored_at >= self._store_interval_s:
+            self._stored_at = now
+            self._store()
+
+    def _add(self, account: TeamAccount, elapsed_s: float) -> None:
+        before = self._current(account.team)
+        is_borrowing = any(account.borrows)
+        if not (is_borrowing or any(account.lends) or before.borrows_since):
             return
-        since = (before.borrows_since or self.runtime.wall()) if borrows else 0.0
-        borrowed, lent = account.borrows.times(seconds), account.lends.times(seconds)
-        self._changed[account.team] = replace(
+        since = (before.borrows_since or self.runtime.wall()) if is_borrowing else 0.0
+        borrowed = account.borrows.times(elapsed_s)
+        lent = account.lends.times(elapsed_s)
+        self._unstored[account.team] = replace(
             before,
             borrows_since=since,
             borrowed_core_seconds=before.borrowed_core_seconds + borrowed.cores,
@@ -63,19 +68,21 @@
             lent_gpu_seconds=before.lent_gpu_seconds + lent.gpus,
         )
 
-    def _of(self, team: str) -> LoanAccount:
-        """The account as it is now; recalls are counted in the ledger at once."""
-        kept = self.ledger.state.loan_state.accounts.get(team) or LoanAccount(team)
-        changed = self._changed.get(team)
-        return replace(changed, met=kept.met, late=kept.late) if changed is not None else kept
-
-    def _keep(self) -> None:
-        """Proposes what changed; it rides with whatever else is committed."""
-        for team in self._changed:
-            self.ledger.propose(self._of(team).record())
-        self._changed = {}
-
-    def _uses(self, waiting: dict[str, Amounts]) -> list[TeamUse]:
+    def _current(self, team: str) -> LoanAccount:
+        """The account as of the last sample; reclaims are counted in the ledger at once."""
+        stored = self.ledger.state.loan_state.accounts.get(team) or LoanAccount(team)
+        unstored = self._unstored.get(team)
+        if unstored is None:
+            return stored
+        return replace(unstored, met=stored.met, late=stored.late)
+
+    def _store(self) -> None:
+        """Proposes what changed; it is committed together with whatever else is."""
+        for team in self._unstored:
+            self.ledger.propose(self._current(team).record())
+        self._unstored = {}
+
+    def _team_uses(self, waiting: dict[str, Amounts]) -> list[TeamUse]:
         return [
             TeamUse(
                 team,
@@ -86,29 +93,35 @@
             for team in self.settings.teams
         ]
 
-    def answer(self, answer: Answer) -> None:
-        """The page of loans, after leadership is confirmed."""
+    # The operators' page
+
+    def send_page(self, on_reply: OnReply) -> None:
+        """Replies with the page of loans, after leadership is confirmed."""
 
-        def told(leading: bool) -> None:
-            if leading and self.term.active:
-                answer(200, msgspec.to_builtins(self._page()))
+        def on_confirmed(is_leader: bool) -> None:
+            if is_leader and self.term.active:
+                on_reply(200, msgspec.to_builtins(self._page()))
             else:
-                answer(503, None)
+                on_reply(503, None)
 
-        self.ledger.confirm_leadership(told)
+        self.ledger.confirm_leadership(on_confirmed)
 
-    def _page(self) -> Any:
+    def _page(self) -> LoansPage:
+        state = self.ledger.state
+        reclaims = [
+            (reclaim, state.jobs[reclaim.job].spec.ref)
+            for reclaim in state.loan_state.reclaims.values()
+            if reclaim.job in state.jobs
+        ]
+        accounts = team_accounts(self._team_uses(self._waiting_amounts()))
+        current = {team: self._current(team) for team in accounts}
+        return page(self.term.number, accounts, current, reclaims)
+
+    def _waiting_amounts(self) -> dict[str, Amounts]:
+        """What the pending tasks ask for, by team."""
         waiting: dict[str, Amounts] = {}
-        for job in self.jobs.queue.pending_jobs():
+        for job in self._jobs.queue.pending_jobs():
             team = job.spec.team
-            waits = amounts_of(job.spec, job.pending_count)
-            waiting[team] = waiting.get(team, NOTHING).plus(waits)
-        book = self.ledger.state
-        recalls = [
-            (recall, book.jobs[recall.job].spec.ref)
-            for recall in book.loan_state.reclaims.values()
-            if recall.job in book.jobs
-        ]
-        accounts = team_accounts(self._uses(waiting))
-        kept = {team: self._of(team) for team in accounts}
-        return page(self.term.number, accounts, kept, recalls)
+            pending = amounts_of(job.spec, job.pending_count)
+            waiting[team] = waiting.get(team, NOTHING).plus(pending)
+        return waiting
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -1,8 +1,12 @@
-"""The recalls that are not over: by job and machine, what they promise, and whom they chose."""
+"""The reclaims that have not ended: by job and by machine, with their victims.
+
+A *reclaim* takes lent capacity back for a job of the lender. Its *victims* are the tasks of
+borrowers that it stops.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, TypeVar
 
 from ...ledger.reclaims import Borrowed, Reclaim
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
@@ -15,146 +19,164 @@
     from ...ledger.write_ahead_log import WriteAheadLog
     from ...protocol import wire
 
+Key = TypeVar("Key")
+
 
 class OpenReclaim:
-    """A recall that is not over, and what this leader did about it."""
+    """A reclaim that has not ended, and what this leader did about it."""
 
-    __slots__ = ("is_committed", "is_forced", "is_late", "promised", "recall", "told_at")
+    __slots__ = ("is_committed", "is_forced", "is_late", "promised", "reclaim", "stops_sent_at")
 
-    def __init__(self, recall: Reclaim, is_committed: bool) -> None:
-        self.recall, self.is_committed = recall, is_committed
+    def __init__(self, reclaim: Reclaim, *, is_committed: bool) -> None:
+        """`is_committed`: its record is stored, so its victims may be stopped."""
+        self.reclaim = reclaim
+        self.is_committed = is_committed
         self.promised = NOTHING
         """What it will give its lender."""
-        self.told_at: float | None = None
-        """When the borrowed tasks were last told to stop in this term."""
-        self.is_forced = self.is_late = False
+        self.stops_sent_at: float | None = None
+        """When the victims were last sent a stop in this term."""
+        self.is_forced = False
+        """The last stop gave no grace period."""
+        self.is_late = False
+        """Its deadline has passed."""
 
 
 class OpenReclaims:
-    """Owns the open recalls. What they have chosen counts as leaving before it is told."""
+    """Owns the open reclaims. Their victims count as leaving before a stop is sent to them."""
 
     def __init__(self, ledger: WriteAheadLog) -> None:
+        """`ledger`: its state says which victims still have a placement."""
         self._ledger = ledger
-        self._all: dict[int, OpenReclaim] = {}
-        self._of_job: dict[int, list[OpenReclaim]] = {}
-        self._on_machine: dict[str, list[OpenReclaim]] = {}
+        self._by_number: dict[int, OpenReclaim] = {}
+        self._by_job: dict[int, list[OpenReclaim]] = {}
+        self._by_machine: dict[str, list[OpenReclaim]] = {}
         self._promised: dict[str, Amounts] = {}
-        self._untold: dict[int, OpenReclaim] = {}
-        """Recalls whose borrowed tasks were not told yet."""
+        self._unsent: dict[int, OpenReclaim] = {}
+        """Reclaims whose victims were not sent a stop yet."""
         self._chosen: set[Borrowed] = set()
-        self._chosen_use: dict[str, Amounts] = {}
+        """The victims of these."""
+        self._chosen_usage: dict[str, Amounts] = {}
         """What the chosen tasks take, by team."""
 
     def __len__(self) -> int:
-        return len(self._all)
+        """How many reclaims are open."""
+        return len(self._by_number)
 
     def __iter__(self) -> Iterator[OpenReclaim]:
-        return iter(list(self._all.values()))
+        """The open reclaims; they may be added and removed meanwhile."""
+        return iter(list(self._by_number.values()))
 
-    def has(self, each: OpenReclaim) -> bool:
-        """Whether the recall is still open."""
-        return self._all.get(each.recall.number) is each
+    def is_open(self, entry: OpenReclaim) -> bool:
+        """Whether the reclaim has not ended."""
+        return self._by_number.get(entry.reclaim.number) is entry
 
     # Changes
 
-    def add(self, each: OpenReclaim) -> None:
-        """The recall begins, or goes on on another machine."""
-        recall = each.recall
-        job = self._ledger.state.jobs.get(recall.job)
-        each.promised = amounts_of(job.spec, recall.tasks) if job is not None else NOTHING
-        self._promised[recall.lender] = self.promised(recall.lender).plus(each.promised)
-        self._all[recall.number] = each
-        self._of_job.setdefault(recall.job, []).append(each)
-        self._on_machine.setdefault(recall.machine, []).append(each)
-        self._untold[recall.number] = each
-        self._note_chosen()
-
-    def remove(self, each: OpenReclaim) -> None:
-        """The recall is over, or leaves its machine."""
-        recall = each.recall
-        del self._all[recall.number]
-        self._promised[recall.lender] = self.promised(recall.lender).minus(each.promised)
-        _drop(self._of_job, recall.job, each)
-        _drop(self._on_machine, recall.machine, each)
-        self.told(each)
-
-    def told(self, each: OpenReclaim) -> None:
-        """The borrowed tasks were told: from now on they count as stopping."""
-        if self._untold.pop(each.recall.number, None) is not None:
-            self._note_chosen()
-
-    def _note_chosen(self) -> None:
-        """Counts anew which tasks are chosen and not told yet: those of the newest recalls."""
-        self._chosen, self._chosen_use = set(), {}
-        for each in self._untold.values():
-            for placed in self.left(each.recall):
-                key = Borrowed(placed.job.number, placed.task, placed.attempt)
-                if placed.stopping_at is None and key not in self._chosen:
-                    self._chosen.add(key)
-                    taken = amounts_of(placed.job.spec)
-                    self._chosen_use[placed.job.spec.team] = self.chosen_of(
-                        placed.job.spec.team
-                    ).plus(taken)
-
-    # What they mean
-
-    def left(self, recall: Reclaim) -> list[Placement]:
-        """The borrowed tasks that are not proven over."""
-        left = []
-        for borrowed in recall.borrowed:
-            job = self._ledger.state.jobs.get(borrowed.job)
-            placed = job.placements.get(borrowed.task) if job is not None else None
-            if placed is not None and placed.attempt == borrowed.attempt:
-                left.append(placed)
-        return left
-
-    def promised(self, team: str) -> Amounts:
-        """What the recalls will give a lender."""
+    def add(self, entry: OpenReclaim) -> None:
+        """Adds a reclaim that started, or was moved to another machine."""
+        reclaim = entry.reclaim
+        job = self._ledger.state.jobs.get(reclaim.job)
+        entry.promised = amounts_of(job.spec, reclaim.tasks) if job is not None else NOTHING
+        self._promised[reclaim.lender] = self.promised_to(reclaim.lender).plus(entry.promised)
+        self._by_number[reclaim.number] = entry
+        self._by_job.setdefault(reclaim.job, []).append(entry)
+        self._by_machine.setdefault(reclaim.machine, []).append(entry)
+        self._unsent[reclaim.number] = entry
+        self._recount_chosen()
+
+    def remove(self, entry: OpenReclaim) -> None:
+        """Removes a reclaim that ended, or leaves its machine."""
+        reclaim = entry.reclaim
+        del self._by_number[reclaim.number]
+        self._promised[reclaim.lender] = self.promised_to(reclaim.lender).minus(entry.promised)
+        _remove_entry(self._by_job, reclaim.job, entry)
+        _remove_entry(self._by_machine, reclaim.machine, entry)
+        self.mark_stops_sent(entry)
+
+    def mark_stops_sent(self, entry: OpenReclaim) -> None:
+        """The victims were sent a stop: from now on they count as stopping."""
+        if self._unsent.pop(entry.reclaim.number, None) is not None:
+            self._recount_chosen()
+
+    def _recount_chosen(self) -> None:
+        self._chosen = set()
+        self._chosen_usage = {}
+        for entry in self._unsent.values():
+            for placed in self.remaining_victims(entry.reclaim):
+                victim = Borrowed(placed.job.number, placed.task, placed.attempt)
+                if placed.stopping_at is None and victim not in self._chosen:
+                    self._chosen.add(victim)
+                    team = placed.job.spec.team
+                    usage = self.chosen_usage(team).plus(amounts_of(placed.job.spec))
+                    self._chosen_usage[team] = usage
+
+    # Queries
+
+    def remaining_victims(self, reclaim: Reclaim) -> list[Placement]:
+        """The victims that are not proven to have ended."""
+        remaining = []
+        for victim in reclaim.borrowed:
+            job = self._ledger.state.jobs.get(victim.job)
+            placed = job.placements.get(victim.task) if job is not None else None
+            if placed is not None and placed.attempt == victim.attempt:
+                remaining.append(placed)
+        return remaining
+
+    def promised_to(self, team: str) -> Amounts:
+        """What the reclaims will give a lender."""
         return self._promised.get(team, NOTHING)
 
-    def chosen_of(self, team: str) -> Amounts:
-        """What the tasks of a team take that were chosen and not told."""
-        return self._chosen_use.get(team, NOTHING)
+    def chosen_usage(self, team: str) -> Amounts:
+        """What the tasks of a team take that were chosen and not sent a stop."""
+        return self._chosen_usage.get(team, NOTHING)
 
     @property
-    def chosen(self) -> int:
-        """How many tasks were chosen and not told."""
+    def chosen_count(self) -> int:
+        """How many tasks were chosen and not sent a stop."""
         return len(self._chosen)
 
     def is_chosen(self, placed: Placement) -> bool:
-        """Whether a recall that is not told yet has chosen the task."""
+        """Whether the task is the victim of a reclaim that has not sent its stops."""
         return (placed.job.number, placed.task, placed.attempt) in self._chosen
 
-    def of(self, job: Job) -> list[OpenReclaim]:
-        """The recalls for a job, the oldest first."""
-        return list(self._of_job.get(job.number, ()))
+    def is_leaving(self, placed: Placement) -> bool:
+        """Whether the task was sent a stop, or will be by a reclaim."""
+        return placed.stopping_at is not None or self.is_chosen(placed)
+
+    def for_job(self, job: Job) -> list[OpenReclaim]:
+        """The reclaims for a job, the oldest first."""
+        return list(self._by_job.get(job.number, ()))
+
+    def task_count_for(self, job: Job) -> int:
+        """For how many tasks of the job capacity is being reclaimed."""
+        return sum(entry.reclaim.tasks for entry in self._by_job.get(job.number, ()))
 
-    def tasks_for(self, job: Job) -> int:
-        """For how many tasks of the job room is being recalled."""
-        return sum(each.recall.tasks for each in self._of_job.get(job.number, ()))
+    def is_served(self, job: Job) -> bool:
+        """Whether there is a reclaim for each pending task of the job."""
+        return self.task_count_for(job) >= job.pending_count
 
-    def tasks_before(self, each: OpenReclaim) -> int:
-        """For how many tasks of the same job room was recalled before this."""
-        found = self._of_job[each.recall.job]
-        return sum(other.recall.tasks for other in found[: found.index(each)])
+    def task_count_before(self, entry: OpenReclaim) -> int:
+        """For how many tasks of the same job capacity was reclaimed before this one."""
+        entries = self._by_job[entry.reclaim.job]
+        return sum(other.reclaim.tasks for other in entries[: entries.index(entry)])
 
-    def machines(self) -> dict[str, list[OpenReclaim]]:
-        """The recalls by machine; for reading only."""
-        return self._on_machine
+    def by_machine(self) -> dict[str, list[OpenReclaim]]:
+        """The reclaims by machine; for reading only."""
+        return self._by_machine
 
-    def kept(self, recalls: list[OpenReclaim]) -> list[wire.Spec]:
-        """The tasks for which these recalls keep room."""
+    def reserved_specs(self, entries: list[OpenReclaim]) -> list[wire.Spec]:
+        """The spec of each task for which these reclaims reserve capacity."""
         jobs = self._ledger.state.jobs
         return [
-            jobs[each.recall.job].spec
-            for each in recalls
-            if each.recall.job in jobs
-            for _ in range(each.recall.tasks)
+            jobs[entry.reclaim.job].spec
+            for entry in entries
+            if entry.reclaim.job in jobs
+            for _ in range(entry.reclaim.tasks)
         ]
 
 
-def _drop(index: dict[Any, list[OpenReclaim]], key: Any, each: OpenReclaim) -> None:
-    found = index[key]
-    found.remove(each)
-    if not found:
+def _remove_entry(index: dict[Key, list[OpenReclaim]], key: Key, entry: OpenReclaim) -> None:
+    entries = index[key]
+    entries.remove(entry)
+    if not entries:
         del index[key]
--- /dev/null
+++ b/flaxtally/leader/reclaim/quota_accounting.py
@@ -0,0 +1,74 @@
+"""Which team uses less than its quota, and which one borrows."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ...lending.entitlement import Amounts, Reclaimable, amounts_of
+from ...protocol import formats, wire
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from ...ledger.job import Job
+    from ...lending.feature import LendingFeature
+    from ..commands import CommandSender
+    from .open_reclaims import OpenReclaims
+
+
+class QuotaAccounting(TermActor):
+    """Compares the teams' usage with their quotas, counting what open reclaims will move."""
+
+    def __init__(
+        self,
+        term: Term,
+        commands: CommandSender,
+        open_reclaims: OpenReclaims,
+        feature: LendingFeature | None,
+    ) -> None:
+        """`feature`: None where lending is not configured."""
+        super().__init__(term)
+        self._commands = commands
+        self._open_reclaims = open_reclaims
+        self._feature = feature
+
+    @property
+    def is_configured(self) -> bool:
+        """Whether this controller's features file has lending."""
+        return self._feature is not None
+
+    @property
+    def is_enabled(self) -> bool:
+        """Whether reclaims may start: all configured controllers can read their records."""
+        return self._feature is not None and self.ledger.state.format >= formats.LENDING
+
+    def reclaimable(self) -> Reclaimable:
+        """What may be taken from the teams now, in one decision."""
+        return Reclaimable(self.term.quota, self._staying_usage)
+
+    def borrowers(self) -> frozenset[str]:
+        """The teams that use more than their quota: nothing may be taken from others."""
+        return frozenset(
+            team
+            for team in self.ledger.state.usage_by_team
+            if not self.term.quota(team).covers(self._staying_usage(team))
+        )
+
+    def _staying_usage(self, team: str) -> Amounts:
+        """What a team's tasks take that were neither sent a stop nor chosen for one."""
+        not_stopping = self._commands.usage_not_stopping(team)
+        return not_stopping.minus(self._open_reclaims.chosen_usage(team))
+
+    def is_entitled(self, job: Job) -> bool:
+        """Whether one more task of the job, or the gang, is within its team's quota."""
+        spec = job.spec
+        lenders = self._feature.lenders if self._feature is not None else frozenset()
+        if lenders and spec.team not in lenders:
+            return False
+        promised = self._open_reclaims.promised_to(spec.team)
+        usage = self.term.team_usage(spec.team).plus(promised)
+        task_count = spec.tasks if spec.job_kind == wire.GANG else 1
+        return self.term.quota(spec.team).covers(usage.plus(amounts_of(spec, task_count)))
+
+    def is_within_quota(self, team: str, added: Amounts) -> bool:
+        """Whether the team's usage with that much more is within its quota."""
+        return self.term.quota(team).covers(self.term.team_usage(team).plus(added))
--- /dev/null
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -0,0 +1,123 @@
+"""The capacity that open reclaims reserve for the tasks they are for."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING, Protocol
+
+from ...planning import placement
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from ...ledger.job import Job
+    from ...ledger.reclaims import Reclaim
+    from ...planning.fleet import Machine
+    from ...protocol import wire
+    from ..jobs import JobRegistry
+    from .open_reclaims import OpenReclaims
+
+
+class MachineStatus(Protocol):
+    """Tells which machines take new work."""
+
+    def is_schedulable(self, machine: Machine) -> bool:
+        """Whether something may be placed on the machine."""
+
+
+class ReclaimedCapacity(TermActor):
+    """Tells where reclaimed capacity may be used, and by whom."""
+
+    def __init__(
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        open_reclaims: OpenReclaims,
+        machine_status: MachineStatus,
+    ) -> None:
+        """`jobs`: say in which zones a job may have no more tasks."""
+        super().__init__(term)
+        self._jobs = jobs
+        self._open_reclaims = open_reclaims
+        self._machine_status = machine_status
+
+    def machine_for(self, job: Job) -> Machine | None:
+        """A machine on which a reclaim has made room for a task of the job."""
+        for entry in self._open_reclaims.for_job(job):
+            machine = self.fleet.machines.get(entry.reclaim.machine)
+            if (
+                entry.is_committed
+                and machine is not None
+                and not self._open_reclaims.remaining_victims(entry.reclaim)
+            ):
+                return machine
+        return None
+
+    def can_be_given(self, reclaim: Reclaim) -> bool:
+        """Whether the machine of a reclaim can take the task that it is for.
+
+        One that has sent this term no heartbeat yet can, as long as that is nothing unusual.
+        """
+        machine = self.fleet.machines.get(reclaim.machine)
+        job = self.ledger.state.jobs.get(reclaim.job)
+        if machine is None or job is None or machine.zone in self._jobs.excluded_zones(job):
+            return False
+        if not machine.is_reconciled and not machine.is_terminating:
+            return self.runtime.now() - self.term.began_at < self.policy.machine_suspect
+        return self._machine_status.is_schedulable(machine)
+
+    def filter_for(self, job: Job) -> Callable[[Machine], bool] | None:
+        """Which machines hold the job beside what is reserved; None: nothing is reserved."""
+        by_machine = self._open_reclaims.by_machine()
+        if not by_machine:
+            return None
+
+        def accepts(machine: Machine) -> bool:
+            return machine.name not in by_machine or self._holds_beside_others(machine, job)
+
+        return accepts
+
+    def _holds_beside_others(self, machine: Machine, job: Job) -> bool:
+        machine_type = self.term.machine_types.get(machine.machine_type)
+        if machine_type is None:
+            return False
+        expected = placement.room(machine, machine_type)
+        entries = self._open_reclaims.by_machine()[machine.name]
+        others = [entry for entry in entries if entry.reclaim.job != job.number]
+        for spec in self._open_reclaims.reserved_specs(others):
+            expected = expected.minus(spec)
+        leaving = {
+            placed
+            for entry in others
+            for placed in self._open_reclaims.remaining_victims(entry.reclaim)
+        }
+        for placed in leaving:
+            expected = expected.plus(placed.job.spec)
+        return expected.holds(job.spec)
+
+    def reserved_on(self, machine: str) -> list[wire.Spec]:
+        """The spec of each task for which reclaims reserve capacity on a machine."""
+        entries = self._open_reclaims.by_machine().get(machine, [])
+        return self._open_reclaims.reserved_specs(entries)
+
+    def excluded_zones(self, job: Job) -> frozenset[str]:
+        """The zones in which no more capacity may be reclaimed for the job."""
+        spec = job.spec
+        entries = self._open_reclaims.for_job(job)
+        excluded = self._jobs.excluded_zones(job)
+        if not entries or not (spec.spread or spec.one_zone):
+            return excluded
+        machines = self.fleet.machines
+        zones = Counter(
+            machines[entry.reclaim.machine].zone
+            for entry in entries
+            if entry.reclaim.machine in machines
+        )
+        if spec.one_zone:
+            return excluded | {zone for zone in self.fleet.zones if zone not in zones}
+        return excluded | {
+            zone
+            for zone, count in zones.items()
+            if job.placements_in_zone(zone) + count >= spec.zone_share
+        }
--- /dev/null
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -0,0 +1,156 @@
+"""Preemption where teams lend each other unused quota."""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+from typing import TYPE_CHECKING
+
+from ...lending.entitlement import Reclaimable, amounts_of
+from ...protocol import wire
+from ..term import Term, TermActor
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Hashable
+
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
+    from ..reclaim.open_reclaims import OpenReclaims
+    from ..reclaim.quota_accounting import QuotaAccounting
+    from ..reclaim.reclaim_admission import ReclaimAdmission
+    from ..reclaim.reclaimed_capacity import ReclaimedCapacity
+    from .preemption_policy import PreemptionBudget, PreemptionRequest
+    from .reservations import TaskKey
+    from .served_tasks import ServedTasks
+
+PATIENCE_SHARE = 0.5
+"""Of the recall time: then who is entitled to capacity takes what is kept for GPU tasks, too."""
+
+
+class QuotaBudget:
+    """Takes tasks of another team only while that team keeps its quota."""
+
+    def __init__(self, team: str, reclaimable: Reclaimable, open_reclaims: OpenReclaims) -> None:
+        """`team`: the one that takes, whose own tasks are not counted."""
+        self._team = team
+        self._reclaimable = reclaimable
+        self._open_reclaims = open_reclaims
+        self._gangs: set[int] = set()
+        """Gangs that are counted: they stop as a whole."""
+
+    def take(self, placed: Placement) -> bool:
+        """Whether the task's team keeps its quota without it, too; then it counts."""
+        job = placed.job
+        is_leaving = job.number in self._gangs or self._open_reclaims.is_leaving(placed)
+        if job.spec.team == self._team or is_leaving:
+            return True
+        is_gang = job.spec.job_kind == wire.GANG
+        task_count = len(job.placements) if is_gang else 1
+        if not self._reclaimable.take(job.spec.team, amounts_of(job.spec, task_count)):
+            return False
+        if is_gang:
+            self._gangs.add(job.number)
+        return True
+
+
+class LendingPolicy(TermActor):
+    """A team's quota protects its tasks; what it borrows goes to teams within theirs."""
+
+    def __init__(
+        self,
+        term: Term,
+        quota: QuotaAccounting,
+        admission: ReclaimAdmission,
+        open_reclaims: OpenReclaims,
+        capacity: ReclaimedCapacity,
+    ) -> None:
+        """`capacity`: in which zones capacity is being reclaimed."""
+        super().__init__(term)
+        self._quota = quota
+        self._admission = admission
+        self._open_reclaims = open_reclaims
+        self._capacity = capacity
+        self._borrowers: frozenset[str] = frozenset()
+        """The teams that borrow, as of this pass: a search must not look into all others' tasks."""
+
+    def begin_pass(self) -> None:
+        """Notes which teams borrow."""
+        self._borrowers = self._quota.borrowers()
+
+    def is_entitled(self, job: Job) -> bool:
+        """Whether one more task of the job, or the gang, is within its team's quota."""
+        return self._quota.is_entitled(job)
+
+    def equivalence_key(self, job: Job) -> Hashable:
+        """The team's own tasks are under other rules than those of others."""
+        return job.spec.team, self.is_entitled(job)
+
+    def gang_equivalence_key(self, job: Job) -> Hashable:
+        """The same as for other jobs."""
+        return self.equivalence_key(job)
+
+    def may_preempt_for_gang(self, job: Job) -> bool:
+        """Ranks above that of batch work, and gangs within their team's quota."""
+        return wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or self.is_entitled(job)
+
+    def is_reclaim(self, request: PreemptionRequest, victims: Collection[Placement]) -> bool:
+        """Whether another team's work is stopped for a job within its team's quota."""
+        return request.is_entitled and any(
+            placed.job.spec.team != request.spec.team for placed in victims
+        )
+
+    def record_demand(self, job: Job) -> None:
+        """From now on the recall time runs."""
+        self._admission.record_demand(job)
+
+    def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
+        """The next pending task that neither a reclaim nor a preemption is for."""
+        reclaimed_count = self._open_reclaims.task_count_for(job)
+        served_tasks = served.pending_of(job, now)
+        if reclaimed_count + len(served_tasks) >= job.pending_count:
+            return None
+        pending = itertools.chain(
+            heapq.nsmallest(len(served_tasks) + 1, job.retry_queue),
+            range(job.next_unstarted_task, job.spec.tasks),
+        )
+        return next(((job.number, task) for task in pending if task not in served_tasks), None)
+
+    def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
+        """Counts what is being reclaimed as placed."""
+        return self._capacity.excluded_zones(job)
+
+    def is_preemptible(self, placed: Placement, request: PreemptionRequest) -> bool:
+        """Whether the task may be stopped, as far as its team keeps its quota (`QuotaBudget`).
+
+        Within a team rank decides. Replicas of higher rank are not reclaimed: they are answering
+        somebody, and the autoscaler provisions for who waits.
+        """
+        other, spec = placed.job.spec, request.spec
+        rank, other_rank = wire.RANKS[spec.rank], wire.RANKS[other.rank]
+        if other.team == spec.team:
+            return other_rank > rank
+        if other.job_kind == wire.SERVICE and other_rank < rank:
+            return False
+        if not (other_rank > rank or request.is_entitled):
+            return False
+        is_borrowed = other.team in self._borrowers and not self._admission.was_reclaimed(placed)
+        return is_borrowed or self._open_reclaims.is_leaving(placed)
+
+    def is_last_resort(self, placed: Placement, spec: wire.Spec) -> bool:
+        """Whether the task is a replica of another team."""
+        other = placed.job.spec
+        return other.job_kind == wire.SERVICE and other.team != spec.team
+
+    def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
+        """What the other teams use beyond their quotas."""
+        return QuotaBudget(spec.team, self._quota.reclaimable(), self._open_reclaims)
+
+    def patience_s(self, job: Job) -> float:
+        """Shorter for a job within its team's quota."""
+        if self._quota.is_entitled(job):
+            return min(self.policy.keep_patience, self.policy.recall * PATIENCE_SHARE)
+        return self.policy.keep_patience
+
+    def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
+        """Whether the job has waited for longer than its patience."""
+        return request.now - request.job.pending_since > self.patience_s(request.job)
--- /dev/null
+++ b/flaxtally/leader/scheduling/preemption_cost.py
@@ -0,0 +1,30 @@
+"""What a task's stop throws away."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from ...protocol import wire
+
+if TYPE_CHECKING:
+    from ...ledger.placement import Placement
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..reclaim.open_reclaims import OpenReclaims
+
+
+class PreemptionCost:
+    """Estimates the work that is lost when a task is stopped."""
+
+    def __init__(self, gang_scheduler: GangScheduler, open_reclaims: OpenReclaims) -> None:
+        """`open_reclaims`: its victims stop anyway, so they cost nothing more."""
+        self._gang_scheduler = gang_scheduler
+        self._open_reclaims = open_reclaims
+
+    def of_task(self, placed: Placement, now: float) -> float:
+        """Seconds of work that a stop throws away; of a gang's task, those of the whole gang."""
+        if self._open_reclaims.is_leaving(placed) or placed.started_at is None:
+            return 0.0
+        spec = placed.job.spec
+        if spec.job_kind == wire.GANG:
+            return self._gang_scheduler.preemption_cost(placed.job)
+        return spec.checkpoint_save_s if spec.checkpoint_interval_s else now - placed.started_at
--- /dev/null
+++ b/flaxtally/leader/scheduling/preemption_parts.py
@@ -0,0 +1,89 @@
+"""Constructs preemption and the reclaim of borrowed quota, which share their state."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from ..reclaim.open_reclaims import OpenReclaims
+from ..reclaim.quota_accounting import QuotaAccounting
+from ..reclaim.quota_reclaim import QuotaReclaim
+from ..reclaim.reclaim_admission import ReclaimAdmission
+from ..reclaim.reclaimed_capacity import ReclaimedCapacity
+from .lending_policy import LendingPolicy
+from .preemption import Preemption
+from .preemption_cost import PreemptionCost
+from .preemption_policy import PreemptionPolicies, RankPolicy
+from .reservations import Reservations
+from .schedulable_machines import SchedulableMachines
+from .victim_search import VictimSearch
+
+if TYPE_CHECKING:
+    from ...lending.feature import LendingFeature
+    from ..commands import CommandSender
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..jobs import JobRegistry
+    from ..reclaim.reclaim_admission import PoolAvailability
+    from ..reconciliation.reconciler import Reconciler
+    from ..term import Term
+
+
+@dataclass(frozen=True)
+class PreemptionParts:
+    """What the scheduler and the leader use of them."""
+
+    machines: SchedulableMachines
+    quota: QuotaAccounting
+    reclaimed: ReclaimedCapacity
+    quota_reclaim: QuotaReclaim
+    preemption: Preemption
+
+
+def build_preemption(
+    term: Term,
+    jobs: JobRegistry,
+    commands: CommandSender,
+    gang_scheduler: GangScheduler,
+    reconciler: Reconciler,
+    pools: PoolAvailability,
+    feature: LendingFeature | None,
+) -> PreemptionParts:
+    """Wires the parts for one term: state first, then decisions, then what carries them out."""
+    machines = SchedulableMachines(term, reconciler)
+    reservations = Reservations()
+    open_reclaims = OpenReclaims(term.ledger)
+    quota = QuotaAccounting(term, commands, open_reclaims, feature)
+    admission = ReclaimAdmission(term, jobs, open_reclaims, pools, feature)
+    reclaimed = ReclaimedCapacity(term, jobs, open_reclaims, reconciler)
+
+    cost = PreemptionCost(gang_scheduler, open_reclaims)
+    policies = PreemptionPolicies(
+        RankPolicy(term, jobs, cost),
+        LendingPolicy(term, quota, admission, open_reclaims, reclaimed),
+        quota,
+    )
+    victim_search = VictimSearch(
+        term, jobs, gang_scheduler, machines, policies, cost, reservations, reclaimed
+    )
+
+    quota_reclaim = QuotaReclaim(
+        term,
+        commands,
+        gang_scheduler,
+        open_reclaims,
+        quota,
+        admission,
+        reclaimed,
+        victim_search,
+    )
+    preemption = Preemption(
+        term,
+        commands,
+        gang_scheduler,
+        policies,
+        victim_search,
+        reservations,
+        open_reclaims,
+        quota_reclaim,
+    )
+    return PreemptionParts(machines, quota, reclaimed, quota_reclaim, preemption)
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -12,8 +12,6 @@
 from ..jobs import MAX_BACKLOG, JobRegistry
 from ..reconciliation.attempt_finisher import EndReason
 from ..term import Term, TermActor
-from .preemption import Preemption
-from .schedulable_machines import SchedulableMachines
 from .scheduling_pass import SchedulingPass
 
 if TYPE_CHECKING:
@@ -25,9 +23,9 @@
     from ...planning.machine_index import MachineIndex
     from ..commands import CommandSender
     from ..gang_scheduling.gang_scheduler import GangScheduler
-    from ..reclaim.quota_reclaim import QuotaReclaim
     from ..reconciliation.reconciler import Reconciler
     from .pending_queue import PendingJob
+    from .preemption_parts import PreemptionParts
     from .scheduling_pass import MachineFilter
 
 MAX_PASSES_PER_HEARTBEAT = 8
@@ -45,7 +43,7 @@
         reconciler: Reconciler,
         commands: CommandSender,
         gang_scheduler: GangScheduler,
-        quota_reclaim: QuotaReclaim,
+        preemption_parts: PreemptionParts,
     ) -> None:
         """Subscribes to the term's requests for a pass."""
         super().__init__(term)
@@ -53,9 +51,9 @@
         self.reconciler = reconciler
         self.commands = commands
         self.gang_scheduler = gang_scheduler
-        self.quota_reclaim = quota_reclaim
-        quota_reclaim.find_room = lambda job: self.preemption.find_room(job, self._machines.index)
-        self.preemption = Preemption(term, jobs, commands, gang_scheduler, quota_reclaim)
+        self.preemption = preemption_parts.preemption
+        self._quota_reclaim = preemption_parts.quota_reclaim
+        self._reclaimed = preemption_parts.reclaimed
         self.gang_reservations = GangReservations(term, jobs)
         self.examined_count = 0
         """Machines that passes have examined."""
@@ -63,7 +61,7 @@
         """By job number and task: the machine to which a moved task is to go."""
         self._is_pass_requested = False
         self._next_pass_at = 0.0
-        self._machines = SchedulableMachines(term, reconciler)
+        self._machines = preemption_parts.machines
         self._infeasible = placement.Exhausted()
         """Requests that found no capacity up to now; they search only where there is more now."""
         self._gpu_reservations = jobs.gpu_reservations
@@ -141,14 +139,14 @@
     def has_hint(self, job: Job) -> bool:
         """Whether a machine is chosen for the job's next task."""
         is_hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
-        return is_hinted or self.quota_reclaim.room_for(job) is not None
+        return is_hinted or self._reclaimed.machine_for(job) is not None
 
     def take_hinted_machine(
         self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
     ) -> Machine | None:
         """Returns where the job's next task was moved, or capacity reclaimed, if it fits there."""
         hint = self.hints.pop((job.number, job.next_pending_task()), "")
-        machine = self.fleet.machines.get(hint) or self.quota_reclaim.room_for(job)
+        machine = self.fleet.machines.get(hint) or self._reclaimed.machine_for(job)
         if machine is None or machine.zone in excluded_zones:
             return None
         if not self.reconciler.is_schedulable(machine):
@@ -166,9 +164,9 @@
         reserved.
         """
         candidates = (
-            self.preemption.unclaimed_by(wire.RANKS[job.spec.rank]),
+            self.preemption.filter_for_rank(wire.RANKS[job.spec.rank]),
             self.gang_reservations.machine_filter_for(job),
-            self.quota_reclaim.free_for(job),
+            self._reclaimed.filter_for(job),
         )
         filters = [each for each in candidates if each is not None]
         if len(filters) < 2:
@@ -185,7 +183,7 @@
             job, index, self.availability_filter(job), reserve_for_gpus=not is_overdue
         )
         if count:
-            self.preemption.gang_placed(job)
+            self.preemption.on_gang_placed(job)
             self.gang_reservations.on_gang_placed(job)
             self._machines.apply_changes()
         elif not job.placements and self.jobs.is_within_limit(job.spec, job.spec.tasks):
@@ -194,7 +192,7 @@
 
     def _make_gang_room(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> None:
         """Preempts others for the gang, or reserves machines that it can use in a while."""
-        if not self.preemption.make_gang_room(job, index) and is_overdue:
+        if not self.preemption.preempt_for_gang(job) and is_overdue:
             self.gang_reservations.reserve_machines(job, index)
 
     def place_task(self, job: Job, machine: Machine) -> None:
@@ -213,8 +211,8 @@
         placed.proposed_at = now
         job.pending_since = now
         machine.add_placement(placed)
-        self.preemption.placed((job.number, task))
-        self.quota_reclaim.placed(job, machine)
+        self.preemption.on_task_placed((job.number, task))
+        self._quota_reclaim.on_task_placed(job, machine)
         self._machines.apply_changes()
 
     def _launch_if_current(self, placed: Placement) -> None:
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -193,7 +193,7 @@
         return _TaskRequest(job, excluded_zones, key, is_available)
 
     def _is_overdue(self, job: Job) -> bool:
-        return self._now - job.pending_since > self._preemption.quota_reclaim.patience(job)
+        return self._now - job.pending_since > self._preemption.patience_s(job)
 
     # Finding a machine
 
@@ -276,9 +276,9 @@
         depends on the team too, while it is within its quota.
         """
         job = request.job
-        key = request.key.constraints, self._preemption.party(job)
-        if self._preemption.found_nobody(key, job.spec) or (job.shape, key) in self._preempted_for:
+        key = request.key.constraints, self._preemption.equivalence_key(job)
+        if self._preemption.is_infeasible(key, job.spec) or (job.shape, key) in self._preempted_for:
             return
-        is_preempting = self._preemption.make_room(job, key, self._index, request.excluded_zones)
+        is_preempting = self._preemption.preempt_for(job, key, request.excluded_zones)
         if is_preempting and not job.spec.spread:
             self._preempted_for.add((job.shape, key))
--- /dev/null
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -0,0 +1,172 @@
+"""Searches the fleet for the tasks whose stop loses the least work. Stops nothing."""
+
+from __future__ import annotations
+
+import itertools
+from typing import TYPE_CHECKING
+
+from ...gangs.gang_preemption import Candidate, MachineSlots, Victim, choose_cheapest_machines
+from ...lending.victim_selection import giving_way
+from ...planning import placement
+from ...protocol import wire
+from ..reclaim.preemption_plan import PreemptionPlan
+from ..term import Term, TermActor
+from .preemption_policy import PreemptionRequest
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Iterator
+
+    from ...ledger.job import Job
+    from ...ledger.placement import Placement
+    from ...planning.fleet import Machine
+    from ..gang_scheduling.gang_scheduler import GangScheduler
+    from ..jobs import JobRegistry
+    from ..reclaim.reclaimed_capacity import ReclaimedCapacity
+    from .preemption_cost import PreemptionCost
+    from .preemption_policy import PreemptionPolicies, PreemptionPolicy
+    from .reservations import Reservations
+    from .schedulable_machines import SchedulableMachines
+
+
+class VictimSearch(TermActor):
+    """Chooses victims, as the policy that holds allows."""
+
+    def __init__(
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        gang_scheduler: GangScheduler,
+        machines: SchedulableMachines,
+        policies: PreemptionPolicies,
+        cost: PreemptionCost,
+        reservations: Reservations,
+        reclaimed: ReclaimedCapacity,
+    ) -> None:
+        """`reservations`, `reclaimed`: capacity that is being made for others already."""
+        super().__init__(term)
+        self._jobs = jobs
+        self._gang_scheduler = gang_scheduler
+        self._machines = machines
+        self._policies = policies
+        self._cost = cost
+        self._reservations = reservations
+        self._reclaimed = reclaimed
+
+    @property
+    def _max_machines(self) -> int:
+        """How many machines one search looks at: another part of the fleet the next time."""
+        return placement.WIDEN**2 * self.policy.sample
+
+    def request_for(self, job: Job, *, is_entitled: bool) -> PreemptionRequest:
+        """A search for the job, as of now."""
+        return PreemptionRequest(job, job.spec, is_entitled, self.runtime.now())
+
+    def find_plan(self, job: Job) -> PreemptionPlan | None:
+        """Where tasks can be stopped for a task of a job that is entitled to capacity."""
+        excluded = self._reclaimed.excluded_zones(job)
+        return self.find_cheapest(self.request_for(job, is_entitled=True), excluded)
+
+    def find_cheapest(
+        self, request: PreemptionRequest, excluded_zones: Collection[str]
+    ) -> PreemptionPlan | None:
+        """Of a sample of machines, the one on which the least work is lost; None: none found."""
+        best: PreemptionPlan | None = None
+        found_count = 0
+        machines = self._machines.index.walk(request.spec, excluded_zones)
+        for seen_count, (machine, machine_type) in enumerate(machines):
+            if seen_count >= self._max_machines:
+                break
+            victims = self.victims_on(machine, machine_type, request)
+            if not victims:
+                continue
+            cost = sum(self._cost.of_task(placed, request.now) for placed in victims)
+            if best is None or cost < best.cost:
+                best = PreemptionPlan(machine, victims, cost)
+            found_count += 1
+            if found_count >= self.policy.sample:
+                break
+        return best
+
+    def victims_on(
+        self, machine: Machine, machine_type: wire.MachineType, request: PreemptionRequest
+    ) -> list[Placement]:
+        """The tasks whose stop makes room for one of the job there; none: it can't be made.
+
+        Those that lose the least come first.
+        """
+        policy, spec = self._policies.current, request.spec
+        preemptible = self._preemptible_on(machine, request, policy)
+        if not preemptible:
+            return []
+        preemptible.sort(
+            key=lambda placed: (
+                policy.is_last_resort(placed, spec),
+                self._cost.of_task(placed, request.now),
+            )
+        )
+        left, victims = giving_way(
+            spec,
+            self._unreserved_capacity(machine, machine_type),
+            preemptible,
+            lambda placed: placed.job.spec,
+            policy.new_budget(spec).take,
+        )
+        fits = left.holds(spec) and (
+            placement.leaves_gpus_usable(spec, left, machine_type, self._jobs.gpu_reservations)
+            or policy.ignores_gpu_reservations(request)
+        )
+        return victims if fits else []
+
+    def find_cheapest_for_gang(self, request: PreemptionRequest) -> list[MachineSlots] | None:
+        """Machines that together hold the gang once some tasks have left; None: none do."""
+        policy, spec = self._policies.current, request.spec
+        budget = policy.new_budget(spec)
+
+        def candidates(excluded_zones: Collection[str]) -> Iterator[Candidate]:
+            machines = self._machines.index.walk(spec, excluded_zones)
+            for machine, machine_type in itertools.islice(machines, self._max_machines):
+                victims = [
+                    Victim(placed, self._cost.of_task(placed, request.now))
+                    for placed in machine.placements.values()
+                    if self._is_preemptible(placed, request, policy) and budget.take(placed)
+                ]
+                capacity = self._unreserved_capacity(machine, machine_type)
+                yield Candidate(machine, machine_type, capacity, victims)
+
+        def total_cost(choice: list[MachineSlots]) -> float:
+            return sum(slots.preemption_cost for slots in choice)
+
+        return choose_cheapest_machines(
+            spec, self.fleet.zones, candidates, self._jobs.gpu_reservations, total_cost
+        )
+
+    def _preemptible_on(
+        self, machine: Machine, request: PreemptionRequest, policy: PreemptionPolicy
+    ) -> list[Placement]:
+        return [
+            placed
+            for placed in machine.placements.values()
+            if self._is_preemptible(placed, request, policy)
+        ]
+
+    def _is_preemptible(
+        self, placed: Placement, request: PreemptionRequest, policy: PreemptionPolicy
+    ) -> bool:
+        """Whether the task runs for all that is known, and the policy allows to stop it."""
+        if not placed.was_reported:
+            return False
+        is_gang = placed.job.spec.job_kind == wire.GANG
+        if is_gang and not self._gang_scheduler.can_stop(placed.job):
+            return False
+        return policy.is_preemptible(placed, request)
+
+    def _unreserved_capacity(
+        self, machine: Machine, machine_type: wire.MachineType
+    ) -> placement.Room:
+        """What is free there: a task that stops for another one can't make room twice."""
+        free = placement.room(machine, machine_type)
+        for reservation in self._reservations.list_on(machine.name):
+            free = free.minus(reservation.spec)
+        for spec in self._reclaimed.reserved_on(machine.name):
+            free = free.minus(spec)
+        return free
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -9,7 +9,6 @@
 from .commands import CommandSender, CommandTransport
 from .gang_scheduling.gang_scheduler import GangScheduler
 from .jobs import JobRegistry
-from .reclaim.quota_reclaim import QuotaReclaim
 from .reconciliation.failure_attribution import FailureAttribution
 from .reconciliation.health_checks import HealthChecks
 from .reconciliation.heartbeat_handler import HeartbeatHandler
@@ -17,12 +16,14 @@
 from .reconciliation.preemption_notices import PreemptionNotices
 from .reconciliation.reconciler import Reconciler
 from .reconciliation.stragglers import Stragglers
+from .scheduling.preemption_parts import build_preemption
 from .scheduling.scheduler import Scheduler
 
 if TYPE_CHECKING:
     from ..ledger.placement import Placement
     from ..lending.feature import LendingFeature
     from .reclaim.loan_accounts import LoanAccounts
+    from .reclaim.quota_accounting import QuotaAccounting
     from .reconciliation.attempt_finisher import EndReason
     from .term import Term
 
@@ -65,16 +66,21 @@
             self.reconciler.scale_in,
         )
         self.commands.on_heartbeat = self.heartbeat_handler.handle_heartbeat
-        self.quota_reclaim = QuotaReclaim(
-            term, self.jobs, self.commands, self.gang_scheduler, lending
+        self.autoscaler = Autoscaler(term, self.jobs, self.reconciler, self.commands)
+        preemption_parts = build_preemption(
+            term,
+            self.jobs,
+            self.commands,
+            self.gang_scheduler,
+            self.reconciler,
+            self.autoscaler,
+            lending,
         )
-        self.loan_accounts = self._create_loan_accounts(lending)
-        self.quota_reclaim.is_schedulable = self.reconciler.is_schedulable
+        self.quota_reclaim = preemption_parts.quota_reclaim
+        self.loan_accounts = self._create_loan_accounts(lending, preemption_parts.quota)
         self.scheduler = Scheduler(
-            term, self.jobs, self.reconciler, self.commands, self.gang_scheduler, self.quota_reclaim
+            term, self.jobs, self.reconciler, self.commands, self.gang_scheduler, preemption_parts
         )
-        self.autoscaler = Autoscaler(term, self.jobs, self.reconciler, self.commands)
-        self.quota_reclaim.is_in_backoff = self.autoscaler.is_in_backoff
         self.consolidation = Consolidation(
             term, self.jobs, self.reconciler, self.commands, self.autoscaler, self.scheduler
         )
@@ -82,13 +88,15 @@
     def _finish_attempt(self, placement: Placement, reason: EndReason) -> None:
         self.reconciler.attempts.finish_attempt(placement, reason)
 
-    def _create_loan_accounts(self, lending: LendingFeature | None) -> LoanAccounts | None:
+    def _create_loan_accounts(
+        self, lending: LendingFeature | None, quota: QuotaAccounting
+    ) -> LoanAccounts | None:
         if lending is None:
             return None
         # Imported here: a controller without the feature does not load the module.
         from .reclaim.loan_accounts import LoanAccounts
 
-        return LoanAccounts(self.term, self.jobs, self.quota_reclaim, lending.accounts_every_s)
+        return LoanAccounts(self.term, self.jobs, quota, lending.accounts_every_s)
 
     def watch(self) -> None:
         """The frequent checks, in order: what one proves, the later ones act on."""
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -151,7 +151,7 @@
     for number in (1, 2):
         lines = [record.getMessage() for record in caplog.records]
         said = [line.split()[0] for line in lines if f"recall_{number:06d}" in line]
-        assert said == ["event=recall_begin", "event=recall_over"]
+        assert said == ["event=reclaim_started", "event=reclaim_ended"]
 
 
 def test_without_the_feature_there_is_no_page_and_no_new_format() -> None:
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -16,6 +16,7 @@
 
 from flaxtally.leader.commands import CommandSender
 from flaxtally.leader.reclaim.quota_reclaim import QuotaReclaim
+from flaxtally.leader.reclaim.reclaim_admission import ReclaimAdmission
 from flaxtally.leader.reconciliation.attempt_finisher import AttemptFinisher
 from flaxtally.leader.scheduling.scheduler import Scheduler
 from flaxtally.protocol import formats, wire
@@ -93,7 +94,7 @@
 
 STEPS: dict[str, Step] = {
     "decided": (QuotaReclaim, "_propose", True, always),
-    "committed": (QuotaReclaim, "_stop", False, always),
+    "committed": (QuotaReclaim, "_stop_victims", False, always),
     "ordered": (CommandSender, "_send_batch", True, is_stop),
     "proven": (AttemptFinisher, "finish_attempt", True, of_borrower),
     "placing": (Scheduler, "place_task", False, of_lender),
@@ -353,7 +354,7 @@
     assert stops >= 8
     lending, seen = lending_of(world), list(world.seen.values())
     assert len(seen) >= 8
-    assert not any(lending.open_reclaims.left(recall) for recall in seen), (
+    assert not any(lending.open_reclaims.remaining_victims(recall) for recall in seen), (
         "they name the first attempts"
     )
     world.run(40.0)
@@ -384,7 +385,7 @@
     world = SimulatedLendingCluster(seed)
     borrow(world)
     may_begin = [False]
-    monkeypatch.setattr(QuotaReclaim, "may_begin", lambda *_: may_begin[0])
+    monkeypatch.setattr(ReclaimAdmission, "may_start", lambda *_: may_begin[0])
     returns(world, 2)
     world.run(3.5)
     world.slow_state(1.0, 6.0)
