--- a/flaxtally/cli/request_commands.py
+++ b/flaxtally/cli/request_commands.py
@@ -77,9 +77,9 @@
 def _format_loans(body: bytes) -> str:
     import msgspec
 
-    from ..lending.page import LoansPage, text
+    from ..lending.page import LoansPage, format_page
 
-    return text(msgspec.msgpack.decode(body, type=LoansPage))
+    return format_page(msgspec.msgpack.decode(body, type=LoansPage))
 
 
 def _send(arguments: argparse.Namespace, request: ControllerRequest) -> ExitCode:
--- a/flaxtally/features.py
+++ b/flaxtally/features.py
@@ -21,7 +21,7 @@
 def _lending(table: Table) -> Feature:
     from .lending.feature import LendingFeature
 
-    return LendingFeature.of(table)
+    return LendingFeature.from_table(table)
 
 
 def _tracing(table: Table) -> Feature:
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from ...ledger.reclaims import LoanAccount
-from ...lending.accounts import TeamAccount, TeamUse, team_accounts
+from ...lending.accounts import TeamAccount, TeamUse, compute_team_accounts
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
-from ...lending.page import LoansPage, page
+from ...lending.page import LoansPage, build_page
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
@@ -45,7 +45,7 @@
         now = self.runtime.now()
         elapsed_s = now - self._sampled_at if self._sampled_at is not None else 0.0
         self._sampled_at = now
-        for account in team_accounts(self._team_uses({})).values():
+        for account in compute_team_accounts(self._team_uses({})).values():
             self._add(account, elapsed_s)
         if now - self._stored_at >= self._store_interval_s:
             self._stored_at = now
@@ -113,9 +113,9 @@
             for reclaim in state.loan_state.reclaims.values()
             if reclaim.job in state.jobs
         ]
-        accounts = team_accounts(self._team_uses(self._waiting_amounts()))
+        accounts = compute_team_accounts(self._team_uses(self._waiting_amounts()))
         current = {team: self._current(team) for team in accounts}
-        return page(self.term.number, accounts, current, reclaims)
+        return build_page(self.term.number, accounts, current, reclaims)
 
     def _waiting_amounts(self) -> dict[str, Amounts]:
         """What the pending tasks ask for, by team."""
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -12,7 +12,7 @@
 
 from ...ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from ...lending.entitlement import amounts_of
-from ...lending.reclaim import Situation, Step, Times, next_step
+from ...lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
 from ...protocol import wire
 from ..term import Term, TermActor
 from .open_reclaims import OpenReclaim, OpenReclaims
@@ -64,10 +64,10 @@
         self._admission = admission
         self._capacity = capacity
         self._plan_search = plan_search
-        self._times = Times(
-            repeat=self.policy.order_call,
-            stop=self.policy.order_call,
-            overdue=self.policy.recall,
+        self._times = ReclaimTimes(
+            resend_after_s=self.policy.order_call,
+            stop_s=self.policy.order_call,
+            give_up_after_s=self.policy.recall,
         )
 
     def restore(self) -> None:
@@ -168,27 +168,27 @@
                 "event=reclaim_deadline_missed term=%d id=%s", self.term.number, entry.reclaim.id
             )
         step = next_step(self._situation(entry, until_deadline), self._times)
-        if step is Step.SEEK and entry.reclaim.tasks > 1:
+        if step is Step.MOVE and entry.reclaim.tasks > 1:
             # Capacity for a gang is searched for as a whole.
             step = Step.GIVE_UP
         if step in (Step.STOP, Step.FORCE):
             self._stop_victims(entry, is_forced=step is Step.FORCE)
-        elif step is Step.SEEK:
+        elif step is Step.MOVE:
             self._move(entry)
         elif step in (Step.WITHDRAW, Step.GIVE_UP):
             self._end(entry, step.value)
 
-    def _situation(self, entry: OpenReclaim, until_deadline: float) -> Situation:
+    def _situation(self, entry: OpenReclaim, until_deadline: float) -> ReclaimSituation:
         victims = self.open_reclaims.remaining_victims(entry.reclaim)
         sent_at = entry.stops_sent_at
-        return Situation(
+        return ReclaimSituation(
             is_wanted=self._is_wanted(entry),
-            machine_answers=self._capacity.can_be_given(entry.reclaim),
-            borrowed_left=len(victims),
-            since_told=None if sent_at is None else self.runtime.now() - sent_at,
+            can_machine_serve=self._capacity.can_be_given(entry.reclaim),
+            remaining_victim_count=len(victims),
+            since_stop_s=None if sent_at is None else self.runtime.now() - sent_at,
             is_forced=entry.is_forced,
-            until_deadline=until_deadline,
-            longest_save=max((_grace_period_s(placed) for placed in victims), default=0.0),
+            until_deadline_s=until_deadline,
+            longest_save_s=max((_grace_period_s(placed) for placed in victims), default=0.0),
         )
 
     def _is_wanted(self, entry: OpenReclaim) -> bool:
--- a/flaxtally/leader/reclaim/reclaim_admission.py
+++ b/flaxtally/leader/reclaim/reclaim_admission.py
@@ -109,7 +109,7 @@
         if self._feature is None:
             return False
         placed_count = sum(len(job.placements) for job in self._jobs.live_jobs.values())
-        max_stops = max(MIN_STOPS_PER_MINUTE, self._feature.stops_a_minute * placed_count)
+        max_stops = max(MIN_STOPS_PER_MINUTE, self._feature.stops_per_minute * placed_count)
         added = sum(not self._open_reclaims.is_leaving(victim) for victim in victims)
         return len(self._stop_times) + self._open_reclaims.chosen_count + added <= max_stops
 
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -38,7 +38,7 @@
         self._gangs: set[int] = set()
         """Gangs that are counted: they stop as a whole."""
 
-    def take(self, placed: Placement) -> bool:
+    def try_take(self, placed: Placement) -> bool:
         """Whether the task's team keeps its quota without it, too; then it counts."""
         job = placed.job
         is_leaving = job.number in self._gangs or self._open_reclaims.is_leaving(placed)
@@ -46,7 +46,7 @@
             return True
         is_gang = job.spec.job_kind == wire.GANG
         task_count = len(job.placements) if is_gang else 1
-        if not self._reclaimable.take(job.spec.team, amounts_of(job.spec, task_count)):
+        if not self._reclaimable.try_take(job.spec.team, amounts_of(job.spec, task_count)):
             return False
         if is_gang:
             self._gangs.add(job.number)
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -5,7 +5,7 @@
 from bisect import insort
 from typing import TYPE_CHECKING, NamedTuple
 
-from ...lending.entitlement import NOTHING, Amounts, Guarantee, amounts_of
+from ...lending.entitlement import NOTHING, Amounts, Quota, amounts_of
 from ...protocol import wire
 from ..term import Term, TermActor
 from .job_urgency import JobUrgency
@@ -63,7 +63,7 @@
         self._equivalence_classes: dict[Hashable, int] = {}
         self._demand: dict[str, Amounts] = {}
         """What each team's unfinished jobs take together, as of the last count."""
-        self._quotas: dict[str, Guarantee] = {}
+        self._quotas: dict[str, Quota] = {}
         """The teams' quotas as of the last count."""
         self._urgency = JobUrgency(self.settings.objectives, self.policy)
 
--- a/flaxtally/leader/scheduling/preemption_policy.py
+++ b/flaxtally/leader/scheduling/preemption_policy.py
@@ -38,7 +38,7 @@
 class PreemptionBudget(Protocol):
     """What one decision may take from each team, which may stop several tasks."""
 
-    def take(self, placed: Placement) -> bool:
+    def try_take(self, placed: Placement) -> bool:
         """Whether the task may be stopped beside those taken before; then it counts as taken."""
 
 
@@ -91,7 +91,7 @@
 class UnlimitedBudget:
     """Takes any task: ranks alone decide."""
 
-    def take(self, placed: Placement) -> bool:
+    def try_take(self, placed: Placement) -> bool:
         """Always true."""
         return True
 
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ...gangs.gang_preemption import Candidate, MachineSlots, Victim, choose_cheapest_machines
-from ...lending.victim_selection import giving_way
+from ...lending.victim_selection import select_victims
 from ...planning import placement
 from ...protocol import wire
 from ..reclaim.preemption_plan import PreemptionPlan
@@ -104,12 +104,12 @@
                 self._cost.of_task(placed, request.now),
             )
         )
-        left, victims = giving_way(
+        left, victims = select_victims(
             spec,
             self._unreserved_capacity(machine, machine_type),
             preemptible,
             lambda placed: placed.job.spec,
-            policy.new_budget(spec).take,
+            policy.new_budget(spec).try_take,
         )
         fits = left.holds(spec) and (
             placement.leaves_gpus_usable(spec, left, machine_type, self._jobs.gpu_reservations)
@@ -128,7 +128,7 @@
                 victims = [
                     Victim(placed, self._cost.of_task(placed, request.now))
                     for placed in machine.placements.values()
-                    if self._is_preemptible(placed, request, policy) and budget.take(placed)
+                    if self._is_preemptible(placed, request, policy) and budget.try_take(placed)
                 ]
                 capacity = self._unreserved_capacity(machine, machine_type)
                 yield Candidate(machine, machine_type, capacity, victims)
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..lending.entitlement import NOTHING, Amounts, Guarantee
+from ..lending.entitlement import NOTHING, Amounts, Quota
 from ..planning.fleet import Machine
 from ..runtime.actor import Actor
 from .pass_requests import PassRequests
@@ -96,9 +96,9 @@
         """Asks the scheduler for a pass over the pending jobs."""
         self.pass_requests.publish()
 
-    def quota(self, team: str) -> Guarantee:
+    def quota(self, team: str) -> Quota:
         """A team's quota as it is now."""
-        return Guarantee.of(self.limits.find_team(team))
+        return Quota.from_settings(self.limits.find_team(team))
 
     def team_usage(self, team: str) -> Amounts:
         """The resources of a team's placements, from proposal until they are proven to be over."""
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -96,7 +96,7 @@
         # Imported here: a controller without the feature does not load the module.
         from .reclaim.loan_accounts import LoanAccounts
 
-        return LoanAccounts(self.term, self.jobs, quota, lending.accounts_every_s)
+        return LoanAccounts(self.term, self.jobs, quota, lending.account_interval_s)
 
     def watch(self) -> None:
         """The frequent checks, in order: what one proves, the later ones act on."""
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from ..feature_table import FeatureError, Table
-from .entitlement import Guarantee
+from .entitlement import Quota
 
 if TYPE_CHECKING:
     from ..policy import Policy
@@ -14,36 +14,37 @@
     from ..settings import Settings
 
 NAME = "lending"
-DEFAULT_STOPS, DEFAULT_ACCOUNTS_S = 2.0, 60.0
-AIMS = ("wait", "guarantee")
-"""Aims that say within what time work is to start."""
+DEFAULT_STOPS_PER_MINUTE = 2.0
+DEFAULT_ACCOUNT_INTERVAL_S = 60.0
+START_OBJECTIVES = ("wait", "guarantee")
+"""The kinds of objectives that say within what time work is to start."""
 
 
 @dataclass(frozen=True)
 class LendingFeature:
-    """What the operators say of lending."""
+    """How the operators configured lending."""
 
     table: Table
     lenders: frozenset[str]
-    """The teams whose demand recalls loans; none: all that have a guarantee."""
-    stops_a_minute: float
-    """The tasks that recalls may stop a minute, as a share of those that are placed."""
-    accounts_every_s: float
-    """How often the accounts are kept; a change of leader loses as much of them."""
+    """The teams whose demand starts reclaims; none: all that have a quota."""
+    stops_per_minute: float
+    """The tasks that reclaims may stop in a minute, as a share of those that are placed."""
+    account_interval_s: float
+    """How often the accounts are stored; a change of leader loses as much of them."""
 
     @classmethod
-    def of(cls, table: Table) -> LendingFeature:
+    def from_table(cls, table: Table) -> LendingFeature:
         """The table's values, or `FeatureError`."""
         table.only("lenders", "stops_a_minute", "accounts_every_s")
         return cls(
             table,
             frozenset(table.texts("lenders")),
-            table.number("stops_a_minute", DEFAULT_STOPS, 0.001, 60.0),
-            table.number("accounts_every_s", DEFAULT_ACCOUNTS_S, 1.0, 86400.0),
+            table.number("stops_a_minute", DEFAULT_STOPS_PER_MINUTE, 0.001, 60.0),
+            table.number("accounts_every_s", DEFAULT_ACCOUNT_INTERVAL_S, 1.0, 86400.0),
         )
 
     def start(self, loop: Loop, settings: Settings) -> None:
-        """The leader takes it up: see `leader.reclaim.quota_reclaim`."""
+        """Nothing to start: the leader uses it, see `leader.reclaim.quota_accounting`."""
 
     def check(self, settings: Settings, policy: Policy, *, has_cells: bool) -> None:
         """Raises `FeatureError` if the other files don't go with it."""
@@ -51,15 +52,22 @@
             raise FeatureError(
                 f"{self.table.path}: {NAME}: guarantees don't hold over cells (--cells)"
             )
+        self._check_lenders(settings)
+        self._check_objectives(settings, policy)
+
+    def _check_lenders(self, settings: Settings) -> None:
         for team in sorted(self.lenders):
-            if not Guarantee.of(settings.teams.get(team)).exists:
+            if not Quota.from_settings(settings.teams.get(team)).is_granted:
                 raise self.table.fault("lenders", f"{team} is no team with a guarantee")
-        for aim in settings.objectives:
-            # What is to start sooner than a lease lasts is served from reserves, not by recalls.
-            within = aim.within if aim.within >= settings.lease_s else 0.0
-            if aim.kind in AIMS and 0 < within < policy.recall:
-                job_class = aim.job_class or "work within a guarantee"
+
+    def _check_objectives(self, settings: Settings, policy: Policy) -> None:
+        for objective in settings.objectives:
+            if objective.kind not in START_OBJECTIVES:
+                continue
+            # What is to start sooner than a lease lasts is served from reserves, not by reclaims.
+            if objective.within >= settings.lease_s and 0 < objective.within < policy.recall:
+                job_class = objective.job_class or "work within a guarantee"
                 raise FeatureError(
                     f"{self.table.path}: {NAME}: the policy's recall of {policy.recall:g} s is "
-                    f"over the aim of {job_class} to start within {within:g} s"
+                    f"over the aim of {job_class} to start within {objective.within:g} s"
                 )
--- a/flaxtally/lending/page.py
+++ b/flaxtally/lending/page.py
@@ -1,4 +1,4 @@
-"""The operators' page of loans: what a leader answers, and how it is printed. Pure."""
+"""The operators' page of loans: what a leader replies, and how it is printed. No I/O."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 import msgspec
 
 from ..ledger.reclaims import LoanAccount, Reclaim
-from .accounts import TeamAccount, loans
+from .accounts import TeamAccount, compute_loans
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
     from .entitlement import Amounts
 
-MOST_ROWS = 100
-"""Of each list: an answer must fit into a response's 64 KiB."""
+MAX_ROWS = 100
+"""Of each list: the page must fit into a response of 64 KiB."""
 
 
 class TeamRow(msgspec.Struct):
-    """What a team has, in cores and GPUs; of the guarantee null is unbounded."""
+    """What a team has, in cores and GPUs. `guarantee`: its quota; null is unbounded."""
 
     team: str
     guarantee: tuple[float | None, float | None]
@@ -43,8 +43,8 @@
     gpus: float
 
 
-class RecallRow(msgspec.Struct):
-    """A recall that is not over. Times are of the day."""
+class ReclaimRow(msgspec.Struct):
+    """A reclaim that has not ended. Times are in seconds since the epoch."""
 
     id: str
     lender: str
@@ -56,36 +56,41 @@
 
 
 class LoansPage(msgspec.Struct):
-    """All of it, each list cut to its most telling rows."""
+    """The whole page; each list is cut to its most important rows."""
 
     term: int
     teams: list[TeamRow]
     loans: list[LoanRow]
-    recalls: list[RecallRow]
+    recalls: list[ReclaimRow]
     left_out: int = 0
     """Rows that did not fit."""
 
 
-def page(
+def build_page(
     term: int,
     accounts: dict[str, TeamAccount],
-    kept: dict[str, LoanAccount],
-    recalls: Iterable[tuple[Reclaim, str]],
+    stored: dict[str, LoanAccount],
+    reclaims: Iterable[tuple[Reclaim, str]],
 ) -> LoansPage:
-    """The page, from the teams' accounts, those in the ledger, and recalls with their job's id."""
-    teams = [_team_row(account, kept.get(team)) for team, account in accounts.items()]
+    """The page, from the teams' accounts, those in the ledger, and reclaims with their job's id."""
+    teams = [_team_row(account, stored.get(team)) for team, account in accounts.items()]
     teams.sort(key=lambda row: (-row.borrows[1], -row.borrows[0], row.team))
-    owed = [LoanRow(*pair, *_rounded(amounts)) for pair, amounts in loans(accounts).items()]
-    owed.sort(key=lambda row: (-row.gpus, -row.cores, row.lender, row.borrower))
-    under_way = [_recall_row(recall, ref) for recall, ref in recalls]
-    under_way.sort(key=lambda row: row.deadline)
-    left_out = sum(max(0, len(rows) - MOST_ROWS) for rows in (teams, owed, under_way))
-    return LoansPage(term, teams[:MOST_ROWS], owed[:MOST_ROWS], under_way[:MOST_ROWS], left_out)
+    loans = [LoanRow(*pair, *_rounded(owed)) for pair, owed in compute_loans(accounts).items()]
+    loans.sort(key=lambda row: (-row.gpus, -row.cores, row.lender, row.borrower))
+    open_reclaims = [_reclaim_row(reclaim, job_id) for reclaim, job_id in reclaims]
+    open_reclaims.sort(key=lambda row: row.deadline)
+    return LoansPage(
+        term,
+        teams[:MAX_ROWS],
+        loans[:MAX_ROWS],
+        open_reclaims[:MAX_ROWS],
+        left_out=sum(max(0, len(rows) - MAX_ROWS) for rows in (teams, loans, open_reclaims)),
+    )
 
 
-def _team_row(account: TeamAccount, kept: LoanAccount | None) -> TeamRow:
-    kept = kept or LoanAccount(account.team)
-    cores, gpus = account.guarantee.amounts
+def _team_row(account: TeamAccount, stored: LoanAccount | None) -> TeamRow:
+    totals = stored or LoanAccount(account.team)
+    cores, gpus = account.quota.amounts
     return TeamRow(
         team=account.team,
         guarantee=(_finite(cores), _finite(gpus)),
@@ -93,23 +98,23 @@
         waiting=_rounded(account.waiting),
         lends=_rounded(account.lends),
         borrows=_rounded(account.borrows),
-        borrows_since=kept.borrows_since or None,
-        borrowed_gpu_s=round(kept.borrowed_gpu_seconds, 1),
-        lent_gpu_s=round(kept.lent_gpu_seconds, 1),
-        recalls_met=kept.met,
-        recalls_late=kept.late,
+        borrows_since=totals.borrows_since or None,
+        borrowed_gpu_s=round(totals.borrowed_gpu_seconds, 1),
+        lent_gpu_s=round(totals.lent_gpu_seconds, 1),
+        recalls_met=totals.met,
+        recalls_late=totals.late,
     )
 
 
-def _recall_row(recall: Reclaim, ref: str) -> RecallRow:
-    return RecallRow(
-        recall.id,
-        recall.lender,
-        ref,
-        recall.machine,
-        recall.decided_at,
-        recall.deadline,
-        len(recall.borrowed),
+def _reclaim_row(reclaim: Reclaim, job_id: str) -> ReclaimRow:
+    return ReclaimRow(
+        reclaim.id,
+        reclaim.lender,
+        job_id,
+        reclaim.machine,
+        reclaim.decided_at,
+        reclaim.deadline,
+        len(reclaim.borrowed),
     )
 
 
@@ -121,25 +126,26 @@
     return round(amounts.cores, 2), round(amounts.gpus, 2)
 
 
-def text(found: LoansPage) -> str:
-    """The page as operators read it."""
+def format_page(page: LoansPage) -> str:
+    """The page as the command line prints it."""
     lines = ["GPUs: team  guarantee       use   waiting     lends   borrows  recalls met/late"]
-    for row in found.teams:
-        guaranteed = "-" if row.guarantee[1] is None else f"{row.guarantee[1]:g}"
-        amounts = (row.use, row.waiting, row.lends, row.borrows)
-        figures = "".join(f"{gpus:10.4g}" for _, gpus in amounts)
-        lines.append(
-            f"{row.team:<10} {guaranteed:>10} {figures}  {row.recalls_met}/{row.recalls_late}"
-        )
+    lines += [_format_team(row) for row in page.teams]
     lines += [
         f"{row.borrower} owes {row.lender}: {row.gpus:g} GPUs, {row.cores:g} cores"
-        for row in found.loans
+        for row in page.loans
     ]
     lines += [
         f"{row.id}: {row.lender} for {row.job} on {row.machine}, {row.stops} tasks give way, "
         f"due at {row.deadline:.1f}"
-        for row in found.recalls
+        for row in page.recalls
     ]
-    if found.left_out:
-        lines.append(f"({found.left_out} rows left out)")
+    if page.left_out:
+        lines.append(f"({page.left_out} rows left out)")
     return "\n".join(lines)
+
+
+def _format_team(row: TeamRow) -> str:
+    quota = "-" if row.guarantee[1] is None else f"{row.guarantee[1]:g}"
+    amounts = (row.use, row.waiting, row.lends, row.borrows)
+    figures = "".join(f"{gpus:10.4g}" for _, gpus in amounts)
+    return f"{row.team:<10} {quota:>10} {figures}  {row.recalls_met}/{row.recalls_late}"
--- a/flaxtally/lending/reclaim.py
+++ b/flaxtally/lending/reclaim.py
@@ -1,8 +1,8 @@
-"""The life of a recall, and what is to be done next about it. Pure.
+"""The life of a reclaim, and its next step. No I/O.
 
-A *recall* makes room for one waiting task that is entitled to it, by stopping borrowed tasks on one
-machine before a deadline. What is stored of it is said in `ledger.reclaims`; all else follows from
-what the leader sees, so that a successor finds each recall in its state.
+A *reclaim* makes room for pending tasks that are entitled to it, by stopping borrowed tasks (its
+*victims*) on one machine before a deadline. `ledger.reclaims` says what is stored of it; all else
+follows from what the leader observes, so that the next leader finds each reclaim in its state.
 """
 
 from __future__ import annotations
@@ -12,67 +12,75 @@
 
 
 class Step(enum.Enum):
-    """What the leader does next about a recall."""
+    """What the leader does next about a reclaim."""
 
     WAIT = "wait"
     STOP = "stop"
-    """Tell the borrowed tasks to stop, with the grace period that they need to save."""
+    """Stop the victims, with the grace period that they need to save a checkpoint."""
     FORCE = "force"
-    """Tell them again, without a grace period: the deadline is near."""
-    SEEK = "seek"
-    """The machine can't give the room: look for it elsewhere, with the same deadline."""
+    """Stop them without a grace period: the deadline is near."""
+    MOVE = "move"
+    """The machine can't give the capacity: find another one, with the same deadline."""
     WITHDRAW = "withdraw"
-    """Nobody needs the room any more: who was not told yet stays."""
+    """Nobody needs the capacity any more: victims that were not sent a stop stay."""
     GIVE_UP = "give up"
-    """It is long overdue: the demand is looked at anew."""
+    """It is long overdue: the demand is considered as if it were new."""
 
 
 @dataclass(frozen=True)
-class Times:
-    """Seconds that decide about the steps."""
+class ReclaimTimes:
+    """Durations that decide about the steps."""
 
-    repeat: float
+    resend_after_s: float
     """A stop without an effect is sent again after that."""
-    stop: float
-    """From a stop without a grace period until its proof."""
-    overdue: float
-    """After the deadline, when the recall is given up."""
+    stop_s: float
+    """From a stop without a grace period until the task is proven to have ended."""
+    give_up_after_s: float
+    """From the deadline until the reclaim is given up."""
 
 
 @dataclass(frozen=True)
-class Situation:
-    """What the leader sees of a recall that is committed."""
+class ReclaimSituation:
+    """What the leader observes of a reclaim that is committed."""
 
     is_wanted: bool
-    """The demand still waits for this room, and is entitled to it."""
-    machine_answers: bool
+    """The demand still waits for this capacity, and is entitled to it."""
+    can_machine_serve: bool
     """New work can be placed on the machine."""
-    borrowed_left: int
-    """Tasks to be stopped that are not proven over."""
-    since_told: float | None
-    """Seconds since the last stop was sent in this term; None: none was."""
+    remaining_victim_count: int
+    """Victims that are not proven to have ended."""
+    since_stop_s: float | None
+    """Time since the last stop was sent in this term; None: none was."""
     is_forced: bool
-    until_deadline: float
-    longest_save: float
-    """Of the tasks that are left."""
+    """The last stop gave no grace period."""
+    until_deadline_s: float
+    """Negative once the deadline has passed."""
+    longest_save_s: float
+    """Of the remaining victims."""
 
 
-def next_step(situation: Situation, times: Times) -> Step:
-    """The next step of a recall."""
+def next_step(situation: ReclaimSituation, times: ReclaimTimes) -> Step:
+    """The next step of a reclaim."""
     if not situation.is_wanted:
         return Step.WITHDRAW
-    if situation.until_deadline < -times.overdue:
+    if situation.until_deadline_s < -times.give_up_after_s:
         return Step.GIVE_UP
-    if not situation.machine_answers:
-        return Step.SEEK
-    if not situation.borrowed_left:
+    if not situation.can_machine_serve:
+        return Step.MOVE
+    if not situation.remaining_victim_count:
         return Step.WAIT
-    if situation.since_told is None:
-        saves_in_time = situation.longest_save + times.stop <= situation.until_deadline
-        return Step.STOP if saves_in_time else Step.FORCE
-    if situation.until_deadline < times.stop and not situation.is_forced:
+    return _next_stop(situation, times)
+
+
+def _next_stop(situation: ReclaimSituation, times: ReclaimTimes) -> Step:
+    """Whether the victims are to be sent a stop now, and which."""
+    since_stop_s = situation.since_stop_s
+    if since_stop_s is None:
+        can_save = situation.longest_save_s + times.stop_s <= situation.until_deadline_s
+        return Step.STOP if can_save else Step.FORCE
+    if situation.until_deadline_s < times.stop_s and not situation.is_forced:
         return Step.FORCE
     if situation.is_forced:
-        return Step.FORCE if situation.since_told >= times.repeat else Step.WAIT
-    is_due = situation.since_told >= times.repeat + situation.longest_save
+        return Step.FORCE if since_stop_s >= times.resend_after_s else Step.WAIT
+    is_due = since_stop_s >= times.resend_after_s + situation.longest_save_s
     return Step.STOP if is_due else Step.WAIT
--- a/flaxtally/lending/victim_selection.py
+++ b/flaxtally/lending/victim_selection.py
@@ -1,4 +1,4 @@
-"""Which tasks of a machine give way so that another fits there. Pure."""
+"""Chooses the tasks of one machine to stop so that another task fits there. No I/O."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 Task = TypeVar("Task")
 
 
-def giving_way(
+def select_victims(
     spec: wire.Spec,
     free: Room,
-    tasks: Iterable[Task],
+    candidates: Iterable[Task],
     spec_of: Callable[[Task], wire.Spec],
-    take: Callable[[Task], bool],
+    try_take: Callable[[Task], bool],
 ) -> tuple[Room, list[Task]]:
-    """The tasks that give way, in the order given, and the room that there is without them.
+    """The tasks to stop, in the order given, and the capacity that is free without them.
 
-    `take`: whether a task may be stopped beside those before it; then it counts as stopped. The
-    room may still be too small: then all that may be stopped does not make it.
+    `try_take`: whether a task may be stopped beside those before it; then it counts as stopped. The
+    capacity may still be too small: then all that may be stopped is not enough.
     """
-    chosen: list[Task] = []
-    for task in tasks:
+    victims: list[Task] = []
+    for candidate in candidates:
         if free.holds(spec):
             break
-        if take(task):
-            free = free.plus(spec_of(task))
-            chosen.append(task)
-    return free, chosen
+        if try_take(candidate):
+            free = free.plus(spec_of(candidate))
+            victims.append(candidate)
+    return free, victims
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -20,7 +20,7 @@
     from flaxtally.ledger.reclaims import Reclaim
     from flaxtally.protocol import wire
 
-FEATURE = LendingFeature.of(Table("features.toml", "lending", {}))
+FEATURE = LendingFeature.from_table(Table("features.toml", "lending", {}))
 CREW = Team("crew", 0.0, 0.0, 8.0, 64.0)
 OTHERS = Team("others", 0.0, 0.0, 8.0, 64.0)
 FIVE = tuple(f"hearth-{number}" for number in range(5))
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -12,10 +12,10 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from flaxtally.lending.accounts import TeamUse, loans, team_accounts
-from flaxtally.lending.entitlement import NOTHING, Amounts, Guarantee, Reclaimable, amounts_of
-from flaxtally.lending.reclaim import Situation, Step, Times, next_step
-from flaxtally.lending.victim_selection import giving_way
+from flaxtally.lending.accounts import TeamUse, compute_loans, compute_team_accounts
+from flaxtally.lending.entitlement import NOTHING, Amounts, Quota, Reclaimable, amounts_of
+from flaxtally.lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
+from flaxtally.lending.victim_selection import select_victims
 from flaxtally.planning.placement import Room
 from flaxtally.settings import Team
 
@@ -29,10 +29,10 @@
     "south": Team("south", 0.0, 0.0, 4.0, 0.0),
     "guests": Team("guests", 0.0, 0.0, 0.0, 0.0),
 }
-GUARANTEES = {name: Guarantee.of(team) for name, team in TEAMS.items()}
+GUARANTEES = {name: Quota.from_settings(team) for name, team in TEAMS.items()}
 MACHINES, GPUS = 3, 4.0
 RECALL_S, SAVE_S, REPEAT_S, STOP_S = 12, 2, 2, 2
-TIMES = Times(repeat=REPEAT_S, stop=STOP_S, overdue=RECALL_S)
+TIMES = ReclaimTimes(resend_after_s=REPEAT_S, stop_s=STOP_S, give_up_after_s=RECALL_S)
 
 
 @dataclass(eq=False)
@@ -119,13 +119,13 @@
             budget = Reclaimable(GUARANTEES.__getitem__, lambda name: self.use(name, firm=True))
             leaving = [t for t in self.on(machine) if t.stopping]
             others = [t for t in self.on(machine) if not t.stopping and t.spec.team != team]
-            found, chosen = giving_way(
+            found, chosen = select_victims(
                 recall.task.spec,
                 self.free(machine),
                 [*leaving, *others],
                 lambda t: t.spec,
                 lambda t, budget=budget: (  # type: ignore[misc]
-                    t.stopping or budget.take(t.spec.team, amounts_of(t.spec))
+                    t.stopping or budget.try_take(t.spec.team, amounts_of(t.spec))
                 ),
             )
             if found.holds(recall.task.spec):
@@ -137,14 +137,14 @@
     def go_on(self, recall: ModelRecall) -> None:
         left = [task for task in recall.borrowed if task.machine == recall.machine]
         step = next_step(
-            Situation(
+            ReclaimSituation(
                 is_wanted=recall.task in self.tasks and recall.task.machine is None,
-                machine_answers=recall.machine in self.up,
-                borrowed_left=len(left),
-                since_told=None if recall.told_at is None else self.now - recall.told_at,
+                can_machine_serve=recall.machine in self.up,
+                remaining_victim_count=len(left),
+                since_stop_s=None if recall.told_at is None else self.now - recall.told_at,
                 is_forced=recall.forced,
-                until_deadline=recall.deadline - self.now,
-                longest_save=SAVE_S,
+                until_deadline_s=recall.deadline - self.now,
+                longest_save_s=SAVE_S,
             ),
             TIMES,
         )
@@ -152,7 +152,7 @@
             recall.told_at, recall.forced = self.now, step is Step.FORCE
             for task in left:
                 self.stop(task, recall, 0 if recall.forced else SAVE_S)
-        elif step is Step.SEEK:
+        elif step is Step.MOVE:
             self.recalls.remove(recall)
             self.recall(recall)
         elif step in (Step.WITHDRAW, Step.GIVE_UP):
@@ -167,7 +167,7 @@
             team = task.spec.team
             left = self.use(team, firm=True)
             assert team != recall.task.spec.team
-            assert GUARANTEES[team].is_kept_by(left, amounts_of(task.spec)), (
+            assert GUARANTEES[team].is_preserved(left, amounts_of(task.spec)), (
                 f"{team} is taken below its guarantee"
             )
         task.stopping = True
@@ -175,7 +175,7 @@
             task.saved_at = min(task.saved_at or self.now + grace, self.now + grace)
 
 
-class QuotaReclaim(RuleBasedStateMachine):
+class LendingStateMachine(RuleBasedStateMachine):
     """Arrivals, ends, machine losses and lost answers, in any order."""
 
     def __init__(self) -> None:
@@ -234,12 +234,12 @@
                 continue
             for machine in model.up:
                 budget = Reclaimable(GUARANTEES.__getitem__, model.use)
-                room, _ = giving_way(
+                room, _ = select_victims(
                     task.spec,
                     Room(1000.0, GPUS - sum(t.spec.gpus for t in model.on(machine)), 1000.0),
                     [t for t in model.on(machine) if t.spec.team != team],
                     lambda t: t.spec,
-                    lambda t, budget=budget: budget.take(t.spec.team, amounts_of(t.spec)),  # type: ignore[misc]
+                    lambda t, budget=budget: budget.try_take(t.spec.team, amounts_of(t.spec)),  # type: ignore[misc]
                 )
                 if room.holds(task.spec):
                     return True
@@ -250,7 +250,7 @@
         assert len(self.model.recalls) <= len(self.model.tasks)
 
 
-TestLending = QuotaReclaim.TestCase
+TestLending = LendingStateMachine.TestCase
 TestLending.settings = examples(
     max_examples=60, stateful_step_count=30, deadline=None, derandomize=True
 )
@@ -258,7 +258,7 @@
 
 # The next step of a recall
 
-WANTED = Situation(True, True, 2, None, False, 10.0, 1.0)
+WANTED = ReclaimSituation(True, True, 2, None, False, 10.0, 1.0)
 
 
 @pytest.mark.parametrize(
@@ -266,15 +266,15 @@
     [
         ({}, Step.STOP),
         ({"is_wanted": False}, Step.WITHDRAW),
-        ({"machine_answers": False}, Step.SEEK),
-        ({"until_deadline": 2.5}, Step.FORCE),
-        ({"until_deadline": -13.0}, Step.GIVE_UP),
-        ({"borrowed_left": 0}, Step.WAIT),
-        ({"since_told": 1.0}, Step.WAIT),
-        ({"since_told": 3.5}, Step.STOP),
-        ({"since_told": 1.0, "until_deadline": 1.0}, Step.FORCE),
-        ({"since_told": 1.0, "until_deadline": 1.0, "is_forced": True}, Step.WAIT),
-        ({"since_told": 2.0, "until_deadline": -1.0, "is_forced": True}, Step.FORCE),
+        ({"can_machine_serve": False}, Step.MOVE),
+        ({"until_deadline_s": 2.5}, Step.FORCE),
+        ({"until_deadline_s": -13.0}, Step.GIVE_UP),
+        ({"remaining_victim_count": 0}, Step.WAIT),
+        ({"since_stop_s": 1.0}, Step.WAIT),
+        ({"since_stop_s": 3.5}, Step.STOP),
+        ({"since_stop_s": 1.0, "until_deadline_s": 1.0}, Step.FORCE),
+        ({"since_stop_s": 1.0, "until_deadline_s": 1.0, "is_forced": True}, Step.WAIT),
+        ({"since_stop_s": 2.0, "until_deadline_s": -1.0, "is_forced": True}, Step.FORCE),
     ],
 )
 def test_the_next_step_of_a_recall(changes: dict[str, float], step: Step) -> None:
@@ -300,14 +300,14 @@
     team: Team | None, use: tuple[float, float], taken: tuple[float, float], is_kept: bool
 ) -> None:
     """`use`: what is left when that much was taken."""
-    assert Guarantee.of(team).is_kept_by(Amounts(*use), Amounts(*taken)) is is_kept
+    assert Quota.from_settings(team).is_preserved(Amounts(*use), Amounts(*taken)) is is_kept
 
 
 def test_one_decision_takes_no_more_than_is_borrowed() -> None:
     budget = Reclaimable(GUARANTEES.__getitem__, lambda _: Amounts(0.0, 10.0))
-    taken = [budget.take("north", Amounts(0.0, 1.0)) for _ in range(4)]
+    taken = [budget.try_take("north", Amounts(0.0, 1.0)) for _ in range(4)]
     assert taken == [True, True, False, False]
-    assert not budget.allows("north", Amounts(0.0, 1.0))
+    assert not budget.can_take("north", Amounts(0.0, 1.0))
 
 
 @pytest.mark.real_processes
@@ -316,11 +316,11 @@
     gpus: dict[str, float],
 ) -> None:
     uses = [TeamUse(name, GUARANTEES[name], Amounts(0.0, n), NOTHING) for name, n in gpus.items()]
-    accounts = team_accounts(uses)
+    accounts = compute_team_accounts(uses)
     lent = sum(account.lends.gpus for account in accounts.values())
     borrowed = sum(account.borrows.gpus for account in accounts.values())
     unused = sum(max(0.0, TEAMS[name].gpus - n) for name, n in gpus.items())
     assert lent == pytest.approx(min(borrowed, unused))
-    owed = loans(accounts)
+    owed = compute_loans(accounts)
     assert sum(each.gpus for each in owed.values()) == pytest.approx(lent)
     assert all(pair.lender != pair.borrower for pair in owed)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -67,7 +67,7 @@
     assert isinstance(tracing, Tracing)
     assert tracing.least_s == 0.01
     assert isinstance(lending, LendingFeature)
-    assert lending.stops_a_minute == 2.0
+    assert lending.stops_per_minute == 2.0
 
 
 @pytest.mark.real_processes
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -17,7 +17,7 @@
 from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.lending.entitlement import Reclaimable
-from flaxtally.lending.page import LoansPage, text
+from flaxtally.lending.page import LoansPage, format_page
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
 
@@ -87,7 +87,7 @@
     world.submit(work("j-000100", 16, "others"), run_time=300.0)
     until(world, lambda: world.count("j-000100") == 16, 60)
     tried = []
-    monkeypatch.setattr(Reclaimable, "take", lambda *words: tried.append(words))
+    monkeypatch.setattr(Reclaimable, "try_take", lambda *words: tried.append(words))
     world.submit(work("j-000200", 8), run_time=30.0)
     world.run(RECALL_S)
     assert not tried
@@ -135,7 +135,7 @@
     assert after.borrows_since == pytest.approx(since, abs=0.1)
     # What came since the accounts were kept last is lost with the leader: a minute at the most.
     assert owed - 8 * 62.0 < after.borrowed_gpu_s
-    assert "others owes crew: 8 GPUs" in text(page)
+    assert "others owes crew: 8 GPUs" in format_page(page)
 
 
 def test_recalls_are_on_the_page_and_in_the_log(caplog: pytest.LogCaptureFixture) -> None:
@@ -264,5 +264,5 @@
     assert main(["loans", "--to", "nowhere"]) == 2
     assert "not HOST:PORT" in capsys.readouterr().err
     page = LoansPage(1, [], [], [], left_out=3)
-    assert text(page).splitlines()[-1] == "(3 rows left out)"
+    assert format_page(page).splitlines()[-1] == "(3 rows left out)"
     assert json.loads(msgspec.json.encode(page))["left_out"] == 3
