--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -30,6 +30,9 @@
 
 log = logging.getLogger(__name__)
 
+PROPOSAL_KEYS = "term=%d id=%s lender=%s borrowers=%s job=%s machine=%s stops=%d within=%.1f"
+"""What a log event tells of a reclaim that is proposed."""
+
 
 class PlanSearch(Protocol):
     """Searches the fleet for tasks whose stop makes room."""
@@ -114,16 +117,16 @@
         )
         entry = OpenReclaim(reclaim, is_committed=False)
         self.open_reclaims.add(entry)
-        self._propose(entry, "reclaim_started")
+        log.info("event=reclaim_started " + PROPOSAL_KEYS, *self._proposal_values(reclaim))
+        self._propose(entry)
         self.term.request_pass()
 
-    def _propose(self, entry: OpenReclaim, event: str) -> None:
+    def _propose(self, entry: OpenReclaim) -> None:
         """Proposes the reclaim as it is now; its victims are stopped once that is committed."""
         reclaim = entry.reclaim
         entry.is_committed = False
         entry.stops_sent_at = None
         entry.is_forced = False
-        self._log_proposal(reclaim, event)
 
         def on_committed() -> None:
             if self.open_reclaims.is_open(entry) and entry.reclaim is reclaim:
@@ -132,11 +135,10 @@
 
         self.ledger.propose(reclaim.record(), on_committed)
 
-    def _log_proposal(self, reclaim: Reclaim, event: str) -> None:
+    def _proposal_values(self, reclaim: Reclaim) -> tuple[object, ...]:
+        """The values of `PROPOSAL_KEYS`."""
         victims = self.open_reclaims.remaining_victims(reclaim)
-        log.info(
-            "event=%s term=%d id=%s lender=%s borrowers=%s job=%s machine=%s stops=%d within=%.1f",
-            event,
+        return (
             self.term.number,
             reclaim.id,
             reclaim.lender,
@@ -230,7 +232,8 @@
             entry.reclaim, machine=plan.machine.name, borrowed=_victims_of(plan)
         )
         self.open_reclaims.add(entry)
-        self._propose(entry, "reclaim_moved")
+        log.info("event=reclaim_moved " + PROPOSAL_KEYS, *self._proposal_values(entry.reclaim))
+        self._propose(entry)
 
     # Ending
 
