--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,10 +10,20 @@
 from flaxtally.cluster import messages
 from flaxtally.cluster.frame_codec import encode_frame
 from flaxtally.cluster.frame_router import MAX_UNKNOWN_KINDS, FrameRouter
+from flaxtally.protocol.workers import CommandBatch, launch, stop
 
 if TYPE_CHECKING:
     from flaxtally.cluster.messages import Frame, Message
 
+COMMANDS = CommandBatch(3, 7, [launch("j-000001/0", 2), stop("j-000001/1", 1, 0.5)])
+COMMANDS_ON_THE_WIRE = {
+    "baton": 3,
+    "shift": 7,
+    "orders": [
+        {"verb": "launch", "hand": "j-000001/0", "try": 2},
+        {"verb": "stop", "hand": "j-000001/1", "try": 1, "leewayS": 0.5},
+    ],
+}
 MESSAGES_AND_FRAMES: list[tuple[Message, Frame]] = [
     (
         messages.Hello(node="controller-0", formats=[1, 4]),
@@ -50,9 +60,9 @@
     ),
     (
         messages.RelayedCommand(
-            number=2**62 - 1, machine="n-000001", address="h:1", commands={"baton": 3, "x": b"y"}
+            number=2**62 - 1, machine="n-000001", address="h:1", commands=COMMANDS
         ),
-        {"k": "ord", "i": 2**62 - 1, "m": "n-000001", "a": "h:1", "o": {"baton": 3, "x": b"y"}},
+        {"k": "ord", "i": 2**62 - 1, "m": "n-000001", "a": "h:1", "o": COMMANDS_ON_THE_WIRE},
     ),
     (
         messages.RelayedCommand(number=1, machine="n-000001", address="h:1", commands=None),
