--- a/flaxtally/ledger/__init__.py
+++ b/flaxtally/ledger/__init__.py
@@ -1,4 +1,5 @@
-"""The ledger: its records, its content, and how it is committed to the state service.
+"""The ledger: its records, the state that they make, and how they are committed to the store.
 
-Imports clients and the leader key; planning and the leader's duties import it. Start with `book`.
+Imports clients and the leader key; planning and the leader's duties import it. Start with
+`records`, then `cluster_state` (the replicated state machine) and `write_ahead_log`.
 """
--- a/flaxtally/protocol/formats.py
+++ b/flaxtally/protocol/formats.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 FIRST = 1
-"""Before versions were stated: records as in `ledger.cluster_state`, none of them a batch."""
+"""Before versions were stated: records as in `ledger.records`, none of them a batch."""
 GANGS = 2
 """Batches of records that are read whole or not at all; the attempts of gangs."""
 LENDING = 3
--- /dev/null
+++ b/tests/test_record_queue.py
@@ -0,0 +1,113 @@
+"""Which page a proposed record goes to, and what a lower limit of the store does to pages."""
+
+from __future__ import annotations
+
+from flaxtally.ledger.pages import MIN_PAGE_BYTES, PageLimits, page_key, page_of_key
+from flaxtally.ledger.record_queue import RecordQueue
+from flaxtally.ledger.records import AttemptEnded, BatchPiece, JobCancelled, Record, record_size
+from flaxtally.settings import StateLimits
+
+LIMITS = StateLimits(write_rps=100.0, value_bytes=1024, txn_ops=32)
+CANCELLATIONS = 5
+
+
+def ended(count: int) -> list[Record]:
+    """Records of equal size."""
+    return [AttemptEnded(1, 100 + task, 1, is_done=False) for task in range(count)]
+
+
+def propose(queue: RecordQueue, record: Record) -> None:
+    """Queues the record as a proposal does."""
+    size = record_size(record)
+    queue.make_room(size)
+    queue.append(record, size, None)
+
+
+def propose_cancellations(queue: RecordQueue) -> None:
+    """Leaves too little of the first page for as many records as a page holds."""
+    for job in range(CANCELLATIONS):
+        propose(queue, JobCancelled(job))
+
+
+def pages_of(queue: RecordQueue) -> dict[int, int]:
+    """How many bytes the waiting records take in each page; empties the queue."""
+    sizes: dict[int, int] = {}
+    while queue:
+        record, page, _ = queue.popleft()
+        sizes[page] = sizes.get(page, 0) + record_size(record)
+    return sizes
+
+
+def test_records_fill_a_page_before_the_next_is_opened() -> None:
+    limits = PageLimits(LIMITS)
+    assert limits.page_bytes == 896
+    queue = RecordQueue(limits)
+    for record in ended(130):
+        propose(queue, record)
+    assert queue.first_page == 1
+    assert queue.page_count == 3
+    sizes = pages_of(queue)
+    assert list(sizes) == [1, 2, 3]
+    size = record_size(ended(1)[0])
+    assert all(896 - size < sizes[page] <= 896 for page in (1, 2))
+    assert queue.page_count == 0
+
+
+def test_a_batch_that_fits_into_a_page_stands_in_one() -> None:
+    queue = RecordQueue(PageLimits(LIMITS))
+    propose_cancellations(queue)
+    first_page = queue.append_batch(ended(896 // record_size(ended(1)[0])), None)
+    assert first_page == 2
+    assert queue.page_count == 2
+    for _ in range(CANCELLATIONS):
+        queue.popleft()
+    assert queue.first_page == 2
+    assert queue.page_count == 1
+
+
+def test_a_larger_batch_is_written_in_pieces_and_reported_with_the_last() -> None:
+    queue = RecordQueue(PageLimits(LIMITS))
+    calls: list[int] = []
+    propose_cancellations(queue)
+    assert queue.append_batch(ended(120), lambda: calls.append(1)) == 2
+    for _ in range(CANCELLATIONS):
+        queue.popleft()
+    queued = [queue.popleft() for _ in range(len(queue))]
+    pieces = [each.record for each in queued]
+    assert [each.page for each in queued] == [2, 3, 4]
+    assert all(isinstance(piece, BatchPiece) for piece in pieces)
+    assert [each.on_committed is not None for each in queued] == [False, False, True]
+    assert calls == []
+
+
+def test_the_callback_of_the_last_record_is_replaced() -> None:
+    queue = RecordQueue(PageLimits(LIMITS))
+    calls: list[int] = []
+    for record in ended(2):
+        propose(queue, record)
+    queue.set_last_callback(lambda: calls.append(1))
+    assert queue.popleft().on_committed is None
+    on_committed = queue.popleft().on_committed
+    assert on_committed is not None
+    on_committed()
+    assert calls == [1]
+
+
+def test_halved_limits_count_at_once_and_have_a_floor() -> None:
+    limits = PageLimits(StateLimits(write_rps=100.0, value_bytes=8192, txn_ops=32))
+    queue = RecordQueue(limits)
+    assert (limits.page_bytes, limits.transaction_pages) == (7168, 7)
+    limits.halve()
+    assert (limits.page_bytes, limits.transaction_pages) == (3584, 3)
+    for record in ended(400):
+        propose(queue, record)
+    assert max(pages_of(queue).values()) <= 3584
+    for _ in range(5):
+        limits.halve()
+    assert (limits.page_bytes, limits.transaction_pages) == (MIN_PAGE_BYTES, 1)
+
+
+def test_keys_of_pages_are_in_their_order() -> None:
+    assert page_key(7) == "p/00000007"
+    assert page_of_key(page_key(12345)) == 12345
+    assert page_key(9) < page_key(10)
