--- a/flaxtally/protocol/formats.py
+++ b/flaxtally/protocol/formats.py
@@ -1,20 +1,21 @@
-"""Format versions of what controllers write for each other: ledger records, keys, frames.
+"""Format versions of what controllers write for each other: log records, keys, frames.
 
-During a rolling upgrade old and new controllers work on one ledger. Each states the range of
-formats that it reads; who states none is of the first format. The committed cluster format, which
-the leader raises once every configured controller reads it, says what may be written.
+During a rolling upgrade old and new controllers work on one write-ahead log. Each states the range
+of formats that it reads; one that states none reads only the first format. The committed cluster
+format, which the leader raises once every configured controller reads it, bounds what may be
+written.
 """
 
 from __future__ import annotations
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 FIRST = 1
-"""Before versions were stated: records as in `ledger.cluster_state`, none of them a batch."""
+"""Before versions were stated: single records, none of them a batch."""
 GANGS = 2
-"""Batches of records that are read whole or not at all; the attempts of gangs."""
+"""Adds batches of records that are read whole or not at all, and the attempts of gangs."""
 LENDING = 3
-"""What is kept of loans; raised only where lending is enabled."""
+"""Adds the records of loans; raised only where lending is enabled."""
 
 
 class FormatRange(NamedTuple):
@@ -25,13 +26,13 @@
 
 
 OWN = FormatRange(FIRST, LENDING)
-"""What this program reads."""
+"""What this version reads."""
 UNSTATED = FormatRange(FIRST, FIRST)
 """A controller that states no range."""
 
 
-def parse_range(value: Any) -> FormatRange:
-    """The range that a frame states; `UNSTATED` if it states none."""
+def parse_range(value: object) -> FormatRange:
+    """The range that a frame states; `UNSTATED` if it states none that is valid."""
     if (
         isinstance(value, list | tuple)
         and len(value) == 2
