--- a/flaxtally/leader/reconciliation/heartbeat_handler.py
+++ b/flaxtally/leader/reconciliation/heartbeat_handler.py
@@ -30,6 +30,7 @@
         super().__init__(term)
         self._reconciler = reconciler
         self._preemption_notices = preemption_notices
+        self._suspect_after_s = self.policy.machine_suspect
 
     def handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
         """A heartbeat that the controller `server` received, or a machine's reply to commands."""
@@ -89,7 +90,7 @@
     def _end_silence(self, machine: Machine) -> None:
         now = self.runtime.now()
         silent_s = now - machine.last_heartbeat_at
-        if silent_s >= self.policy.machine_suspect:
+        if silent_s >= self._suspect_after_s:
             machine.mark_changed()
         if silent_s > 0:
             machine.last_heartbeat_at = now
