--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -45,27 +45,9 @@
         self.stragglers = Stragglers(term, self.jobs, self.commands)
         self.failure_attribution = FailureAttribution(term, self.jobs)
         self.gang_scheduler = GangScheduler(term, self.jobs, self.commands, self._finish_attempt)
-        self.reconciler = Reconciler(
-            term,
-            self.jobs,
-            self.commands,
-            self.stragglers,
-            self.failure_attribution,
-            self.gang_scheduler,
-        )
-        self.heartbeat_handler = HeartbeatHandler(
-            term,
-            self.reconciler,
-            PreemptionNotices(term, self.commands, self.gang_scheduler),
-        )
-        self.machine_monitor = MachineMonitor(
-            term,
-            self.jobs,
-            self.commands,
-            self.failure_attribution,
-            HealthChecks(term, self.commands),
-            self.reconciler.scale_in,
-        )
+        self.reconciler = self._create_reconciler()
+        self.heartbeat_handler = self._create_heartbeat_handler()
+        self.machine_monitor = self._create_machine_monitor()
         self.autoscaler = Autoscaler(term, self.jobs, self.reconciler, self.commands)
         preemption_parts = build_preemption(
             term,
@@ -85,6 +67,30 @@
             term, self.jobs, self.reconciler, self.commands, self.autoscaler, self.scheduler
         )
 
+    def _create_reconciler(self) -> Reconciler:
+        return Reconciler(
+            self.term,
+            self.jobs,
+            self.commands,
+            self.stragglers,
+            self.failure_attribution,
+            self.gang_scheduler,
+        )
+
+    def _create_heartbeat_handler(self) -> HeartbeatHandler:
+        preemption_notices = PreemptionNotices(self.term, self.commands, self.gang_scheduler)
+        return HeartbeatHandler(self.term, self.reconciler, preemption_notices)
+
+    def _create_machine_monitor(self) -> MachineMonitor:
+        return MachineMonitor(
+            self.term,
+            self.jobs,
+            self.commands,
+            self.failure_attribution,
+            HealthChecks(self.term, self.commands),
+            self.reconciler.scale_in,
+        )
+
     def _handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
         self.heartbeat_handler.handle_heartbeat(server, heartbeat)
 
