--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -14,6 +14,7 @@
 
 from ..cluster.messages import RelayedCommand, RelayedCommandResult, to_frame
 from ..leader.commands import CommandTransport
+from ..protocol.workers import encode_batch, fencing_token_of
 from ..runtime.actor import Actor
 from .command_deduplicator import CommandDeduplicator
 from .sharding import zones_of_controllers
@@ -24,6 +25,7 @@
     from ..cluster.peer_links import PeerLinks
     from ..policy import Policy
     from ..protocol import wire
+    from ..protocol.workers import EncodedBatch
     from ..runtime.loop import Runtime, Timer
     from ..settings import Settings
     from .recent_heartbeats import RecentHeartbeats
@@ -97,10 +99,11 @@
         if server is None or server == self._node or not self._peers.is_reachable(server):
             self._call_worker(address, batch, on_reply)
             return
+        encoded = encode_batch(batch) if batch is not None else None
         number = next(self._numbers)
         timer = self.later(self._reply_timeout_s, self._on_reply_timeout, number)
         self._relayed[number] = _RelayedCommand(server, on_reply, timer)
-        command = RelayedCommand(number=number, machine=machine, address=address, commands=batch)
+        command = RelayedCommand(number=number, machine=machine, address=address, commands=encoded)
         self._peers.send(server, to_frame(command))
 
     def other_controllers(self, zone: str) -> list[str]:
@@ -153,10 +156,10 @@
 
         self._call_worker(command.address, command.commands, on_reply)
 
-    def _is_due(self, sender: str, batch: wire.CommandBatch, number: int) -> bool:
+    def _is_due(self, sender: str, encoded: EncodedBatch, number: int) -> bool:
         """Whether the commands are of the present term and come for the first time."""
         term = self._election.term
-        if batch.fencing_token != term:
+        if fencing_token_of(encoded) != term:
             return False
         if term != self._deduplicators_term:
             self._deduplicators_term = term
@@ -170,7 +173,10 @@
     # To the worker
 
     def _call_worker(
-        self, address: str, batch: wire.CommandBatch | None, on_reply: OnCommandReply
+        self,
+        address: str,
+        batch: wire.CommandBatch | EncodedBatch | None,
+        on_reply: OnCommandReply,
     ) -> None:
         if batch is None:
             self._workers.query_status(address, on_reply)
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..protocol import paths
-from ..protocol.workers import CommandBatch, Heartbeat
+from ..protocol.workers import CommandBatch, EncodedBatch, Heartbeat
 from ..runtime.http import Client, OpenConnections, Reply
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
     """A call to a worker; `batch` None: a status query."""
 
     address: str
-    batch: CommandBatch | None
+    batch: CommandBatch | EncodedBatch | None
     on_reply: OnReply
 
 
@@ -68,7 +68,9 @@
         """By address, the one called longest ago first."""
         self._queue: deque[_QueuedCall] = deque()
 
-    def send_commands(self, address: str, batch: CommandBatch, on_reply: OnReply) -> None:
+    def send_commands(
+        self, address: str, batch: CommandBatch | EncodedBatch, on_reply: OnReply
+    ) -> None:
         """Sends commands to the worker at the address."""
         self._enqueue(_Request(address, batch, on_reply))
 
--- a/flaxtally/cluster/messages.py
+++ b/flaxtally/cluster/messages.py
@@ -15,8 +15,6 @@
 
 import msgspec
 
-from ..protocol.workers import CommandBatch
-
 Frame = dict[str, Any]
 """A message as the links carry it: encoded by cbor2 as a map, in this order of keys."""
 
@@ -124,8 +122,11 @@
     number: int
     machine: str | None = None
     address: str
-    commands: CommandBatch | None = None
-    """None: query the worker's status."""
+    commands: dict[str, Any] | None = None
+    """A batch of commands as the leader encoded it; None: query the worker's status.
+
+    It is relayed as it came, so fields that a newer leader adds reach the worker.
+    """
 
 
 class RelayedCommandResult(
--- a/flaxtally/protocol/workers.py
+++ b/flaxtally/protocol/workers.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 import msgspec
 
 from .vocabulary import FORGET, LAUNCH, STOP
@@ -90,6 +92,21 @@
     commands: list[Command]
 
 
+EncodedBatch = dict[str, Any]
+"""A `CommandBatch` with the wire's words, as one controller passes it to another."""
+
+
+def encode_batch(batch: CommandBatch) -> EncodedBatch:
+    """The batch with the wire's words."""
+    encoded: EncodedBatch = msgspec.to_builtins(batch)
+    return encoded
+
+
+def fencing_token_of(encoded: EncodedBatch) -> object:
+    """The fencing token of a batch that another controller encoded; None if it has none."""
+    return encoded.get("baton")
+
+
 class HeartbeatReply(msgspec.Struct, rename={"fencing_token": "baton", "commands": "orders"}):
     """The reply to a heartbeat: it renews the worker's lease.
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -10,7 +10,7 @@
 from flaxtally.cluster import messages
 from flaxtally.cluster.frame_codec import encode_frame
 from flaxtally.cluster.frame_router import MAX_UNKNOWN_KINDS, FrameRouter
-from flaxtally.protocol.workers import CommandBatch, launch, stop
+from flaxtally.protocol.workers import CommandBatch, encode_batch, launch, stop
 
 if TYPE_CHECKING:
     from flaxtally.cluster.messages import Frame, Message
@@ -60,9 +60,15 @@
     ),
     (
         messages.RelayedCommand(
-            number=2**62 - 1, machine="n-000001", address="h:1", commands=COMMANDS
+            number=2**62 - 1, machine="n-000001", address="h:1", commands={"baton": 3, "x": b"y"}
         ),
-        {"k": "ord", "i": 2**62 - 1, "m": "n-000001", "a": "h:1", "o": COMMANDS_ON_THE_WIRE},
+        {"k": "ord", "i": 2**62 - 1, "m": "n-000001", "a": "h:1", "o": {"baton": 3, "x": b"y"}},
+    ),
+    (
+        messages.RelayedCommand(
+            number=2, machine="n-000001", address="h:1", commands=encode_batch(COMMANDS)
+        ),
+        {"k": "ord", "i": 2, "m": "n-000001", "a": "h:1", "o": COMMANDS_ON_THE_WIRE},
     ),
     (
         messages.RelayedCommand(number=1, machine="n-000001", address="h:1", commands=None),
