--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -97,3 +97,12 @@
             world.sim.heal(world.ip(a), world.ip(b))
 
     return heal
+
+
+def serving(jobs: int = 4, seed: int = 1) -> SimulatedCluster:
+    """A world with a few services of two replicas running."""
+    world = SimulatedCluster(seed)
+    for number in range(jobs):
+        world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
+    assert world.until(lambda: len(world.running) == 2 * jobs, 60), world.trace
+    return world
