--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -161,7 +161,9 @@
         self._quotas = {}
         self.jobs_over_quota = set()
         for job in self._live_jobs.values():
-            if not job.is_terminal:
+            # Asked in place: a call of the property for each live job would cost as much as the
+            # count.
+            if not (job.is_done or job.is_cancelled):
                 self._count_demand(job)
 
     def _count_demand(self, job: Job) -> None:
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -127,8 +127,8 @@
             for machine, machine_type in itertools.islice(machines, self._max_machines):
                 victims = [
                     Victim(placed, self._cost.of_task(placed, request.now))
-                    for placed in machine.placements.values()
-                    if self._is_preemptible(placed, request, policy) and budget.try_take(placed)
+                    for placed in self._preemptible_on(machine, request, policy)
+                    if budget.try_take(placed)
                 ]
                 capacity = self._unreserved_capacity(machine, machine_type)
                 yield Candidate(machine, machine_type, capacity, victims)
@@ -143,22 +143,17 @@
     def _preemptible_on(
         self, machine: Machine, request: PreemptionRequest, policy: PreemptionPolicy
     ) -> list[Placement]:
+        """The tasks that run there for all that is known, and that the policy allows to stop."""
+        is_preemptible = policy.is_preemptible
         return [
             placed
             for placed in machine.placements.values()
-            if self._is_preemptible(placed, request, policy)
+            if placed.was_reported and is_preemptible(placed, request) and self._can_stop(placed)
         ]
 
-    def _is_preemptible(
-        self, placed: Placement, request: PreemptionRequest, policy: PreemptionPolicy
-    ) -> bool:
-        """Whether the task runs for all that is known, and the policy allows to stop it."""
-        if not placed.was_reported:
-            return False
+    def _can_stop(self, placed: Placement) -> bool:
         is_gang = placed.job.spec.job_kind == wire.GANG
-        if is_gang and not self._gang_scheduler.can_stop(placed.job):
-            return False
-        return policy.is_preemptible(placed, request)
+        return not is_gang or self._gang_scheduler.can_stop(placed.job)
 
     def _unreserved_capacity(
         self, machine: Machine, machine_type: wire.MachineType
