--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -215,11 +215,12 @@
     def _update_supersession(self) -> None:
         may_be_superseded = self._election.may_be_superseded
         self.term.may_be_superseded = may_be_superseded
-        event = "supersession_possible" if may_be_superseded else "supersession_ruled_out"
-        log.info("event=%s term=%d", event, self.term.number)
-        if not may_be_superseded:
-            self.duties.machine_monitor.reset_silence()
-            self.term.request_pass()
+        if may_be_superseded:
+            log.info("event=supersession_possible term=%d", self.term.number)
+            return
+        log.info("event=supersession_ruled_out term=%d", self.term.number)
+        self.duties.machine_monitor.reset_silence()
+        self.term.request_pass()
 
     def _raise_format(self) -> None:
         """Once all configured controllers read a newer format, it may be written."""
