--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -81,7 +81,7 @@
         if reservation is not None and reservation.job_number == job.number:
             self._end_reservation(reservation)
 
-    def machine_filter_for(self, job: Job) -> MachineFilter | None:
+    def make_machine_filter(self, job: Job) -> MachineFilter | None:
         """Accepts machines that aren't reserved against the job; None: none is reserved."""
         self._expire_reservations(self.runtime.now())
         rank = wire.RANKS[job.spec.rank]
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -152,7 +152,7 @@
                 self.runtime.now() - placed.job.known_at,
             )
 
-    def on_task_ended(self, placed: Placement, cause: str, *, is_done: bool) -> None:
+    def on_task_finished(self, placed: Placement, cause: str, *, is_done: bool) -> None:
         """A task of a gang is proven over, by that cause."""
         job = placed.job
         attempt = self._attempts.attempt_of(job)
--- a/flaxtally/leader/reconciliation/attempt_finisher.py
+++ b/flaxtally/leader/reconciliation/attempt_finisher.py
@@ -76,7 +76,7 @@
             machine.remove_placement(placement, self.runtime.now())
         self._update_job(job, is_done=is_done)
         if job.spec.job_kind == wire.GANG:
-            self._gang_scheduler.on_task_ended(placement, reason_text, is_done=is_done)
+            self._gang_scheduler.on_task_finished(placement, reason_text, is_done=is_done)
         self.term.request_pass()
 
     def _update_job(self, job: Job, *, is_done: bool) -> None:
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -166,7 +166,7 @@
         """
         candidates = (
             self.preemption.filter_for_rank(wire.RANKS[job.spec.rank]),
-            self.gang_reservations.machine_filter_for(job),
+            self.gang_reservations.make_machine_filter(job),
             self._reclaimed.filter_for(job),
         )
         filters = [each for each in candidates if each is not None]
