--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -67,11 +67,11 @@
     best: GangMachines | None = None
     zone_sets = [{zone} for zone in sorted(zones)] if search.spec.one_zone else [set(zones)]
     for allowed_zones in zone_sets:
-        found = _choose_in_zones(search, search.spec.tasks, allowed_zones, zones, {})
-        if found is None or found.fetch_s > max_fetch_s:
+        choice = _choose_in_zones(search, search.spec.tasks, allowed_zones, zones, {})
+        if choice is None or choice.fetch_s > max_fetch_s:
             continue
-        if best is None or found.fetch_s < best.fetch_s:
-            best = found
+        if best is None or choice.fetch_s < best.fetch_s:
+            best = choice
         if not best.fetch_s:
             break
     return best
@@ -86,8 +86,8 @@
 ) -> GangMachines | None:
     """Machines for the missing tasks of a gang whose others wait; None: not for all."""
     allowed_zones = set(placed_by_zone) if search.spec.one_zone else set(zones)
-    found = _choose_in_zones(search, task_count, allowed_zones, zones, placed_by_zone)
-    return None if found is None or found.fetch_s > max_fetch_s else found
+    choice = _choose_in_zones(search, task_count, allowed_zones, zones, placed_by_zone)
+    return None if choice is None or choice.fetch_s > max_fetch_s else choice
 
 
 def _choose_in_zones(
--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -55,12 +55,14 @@
 
     `candidates_outside` gives the machines outside the zones that it is called with.
     """
-    excluded = [set(zones) - {zone} for zone in sorted(zones)] if spec.one_zone else [set[str]()]
-    choices = [
-        choose_machines(spec, spec.tasks, candidates_outside(each), gpu_reservations)
-        for each in excluded
+    excluded_zone_sets = (
+        [set(zones) - {zone} for zone in sorted(zones)] if spec.one_zone else [set[str]()]
+    )
+    choices_by_zone_set = [
+        choose_machines(spec, spec.tasks, candidates_outside(excluded_zones), gpu_reservations)
+        for excluded_zones in excluded_zone_sets
     ]
-    feasible = (choice for choice in choices if choice is not None)
+    feasible = (choice for choice in choices_by_zone_set if choice is not None)
     return min(feasible, key=total_cost, default=None)
 
 
--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -26,7 +26,7 @@
 
     from ..ledger.job import Job
 
-REPLACEMENT_WINDOW_SHARE = 0.5
+REPLACEMENT_WINDOW_FRACTION = 0.5
 """Of `gang_wait_s`: a task replaced later than that after the launch would come too late."""
 
 
@@ -97,7 +97,7 @@
     """The phase that follows from what is known."""
     members = status.members
     states = {member.state for member in members}
-    has_lost_running_task = status.has_run and len(members) < status.task_count
+    has_lost_task_after_start = status.has_run and len(members) < status.task_count
     if status.is_done:
         return Phase.DONE
     if not members:
@@ -106,7 +106,7 @@
         return Phase.RESERVED
     if status.since_stop_s is not None:
         return Phase.STOPPING
-    if status.is_broken or has_mixed_attempts(members) or has_lost_running_task:
+    if status.is_broken or has_mixed_attempts(members) or has_lost_task_after_start:
         return Phase.BROKEN
     if states & {wire.RUNNING, wire.FLUSHING}:
         return Phase.RUNNING
@@ -132,16 +132,16 @@
     if phase is Phase.BROKEN:
         return Action.ABANDON
     if phase is Phase.STOPPING:
-        is_late = (status.since_stop_s or 0.0) > checkpoint_save_s + 2 * timeouts.peer_s
-        return Action.ABANDON if is_late else Action.NOTHING
+        is_stop_overdue = (status.since_stop_s or 0.0) > checkpoint_save_s + 2 * timeouts.peer_s
+        return Action.ABANDON if is_stop_overdue else Action.NOTHING
     if len(status.members) == status.task_count:
         return Action.NOTHING
     return _decide_about_lost_task(status, timeouts, phase)
 
 
 def _decide_about_lost_task(status: GangStatus, timeouts: GangTimeouts, phase: Phase) -> Action:
-    max_delay_s = REPLACEMENT_WINDOW_SHARE * timeouts.wait_s
-    if phase is Phase.RUNNING or status.since_launch_s > max_delay_s:
+    max_replacement_delay_s = REPLACEMENT_WINDOW_FRACTION * timeouts.wait_s
+    if phase is Phase.RUNNING or status.since_launch_s > max_replacement_delay_s:
         return Action.ABANDON
     if not all(member.state for member in status.members):
         # Whether the gang has begun is not known before all have reported.
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -31,7 +31,7 @@
 
 SPOT_PRICE_FACTOR = 1.1
 """Spot prices count this many times: a preempted machine loses work."""
-FLEET_SUMMARY_EVERY = 10
+FLEET_SUMMARY_INTERVAL_STEPS = 10
 """Planning steps from one log line about the whole fleet to the next."""
 
 
@@ -72,7 +72,9 @@
         self.later(delay_s, self.load_machine_types)
         if machine_types is None:
             return
-        self.term.machine_types = {each.name: each for each in machine_types}
+        self.term.machine_types = {
+            machine_type.name: machine_type for machine_type in machine_types
+        }
         recorded = msgspec.convert(self.ledger.state.catalog, list[wire.MachineType])
         if _without_spot_prices(recorded) != _without_spot_prices(machine_types):
             self.ledger.propose_catalog(msgspec.to_builtins(machine_types))
@@ -89,10 +91,10 @@
         if not self.term.machine_types:
             return
         now = self.runtime.now()
-        if self._is_settling(now):
+        if self._is_awaiting_heartbeats(now):
             return
         self._step_count += 1
-        if self._step_count % FLEET_SUMMARY_EVERY == 0:
+        if self._step_count % FLEET_SUMMARY_INTERVAL_STEPS == 0:
             self._log_fleet()
         self._scale_out.retry_requests()
         demands = self._forecast.forecast_demands(now)
@@ -106,7 +108,7 @@
         if on_done is not None:
             self.runtime.soon(on_done, demands)
 
-    def _is_settling(self, now: float) -> bool:
+    def _is_awaiting_heartbeats(self, now: float) -> bool:
         """Whether the term is so young that the state of known machines isn't known yet."""
         return bool(
             now - self.term.began_at < self.policy.settle / 4
@@ -127,10 +129,10 @@
     def _scale_out_for(self, demands: list[Demand], now: float) -> None:
         """Provisions what the forecast lacks, as far as the cloud's calls of a step allow."""
         steps = self._forecast.forecast_steps(now, demands)
-        max_calls = self._max_calls()
+        max_calls = self._compute_max_calls()
         provisioner = Provisioner(
             self.term.machine_types,
-            self._available_pools(),
+            self._list_available_pools(),
             self._jobs.gpu_reservations,
             SPOT_PRICE_FACTOR,
         )
@@ -140,7 +142,7 @@
         for pool, group in list(decisions_by_pool.items())[:max_calls]:
             self._scale_out.provision(pool, min(len(group), MAX_PROVISIONED), group[0])
 
-    def _available_pools(self) -> list[Pool]:
+    def _list_available_pools(self) -> list[Pool]:
         return [
             pool
             for machine_type in self.term.machine_types.values()
@@ -149,7 +151,7 @@
             if not self._scale_out.is_in_backoff(pool := Pool(machine_type.name, zone, spot))
         ]
 
-    def _max_calls(self) -> int:
+    def _compute_max_calls(self) -> int:
         """Provisioning calls that this step may make."""
         if self.cloud.is_troubled:
             return 1
@@ -190,4 +192,7 @@
 
 def _without_spot_prices(machine_types: list[wire.MachineType]) -> list[wire.MachineType]:
     """The types without what changes all the time."""
-    return [msgspec.structs.replace(each, hourly_spot_price=0.0) for each in machine_types]
+    return [
+        msgspec.structs.replace(machine_type, hourly_spot_price=0.0)
+        for machine_type in machine_types
+    ]
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -37,9 +37,9 @@
         bins_by_step: list[list[Bin]] = [[] for _ in self.steps_s]
         for machine in self.fleet.machines.values():
             machine_type = self.term.machine_types.get(machine.machine_type)
-            if machine_type is not None and self._will_serve(machine, machine_type, now):
+            if machine_type is not None and self._will_be_usable(machine, machine_type, now):
                 self._add_machine(bins_by_step, machine, machine_type, now)
-        for pool, count in self._scale_out.pending_machines():
+        for pool, count in self._scale_out.list_pending_machines():
             machine_type = self.term.machine_types[pool.machine_type]
             for number, step_s in enumerate(self.steps_s):
                 if machine_type.boot_s <= step_s or number == len(self.steps_s) - 1:
@@ -57,15 +57,15 @@
     ) -> None:
         """Adds a machine's free capacity to the steps at which it will be up."""
         steps_s = self.steps_s
-        bins = self._machine_bins(machine, machine_type, now, steps_s)
-        boots_in_s = -math.inf
+        bins = self._forecast_machine_bins(machine, machine_type, now, steps_s)
+        boot_remaining_s = -math.inf
         if machine.is_booting:
-            boots_in_s = machine_type.boot_s - (now - machine.provisioned_at)
+            boot_remaining_s = machine_type.boot_s - (now - machine.provisioned_at)
         for number, (step_s, free_bin) in enumerate(zip(steps_s, bins, strict=True)):
-            if boots_in_s <= step_s or number == len(steps_s) - 1:
+            if boot_remaining_s <= step_s or number == len(steps_s) - 1:
                 bins_by_step[number].append(free_bin)
 
-    def _will_serve(self, machine: Machine, machine_type: wire.MachineType, now: float) -> bool:
+    def _will_be_usable(self, machine: Machine, machine_type: wire.MachineType, now: float) -> bool:
         if (
             machine.is_cordoned
             or machine.is_terminating
@@ -77,7 +77,7 @@
             return now - machine.provisioned_at <= 2 * machine_type.boot_s
         return now - machine.last_heartbeat_at <= self.policy.machine_suspect
 
-    def _machine_bins(
+    def _forecast_machine_bins(
         self,
         machine: Machine,
         machine_type: wire.MachineType,
@@ -97,19 +97,19 @@
         )
         bins = [first, *(first.copy() for _ in steps_s[1:])]
         for placed in machine.finite_placements.values():
-            ends_in_s = self._ends_in_s(placed, now)
-            if ends_in_s == math.inf:
+            remaining_s = self._estimate_remaining_s(placed, now)
+            if remaining_s == math.inf:
                 continue
             spec = placed.job.spec
             for step_s, free_bin in zip(steps_s, bins, strict=True):
-                if ends_in_s < step_s:
+                if remaining_s < step_s:
                     free_bin.cores += spec.cores
                     free_bin.gpus += spec.gpus
                     free_bin.memory_gb += spec.memory_gb
         return bins
 
     @staticmethod
-    def _ends_in_s(placed: Placement, now: float) -> float:
+    def _estimate_remaining_s(placed: Placement, now: float) -> float:
         """Seconds until the forecast counts the capacity of a finite task as free."""
         spec = placed.job.spec
         if spec.is_best_effort:
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -65,13 +65,13 @@
         if not self.term.may_act:
             return
         now = self.runtime.now()
-        if not self._is_calm(now):
+        if not self._may_consolidate(now):
             return
         self._skipped_until = {
             name: until for name, until in self._skipped_until.items() if until > now
         }
-        rules = self._emptying_rules(now)
-        mean_price = self._mean_hourly_price()
+        rules = self._make_emptying_rules(now)
+        mean_price = self._compute_mean_hourly_price()
         can_spare: Callable[[set[str]], bool] | None = None
         chosen: set[str] = set()
         while self._moves.can_empty_more():
@@ -85,19 +85,19 @@
                 return
             self._start_emptying(machine, now)
 
-    def _is_calm(self, now: float) -> bool:
+    def _may_consolidate(self, now: float) -> bool:
         """Whether the fleet is in contact, and nothing urgent and no gang is pending."""
         return (
             self._moves.can_empty_more()
             and now - self.term.began_at > self.policy.settle
-            and self._moves.is_fleet_in_contact(now)
+            and self._moves.is_fleet_reachable(now)
             and not any(
                 wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or job.spec.job_kind == wire.GANG
                 for job in self._jobs.queue.pending_jobs()
             )
         )
 
-    def _emptying_rules(self, now: float) -> EmptyingRules:
+    def _make_emptying_rules(self, now: float) -> EmptyingRules:
         def is_settled(placed: Placement) -> bool:
             # A replica that has just started stays: its start counts for what users see.
             return (
@@ -113,7 +113,7 @@
             is_settled, allow_finite_tasks=only_best_effort_pending, skipped=self._skipped_until
         )
 
-    def _mean_hourly_price(self) -> float:
+    def _compute_mean_hourly_price(self) -> float:
         machine_types = self.term.machine_types
         known = [
             machine
@@ -127,7 +127,7 @@
         self, rules: EmptyingRules, mean_price: float, now: float
     ) -> Machine | None:
         """The next machine to empty; those found to be impossible are skipped for a while."""
-        emptying = self._moves.machines_being_emptied()
+        emptying = self._moves.list_machines_being_emptied()
         price_factor = self.policy.move_worth if not emptying else 1.0
         schedulable = self._reconciler.schedulable_machines()
         with without_best_effort(schedulable):
@@ -135,7 +135,7 @@
                 schedulable,
                 self.term.machine_types,
                 self.rng,
-                self._moves.target_search(),
+                self._moves.make_target_search(),
                 replace(rules, min_hourly_price=mean_price * price_factor),
                 emptying,
             )
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -21,7 +21,7 @@
     from ...protocol.shape import Shape
     from ..jobs import JobRegistry
 
-UNLIMITED = 1e9
+UNLIMITED_CAPACITY = 1e9
 """Cores or GPUs that a team without a limit may still take."""
 
 
@@ -55,7 +55,7 @@
         by_shape: dict[Shape, Demand] = {}
         self._add_pending(by_shape)
         self._add_running_best_effort(by_shape)
-        self._add_expected(by_shape, now)
+        self._add_expected_arrivals(by_shape, now)
         self._gang_zones.assign_zones(by_shape.values(), now)
         demands = provisioning.merge_demands(by_shape.values())
         self._set_expensive_types(demands)
@@ -73,7 +73,7 @@
             running = self._running_by_class[demand.shape.job_class]
             count = max(0.0, count - running * step_s / max(demand.needed_until_s, 1.0))
         if demand.represents_job_class:
-            expected = self._expected_count(demand, step_s, now)
+            expected = self._estimate_arrivals(demand, step_s, now)
             count += expected
             if limits is not None:
                 limits = {zone: limit + math.ceil(expected / 2) for zone, limit in limits.items()}
@@ -84,7 +84,7 @@
             max_tasks_by_zone=limits,
         )
 
-    def _expected_count(self, demand: Demand, step_s: float, now: float) -> float:
+    def _estimate_arrivals(self, demand: Demand, step_s: float, now: float) -> float:
         """How many tasks of the job class will have arrived and be there in `step_s` seconds."""
         arrivals = self._jobs.arrivals
         job_class = demand.shape.job_class
@@ -113,10 +113,10 @@
             job = entry.job
             if not job.pending_count or job.number in self._jobs.suspects:
                 continue
-            count = self._take_headroom(job, headroom)
+            count = self._take_team_headroom(job, headroom)
             if count is None:
                 continue
-            demand = self._demand_of(by_shape, job)
+            demand = self._get_or_add_demand(by_shape, job)
             demand.add_tasks(count, self._jobs.expected_run_s(job.spec))
             if job.spec.spread:
                 zone_share = job.spec.zone_share
@@ -128,7 +128,7 @@
                     },
                 )
 
-    def _take_headroom(self, job: Job, headroom: dict[str, tuple[float, float]]) -> int | None:
+    def _take_team_headroom(self, job: Job, headroom: dict[str, tuple[float, float]]) -> int | None:
         """How many of the job's pending tasks its team may still run; takes them off `headroom`.
 
         None: the team is not known.
@@ -138,10 +138,10 @@
         if team is None:
             return None
         if spec.team not in headroom:
-            used_cores, used_gpus = self.term.team_usage(spec.team)
+            reserved_cores, reserved_gpus = self.term.team_usage(spec.team)
             headroom[spec.team] = (
-                team.cores_max - used_cores if team.cores_max else UNLIMITED,
-                team.gpus_max - used_gpus if team.gpus_max else UNLIMITED,
+                team.cores_max - reserved_cores if team.cores_max else UNLIMITED_CAPACITY,
+                team.gpus_max - reserved_gpus if team.gpus_max else UNLIMITED_CAPACITY,
             )
         cores, gpus = headroom[spec.team]
         count = job.pending_count
@@ -162,13 +162,13 @@
         for job in self._jobs.live_jobs.values():
             if not job.placements or job.is_terminal or not job.spec.is_best_effort:
                 continue
-            demand = self._demand_of(by_shape, job)
+            demand = self._get_or_add_demand(by_shape, job)
             demand.add_tasks(len(job.placements), self._jobs.expected_run_s(job.spec))
             if job.spec.spread:
                 zones = self.settings.zones
                 _add_zone_limits(demand, {zone: job.placements_in_zone(zone) for zone in zones})
 
-    def _add_expected(self, by_shape: dict[Shape, Demand], now: float) -> None:
+    def _add_expected_arrivals(self, by_shape: dict[Shape, Demand], now: float) -> None:
         """Adds shapes of which nothing is pending, but more is expected."""
         arrivals = self._jobs.arrivals
         for shape, spec in self._jobs.shapes.typical_shapes():
@@ -184,7 +184,7 @@
             if spec.spread:
                 demand.max_tasks_by_zone = dict.fromkeys(self.settings.zones, 0)
 
-    def _demand_of(self, by_shape: dict[Shape, Demand], job: Job) -> Demand:
+    def _get_or_add_demand(self, by_shape: dict[Shape, Demand], job: Job) -> Demand:
         """The demand that the job's tasks belong to."""
         shape = job.shape
         demand = by_shape.get(shape)
@@ -218,10 +218,10 @@
             if machine.machine_type in machine_types
         )
         for demand in demands:
-            by_zone = demand.machines_by_zone
+            machines_by_zone = demand.machines_by_zone
             for (machine_type, zone, spot), count in pools.items():
                 if placement.allowed(demand.shape, machine_types[machine_type], zone, spot):
-                    by_zone[zone] = by_zone.get(zone, 0) + count
+                    machines_by_zone[zone] = machines_by_zone.get(zone, 0) + count
 
 
 def _add_zone_limits(demand: Demand, limits: dict[str, int]) -> None:
--- a/flaxtally/leader/autoscaling/fleet_summary.py
+++ b/flaxtally/leader/autoscaling/fleet_summary.py
@@ -21,7 +21,7 @@
     machine_count: int = 0
     booting_count: int = 0
     idle_count: int = 0
-    used: float = 0.0
+    utilization_sum: float = 0.0
     """Sum of the used shares of GPUs, or of cores where there are no GPUs."""
     service_count: int = 0
     """Machines that run services, which keep them for long."""
@@ -32,9 +32,9 @@
         self.booting_count += machine.is_booting
         self.idle_count += not machine.is_booting and not machine.placements
         if machine_type.gpus:
-            self.used += machine.gpus / machine_type.gpus
+            self.utilization_sum += machine.gpus / machine_type.gpus
         else:
-            self.used += machine.cores / machine_type.cores
+            self.utilization_sum += machine.cores / machine_type.cores
         self.service_count += any(
             placed.job.spec.job_kind == wire.SERVICE for placed in machine.placements.values()
         )
@@ -52,7 +52,7 @@
             usages.setdefault(name, _TypeUsage()).add_machine(machine, machine_type)
     return " ".join(
         f"{name}={usage.machine_count}(boot:{usage.booting_count},idle:{usage.idle_count},"
-        f"used:{usage.used:.1f},pinned:{usage.service_count})"
+        f"used:{usage.utilization_sum:.1f},pinned:{usage.service_count})"
         for name, usage in sorted(usages.items())
     )
 
--- a/flaxtally/leader/autoscaling/idle_machines.py
+++ b/flaxtally/leader/autoscaling/idle_machines.py
@@ -35,7 +35,7 @@
             and not machine.is_cordoned
             and not machine.is_terminating
             and machine.machine_type in self.term.machine_types
-            and (self._is_idle(machine, now) or self._has_only_leftovers(machine, now))
+            and (self._is_idle(machine, now) or self._has_only_expensive_best_effort(machine, now))
         ]
         idle.sort(key=lambda machine: -self.term.machine_types[machine.machine_type].hourly_price)
         return idle
@@ -43,7 +43,7 @@
     def _is_idle(self, machine: Machine, now: float) -> bool:
         return not machine.placements and now - machine.idle_since > self.policy.cool_down
 
-    def _has_only_leftovers(self, machine: Machine, now: float) -> bool:
+    def _has_only_expensive_best_effort(self, machine: Machine, now: float) -> bool:
         """Whether for long only best-effort tasks ran here, for which it is too expensive."""
         if machine.non_best_effort_count or now - machine.unneeded_since <= self.policy.cool_down:
             return False
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -51,9 +51,9 @@
 
     def can_empty_more(self) -> bool:
         """Whether one more machine may be emptied in a fleet of this size."""
-        return len(self._emptying_since) < max(1, self._small_share_of_fleet())
+        return len(self._emptying_since) < max(1, self._max_disrupted_machines())
 
-    def machines_being_emptied(self) -> list[Machine]:
+    def list_machines_being_emptied(self) -> list[Machine]:
         """The machines being emptied that still exist."""
         return [
             machine
@@ -65,22 +65,22 @@
         """Has the replicas of the machine moved from now on."""
         self._emptying_since[machine.name] = now
 
-    def is_fleet_in_contact(self, now: float) -> bool:
+    def is_fleet_reachable(self, now: float) -> bool:
         """Whether no more than a few machines missed their heartbeats."""
-        silent_count = sum(
+        overdue_count = sum(
             now - machine.last_heartbeat_at >= self.policy.machine_suspect
             for machine in self.fleet.machines.values()
             if not machine.is_booting
         )
-        return silent_count <= self._small_share_of_fleet()
+        return overdue_count <= self._max_disrupted_machines()
 
-    def target_search(self) -> TargetSearch:
+    def make_target_search(self) -> TargetSearch:
         """How machines are searched to which replicas can move."""
         return TargetSearch(
             self._jobs.gpu_reservations, self.policy.sample, self._jobs.excluded_zones
         )
 
-    def _small_share_of_fleet(self) -> int:
+    def _max_disrupted_machines(self) -> int:
         """How many machines may be silent or emptied at a time in a fleet of this size."""
         return len(self.fleet.machines) // (2 * self.policy.sample)
 
@@ -92,7 +92,7 @@
         Once the last one is placed, and while the fleet is in contact.
         """
         index: MachineIndex | None = None
-        must_wait = not self.is_fleet_in_contact(now) or self._is_pending(wire.SERVICE)
+        must_wait = not self.is_fleet_reachable(now) or self._is_pending(wire.SERVICE)
         is_gang_pending = self._is_pending(wire.GANG)
         for name, since in list(self._emptying_since.items()):
             machine = self.fleet.machines.get(name)
@@ -102,12 +102,12 @@
             # A pending gang may need the very capacity of a machine that is being emptied.
             is_overdue = is_gang_pending or now - since > self.policy.move_patience
             if is_overdue and machine.preempted_by_cloud_at is None:
-                self._abandon(machine)
+                self._abandon_emptying(machine)
                 continue
-            is_moving = any(
+            is_move_in_progress = any(
                 placed.stopping_at is not None for placed in machine.placements.values()
             )
-            if not must_wait and not is_moving:
+            if not must_wait and not is_move_in_progress:
                 if index is None:
                     index = self._index_schedulable(self._reconciler.schedulable_machines())
                 self._move_next_replica(machine, index, now)
@@ -115,7 +115,7 @@
     def _is_pending(self, job_kind: str) -> bool:
         return any(job.spec.job_kind == job_kind for job in self._jobs.queue.pending_jobs())
 
-    def _abandon(self, machine: Machine) -> None:
+    def _abandon_emptying(self, machine: Machine) -> None:
         log.info("event=emptying_abandoned term=%d machine=%s", self.term.number, machine.name)
         del self._emptying_since[machine.name]
         machine.is_cordoned = False
@@ -133,7 +133,7 @@
         placed = next((placed for placed in list_replicas(machine) if placed.was_reported), None)
         if placed is None:
             return
-        target = find_target(placed, machine, index, self.target_search())
+        target = find_target(placed, machine, index, self.make_target_search())
         if target is None:
             self._preempt_best_effort_for(machine)
             return
@@ -162,7 +162,7 @@
         schedulable = self._reconciler.schedulable_machines()
         with without_best_effort(schedulable):
             index = self._index_schedulable(schedulable)
-            search = self.target_search()
+            search = self.make_target_search()
             targets = [
                 (placed, target)
                 for placed in list_replicas(machine)
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -32,8 +32,8 @@
         super().__init__(term)
         self._commands = commands
         self._on_machine_removed = on_machine_removed
-        self._is_terminating = False
-        self._is_listing = False
+        self._is_termination_in_flight = False
+        self._is_listing_in_flight = False
         self._next_listing_at = float("-inf")
 
     # Termination
@@ -61,14 +61,14 @@
         """Asks the cloud to terminate the machines marked for it, one request at a time."""
         now = self.runtime.now()
         names = [machine.name for machine in self.fleet.machines.values() if machine.is_terminating]
-        if not names or self._is_terminating:
+        if not names or self._is_termination_in_flight:
             return
         names = sorted(names, key=lambda name: self.fleet.machines[name].termination_tried_at)[
             :MAX_TERMINATED
         ]
         for name in names:
             self.fleet.machines[name].termination_tried_at = now
-        self._is_terminating = True
+        self._is_termination_in_flight = True
         self.cloud.terminate(
             names,
             lambda is_terminated: self._on_termination_reply(names, is_terminated=is_terminated),
@@ -77,7 +77,7 @@
     def _on_termination_reply(self, names: list[str], *, is_terminated: bool) -> None:
         if not self.term.active:
             return
-        self._is_terminating = False
+        self._is_termination_in_flight = False
         if is_terminated:
             for name in names:
                 self._remove_machine(name)
@@ -97,14 +97,14 @@
         One list at a time: at thousands of machines it takes longer than the step between two.
         """
         now = self.runtime.now()
-        if self._is_listing or now < self._next_listing_at:
+        if self._is_listing_in_flight or now < self._next_listing_at:
             return
-        self._is_listing = True
+        self._is_listing_in_flight = True
         self.cloud.list_machines(partial(self._on_listed, now))
 
     def _on_listed(self, requested_at: float, entries: list[wire.Listed] | None) -> None:
         now = self.runtime.now()
-        self._is_listing = False
+        self._is_listing_in_flight = False
         # A long list takes many calls: half of them are left to others.
         self._next_listing_at = now + (now - requested_at)
         if entries is None or not self.term.may_act:
@@ -112,7 +112,7 @@
         self._terminate_unlisted({entry.machine for entry in entries}, requested_at)
         for entry in entries:
             if entry.machine not in self.fleet.removed_machines:
-                self._update_machine(self._find_or_add_machine(entry, now), entry, now)
+                self._update_machine(self._get_or_add_machine(entry, now), entry, now)
         self.send_terminations()
 
     def _terminate_unlisted(self, listed: set[str], requested_at: float) -> None:
@@ -123,7 +123,7 @@
         newer than the listed ones may exist and not be listed yet: names are in the order of
         creation, and after twice the lag all machines of the earlier leader are listed.
         """
-        is_lag_over = requested_at - self.term.began_at > 2 * self.settings.list_lag_s
+        is_list_lag_over = requested_at - self.term.began_at > 2 * self.settings.list_lag_s
         newest = max(listed, default="")
         for machine in self.fleet.machines.values():
             is_unknown = (
@@ -131,11 +131,13 @@
                 and not machine.machine_type
                 and not machine.is_terminating
             )
-            is_missing = machine.name not in listed and (is_lag_over or machine.name < newest)
-            if is_unknown and machine.placements and is_missing:
+            is_absent_from_list = machine.name not in listed and (
+                is_list_lag_over or machine.name < newest
+            )
+            if is_unknown and machine.placements and is_absent_from_list:
                 self.terminate(machine, "placed on by an earlier leader, silent and not listed")
 
-    def _find_or_add_machine(self, entry: wire.Listed, now: float) -> Machine:
+    def _get_or_add_machine(self, entry: wire.Listed, now: float) -> Machine:
         machine = self.fleet.machines.get(entry.machine)
         if machine is None:
             log.info(
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -39,10 +39,10 @@
     executed twice.
     """
 
-    def __init__(self, term: Term, scale_again: Callable[[], None]) -> None:
-        """`scale_again`: called when a gap must be planned again before the next step."""
+    def __init__(self, term: Term, on_rescale_due: Callable[[], None]) -> None:
+        """`on_rescale_due`: called when a gap must be planned again before the next step."""
         super().__init__(term)
-        self._scale_again = scale_again
+        self._on_rescale_due = on_rescale_due
         self._request_count = 0
         self._requests: dict[str, _Request] = {}
         self._backoff_until: dict[Pool, float] = {}
@@ -51,7 +51,7 @@
         self._awaiting_reply: set[str] = set()
         """Requests that were sent and not answered; none is sent twice at a time."""
 
-    def pending_machines(self) -> Iterator[tuple[Pool, int]]:
+    def list_pending_machines(self) -> Iterator[tuple[Pool, int]]:
         """Pool and count of the machines requested and not yet granted or refused."""
         for request in self._requests.values():
             yield request.pool, request.count
@@ -153,4 +153,4 @@
     def _rescale(self) -> None:
         self._is_rescale_scheduled = False
         if not self._requests and self.term.may_act:
-            self._scale_again()
+            self._on_rescale_due()
--- a/flaxtally/leader/gang_scheduling/gang_attempts.py
+++ b/flaxtally/leader/gang_scheduling/gang_attempts.py
@@ -28,7 +28,7 @@
         "is_broken",
         "is_done",
         "launched_at",
-        "lost_on",
+        "machines_with_lost_tasks",
         "number",
         "stopped_at",
     )
@@ -46,7 +46,7 @@
         """When its tasks were ordered to save and exit."""
         self.grace_s = 0.0
         """How long they have for that."""
-        self.lost_on: set[str] = set()
+        self.machines_with_lost_tasks: set[str] = set()
         """Machines that may still report a task of the attempt that has ended there."""
 
 
@@ -59,7 +59,7 @@
         self.timeouts = GangTimeouts(self.settings.gang_wait_s, self.settings.gang_peer_s)
         self._attempts: dict[int, GangAttempt] = {}
 
-    def attempt_of(self, job: Job) -> GangAttempt:
+    def get_or_create_attempt(self, job: Job) -> GangAttempt:
         """The newest attempt of the gang."""
         newest = job.newest_attempt
         attempt = self._attempts.get(job.number)
@@ -75,24 +75,24 @@
         if known is None or known.number != number:
             self._attempts[job.number] = GangAttempt(number, self.runtime.now())
 
-    def job_numbers(self) -> list[int]:
+    def list_job_numbers(self) -> list[int]:
         """The gangs of which an attempt is known."""
         return list(self._attempts)
 
-    def forget(self, job_number: int) -> None:
+    def remove_attempt(self, job_number: int) -> None:
         """Forgets the attempt of a gang that is over."""
         del self._attempts[job_number]
 
-    def phase_of(self, job: Job) -> Phase:
+    def derive_phase_of(self, job: Job) -> Phase:
         """Where the gang stands."""
-        return derive_phase(self._status_of(job))
+        return derive_phase(self._build_status(job))
 
-    def next_action(self, job: Job) -> Action:
+    def decide_next_action(self, job: Job) -> Action:
         """What is to be done next about the gang."""
-        return decide_action(self._status_of(job), self.timeouts, job.spec.checkpoint_save_s)
+        return decide_action(self._build_status(job), self.timeouts, job.spec.checkpoint_save_s)
 
-    def _status_of(self, job: Job) -> GangStatus:
-        attempt = self.attempt_of(job)
+    def _build_status(self, job: Job) -> GangStatus:
+        attempt = self.get_or_create_attempt(job)
         now = self.runtime.now()
         stopped_at = attempt.stopped_at
         return build_gang_status(
--- a/flaxtally/leader/gang_scheduling/gang_machines.py
+++ b/flaxtally/leader/gang_scheduling/gang_machines.py
@@ -22,7 +22,7 @@
     from ..jobs import JobRegistry
     from .gang_attempts import GangAttempts
 
-MAX_FETCH_SHARE = 0.8
+MAX_FETCH_FRACTION = 0.8
 """Of `gang_wait_s`, and of a wait objective: a gang whose last image takes longer would be late."""
 
 
@@ -60,13 +60,15 @@
             self.policy.sample,
             machine_filter,
         )
-        max_fetch_s = MAX_FETCH_SHARE * self._attempts.timeouts.wait_s
+        max_fetch_s = MAX_FETCH_FRACTION * self._attempts.timeouts.wait_s
         if not job.placements:
             return self._choose_for_all(search, max_fetch_s)
-        lost_on = self._attempts.attempt_of(job).lost_on
+        machines_with_lost_tasks = self._attempts.get_or_create_attempt(
+            job
+        ).machines_with_lost_tasks
 
         def is_usable(machine: Machine) -> bool:
-            return machine.name not in lost_on and (
+            return machine.name not in machines_with_lost_tasks and (
                 machine_filter is None or machine_filter(machine)
             )
 
@@ -82,7 +84,7 @@
         """
         choice = choose_machines_for_gang(search, self.fleet.zones, max_fetch_s)
         max_wait_s = self._max_wait_s_by_class.get(search.spec.job_class, math.inf)
-        timely_fetch_s = MAX_FETCH_SHARE * max_wait_s
+        timely_fetch_s = MAX_FETCH_FRACTION * max_wait_s
         is_timely = choice is not None and choice.fetch_s <= timely_fetch_s
         if search.gpu_reservations is None or is_timely or timely_fetch_s == math.inf:
             return choice
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -48,7 +48,7 @@
         self._jobs = jobs
         self._reservations: dict[int, _GangReservation] = {}
         """By rank."""
-        self._ineligible_until: dict[int, float] = {}
+        self._reservation_backoff_until: dict[int, float] = {}
         """Gangs with a reservation in vain, and until when they get no other."""
         self._released_machines: set[str] = set()
         """Machines whose reservation ended since `take_released_machines` was called."""
@@ -58,15 +58,15 @@
         rank = wire.RANKS[job.spec.rank]
         now = self.runtime.now()
         self._expire_reservations(now)
-        is_ineligible = self._ineligible_until.get(job.number, 0.0) > now
-        if rank in self._reservations or is_ineligible or job.spec.spread:
+        is_in_backoff = self._reservation_backoff_until.get(job.number, 0.0) > now
+        if rank in self._reservations or is_in_backoff or job.spec.spread:
             return
         machines = self._choose_machines(job, index, now)
         if machines is None:
             return
         expires_at = now + self.policy.keep_patience
         self._reservations[rank] = _GangReservation(job.number, rank, expires_at, machines)
-        self._ineligible_until[job.number] = expires_at + self.policy.keep_patience
+        self._reservation_backoff_until[job.number] = expires_at + self.policy.keep_patience
         log.info(
             "event=gang_machines_reserved term=%d job=%s machines=%d",
             self.term.number,
@@ -76,7 +76,7 @@
 
     def on_gang_placed(self, job: Job) -> None:
         """Ends the reservation of a gang that is placed."""
-        self._ineligible_until.pop(job.number, None)
+        self._reservation_backoff_until.pop(job.number, None)
         reservation = self._reservations.get(wire.RANKS[job.spec.rank])
         if reservation is not None and reservation.job_number == job.number:
             self._end_reservation(reservation)
@@ -107,8 +107,10 @@
             job = self._jobs.live_jobs.get(reservation.job_number)
             if now >= reservation.expires_at or job is None or job.is_terminal or job.placements:
                 self._end_reservation(reservation)
-        self._ineligible_until = {
-            number: until for number, until in self._ineligible_until.items() if until > now
+        self._reservation_backoff_until = {
+            number: until
+            for number, until in self._reservation_backoff_until.items()
+            if until > now
         }
 
     def _end_reservation(self, reservation: _GangReservation) -> None:
@@ -123,7 +125,7 @@
             machines = itertools.islice(index.walk(job.spec, excluded_zones), max_machines)
             for machine, machine_type in machines:
                 free = placement.room(machine, machine_type)
-                yield Candidate(machine, machine_type, free, _finite_tasks(machine, now))
+                yield Candidate(machine, machine_type, free, _list_finite_tasks(machine, now))
 
         chosen = choose_cheapest_machines(
             job.spec, self.fleet.zones, candidates_outside, placement.GpuNeeds(), _longest_wait_s
@@ -131,15 +133,15 @@
         return None if chosen is None else frozenset(slots.machine.name for slots in chosen)
 
 
-def _finite_tasks(machine: Machine, now: float) -> list[Victim]:
+def _list_finite_tasks(machine: Machine, now: float) -> list[Victim]:
     """The tasks that end by themselves; the seconds until then are the cost."""
     return [
-        Victim(placed, _estimated_remaining_s(placed, now))
+        Victim(placed, _estimate_remaining_s(placed, now))
         for placed in machine.finite_placements.values()
     ]
 
 
-def _estimated_remaining_s(placed: Placement, now: float) -> float:
+def _estimate_remaining_s(placed: Placement, now: float) -> float:
     return max(0.0, placed.job.spec.estimated_run_s - (now - (placed.started_at or now)))
 
 
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -76,7 +76,7 @@
         `reserve_for_gpus`: what GPU tasks need besides their GPUs stays reserved for them.
         """
         now = self.runtime.now()
-        action = self._attempts.next_action(job)
+        action = self._attempts.decide_next_action(job)
         if action not in (Action.PLACE, Action.REPLACE):
             return 0
         missing = [task for task in range(job.spec.tasks) if task not in job.placements]
@@ -126,9 +126,9 @@
         current = [placed for placed in proposed if job.placements.get(placed.task) is placed]
         for placed in current:
             placed.is_committed = True
-        attempt = self._attempts.attempt_of(job)
-        is_given_up = job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
-        if len(job.placements) == job.spec.tasks and not is_given_up:
+        attempt = self._attempts.get_or_create_attempt(job)
+        is_abandoned = job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
+        if len(job.placements) == job.spec.tasks and not is_abandoned:
             for placed in current:
                 self._commands.launch_task(placed)
             return
@@ -141,7 +141,7 @@
 
     def on_task_running(self, placed: Placement) -> None:
         """A task of a gang was reported as running."""
-        attempt = self._attempts.attempt_of(placed.job)
+        attempt = self._attempts.get_or_create_attempt(placed.job)
         if not attempt.has_run:
             attempt.has_run = True
             log.info(
@@ -155,9 +155,9 @@
     def on_task_finished(self, placed: Placement, cause: str, *, is_done: bool) -> None:
         """A task of a gang is proven over, by that cause."""
         job = placed.job
-        attempt = self._attempts.attempt_of(job)
+        attempt = self._attempts.get_or_create_attempt(job)
         if placed.attempt == job.newest_attempt:
-            attempt.lost_on.add(placed.machine)
+            attempt.machines_with_lost_tasks.add(placed.machine)
         if is_done and not attempt.is_done:
             attempt.is_done = True
             log.info(
@@ -178,16 +178,16 @@
             job.spec.checkpoint_interval_s
             and job.spec.checkpoint_save_s + self._attempts.timeouts.peer_s < notice_s
         )
-        phase = self._attempts.phase_of(job)
+        phase = self._attempts.derive_phase_of(job)
         if phase in (Phase.LAUNCHING, Phase.WAITING) or (phase is Phase.RUNNING and can_save):
             self.stop_gang(job, "preemption notice")
 
     def watch(self) -> None:
         """Repeats commands to stop that were not carried out; forgets gangs that are over."""
-        self._request_pass_for_waiting()
-        for number in self._attempts.job_numbers():
+        self._request_pass_for_waiting_gangs()
+        for number in self._attempts.list_job_numbers():
             if number not in self._jobs.live_jobs:
-                self._attempts.forget(number)
+                self._attempts.remove_attempt(number)
                 self._no_capacity_until.pop(number, None)
         for job in list(self._jobs.live_jobs.values()):
             if job.spec.job_kind == wire.GANG and job.placements and not job.is_terminal:
@@ -197,24 +197,24 @@
 
     def _abandon_if_lost(self, job: Job) -> None:
         """Gives the attempt up if it can't be completed any more."""
-        if job.placements and self._attempts.next_action(job) is Action.ABANDON:
+        if job.placements and self._attempts.decide_next_action(job) is Action.ABANDON:
             self._stops.abandon_gang(job, "a task is gone")
 
-    def _request_pass_for_waiting(self) -> None:
+    def _request_pass_for_waiting_gangs(self) -> None:
         """A pass for gangs that found no capacity a while ago: nothing else may ask for one."""
         now = self.runtime.now()
-        waiting = {
+        still_backing_off = {
             number: until for number, until in self._no_capacity_until.items() if until > now
         }
-        if len(waiting) < len(self._no_capacity_until):
-            self._no_capacity_until = waiting
+        if len(still_backing_off) < len(self._no_capacity_until):
+            self._no_capacity_until = still_backing_off
             self.term.request_pass()
 
     # Stopping
 
     def can_stop(self, job: Job) -> bool:
         """Whether all tasks can be ordered to save in time: their machines answer."""
-        return self._attempts.phase_of(job) in (Phase.WAITING, Phase.RUNNING) and all(
+        return self._attempts.derive_phase_of(job) in (Phase.WAITING, Phase.RUNNING) and all(
             self._is_reachable(placed) for placed in job.placements.values()
         )
 
--- a/flaxtally/leader/gang_scheduling/gang_stops.py
+++ b/flaxtally/leader/gang_scheduling/gang_stops.py
@@ -28,7 +28,7 @@
 
     def stop_gang(self, job: Job, reason: str) -> None:
         """Orders all tasks to save and exit: one decision for the whole gang."""
-        attempt = self._attempts.attempt_of(job)
+        attempt = self._attempts.get_or_create_attempt(job)
         if attempt.stopped_at is not None or attempt.is_broken:
             return
         attempt.stopped_at = self.runtime.now()
@@ -45,7 +45,7 @@
 
     def abandon_gang(self, job: Job, reason: str) -> None:
         """Orders all that is left of an attempt to exit at once."""
-        attempt = self._attempts.attempt_of(job)
+        attempt = self._attempts.get_or_create_attempt(job)
         if attempt.is_broken and attempt.stopped_at is None and _are_all_stopping(job):
             return
         log.info(
@@ -72,7 +72,7 @@
 
     def repeat_stops(self, job: Job) -> None:
         """Repeats commands to stop that were not carried out."""
-        attempt = self._attempts.attempt_of(job)
+        attempt = self._attempts.get_or_create_attempt(job)
         if not attempt.is_broken and attempt.stopped_at is None:
             return
         now = self.runtime.now()
