--- a/flaxtally/gangs/__init__.py
+++ b/flaxtally/gangs/__init__.py
@@ -1,4 +1,4 @@
 """Gang scheduling decisions, without I/O: all tasks of a gang run at the same time or none does.
 
-`leader/gang_scheduling/` carries out what is decided here. Begin with `lifecycle`.
+`leader/gang_scheduling/` executes the decisions. Begin with `lifecycle`.
 """
--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -1,4 +1,4 @@
-"""Machines for the tasks of a gang: for all of them, or for none. Pure."""
+"""Chooses machines for all tasks of a gang, or for none; without I/O or lasting side effects."""
 
 from __future__ import annotations
 
@@ -19,21 +19,24 @@
 
 @dataclass(frozen=True)
 class GangMachineSearch:
-    """What a search for the tasks of one gang goes by."""
+    """Parameters of a search for machines for one gang."""
 
     spec: wire.Spec
     job_number: int
     index: MachineIndex
     gpu_reservations: GpuNeeds | None
-    """None: nothing is reserved for GPU tasks, and slow machines will do."""
+    """Cores and memory kept free per GPU; None: none are, and slow machines are allowed."""
     sample_size: int
     machine_filter: MachineFilter | None
-    """Which machines may be used, besides the job's own conditions; None: any."""
+    """Restricts the usable machines in addition to the job's own constraints; None: it doesn't."""
 
     def find_machine(
         self, excluded_zones: Collection[str], previous: Machine | None
     ) -> Machine | None:
-        """A machine for one more task: that of the previous task while it holds one more."""
+        """Returns a machine for one more task: the previous task's machine while it has capacity.
+
+        None: no machine has capacity for the task.
+        """
         if previous is not None and previous.zone not in excluded_zones:
             fits = Fit(self.spec, self.gpu_reservations, self.machine_filter)
             if fits(previous, self.index.machine_types[previous.machine_type]):
@@ -50,7 +53,7 @@
 
 
 class GangMachines(NamedTuple):
-    """Machines for all tasks of a gang, and about how long the last image takes to be there."""
+    """Machines for tasks of a gang, and the estimated time until the last image is fetched."""
 
     machines: list[Machine]
     fetch_s: float
@@ -59,10 +62,10 @@
 def choose_machines_for_gang(
     search: GangMachineSearch, zones: Collection[str], max_fetch_s: float
 ) -> GangMachines | None:
-    """Machines for all tasks of the gang; None: there is no capacity for all.
+    """Returns machines for all tasks of the gang, or None if there is no capacity for all.
 
-    Of zones that can each hold a gang that must be in one, the one in which it starts first. None
-    too if its images would take longer than `max_fetch_s` everywhere.
+    A gang that must be in one zone gets the zone in which it can start first. Returns None also if
+    fetching its images would take longer than `max_fetch_s` everywhere.
     """
     best: GangMachines | None = None
     zone_sets = [{zone} for zone in sorted(zones)] if search.spec.one_zone else [set(zones)]
@@ -84,7 +87,11 @@
     placed_by_zone: dict[str, int],
     max_fetch_s: float,
 ) -> GangMachines | None:
-    """Machines for the missing tasks of a gang whose others wait; None: not for all."""
+    """Returns machines for the missing tasks of a gang whose other tasks are placed.
+
+    None: there is no capacity for all of them, or fetching an image would take longer than
+    `max_fetch_s`.
+    """
     allowed_zones = set(placed_by_zone) if search.spec.one_zone else set(zones)
     choice = _choose_in_zones(search, task_count, allowed_zones, zones, placed_by_zone)
     return None if choice is None or choice.fetch_s > max_fetch_s else choice
@@ -118,7 +125,10 @@
     placed_by_zone: dict[str, int],
     reserved: list[Machine],
 ) -> float:
-    """Reserves a machine for each task until none is found; gives the longest time of a fetch."""
+    """Reserves a machine for each task until none is found; returns the longest fetch time.
+
+    Appends the machines to `reserved`; the caller releases the reservations.
+    """
     spec, index = search.spec, search.index
     max_in_zone = spec.zone_share if spec.spread else spec.tasks
     tasks_by_zone = dict(placed_by_zone)
--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -1,4 +1,4 @@
-"""On which machines a gang would have capacity for all tasks once victims have left. Pure."""
+"""Finds machines that would have capacity for a whole gang without some tasks; without I/O."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Victim:
-    """A task that may leave its machine, and what is lost by that, in seconds of work."""
+    """A task that may leave its machine, and the cost of that in seconds."""
 
     placement: Placement
     preemption_cost: float
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class Candidate:
-    """A machine that the gang may use, what is free there, and who may leave."""
+    """A machine that the gang may use, its free capacity, and the tasks that may leave it."""
 
     machine: Machine
     machine_type: wire.MachineType
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class MachineSlots:
-    """How many tasks of the gang a machine takes, once the victims have left."""
+    """Number of tasks of the gang that a machine can hold once the victims have left it."""
 
     machine: Machine
     task_count: int
@@ -51,9 +51,10 @@
     gpu_reservations: GpuNeeds,
     total_cost: Callable[[list[MachineSlots]], float],
 ) -> list[MachineSlots] | None:
-    """Machines that together hold the gang, in the zones where that costs least; None: nowhere.
+    """Returns machines that together can hold the gang, in the zones with the lowest cost.
 
-    `candidates_outside` gives the machines outside the zones that it is called with.
+    `candidates_outside` returns the machines outside the zones that it is called with. Returns
+    None if there are no such machines in any zone.
     """
     excluded_zone_sets = (
         [set(zones) - {zone} for zone in sorted(zones)] if spec.one_zone else [set[str]()]
@@ -72,7 +73,10 @@
     candidates: Iterable[Candidate],
     gpu_reservations: GpuNeeds,
 ) -> list[MachineSlots] | None:
-    """Machines that together hold the tasks, those with the least cost first; None: they don't."""
+    """Returns machines that together can hold the tasks, or None if not all tasks fit.
+
+    Takes the machines with the lowest cost per task first.
+    """
     usable = [
         slots
         for candidate in candidates
@@ -92,7 +96,10 @@
 def _find_slots(
     spec: wire.Spec, max_tasks: int, candidate: Candidate, gpu_reservations: GpuNeeds
 ) -> MachineSlots | None:
-    """The slots of a machine for at most `max_tasks` tasks, with no more victims than needed."""
+    """Returns the slots of a machine for at most `max_tasks` tasks, with as few victims as needed.
+
+    None: the machine can't hold a task of the gang.
+    """
     free = candidate.free
     removed: list[Placement] = []
     removed_cost = 0.0
@@ -123,7 +130,7 @@
 def _count_tasks(
     spec: wire.Spec, candidate: Candidate, free: Room, gpu_reservations: GpuNeeds
 ) -> int:
-    """How many tasks of the gang the machine holds with that much free capacity."""
+    """Returns how many tasks of the gang the machine can hold with `free` capacity."""
     machine = candidate.machine
     free_bin = Bin(
         candidate.machine_type,
--- a/flaxtally/gangs/lifecycle.py
+++ b/flaxtally/gangs/lifecycle.py
@@ -1,16 +1,16 @@
-"""The life of an attempt of a gang, and what is to be done next. Pure.
+"""Phases of an attempt of a gang, and the decision on the next action; without I/O.
 
-    PENDING    nothing of the gang is placed
+    PENDING    no task of the gang is placed
     RESERVED   all placements are proposed together, not committed yet
-    LAUNCHING  committed and sent; no task has its image yet, as far as is known
-    WAITING    some tasks wait for the others on their machines
+    LAUNCHING  committed and launched; no task is known to have its image yet
+    WAITING    some tasks wait on their machines for the others
     RUNNING    the tasks run
-    STOPPING   all were ordered to save a checkpoint and exit
-    BROKEN     a task is gone, and the others are to exit
+    STOPPING   all tasks were commanded to save a checkpoint and exit
+    BROKEN     a task was lost, and the others have to exit
     DONE       a task completed, and with it the gang
 
-None of this is stored: it follows from the ledger's placements and from what the workers report, so
-that a new leader finds each gang in its phase.
+The phase is not stored: it is derived from the placements in the ledger and the workers' reports,
+so that a new leader derives the same phase.
 """
 
 from __future__ import annotations
@@ -27,11 +27,14 @@
     from ..ledger.job import Job
 
 REPLACEMENT_WINDOW_FRACTION = 0.5
-"""Of `gang_wait_s`: a task replaced later than that after the launch would come too late."""
+"""Time after the launch, as a fraction of `gang_wait_s`, in which lost tasks are replaced.
+
+A task replaced later would not be ready before the others stop waiting.
+"""
 
 
 class Phase(enum.Enum):
-    """Where an attempt stands; see the module's table."""
+    """The phase of an attempt; see the table in the module's doc comment."""
 
     PENDING = "pending"
     RESERVED = "reserved"
@@ -44,7 +47,7 @@
 
 
 class Action(enum.Enum):
-    """What the leader does next about a gang."""
+    """The next action of the leader for a gang."""
 
     NOTHING = "nothing"
     PLACE = "place"
@@ -52,49 +55,49 @@
     REPLACE = "replace"
     """Place the missing tasks, under the attempt number of the others."""
     ABANDON = "abandon"
-    """Stop all that is left, so that the next attempt can begin."""
+    """Stop all remaining tasks, so that the next attempt can begin."""
 
 
 @dataclass(frozen=True)
 class Member:
-    """A task of a gang that is placed and not proven over."""
+    """A task of a gang that is placed and not proven to be finished."""
 
     attempt: int
     is_committed: bool
     state: str
-    """As last reported; empty: nothing was reported of it."""
+    """The state in the last report; empty: the task was not reported yet."""
 
 
 @dataclass(frozen=True)
 class GangStatus:
-    """What is known of a gang."""
+    """The known state of a gang and its newest attempt."""
 
     task_count: int
     members: tuple[Member, ...]
     is_done: bool = False
     is_cancelled: bool = False
     has_run: bool = False
-    """Some task of the attempt was seen running."""
+    """Whether some task of the attempt was reported as running."""
     is_broken: bool = False
-    """The attempt was abandoned."""
+    """Whether the attempt was abandoned."""
     since_stop_s: float | None = None
-    """Since the first command to save and exit; None: there was none."""
+    """Seconds since the first command to save and exit; None: there was none."""
     since_launch_s: float = 0.0
-    """Since the attempt was launched, as far as this leader knows."""
+    """Seconds since the launch; for an attempt of an earlier leader, since this term began."""
 
 
 @dataclass(frozen=True)
 class GangTimeouts:
-    """What workers are configured with."""
+    """The workers' configured timeouts."""
 
     wait_s: float
-    """How long a task waits for the others."""
+    """Seconds that a started task waits for the other tasks."""
     peer_s: float
-    """How long a task runs without contact to the others."""
+    """Seconds that a task runs without contact to the other tasks."""
 
 
 def derive_phase(status: GangStatus) -> Phase:
-    """The phase that follows from what is known."""
+    """Returns the phase that follows from the status."""
     members = status.members
     states = {member.state for member in members}
     has_lost_task_after_start = status.has_run and len(members) < status.task_count
@@ -114,15 +117,16 @@
 
 
 def has_mixed_attempts(members: Iterable[Member]) -> bool:
-    """Whether the members are of several attempts, which never meet.
+    """Returns whether the members belong to several attempts, which never run together.
 
-    No version that knows gangs commits this: the tasks were placed one by one by an older one.
+    No version with gang scheduling commits such placements: an older version placed the tasks one
+    by one.
     """
     return len({member.attempt for member in members}) > 1
 
 
 def decide_action(status: GangStatus, timeouts: GangTimeouts, checkpoint_save_s: float) -> Action:
-    """Decides what to do next about a gang whose tasks need that long to save."""
+    """Decides the next action for a gang; `checkpoint_save_s`: how long its tasks need to save."""
     phase = derive_phase(status)
     if status.is_cancelled or phase in (Phase.DONE, Phase.RESERVED):
         # A cancelled gang is stopped like any cancelled job.
@@ -144,7 +148,7 @@
     if phase is Phase.RUNNING or status.since_launch_s > max_replacement_delay_s:
         return Action.ABANDON
     if not all(member.state for member in status.members):
-        # Whether the gang has begun is not known before all have reported.
+        # Whether the gang runs already is unknown until all remaining tasks were reported.
         return Action.NOTHING
     return Action.REPLACE
 
@@ -157,7 +161,7 @@
     since_stop_s: float | None,
     since_launch_s: float,
 ) -> GangStatus:
-    """The status of a gang: from the ledger, and from what the leader knows besides."""
+    """Builds the status of a gang from the ledger and from the leader's own state."""
     members = tuple(
         Member(placed.attempt, placed.is_committed, placed.state)
         for placed in job.placements.values()
--- a/flaxtally/leader/autoscaling/__init__.py
+++ b/flaxtally/leader/autoscaling/__init__.py
@@ -1,7 +1,8 @@
-"""How many machines of which type there are: scale-out, scale-in and consolidation.
+"""Decides the number and types of machines in the fleet: scale-out, scale-in and consolidation.
 
-Owns the forecasts of demand and capacity, the provisioning and termination requests under way,
-and the machines that are being emptied. Begin with `autoscaler`: each step of it asks `forecast`
-what will lack capacity, has `scale_out` provision that, and gives `scale_in` what nobody needs.
-`consolidation` moves replicas so that thinly used machines become idle.
+Owns the forecasts of demand and capacity, the provisioning and termination requests in flight,
+and the machines that are being emptied. Begin with `autoscaler`: each of its planning steps asks
+`forecast` which demand will lack capacity, has `scale_out` provision machines for it, and has
+`scale_in` terminate machines that are not needed. `consolidation` moves replicas so that
+underutilized machines become idle.
 """
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""Decides what to provision and what to terminate, at each planning step."""
+"""Decides which machines to provision and which to terminate, at each planning step."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 log = logging.getLogger(__name__)
 
 SPOT_PRICE_FACTOR = 1.1
-"""Spot prices count this many times: a preempted machine loses work."""
+"""Factor applied to spot prices in price comparisons: a preempted spot machine loses work."""
 FLEET_SUMMARY_INTERVAL_STEPS = 10
-"""Planning steps from one log line about the whole fleet to the next."""
+"""Number of planning steps between two log lines that summarize the whole fleet."""
 
 
 class Autoscaler(TermActor):
-    """Owns the size of the fleet: compares forecasts of demand and capacity, and acts on gaps."""
+    """Controls the size of the fleet: compares forecast demand and capacity and acts on gaps."""
 
     def __init__(
         self, term: Term, jobs: JobRegistry, reconciler: Reconciler, commands: CommandSender
     ) -> None:
-        """`reconciler`: owner of the terminations; `commands`: carries stops to the workers."""
+        """`reconciler`: owns `ScaleIn`; `commands`: sends stop commands to the workers."""
         super().__init__(term)
         self._jobs = jobs
         self._commands = commands
@@ -52,17 +52,17 @@
         self._idle_machines = IdleMachines(term, jobs)
 
     def is_in_backoff(self, pool: Pool) -> bool:
-        """Whether the pool refused a short while ago."""
+        """Returns whether the pool is in back-off after a recent refusal."""
         return self._scale_out.is_in_backoff(pool)
 
     def make_spare_check(self, demands: list[Demand], now: float) -> Callable[[set[str]], bool]:
-        """Makes a check of whether the fleet can do without the machines of the given names."""
+        """Returns a function that checks whether the fleet can spare machines, given by name."""
         return self._forecast.make_spare_check(demands, now)
 
     # The cloud's catalogue
 
     def load_machine_types(self) -> None:
-        """Asks for the cloud's machine types, again and again: spot prices move."""
+        """Requests the cloud's machine types, periodically because spot prices change."""
         self.cloud.list_machine_types(self._on_machine_types)
 
     def _on_machine_types(self, machine_types: list[wire.MachineType] | None) -> None:
@@ -85,8 +85,9 @@
     def scale(self, on_done: DemandListener | None = None) -> None:
         """Scales out, then in, then calls `on_done` with the demand that was planned for.
 
-        Each part is a callback of its own on the event loop: with thousands of machines, one part
-        takes as long as heartbeats should wait. `on_done` isn't called while planning has to wait.
+        Each part is a separate callback on the event loop: with thousands of machines, a single
+        part already delays heartbeats as long as is acceptable. `on_done` isn't called while the
+        machine types or the state of known machines are still missing.
         """
         if not self.term.machine_types:
             return
@@ -109,7 +110,7 @@
             self.runtime.soon(on_done, demands)
 
     def _is_awaiting_heartbeats(self, now: float) -> bool:
-        """Whether the term is so young that the state of known machines isn't known yet."""
+        """Returns whether the term is too young for the known machines to have reported."""
         return bool(
             now - self.term.began_at < self.policy.settle / 4
             and self.ledger.state.jobs
@@ -127,7 +128,7 @@
     # Scale-out
 
     def _scale_out_for(self, demands: list[Demand], now: float) -> None:
-        """Provisions what the forecast lacks, as far as the cloud's calls of a step allow."""
+        """Provisions machines for unmet demand, within the cloud API calls allowed per step."""
         steps = self._forecast.forecast_steps(now, demands)
         max_calls = self._compute_max_calls()
         provisioner = Provisioner(
@@ -152,7 +153,7 @@
         ]
 
     def _compute_max_calls(self) -> int:
-        """Provisioning calls that this step may make."""
+        """Returns how many provisioning calls this step may make."""
         if self.cloud.is_troubled:
             return 1
         return max(1, int(self.settings.cloud_rps * self.policy.plan_step))
@@ -160,7 +161,7 @@
     # Scale-in
 
     def _scale_in_idle(self, demands: list[Demand], now: float) -> None:
-        """Terminates machines idle for the cool-down time that no step's demand needs."""
+        """Terminates machines that were idle for the cool-down time and that no step needs."""
         idle = self._idle_machines.find_idle(now)
         if not idle:
             return
@@ -169,13 +170,15 @@
                 self._drain_best_effort(machine)
             else:
                 idle_s = now - machine.idle_since
-                self._scale_in.terminate(machine, f"idle for {idle_s:.0f}s, no step needs it")
+                self._scale_in.terminate(
+                    machine, f"idle for {idle_s:.0f}s, not needed in any forecast step"
+                )
         self._scale_in.send_terminations()
 
     def _drain_best_effort(self, machine: Machine) -> None:
-        """Cordons the machine, which is terminated once empty.
+        """Cordons the machine so that it can be terminated once it is empty.
 
-        Tasks that can save a checkpoint are stopped, others are left to end.
+        Tasks that can save a checkpoint are stopped; others run until they finish.
         """
         log.info(
             "event=machine_draining term=%d machine=%s type=%s spot=%s best_effort=%d",
@@ -191,7 +194,7 @@
 
 
 def _without_spot_prices(machine_types: list[wire.MachineType]) -> list[wire.MachineType]:
-    """The types without what changes all the time."""
+    """Returns the machine types with spot prices set to zero, as these change continually."""
     return [
         msgspec.structs.replace(machine_type, hourly_spot_price=0.0)
         for machine_type in machine_types
--- a/flaxtally/leader/autoscaling/capacity_forecast.py
+++ b/flaxtally/leader/autoscaling/capacity_forecast.py
@@ -1,4 +1,4 @@
-"""Forecast of free capacity: free now, freed by tasks that end, and machines that boot."""
+"""Forecasts free capacity: free now, released by tasks that finish, and on machines that boot."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
     """Forecasts the free capacity at each step of the planning horizon."""
 
     def __init__(self, term: Term, scale_out: ScaleOut) -> None:
-        """`scale_out`: tells which machines are requested and not yet granted."""
+        """`scale_out`: lists the machines that are requested and not yet granted."""
         super().__init__(term)
         self._scale_out = scale_out
 
     @property
     def steps_s(self) -> tuple[float, float]:
-        """The steps of the planning horizon, in seconds from now."""
+        """The steps of the planning horizon, in seconds from now, in ascending order."""
         return self.policy.plan_lead / 2, self.policy.plan_lead
 
     def forecast_bins(self, now: float) -> list[list[Bin]]:
-        """The free capacity of each machine that will be in service, for each step.
+        """Returns, for each step, the free capacity of each machine that will be usable.
 
-        Capacity counts that is free now or freed by tasks estimated to end. Machines that can't
-        have booted by a step count at the last step only.
+        Counts capacity that is free now or released by tasks that are estimated to finish. Machines
+        that can't have booted by a step count at the last step only.
         """
         bins_by_step: list[list[Bin]] = [[] for _ in self.steps_s]
         for machine in self.fleet.machines.values():
@@ -55,7 +55,7 @@
         machine_type: wire.MachineType,
         now: float,
     ) -> None:
-        """Adds a machine's free capacity to the steps at which it will be up."""
+        """Adds a machine's free capacity to the steps by which it will have booted."""
         steps_s = self.steps_s
         bins = self._forecast_machine_bins(machine, machine_type, now, steps_s)
         boot_remaining_s = -math.inf
@@ -84,7 +84,7 @@
         now: float,
         steps_s: tuple[float, ...],
     ) -> list[Bin]:
-        """The machine's free capacity at each step."""
+        """Returns the machine's free capacity at each step."""
         first = Bin(
             machine_type,
             machine.zone,
@@ -110,7 +110,10 @@
 
     @staticmethod
     def _estimate_remaining_s(placed: Placement, now: float) -> float:
-        """Seconds until the forecast counts the capacity of a finite task as free."""
+        """Returns the seconds until the forecast counts the capacity of a finite task as free.
+
+        Best-effort tasks count as free at once, tasks without an estimated run time never.
+        """
         spec = placed.job.spec
         if spec.is_best_effort:
             return -math.inf
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -1,4 +1,4 @@
-"""Empties thinly used machines by moving their replicas, so that these can be terminated."""
+"""Empties underutilized machines by moving their replicas, so that they can be terminated."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 class Consolidation(TermActor):
-    """Chooses the machines to be emptied, when the cluster is calm.
+    """Chooses the machines to be emptied while the cluster is stable.
 
-    One at a time in a small fleet, several in a large one. `ReplicaMoves` empties them.
+    One machine at a time in a small fleet, several in a large one. `ReplicaMoves` empties them.
     """
 
     def __init__(
@@ -54,14 +54,14 @@
         self._autoscaler = autoscaler
         self._moves = ReplicaMoves(term, jobs, reconciler, commands, scheduler)
         self._skipped_until: dict[str, float] = {}
-        """Machines that could not be emptied, and until when they are skipped."""
+        """When machines that could not be emptied may be considered again, by name."""
 
     def continue_moves(self, now: float) -> None:
         """Moves the next replica of each machine that is being emptied."""
         self._moves.continue_moves(now)
 
     def consolidate(self, demands: list[Demand]) -> None:
-        """Begins to empty machines when all is calm; `continue_moves` moves their replicas."""
+        """Starts emptying machines if the cluster is stable; `continue_moves` moves replicas."""
         if not self.term.may_act:
             return
         now = self.runtime.now()
@@ -86,7 +86,10 @@
             self._start_emptying(machine, now)
 
     def _may_consolidate(self, now: float) -> bool:
-        """Whether the fleet is in contact, and nothing urgent and no gang is pending."""
+        """Returns whether the fleet is reachable and neither an urgent job nor a gang is pending.
+
+        Urgent jobs are those that rank above `standard`. Nothing is moved early in a term.
+        """
         return (
             self._moves.can_empty_more()
             and now - self.term.began_at > self.policy.settle
@@ -99,7 +102,7 @@
 
     def _make_emptying_rules(self, now: float) -> EmptyingRules:
         def is_settled(placed: Placement) -> bool:
-            # A replica that has just started stays: its start counts for what users see.
+            # A replica that has just started is not moved: users notice each restart.
             return (
                 placed.state == wire.RUNNING
                 and placed.started_at is not None
@@ -126,7 +129,7 @@
     def _choose_machine(
         self, rules: EmptyingRules, mean_price: float, now: float
     ) -> Machine | None:
-        """The next machine to empty; those found to be impossible are skipped for a while."""
+        """Returns the next machine to empty; skips those that can't be emptied for a while."""
         emptying = self._moves.list_machines_being_emptied()
         price_factor = self.policy.move_worth if not emptying else 1.0
         schedulable = self._reconciler.schedulable_machines()
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -1,4 +1,4 @@
-"""Forecast of demand: pending tasks by shape, and what is expected to arrive."""
+"""Forecasts demand: pending tasks by shape, and tasks that are expected to arrive."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
     from ..jobs import JobRegistry
 
 UNLIMITED_CAPACITY = 1e9
-"""Cores or GPUs that a team without a limit may still take."""
+"""Number of cores or GPUs, in effect infinite, that a team without a hard limit may still use."""
 
 
 class DemandForecast(TermActor):
-    """Owns what the forecast knows of the running tasks and the headroom of each job class."""
+    """Forecasts demand from pending tasks, running tasks and the arrivals of each job class."""
 
     def __init__(
         self, term: Term, jobs: JobRegistry, is_in_backoff: Callable[[Pool], bool]
     ) -> None:
-        """`is_in_backoff`: whether a pool refused a short while ago."""
+        """`is_in_backoff`: returns whether a pool is in back-off after a recent refusal."""
         super().__init__(term)
         self._jobs = jobs
         self._gang_zones = GangZones(term, jobs, is_in_backoff)
@@ -42,15 +42,15 @@
             and objective.job_class is not None
             and objective.within < self.settings.lease_s
         }
-        """Job classes whose objective for the wait no new machine can meet.
+        """Job classes whose wait objective is too short for a new machine to meet.
 
-        Capacity for their next job must be there before it.
+        Capacity for their next job must exist before the job arrives.
         """
         self._running_by_class: Counter[str] = Counter()
-        """Placed tasks by job class, as of the last forecast."""
+        """Number of placed tasks by job class, as of the last forecast."""
 
     def forecast_demands(self, now: float) -> list[Demand]:
-        """The demand as of now by shape, in the order in which it would be placed."""
+        """Returns the current demand by shape, in the order in which it would be placed."""
         self._count_running()
         by_shape: dict[Shape, Demand] = {}
         self._add_pending(by_shape)
@@ -63,13 +63,13 @@
         return sorted(demands, key=lambda demand: (demand.shape.rank, -demand.shape.gpus))
 
     def project_demand(self, demand: Demand, step_s: float, now: float) -> Demand:
-        """The demand in `step_s` seconds."""
+        """Returns the demand as projected `step_s` seconds from now."""
         count = demand.count
         limits = demand.max_tasks_by_zone
         limits = dict(limits) if limits is not None else None
         if not (demand.shape.is_service or demand.shape.is_gang):
-            # By then the machines that run such tasks now will have completed a part of the queue.
-            # (A gang needs the capacity for all its tasks at once.)
+            # By then the machines that run such tasks now will have completed part of the queue.
+            # (A gang needs capacity for all its tasks at once.)
             running = self._running_by_class[demand.shape.job_class]
             count = max(0.0, count - running * step_s / max(demand.needed_until_s, 1.0))
         if demand.represents_job_class:
@@ -85,16 +85,19 @@
         )
 
     def _estimate_arrivals(self, demand: Demand, step_s: float, now: float) -> float:
-        """How many tasks of the job class will have arrived and be there in `step_s` seconds."""
+        """Returns how many tasks will have arrived and still be unfinished in `step_s` seconds.
+
+        Counts all tasks of the demand's job class.
+        """
         arrivals = self._jobs.arrivals
         job_class = demand.shape.job_class
-        # Not by the last job's own run time: one long job made the plan provision for a hundred
-        # machines' work.
+        # Uses the average run time of the class: with the last job's run time, one long job made
+        # the autoscaler provision for a hundred machines' work.
         run_s = arrivals.length(job_class, now) or demand.needed_until_s
         expected = arrivals.rate(job_class, now) * min(step_s, run_s)
         if job_class in self._classes_with_headroom:
-            # Capacity for the next job, and for what the loss of a few machines would leave
-            # without.
+            # Headroom for the next job, and for tasks that the loss of a few machines would
+            # displace.
             expected += arrivals.largest(job_class, now)
             expected += math.ceil(self.policy.slack * self._running_by_class[job_class])
         return expected
@@ -107,7 +110,7 @@
             self._running_by_class[job.spec.job_class] += len(job.placements)
 
     def _add_pending(self, by_shape: dict[Shape, Demand]) -> None:
-        """Adds pending tasks, as far as their teams' hard limits allow."""
+        """Adds pending tasks, up to the hard limits of their teams."""
         headroom: dict[str, tuple[float, float]] = {}
         for entry in self._jobs.queue.ordered_jobs():
             job = entry.job
@@ -129,9 +132,10 @@
                 )
 
     def _take_team_headroom(self, job: Job, headroom: dict[str, tuple[float, float]]) -> int | None:
-        """How many of the job's pending tasks its team may still run; takes them off `headroom`.
+        """Returns how many of the job's pending tasks its team may still run.
 
-        None: the team is not known.
+        Subtracts their resources from `headroom` (cores and GPUs by team). Returns None if the team
+        is unknown.
         """
         spec = job.spec
         team = self.term.limits.find_team(spec.team)
@@ -154,10 +158,10 @@
         return count
 
     def _add_running_best_effort(self, by_shape: dict[Shape, Demand]) -> None:
-        """Adds best-effort tasks that run like those that are pending.
+        """Adds running best-effort tasks as if they were pending.
 
-        Their capacity counts as free, so that they get what all other demand leaves, or cheap
-        machines.
+        The capacity they use counts as free, so that they are given what all other demand leaves
+        free, or cheap machines.
         """
         for job in self._jobs.live_jobs.values():
             if not job.placements or job.is_terminal or not job.spec.is_best_effort:
@@ -169,7 +173,7 @@
                 _add_zone_limits(demand, {zone: job.placements_in_zone(zone) for zone in zones})
 
     def _add_expected_arrivals(self, by_shape: dict[Shape, Demand], now: float) -> None:
-        """Adds shapes of which nothing is pending, but more is expected."""
+        """Adds a demand for each shape without pending tasks whose job class expects arrivals."""
         arrivals = self._jobs.arrivals
         for shape, spec in self._jobs.shapes.typical_shapes():
             job_class = shape.job_class
@@ -185,7 +189,7 @@
                 demand.max_tasks_by_zone = dict.fromkeys(self.settings.zones, 0)
 
     def _get_or_add_demand(self, by_shape: dict[Shape, Demand], job: Job) -> Demand:
-        """The demand that the job's tasks belong to."""
+        """Returns the demand of the job's shape; adds it to `by_shape` if it is missing."""
         shape = job.shape
         demand = by_shape.get(shape)
         if demand is None:
@@ -197,7 +201,7 @@
             )
         return demand
 
-    # What demands may use
+    # Machines that demands may use
 
     def _set_expensive_types(self, demands: list[Demand]) -> None:
         for demand in demands:
@@ -210,7 +214,7 @@
                 )
 
     def _count_usable_machines(self, demands: list[Demand]) -> None:
-        """Counts the machines that each demand may use, by zone."""
+        """Sets how many machines in each zone a demand may use."""
         machine_types = self.term.machine_types
         pools = Counter(
             machine.pool
--- a/flaxtally/leader/autoscaling/fleet_summary.py
+++ b/flaxtally/leader/autoscaling/fleet_summary.py
@@ -1,4 +1,4 @@
-"""One log line: how much of the capacity that is paid for is used, by machine type."""
+"""Summarizes in one log line how much of the provisioned capacity is used, by machine type."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass
 class _TypeUsage:
-    """The machines of one type and kind of rental."""
+    """Usage of the machines of one type, either spot or on-demand."""
 
     machine_count: int = 0
     booting_count: int = 0
     idle_count: int = 0
     utilization_sum: float = 0.0
-    """Sum of the used shares of GPUs, or of cores where there are no GPUs."""
+    """Sum over machines of the fraction of GPUs in use, or of cores on machines without GPUs."""
     service_count: int = 0
-    """Machines that run services, which keep them for long."""
+    """Number of machines that run services, which occupy them for a long time."""
 
     def add_machine(self, machine: Machine, machine_type: wire.MachineType) -> None:
-        """Counts a machine."""
+        """Adds a machine to the counts."""
         self.machine_count += 1
         self.booting_count += machine.is_booting
         self.idle_count += not machine.is_booting and not machine.placements
@@ -43,7 +43,7 @@
 def describe_fleet(
     machines: Iterable[Machine], machine_types: Mapping[str, wire.MachineType]
 ) -> str:
-    """The machines by type, spot instances marked with a star."""
+    """Returns the usage by machine type as text, with a star after the type of spot machines."""
     usages: dict[str, _TypeUsage] = {}
     for machine in machines:
         machine_type = machine_types.get(machine.machine_type)
@@ -58,7 +58,7 @@
 
 
 def count_pending_tasks(queue: PendingQueue) -> dict[str, int]:
-    """The number of pending tasks by job class."""
+    """Returns the number of pending tasks by job class."""
     pending: dict[str, int] = {}
     for job in queue.pending_jobs():
         pending[job.spec.job_class] = pending.get(job.spec.job_class, 0) + job.pending_count
--- a/flaxtally/leader/autoscaling/forecast.py
+++ b/flaxtally/leader/autoscaling/forecast.py
@@ -1,4 +1,4 @@
-"""Demand against free capacity at each step of the planning horizon."""
+"""Compares demand with free capacity at each step of the planning horizon."""
 
 from __future__ import annotations
 
@@ -21,31 +21,32 @@
 
 
 class Forecast(TermActor):
-    """Brings the forecasts of demand and of capacity together."""
+    """Combines the forecasts of demand and of capacity."""
 
     def __init__(self, term: Term, jobs: JobRegistry, scale_out: ScaleOut) -> None:
-        """`scale_out`: knows the machines requested, and the pools in backoff."""
+        """`scale_out`: lists the requested machines and the pools in back-off."""
         super().__init__(term)
         self._jobs = jobs
         self._capacity = CapacityForecast(term, scale_out)
         self._demand = DemandForecast(term, jobs, scale_out.is_in_backoff)
 
     def forecast_demands(self, now: float) -> list[Demand]:
-        """The demand as of now, in the order in which it would be placed."""
+        """Returns the current demand, in the order in which it would be placed."""
         return self._demand.forecast_demands(now)
 
     def forecast_steps(self, now: float, demands: list[Demand]) -> list[ForecastStep]:
-        """The projected demand and the capacity that may hold some of it, for each step."""
+        """Returns, for each step, the projected demand and the capacity usable for any of it."""
         return self._project(now, demands, self._capacity.forecast_bins(now))
 
     def make_spare_check(self, demands: list[Demand], now: float) -> Callable[[set[str]], bool]:
-        """Makes a check of whether the fleet can do without the machines of the given names.
+        """Returns a function that checks whether the fleet can spare machines, given by name.
 
         It can if, at each step, as much of the demand finds capacity without them as with them.
         """
         bins_by_step = self._capacity.forecast_bins(now)
         for free_bin in itertools.chain.from_iterable(bins_by_step):
-            # Best-effort work keeps no machine that is expensive for it, whatever else is there.
+            # No machine is kept for best-effort tasks for which it is too expensive, even if it
+            # runs other tasks too.
             free_bin.has_regular_tasks = False
         steps = [
             (step, self._count_unplaced(step.demands, step.free_capacity.copy()))
@@ -72,7 +73,7 @@
         return steps
 
     def _count_unplaced(self, demands: list[Demand], free_capacity: FreeCapacity) -> list[int]:
-        """How many tasks of each demand find no capacity; uses up `free_capacity`."""
+        """Returns how many tasks of each demand find no capacity; consumes `free_capacity`."""
         return [
             pack_demand(_copy_limits(demand), free_capacity, self._jobs.gpu_reservations)
             for demand in demands
@@ -80,6 +81,6 @@
 
 
 def _copy_limits(demand: Demand) -> Demand:
-    """A copy of the demand whose limits by zone packing may use up."""
+    """Returns a copy of the demand whose limits by zone may be decremented by packing."""
     limits = demand.max_tasks_by_zone
     return replace(demand, max_tasks_by_zone=None if limits is None else dict(limits))
--- a/flaxtally/leader/autoscaling/idle_machines.py
+++ b/flaxtally/leader/autoscaling/idle_machines.py
@@ -1,4 +1,4 @@
-"""Which machines nothing but leftover best-effort tasks needs, and which of them can go."""
+"""Finds machines that are idle, or run only best-effort tasks, and chooses which to terminate."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from ..jobs import JobRegistry
 
 MAX_SCALE_IN_CHECKS = 8
-"""How often a step of the autoscaler checks whether idle machines can go."""
+"""Maximum number of checks per planning step of whether the fleet can spare idle machines."""
 
 
 class IdleMachines(TermActor):
-    """Finds the machines that have been idle for the cool-down time."""
+    """Finds the machines that were not needed for the cool-down time."""
 
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
-        """`jobs`: knows what GPU tasks need beside their GPUs."""
+        """`jobs`: tells which cores and memory GPU tasks need beside their GPUs."""
         super().__init__(term)
         self._jobs = jobs
 
     def find_idle(self, now: float) -> list[Machine]:
-        """The idle machines, the most expensive ones first."""
+        """Returns the idle machines, in descending order of price."""
         idle = [
             machine
             for machine in self.fleet.machines.values()
@@ -44,7 +44,11 @@
         return not machine.placements and now - machine.idle_since > self.policy.cool_down
 
     def _has_only_expensive_best_effort(self, machine: Machine, now: float) -> bool:
-        """Whether for long only best-effort tasks ran here, for which it is too expensive."""
+        """Returns whether only best-effort tasks run here and the machine is too expensive.
+
+        They must have been the only tasks for longer than the cool-down time, and the machine too
+        expensive for each of their jobs.
+        """
         if machine.non_best_effort_count or now - machine.unneeded_since <= self.policy.cool_down:
             return False
         is_too_expensive: dict[int, bool] = {}
@@ -69,10 +73,10 @@
 def choose_spare_machines(
     idle: list[Machine], can_spare: Callable[[set[str]], bool]
 ) -> list[Machine]:
-    """The idle machines that can be spared together.
+    """Returns the idle machines that can be spared together.
 
-    Checks all at once, or else a half, and so on: one by one, fifty idle machines kept the event
-    loop busy for seconds.
+    Checks all at once, then the first half if that fails, and so on: checking fifty idle machines
+    one by one blocked the event loop for seconds.
     """
     spare: list[Machine] = []
     size = len(idle)
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -27,7 +27,7 @@
 
 
 class ReplicaMoves(TermActor):
-    """Owns the machines being emptied, and the moves of their replicas under way."""
+    """Owns the machines being emptied and the moves of replicas in flight."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         commands: CommandSender,
         scheduler: Scheduler,
     ) -> None:
-        """`scheduler`: places a stopped replica on the machine that was chosen for it."""
+        """`scheduler`: places a stopped replica on the machine chosen for it."""
         super().__init__(term)
         self._jobs = jobs
         self._reconciler = reconciler
@@ -45,16 +45,16 @@
         self._scheduler = scheduler
         self._emptying_since: dict[str, float] = {}
         self._image_fetches_since: dict[Placement, float] = {}
-        """Moved replicas whose new machine has to fetch the image, and since when."""
+        """Start times of moves in which the new machine has to fetch the image."""
 
     # Machines being emptied
 
     def can_empty_more(self) -> bool:
-        """Whether one more machine may be emptied in a fleet of this size."""
-        return len(self._emptying_since) < max(1, self._max_disrupted_machines())
+        """Returns whether one more machine may be emptied in a fleet of this size."""
+        return len(self._emptying_since) < max(1, self._compute_max_disrupted_machines())
 
     def list_machines_being_emptied(self) -> list[Machine]:
-        """The machines being emptied that still exist."""
+        """Returns the machines being emptied that still exist."""
         return [
             machine
             for name in self._emptying_since
@@ -62,26 +62,29 @@
         ]
 
     def start_emptying(self, machine: Machine, now: float) -> None:
-        """Has the replicas of the machine moved from now on."""
+        """Adds the machine to those whose replicas `continue_moves` moves."""
         self._emptying_since[machine.name] = now
 
     def is_fleet_reachable(self, now: float) -> bool:
-        """Whether no more than a few machines missed their heartbeats."""
+        """Returns whether only a few machines have missing heartbeats."""
         overdue_count = sum(
             now - machine.last_heartbeat_at >= self.policy.machine_suspect
             for machine in self.fleet.machines.values()
             if not machine.is_booting
         )
-        return overdue_count <= self._max_disrupted_machines()
+        return overdue_count <= self._compute_max_disrupted_machines()
 
     def make_target_search(self) -> TargetSearch:
-        """How machines are searched to which replicas can move."""
+        """Returns the parameters of a search for machines to which replicas can move."""
         return TargetSearch(
             self._jobs.gpu_reservations, self.policy.sample, self._jobs.excluded_zones
         )
 
-    def _max_disrupted_machines(self) -> int:
-        """How many machines may be silent or emptied at a time in a fleet of this size."""
+    def _compute_max_disrupted_machines(self) -> int:
+        """Returns how many machines may be emptied, or miss heartbeats, at the same time.
+
+        A small fraction of the fleet.
+        """
         return len(self.fleet.machines) // (2 * self.policy.sample)
 
     # Moves
@@ -89,7 +92,7 @@
     def continue_moves(self, now: float) -> None:
         """Moves the next replica of each machine that is being emptied.
 
-        Once the last one is placed, and while the fleet is in contact.
+        Waits until the previous replica is placed, and while the fleet is not reachable.
         """
         index: MachineIndex | None = None
         must_wait = not self.is_fleet_reachable(now) or self._is_pending(wire.SERVICE)
@@ -99,7 +102,7 @@
             if machine is None or machine.is_terminating or not machine.placements:
                 del self._emptying_since[name]
                 continue
-            # A pending gang may need the very capacity of a machine that is being emptied.
+            # A pending gang may need the capacity of the machine that is being emptied.
             is_overdue = is_gang_pending or now - since > self.policy.move_patience
             if is_overdue and machine.preempted_by_cloud_at is None:
                 self._abandon_emptying(machine)
@@ -125,9 +128,10 @@
         return MachineIndex.of(schedulable, self.term.machine_types, self.rng)
 
     def _move_next_replica(self, machine: Machine, index: MachineIndex, now: float) -> None:
-        """Moves the machine's next replica to where there is capacity for it now.
+        """Moves the machine's next replica to a machine that has capacity for it now.
 
-        Few fetch their image at a time: each of them is away for seconds.
+        Limits how many moved replicas fetch an image at the same time: each of them is unavailable
+        for seconds.
         """
         self._forget_completed_fetches(now)
         placed = next((placed for placed in list_replicas(machine) if placed.was_reported), None)
@@ -146,7 +150,7 @@
         self._commands.stop_task(placed, 0.0)
 
     def _forget_completed_fetches(self, now: float) -> None:
-        """Forgets replicas that run on their new machine, or should have long ago."""
+        """Removes replicas that run on their new machine or whose move is overdue."""
         self._image_fetches_since = {
             placed: since
             for placed, since in self._image_fetches_since.items()
@@ -154,7 +158,7 @@
         }
 
     def _preempt_best_effort_for(self, machine: Machine) -> None:
-        """Stops best-effort tasks elsewhere where that frees capacity for the replicas."""
+        """Stops best-effort tasks on other machines if that frees capacity for the replicas."""
         if not any(
             job.placements and job.spec.is_best_effort for job in self._jobs.live_jobs.values()
         ):
@@ -174,6 +178,6 @@
 
 
 def _runs_elsewhere(placed: Placement) -> bool:
-    """Whether the task of an earlier placement runs under a later one."""
+    """Returns whether the task of an earlier placement runs under a later one."""
     current = placed.job.placements.get(placed.task)
     return current is not None and current is not placed and current.state == wire.RUNNING
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Machines that are terminated, and the cloud's list of the machines that exist."""
+"""Terminates machines, and compares the fleet with the cloud's list of machines."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class ScaleIn(TermActor):
-    """Owns the termination request under way, and the request for the cloud's list."""
+    """Owns the termination request and the list request that are in flight."""
 
     def __init__(
         self,
@@ -28,7 +28,7 @@
         commands: CommandSender,
         on_machine_removed: Callable[[Machine], None],
     ) -> None:
-        """`on_machine_removed`: called once a machine is proven to be gone."""
+        """`on_machine_removed`: called once a machine is proven to be terminated."""
         super().__init__(term)
         self._commands = commands
         self._on_machine_removed = on_machine_removed
@@ -39,9 +39,9 @@
     # Termination
 
     def terminate(self, machine: Machine, reason: str) -> None:
-        """Marks a machine for termination with all that is on it.
+        """Marks a machine, with all tasks on it, for termination.
 
-        Nothing is placed there from now on; `send_terminations` sends the request.
+        Nothing is placed there any more; `send_terminations` sends the request.
         """
         log.info(
             "event=machine_termination_requested term=%d machine=%s type=%s zone=%s spot=%s "
@@ -83,7 +83,7 @@
                 self._remove_machine(name)
 
     def _remove_machine(self, name: str) -> None:
-        """Forgets a machine: the cloud's 200 proves that it and all that was on it are gone."""
+        """Removes a machine: the cloud's 200 proves that it and its tasks are terminated."""
         machine = self.fleet.machines.pop(name, None)
         self.fleet.removed_machines.add(name)
         if machine is not None:
@@ -92,9 +92,11 @@
     # The cloud's list
 
     def list_machines(self) -> None:
-        """Asks the cloud for its list, which lags: it finds machines, and never proves one gone.
+        """Requests the cloud's list of machines, which lags behind the actual state.
 
-        One list at a time: at thousands of machines it takes longer than the step between two.
+        The list serves to discover machines; it never proves that one is terminated. One list is
+        requested at a time: with thousands of machines it takes longer than the interval between
+        two calls of this method.
         """
         now = self.runtime.now()
         if self._is_listing_in_flight or now < self._next_listing_at:
@@ -105,7 +107,8 @@
     def _on_listed(self, requested_at: float, entries: list[wire.Listed] | None) -> None:
         now = self.runtime.now()
         self._is_listing_in_flight = False
-        # A long list takes many calls: half of them are left to others.
+        # A long list takes many API calls: waiting as long as it took leaves half of the allowed
+        # calls to other requests.
         self._next_listing_at = now + (now - requested_at)
         if entries is None or not self.term.may_act:
             return
@@ -116,12 +119,13 @@
         self.send_terminations()
 
     def _terminate_unlisted(self, listed: set[str], requested_at: float) -> None:
-        """Terminates machines that an earlier leader terminated and could not commit.
+        """Terminates machines whose termination an earlier leader could not commit.
 
-        The ledger places tasks on them, they sent no heartbeat in this term, and the cloud no
-        longer lists them. The list proves nothing; the answer to the termination will. A machine
-        newer than the listed ones may exist and not be listed yet: names are in the order of
-        creation, and after twice the lag all machines of the earlier leader are listed.
+        The ledger has tasks placed on them, they sent no heartbeat in this term, and the cloud no
+        longer lists them. Absence from the list proves nothing; the reply to the termination
+        request will. A machine newer than the listed ones may exist and not be listed yet: names
+        are in the order of creation, and after twice the lag of the list all machines of the
+        earlier leader are listed.
         """
         is_list_lag_over = requested_at - self.term.began_at > 2 * self.settings.list_lag_s
         newest = max(listed, default="")
@@ -135,7 +139,9 @@
                 is_list_lag_over or machine.name < newest
             )
             if is_unknown and machine.placements and is_absent_from_list:
-                self.terminate(machine, "placed on by an earlier leader, silent and not listed")
+                self.terminate(
+                    machine, "tasks placed by an earlier leader, no heartbeat, not listed"
+                )
 
     def _get_or_add_machine(self, entry: wire.Listed, now: float) -> Machine:
         machine = self.fleet.machines.get(entry.machine)
@@ -153,7 +159,7 @@
         return machine
 
     def _update_machine(self, machine: Machine, entry: wire.Listed, now: float) -> None:
-        """Takes over what the cloud's list says of a machine."""
+        """Updates a machine from its entry in the cloud's list."""
         if not machine.machine_type:
             machine.machine_type = entry.machine_type
             machine.spot = entry.spot
--- a/flaxtally/leader/autoscaling/scale_out.py
+++ b/flaxtally/leader/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Provisioning requests under way, and instance pools in backoff after a refusal."""
+"""Sends provisioning requests, and applies a back-off to instance pools that refuse them."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 log = logging.getLogger(__name__)
 
 MAX_BACKOFF_FACTOR = 8
-"""A pool's backoff is at most this many times half of `pool_rest`, however often it refused."""
+"""Upper bound of a pool's back-off, as a multiple of half of the policy's `pool_rest`."""
 
 
 @dataclass
 class _Request:
-    """A provisioning request whose outcome is not known."""
+    """A provisioning request whose outcome is not known yet."""
 
     pool: Pool
     count: int
@@ -33,10 +33,10 @@
 
 
 class ScaleOut(TermActor):
-    """Owns the provisioning requests under way.
+    """Owns the provisioning requests in flight.
 
-    Each request is sent under one name until its outcome is known, so that a repeated one is not
-    executed twice.
+    Each request keeps its name until its outcome is known, so that the cloud does not execute a
+    repeated request twice.
     """
 
     def __init__(self, term: Term, on_rescale_due: Callable[[], None]) -> None:
@@ -49,19 +49,19 @@
         self._consecutive_refusals: dict[Pool, int] = {}
         self._is_rescale_scheduled = False
         self._awaiting_reply: set[str] = set()
-        """Requests that were sent and not answered; none is sent twice at a time."""
+        """Names of the requests with a call in flight; none is sent again meanwhile."""
 
     def list_pending_machines(self) -> Iterator[tuple[Pool, int]]:
-        """Pool and count of the machines requested and not yet granted or refused."""
+        """Yields pool and count of the machines requested and not yet granted or refused."""
         for request in self._requests.values():
             yield request.pool, request.count
 
     def is_in_backoff(self, pool: Pool) -> bool:
-        """Whether the pool refused a short while ago."""
+        """Returns whether the pool is in back-off after a recent refusal."""
         return self._backoff_until.get(pool, 0.0) > self.runtime.now()
 
     def provision(self, pool: Pool, count: int, decision: ProvisionDecision) -> None:
-        """Asks the cloud for machines of a pool; `decision` is logged as the reason."""
+        """Requests machines of a pool from the cloud; `decision` is logged as the reason."""
         self._request_count += 1
         name = f"{self.settings.node}-{self.term.number}-{self._request_count}"
         log.info(
@@ -82,10 +82,9 @@
         self._send(name)
 
     def retry_requests(self) -> None:
-        """Repeats, under the same name, the requests whose answer was lost.
+        """Repeats, under the same name, the requests whose reply was lost.
 
-        Requests older than the planning horizon are dropped: after an outage the gap is planned
-        again.
+        Drops requests older than the planning horizon: after an outage the gap is planned again.
         """
         now = self.runtime.now()
         self._backoff_until = {
@@ -116,7 +115,7 @@
             return
         self._requests.pop(name, None)
         if outcome is ProvisionOutcome.UNAVAILABLE:
-            # It was not executed, and the next plan knows better what is needed by then.
+            # The request was not executed; the next planning step works with newer demand.
             return
         self._add_machines(request, machines)
         if len(machines) < request.count:
@@ -133,7 +132,7 @@
         self._consecutive_refusals[pool] = 0 if machines else refusals + 1
 
     def _start_backoff(self, request: _Request, granted_count: int) -> None:
-        """Avoids the pool, longer after each refusal in a row, and plans the gap again soon."""
+        """Starts an exponential back-off of the pool and schedules planning of the gap again."""
         pool = request.pool
         factor = min(2 ** self._consecutive_refusals[pool], MAX_BACKOFF_FACTOR)
         self._backoff_until[pool] = self.runtime.now() + self.policy.pool_rest * factor / 2
--- a/flaxtally/leader/gang_scheduling/__init__.py
+++ b/flaxtally/leader/gang_scheduling/__init__.py
@@ -1,8 +1,8 @@
-"""Gangs: all tasks at once or none, with reservations and the choice of a zone.
+"""Gang scheduling: all tasks of a gang are placed at once or none.
 
-Owns the attempts of gangs. Begin with `gang_scheduler`, which places gangs and reacts to what
-happens to their tasks: `gang_attempts` says where an attempt stands, `gang_machines` chooses
-machines, `gang_stops` stops a gang as a whole. `gang_reservations` keeps machines for gangs that
-have waited for long, `gang_zones` chooses the zone in which the autoscaler keeps capacity for them.
-The decisions themselves are in `flaxtally/gangs/`.
+Owns the attempts of gangs. Begin with `gang_scheduler`, which places gangs and reacts to changes of
+their tasks: `gang_attempts` derives the phase of an attempt, `gang_machines` chooses machines,
+`gang_stops` stops a gang as a whole. `gang_reservations` reserves machines for gangs that have been
+pending for long, `gang_zones` chooses the zone in which the autoscaler keeps capacity for them.
+The decisions themselves are made in `flaxtally/gangs/`.
 """
--- a/flaxtally/leader/gang_scheduling/gang_attempts.py
+++ b/flaxtally/leader/gang_scheduling/gang_attempts.py
@@ -1,4 +1,4 @@
-"""What the leader knows of the attempts of gangs besides the ledger."""
+"""State of gang attempts that the leader holds in memory, in addition to the ledger."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class GangAttempt:
-    """What this leader knows of an attempt of a gang besides the ledger."""
+    """State of one attempt of a gang that is not in the ledger."""
 
     __slots__ = (
         "grace_s",
@@ -34,37 +34,37 @@
     )
 
     def __init__(self, number: int, launched_at: float) -> None:
-        """An attempt of which nothing but its launch is known."""
+        """Creates an attempt of which only the launch is known; `launched_at` in loop time."""
         self.number = number
         self.launched_at = launched_at
         self.has_run = False
-        """Some task was seen running."""
+        """Whether some task was reported as running."""
         self.is_broken = False
-        """It can't be completed any more; all its tasks are to exit."""
+        """Whether the attempt can't complete any more, so that all its tasks have to exit."""
         self.is_done = False
         self.stopped_at: float | None = None
-        """When its tasks were ordered to save and exit."""
+        """When the tasks were first commanded to save and exit; None: they were not."""
         self.grace_s = 0.0
-        """How long they have for that."""
+        """Seconds that the tasks have for saving a checkpoint."""
         self.machines_with_lost_tasks: set[str] = set()
-        """Machines that may still report a task of the attempt that has ended there."""
+        """Machines that may still report a task of the attempt that has finished there."""
 
 
 class GangAttempts(TermActor):
-    """Owns the attempts of this term, and derives from them where each gang stands."""
+    """Owns the attempts of this term, and derives the phase and next action of each gang."""
 
     def __init__(self, term: Term) -> None:
-        """Begins without attempts: those of an earlier term are built when they are asked for."""
+        """Starts without attempts: those of an earlier term are created when first requested."""
         super().__init__(term)
         self.timeouts = GangTimeouts(self.settings.gang_wait_s, self.settings.gang_peer_s)
         self._attempts: dict[int, GangAttempt] = {}
 
     def get_or_create_attempt(self, job: Job) -> GangAttempt:
-        """The newest attempt of the gang."""
+        """Returns the newest attempt of the gang."""
         newest = job.newest_attempt
         attempt = self._attempts.get(job.number)
         if attempt is None or attempt.number != newest:
-            # Of an earlier term: what its tasks did becomes known from heartbeats.
+            # An earlier leader launched it: heartbeats will report the state of its tasks.
             attempt = GangAttempt(newest, self.term.began_at)
             self._attempts[job.number] = attempt
         return attempt
@@ -76,19 +76,19 @@
             self._attempts[job.number] = GangAttempt(number, self.runtime.now())
 
     def list_job_numbers(self) -> list[int]:
-        """The gangs of which an attempt is known."""
+        """Returns the job numbers of the gangs that have an attempt."""
         return list(self._attempts)
 
     def remove_attempt(self, job_number: int) -> None:
-        """Forgets the attempt of a gang that is over."""
+        """Removes the attempt of a gang that is terminal."""
         del self._attempts[job_number]
 
     def derive_phase_of(self, job: Job) -> Phase:
-        """Where the gang stands."""
+        """Returns the phase of the gang's newest attempt."""
         return derive_phase(self._build_status(job))
 
     def decide_next_action(self, job: Job) -> Action:
-        """What is to be done next about the gang."""
+        """Returns the next action for the gang."""
         return decide_action(self._build_status(job), self.timeouts, job.spec.checkpoint_save_s)
 
     def _build_status(self, job: Job) -> GangStatus:
--- a/flaxtally/leader/gang_scheduling/gang_machines.py
+++ b/flaxtally/leader/gang_scheduling/gang_machines.py
@@ -1,4 +1,4 @@
-"""Choice of machines for a gang, under the limits of its team and its objective for the wait."""
+"""Chooses machines for a gang, within the limits of its team and its wait objective."""
 
 from __future__ import annotations
 
@@ -23,14 +23,17 @@
     from .gang_attempts import GangAttempts
 
 MAX_FETCH_FRACTION = 0.8
-"""Of `gang_wait_s`, and of a wait objective: a gang whose last image takes longer would be late."""
+"""Maximum image fetch time, as a fraction of `gang_wait_s` and of the wait objective.
+
+A gang whose slowest image fetch takes longer would start too late.
+"""
 
 
 class GangMachineChooser(TermActor):
-    """Chooses machines for all tasks of a gang, or for those that it lost."""
+    """Chooses machines for all tasks of a gang, or for its lost tasks."""
 
     def __init__(self, term: Term, jobs: JobRegistry, attempts: GangAttempts) -> None:
-        """`attempts`: knows where tasks of an attempt were lost."""
+        """`attempts`: records on which machines tasks of an attempt were lost."""
         super().__init__(term)
         self._jobs = jobs
         self._attempts = attempts
@@ -49,7 +52,10 @@
         *,
         reserve_for_gpus: bool,
     ) -> GangMachines | None:
-        """Machines for the tasks of the gang that are missing; None: not for all of them."""
+        """Returns machines for the missing tasks of the gang, or None if not all can be placed.
+
+        `reserve_for_gpus`: what GPU tasks need besides their GPUs stays reserved for them.
+        """
         if not self._jobs.is_within_limit(job.spec, task_count):
             return None
         search = GangMachineSearch(
@@ -78,9 +84,10 @@
         )
 
     def _choose_for_all(self, search: GangMachineSearch, max_fetch_s: float) -> GangMachines | None:
-        """Machines for all tasks; where the images would be late, GPU machines too.
+        """Returns machines for all tasks, also GPU machines if images would arrive too late.
 
-        What these reserve for GPU tasks is taken for a gang's short time: images are there sooner.
+        The capacity reserved there for GPU tasks may be used if that makes the images available
+        sooner, as a gang runs for a short time only.
         """
         choice = choose_machines_for_gang(search, self.fleet.zones, max_fetch_s)
         max_wait_s = self._max_wait_s_by_class.get(search.spec.job_class, math.inf)
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -1,4 +1,4 @@
-"""Machines reserved for a gang that has waited for long, so that small work doesn't overtake it."""
+"""Reserves machines for gangs pending for long, so that small jobs don't starve them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class _GangReservation:
-    """Machines on which nothing of the gang's rank or lower is placed, until a time."""
+    """Machines on which no other job of the gang's rank or lower is placed until `expires_at`."""
 
     job_number: int
     rank: int
@@ -36,25 +36,30 @@
 
 
 class GangReservations(TermActor):
-    """Owns the machines reserved for gangs: for one gang of each rank at a time, and not for long.
+    """Owns the machines reserved for gangs: for one gang of each rank at a time, until a deadline.
 
-    What runs there ends by itself; the machines whose tasks end first are reserved. A gang for
-    which they were reserved in vain lets another one go first.
+    Running tasks on them are not stopped; the machines whose tasks finish first are reserved. A
+    gang whose reservation expired unused must wait before it gets another, so that another gang
+    can get one first.
     """
 
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
-        """`jobs`: tells whether a gang with a reservation is still pending."""
+        """`jobs`: used to check whether a gang with a reservation is still pending."""
         super().__init__(term)
         self._jobs = jobs
         self._reservations: dict[int, _GangReservation] = {}
-        """By rank."""
+        """The reservation of each rank that has one."""
         self._reservation_backoff_until: dict[int, float] = {}
-        """Gangs with a reservation in vain, and until when they get no other."""
+        """Until when gangs with an earlier reservation get no other, by job number."""
         self._released_machines: set[str] = set()
-        """Machines whose reservation ended since `take_released_machines` was called."""
+        """Machines whose reservation ended since the last call of `take_released_machines`."""
 
     def reserve_machines(self, job: Job, index: MachineIndex) -> None:
-        """Reserves machines for the gang, if there is no reservation of its rank."""
+        """Reserves machines for the gang if its rank has no reservation.
+
+        Does nothing while the gang is in back-off after an earlier reservation, nor for a gang that
+        must be spread over zones.
+        """
         rank = wire.RANKS[job.spec.rank]
         now = self.runtime.now()
         self._expire_reservations(now)
@@ -75,14 +80,14 @@
         )
 
     def on_gang_placed(self, job: Job) -> None:
-        """Ends the reservation of a gang that is placed."""
+        """Ends the reservation of a gang that was placed."""
         self._reservation_backoff_until.pop(job.number, None)
         reservation = self._reservations.get(wire.RANKS[job.spec.rank])
         if reservation is not None and reservation.job_number == job.number:
             self._end_reservation(reservation)
 
     def make_machine_filter(self, job: Job) -> MachineFilter | None:
-        """Accepts machines that aren't reserved against the job; None: none is reserved."""
+        """Returns a filter that rejects machines reserved against the job; None: there are none."""
         self._expire_reservations(self.runtime.now())
         rank = wire.RANKS[job.spec.rank]
         reserved = [
@@ -96,7 +101,7 @@
         return lambda machine: machine.name not in names
 
     def take_released_machines(self) -> set[str]:
-        """The machines whose reservation ended since the last call."""
+        """Returns the machines whose reservation ended since the last call."""
         self._expire_reservations(self.runtime.now())
         released = self._released_machines
         self._released_machines = set()
@@ -118,7 +123,7 @@
         self._released_machines |= reservation.machines
 
     def _choose_machines(self, job: Job, index: MachineIndex, now: float) -> frozenset[str] | None:
-        """The machines that together hold the gang soonest, as their finite tasks end."""
+        """Returns the machines that can hold the whole gang soonest, once finite tasks finish."""
 
         def candidates_outside(excluded_zones: Collection[str]) -> Iterator[Candidate]:
             max_machines = placement.WIDEN**2 * self.policy.sample
@@ -134,7 +139,7 @@
 
 
 def _list_finite_tasks(machine: Machine, now: float) -> list[Victim]:
-    """The tasks that end by themselves; the seconds until then are the cost."""
+    """Returns the tasks that finish by themselves, with the seconds until then as their cost."""
     return [
         Victim(placed, _estimate_remaining_s(placed, now))
         for placed in machine.finite_placements.values()
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -1,4 +1,4 @@
-"""Gangs under the leader: they are placed, launched, replaced and given up as a whole."""
+"""Places and launches gangs, replaces their lost tasks, and stops or abandons them as a whole."""
 
 from __future__ import annotations
 
@@ -29,10 +29,11 @@
 
 
 class GangScheduler(TermActor):
-    """Places gangs, and reacts to what happens to their tasks.
+    """Places gangs, and reacts to changes of their tasks.
 
-    An attempt is one batch of records: it is committed whole or not at all, and nothing of it is
-    launched before. The next attempt begins when no task of the last one is on a machine any more.
+    The placements of an attempt are one batch of records, committed as a whole or not at all, and
+    no task is launched before. The next attempt begins when no machine has a task of the previous
+    one any more.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
     ) -> None:
         """`finish_attempt`: called with a placement that was never launched, and the reason.
 
-        The reconciler, which owns the proofs that a placement is over, gives it.
+        It is provided by the reconciler, which decides when an attempt is proven to be finished.
         """
         super().__init__(term)
         self._jobs = jobs
@@ -54,12 +55,12 @@
         self._machines = GangMachineChooser(term, jobs, self._attempts)
         self._stops = GangStops(term, commands, self._attempts)
         self._no_capacity_until: dict[int, float] = {}
-        """Gangs for which there was no capacity, and when to search again."""
+        """When to search again for gangs for which there was no capacity, by job number."""
 
     # Placing
 
     def is_due(self, job: Job) -> bool:
-        """Whether to search capacity for the gang: not again right after there was none."""
+        """Returns whether to search capacity for the gang: after a failed search, a back-off."""
         search_again_at = self._no_capacity_until.get(job.number, 0.0)
         return self.ledger.state.format >= formats.GANGS and search_again_at <= self.runtime.now()
 
@@ -71,7 +72,7 @@
         *,
         reserve_for_gpus: bool,
     ) -> int:
-        """Places what is due of a gang, all of it or nothing; returns how many tasks.
+        """Places all missing tasks of a gang or none, and returns how many it placed.
 
         `reserve_for_gpus`: what GPU tasks need besides their GPUs stays reserved for them.
         """
@@ -95,7 +96,7 @@
     def _propose_placements(
         self, job: Job, attempt: int, tasks: list[int], machines: list[Machine]
     ) -> None:
-        """Proposes the placements together; they are launched when the last is committed."""
+        """Proposes the placements in one batch; they are launched once all are committed."""
         now = self.runtime.now()
         proposed: list[Placement] = []
         self.ledger.propose_batch(
@@ -132,15 +133,16 @@
             for placed in current:
                 self._commands.launch_task(placed)
             return
-        # A machine was terminated meanwhile, or it was called off: nothing of it was launched.
+        # A machine was terminated meanwhile, or the gang was cancelled or stopped: none of these
+        # placements was launched.
         for placed in current:
             self._finish_attempt(placed, EndReason.WITHDRAWN_BEFORE_LAUNCH)
         self._abandon_if_lost(job)
 
-    # What happens to an attempt
+    # Changes of tasks and machines
 
     def on_task_running(self, placed: Placement) -> None:
-        """A task of a gang was reported as running."""
+        """Handles a report that a task of a gang is running."""
         attempt = self._attempts.get_or_create_attempt(placed.job)
         if not attempt.has_run:
             attempt.has_run = True
@@ -153,7 +155,7 @@
             )
 
     def on_task_finished(self, placed: Placement, cause: str, *, is_done: bool) -> None:
-        """A task of a gang is proven over, by that cause."""
+        """Handles a task of a gang that is proven to be finished; `cause`: the exit cause."""
         job = placed.job
         attempt = self._attempts.get_or_create_attempt(job)
         if placed.attempt == job.newest_attempt:
@@ -167,13 +169,16 @@
                 placed.attempt,
             )
         elif not is_done and cause in (wire.CAUSE_PEERS, wire.CAUSE_ALONE):
-            # What is left of the attempt exits too: waiting for it would only take time.
+            # The other tasks of the attempt will exit too: waiting for that would only take time.
             attempt.is_broken = True
         self._no_capacity_until.pop(job.number, None)
         self._abandon_if_lost(job)
 
     def on_preemption_notice(self, job: Job, notice_s: float) -> None:
-        """The cloud takes a machine of the gang in `notice_s` seconds."""
+        """Handles the cloud's notice that it preempts a machine of the gang in `notice_s` seconds.
+
+        Stops the gang unless its tasks run and can't save a checkpoint in time.
+        """
         can_save = (
             job.spec.checkpoint_interval_s
             and job.spec.checkpoint_save_s + self._attempts.timeouts.peer_s < notice_s
@@ -183,7 +188,7 @@
             self.stop_gang(job, "preemption notice")
 
     def watch(self) -> None:
-        """Repeats commands to stop that were not carried out; forgets gangs that are over."""
+        """Repeats stop commands that were not executed; removes attempts of terminal gangs."""
         self._request_pass_for_waiting_gangs()
         for number in self._attempts.list_job_numbers():
             if number not in self._jobs.live_jobs:
@@ -196,12 +201,15 @@
                 self._stops.repeat_stops(job)
 
     def _abandon_if_lost(self, job: Job) -> None:
-        """Gives the attempt up if it can't be completed any more."""
+        """Abandons the attempt if it can't complete any more."""
         if job.placements and self._attempts.decide_next_action(job) is Action.ABANDON:
-            self._stops.abandon_gang(job, "a task is gone")
+            self._stops.abandon_gang(job, "a task was lost")
 
     def _request_pass_for_waiting_gangs(self) -> None:
-        """A pass for gangs that found no capacity a while ago: nothing else may ask for one."""
+        """Requests a scheduling pass once the back-off of a gang without capacity has ended.
+
+        There may be no other event that causes a pass.
+        """
         now = self.runtime.now()
         still_backing_off = {
             number: until for number, until in self._no_capacity_until.items() if until > now
@@ -213,17 +221,17 @@
     # Stopping
 
     def can_stop(self, job: Job) -> bool:
-        """Whether all tasks can be ordered to save in time: their machines answer."""
+        """Returns whether all tasks can be commanded to save in time: their machines reply."""
         return self._attempts.derive_phase_of(job) in (Phase.WAITING, Phase.RUNNING) and all(
             self._is_reachable(placed) for placed in job.placements.values()
         )
 
     def stop_gang(self, job: Job, reason: str) -> None:
-        """Orders all tasks to save and exit: one decision for the whole gang."""
+        """Commands all tasks to save and exit: one decision for the whole gang."""
         self._stops.stop_gang(job, reason)
 
     def preemption_cost(self, job: Job) -> float:
-        """Seconds of work, of all tasks together, that a stop of the gang throws away."""
+        """Returns the seconds of work, summed over all tasks, that a stop of the gang discards."""
         now = self.runtime.now()
         spec = job.spec
         run_times_s = [
--- a/flaxtally/leader/gang_scheduling/gang_stops.py
+++ b/flaxtally/leader/gang_scheduling/gang_stops.py
@@ -1,4 +1,4 @@
-"""Stops of gangs: all tasks of an attempt are ordered to save and exit, or just to exit."""
+"""Stops gangs: commands all tasks of an attempt to save a checkpoint and exit, or just to exit."""
 
 from __future__ import annotations
 
@@ -18,16 +18,19 @@
 
 
 class GangStops(TermActor):
-    """Stops attempts as a whole, and repeats the commands until they are carried out."""
+    """Stops attempts as a whole, and repeats the commands until they are executed."""
 
     def __init__(self, term: Term, commands: CommandSender, attempts: GangAttempts) -> None:
-        """`commands`: carries the stops to the workers."""
+        """`commands`: sends the stop commands to the workers."""
         super().__init__(term)
         self._commands = commands
         self._attempts = attempts
 
     def stop_gang(self, job: Job, reason: str) -> None:
-        """Orders all tasks to save and exit: one decision for the whole gang."""
+        """Commands all tasks to save and exit: one decision for the whole gang.
+
+        Does nothing if the attempt is being stopped already or is broken.
+        """
         attempt = self._attempts.get_or_create_attempt(job)
         if attempt.stopped_at is not None or attempt.is_broken:
             return
@@ -44,7 +47,7 @@
             self._commands.stop_task(placed, attempt.grace_s)
 
     def abandon_gang(self, job: Job, reason: str) -> None:
-        """Orders all that is left of an attempt to exit at once."""
+        """Commands all remaining tasks of an attempt to exit at once, without saving."""
         attempt = self._attempts.get_or_create_attempt(job)
         if attempt.is_broken and attempt.stopped_at is None and _are_all_stopping(job):
             return
@@ -65,13 +68,13 @@
                 self._commands.stop_task(placed, 0.0)
 
     def resume_stop(self, job: Job) -> None:
-        """Continues a stop that an earlier leader began: all tasks must be ordered in time."""
+        """Continues a stop that an earlier leader began: all tasks must get the command in time."""
         is_saving = any(placed.state == wire.FLUSHING for placed in job.placements.values())
         if is_saving and len(job.placements) == job.spec.tasks:
-            self.stop_gang(job, "an earlier leader began it")
+            self.stop_gang(job, "stop began under an earlier leader")
 
     def repeat_stops(self, job: Job) -> None:
-        """Repeats commands to stop that were not carried out."""
+        """Repeats stop commands that were not executed."""
         attempt = self._attempts.get_or_create_attempt(job)
         if not attempt.is_broken and attempt.stopped_at is None:
             return
@@ -90,5 +93,5 @@
     is_saving = placed.state == wire.FLUSHING and not attempt.is_broken
     if is_saving or not placed.is_committed:
         return False
-    # An unanswered launch is repeated first: only a task that is reported can be proven over.
+    # A launch without a reply is repeated first: only a reported task can be proven to be finished.
     return not placed.launches_in_flight or placed.was_reported
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -1,4 +1,4 @@
-"""The zone in which the autoscaler keeps capacity for gangs whose tasks must be in one zone."""
+"""Chooses the zone in which the autoscaler keeps capacity for gangs that must be in one zone."""
 
 from __future__ import annotations
 
@@ -20,23 +20,24 @@
 
 
 class GangZones(TermActor):
-    """Owns the zone of each class of gangs.
+    """Owns the zone chosen for each job class whose gangs must be in one zone.
 
-    Capacity for such a gang is of use only where there is enough of it in one zone: the forecast
-    packs the demand of a class into the zone that has most of it already, and stays with that zone.
+    Capacity for such a gang is useful only if one zone has enough of it for all tasks. So the
+    forecast packs the demand of a class into the zone that already has the most capacity for it,
+    and keeps that zone.
     """
 
     def __init__(
         self, term: Term, jobs: JobRegistry, is_in_backoff: Callable[[Pool], bool]
     ) -> None:
-        """`is_in_backoff`: whether a pool refused a short while ago."""
+        """`is_in_backoff`: returns whether a pool is in back-off after a recent refusal."""
         super().__init__(term)
         self._jobs = jobs
         self._is_in_backoff = is_in_backoff
         self._zone_by_class: dict[str, str] = {}
 
     def assign_zones(self, demands: Iterable[Demand], now: float) -> None:
-        """Restricts each demand of gangs that must be in one zone to a zone."""
+        """Restricts each demand of gangs that must be in one zone to a chosen zone."""
         for demand in demands:
             shape = demand.shape
             if not shape.one_zone or shape.zone is not None:
@@ -70,7 +71,7 @@
         return max(zones, key=preference, default=None)
 
     def _count_free_slots(self, shape: Shape) -> Counter[str]:
-        """How many more tasks the machines of each zone hold."""
+        """Returns, by zone, how many more tasks of the shape the machines can hold."""
         free_slots: Counter[str] = Counter()
         for machine in self.fleet.machines.values():
             machine_type = self.term.machine_types.get(machine.machine_type)
