--- a/tests/test_gang_lifecycle.py
+++ b/tests/test_gang_lifecycle.py
@@ -1,4 +1,4 @@
-"""What is decided about gangs, by itself: over random situations, and on rooms."""
+"""Property tests of the gang decisions: next actions, choice of machines, preemption."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 from .ledger_records import accepted, record
 from .simulated_cluster import TYPES, ZONES, batch, gang
 
-KINDS = {kind.name: kind for kind in TYPES}
-TIMES = GangTimeouts(wait_s=20.0, peer_s=4.0)
-SAVE = 1.0
+MACHINE_TYPES = {machine_type.name: machine_type for machine_type in TYPES}
+TIMEOUTS = GangTimeouts(wait_s=20.0, peer_s=4.0)
+CHECKPOINT_SAVE_S = 1.0
 
 members = st.lists(
     st.builds(
@@ -47,7 +47,7 @@
     ),
     max_size=4,
 )
-situations = st.builds(
+statuses = st.builds(
     GangStatus,
     task_count=st.just(4),
     members=members.map(tuple),
@@ -61,58 +61,68 @@
 
 
 @pytest.mark.real_processes
-@given(situations)
+@given(statuses)
 @examples(derandomize=True, max_examples=800)
-def test_no_step_breaks_a_gang_in_any_situation(now: GangStatus) -> None:
-    step, phase = decide_action(now, TIMES, SAVE), derive_phase(now)
-    if now.is_done or now.is_cancelled:
-        assert step is Action.NOTHING
+def test_decided_action_is_safe_in_any_status(status: GangStatus) -> None:
+    # An unsafe action runs a task twice, mixes attempts, or stops a gang that could complete.
+    action, phase = decide_action(status, TIMEOUTS, CHECKPOINT_SAVE_S), derive_phase(status)
+    if status.is_done or status.is_cancelled:
+        assert action is Action.NOTHING
         return
-    # A new attempt begins only when nothing of the last one is placed, and then it does.
-    assert (step is Action.PLACE) == (not now.members)
-    if step is Action.REPLACE:
-        # Some are missing, and the gang has surely not begun.
-        assert 0 < len(now.members) < now.task_count
-        assert not now.has_run
-        assert {member.state for member in now.members} <= {wire.FETCHING, wire.WAITING}
-        assert len({member.attempt for member in now.members}) == 1
-        assert now.since_stop_s is None
-        assert now.since_launch_s < TIMES.wait_s
-    if step is Action.ABANDON:
-        # Never what is whole, of one attempt, not given up and not late with saving.
-        whole = len(now.members) == now.task_count
-        of_one = len({member.attempt for member in now.members}) == 1
-        late = now.since_stop_s is not None and now.since_stop_s > SAVE + 2 * TIMES.peer_s
-        assert not (whole and of_one and not now.is_broken and not late)
+    # A new attempt begins if and only if no task of the last one is placed.
+    assert (action is Action.PLACE) == (not status.members)
+    if action is Action.REPLACE:
+        # Some tasks are missing, and the gang has certainly not started running.
+        assert 0 < len(status.members) < status.task_count
+        assert not status.has_run
+        assert {member.state for member in status.members} <= {wire.FETCHING, wire.WAITING}
+        assert len({member.attempt for member in status.members}) == 1
+        assert status.since_stop_s is None
+        assert status.since_launch_s < TIMEOUTS.wait_s
+    if action is Action.ABANDON:
+        # Never a gang that is complete, of one attempt, not abandoned and not overdue with saving.
+        is_complete = len(status.members) == status.task_count
+        is_one_attempt = len({member.attempt for member in status.members}) == 1
+        is_overdue = (
+            status.since_stop_s is not None
+            and status.since_stop_s > CHECKPOINT_SAVE_S + 2 * TIMEOUTS.peer_s
+        )
+        assert not (is_complete and is_one_attempt and not status.is_broken and not is_overdue)
     if phase is Phase.RESERVED:
-        # Its commit decides first.
-        assert step is Action.NOTHING
+        # Nothing is decided before its commit succeeds or fails.
+        assert action is Action.NOTHING
 
 
 @pytest.mark.real_processes
-@given(situations)
+@given(statuses)
 @examples(derandomize=True, max_examples=400)
-def test_a_gang_that_lost_a_task_is_never_left_as_it_is(now: GangStatus) -> None:
-    step = decide_action(now, TIMES, SAVE)
-    incomplete = 0 < len(now.members) < now.task_count
-    reported = all(member.is_committed and member.state for member in now.members)
-    saving = now.since_stop_s is not None and now.since_stop_s < SAVE + 2 * TIMES.peer_s
-    if incomplete and reported and not (saving or now.is_done or now.is_cancelled):
-        assert step in (Action.REPLACE, Action.ABANDON)
+def test_gang_that_lost_a_task_is_always_acted_on(status: GangStatus) -> None:
+    # A gang that misses a task can't make progress: waiting would block its machines.
+    action = decide_action(status, TIMEOUTS, CHECKPOINT_SAVE_S)
+    is_incomplete = 0 < len(status.members) < status.task_count
+    is_reported = all(member.is_committed and member.state for member in status.members)
+    is_saving = (
+        status.since_stop_s is not None
+        and status.since_stop_s < CHECKPOINT_SAVE_S + 2 * TIMEOUTS.peer_s
+    )
+    if is_incomplete and is_reported and not (is_saving or status.is_done or status.is_cancelled):
+        assert action in (Action.REPLACE, Action.ABANDON)
 
 
 # Capacity
 
 
-def fleet(rng: random.Random, count: int) -> list[Machine]:
-    found = []
+def make_machines(rng: random.Random, count: int) -> list[Machine]:
+    machines = []
     for number in range(count):
-        kind = rng.choice(TYPES)
-        machine = Machine(f"n-{number:06d}", kind.name, rng.choice(ZONES), spot=False, now=0.0)
-        machine.cores = float(rng.randrange(int(kind.cores) + 1))
+        machine_type = rng.choice(TYPES)
+        machine = Machine(
+            f"n-{number:06d}", machine_type.name, rng.choice(ZONES), spot=False, now=0.0
+        )
+        machine.cores = float(rng.randrange(int(machine_type.cores) + 1))
         machine.is_booting = False
-        found.append(machine)
-    return found
+        machines.append(machine)
+    return machines
 
 
 @pytest.mark.real_processes
@@ -124,12 +134,13 @@
     st.sampled_from([1.0, 2.0, 5.0]),
 )
 @examples(derandomize=True, max_examples=150)
-def test_room_for_all_or_none_and_nothing_stays_claimed(
+def test_gang_gets_machines_for_all_tasks_or_none_and_no_reservation_is_left(
     seed: int, tasks: int, one_zone: bool, spread: bool, cores: float
 ) -> None:
+    # The search reserves capacity task by task: it must undo that, also when it fails half-way.
     rng = random.Random(seed)
-    machines = fleet(rng, 8)
-    index = MachineIndex.of(machines, KINDS, rng)
+    machines = make_machines(rng, 8)
+    index = MachineIndex.of(machines, MACHINE_TYPES, rng)
     before = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     job = gang("j-000001", tasks, one_zone=one_zone, spread=spread, cores=cores)
     search = GangMachineSearch(job, 1, index, GpuNeeds(), 24, None)
@@ -143,15 +154,16 @@
     assert not one_zone or len(zones) == 1
     assert not spread or max(zones.values()) <= (tasks + 1) // 2
     for machine, count in Counter(choice.machines).items():
-        assert machine.cores + count * cores <= KINDS[machine.machine_type].cores + 1e-6
+        assert machine.cores + count * cores <= MACHINE_TYPES[machine.machine_type].cores + 1e-6
 
 
-def test_missing_tasks_go_to_the_zone_of_the_others() -> None:
+def test_missing_tasks_are_placed_in_the_zone_of_the_others() -> None:
+    # A replaced task of a gang that must be in one zone may not be placed in another.
     rng = random.Random(1)
-    machines = fleet(rng, 12)
+    machines = make_machines(rng, 12)
     for machine in machines:
         machine.cores = 0.0
-    index = MachineIndex.of(machines, KINDS, rng)
+    index = MachineIndex.of(machines, MACHINE_TYPES, rng)
     search = GangMachineSearch(gang("j-000001", 4), 1, index, GpuNeeds(), 24, None)
     for zone in ZONES:
         choice = choose_machines_for_missing(search, 2, set(ZONES), {zone: 2}, 60.0)
@@ -159,10 +171,10 @@
         assert {machine.zone for machine in choice.machines} == {zone}
 
 
-def test_a_gang_without_room_costs_no_search_for_each_of_its_tasks() -> None:
-    # Measured with 4,000 machines: each vain search for 100,000 tasks took 2.3 s of the loop.
+def test_gang_without_capacity_causes_no_search_per_task() -> None:
+    # With 4,000 machines, each failed search for 100,000 tasks blocked the event loop for 2.3 s.
     rng = random.Random(1)
-    index = MachineIndex.of(fleet(rng, 300), KINDS, rng)
+    index = MachineIndex.of(make_machines(rng, 300), MACHINE_TYPES, rng)
     search = GangMachineSearch(gang("j-000001", 100_000), 1, index, GpuNeeds(), 24, None)
     assert choose_machines_for_gang(search, set(ZONES), 60.0) is None
     assert index.looked == 0
@@ -173,34 +185,36 @@
 @pytest.mark.real_processes
 @given(st.integers(0, 10**6), st.integers(1, 14))
 @examples(derandomize=True, max_examples=120)
-def test_room_is_made_for_all_tasks_or_nobody_leaves(seed: int, tasks: int) -> None:
+def test_preemption_frees_capacity_for_all_tasks_or_has_no_victims(seed: int, tasks: int) -> None:
+    # Preemption for a part of a gang, or of more tasks than necessary, discards work for nothing.
     rng = random.Random(seed)
     job = gang("j-000001", tasks, cores=3.0, memory_gb=1.0)
-    book = ClusterState()
-    book.apply(accepted(1, 1.0, batch("j-000002", 40, checkpoint_interval_s=1.0)), 1)
-    candidates, most = [], 0
-    for number, machine in enumerate(fleet(rng, 5)):
-        kind = KINDS[machine.machine_type]
+    cluster_state = ClusterState()
+    cluster_state.apply(accepted(1, 1.0, batch("j-000002", 40, checkpoint_interval_s=1.0)), 1)
+    candidates, max_tasks = [], 0
+    for number, machine in enumerate(make_machines(rng, 5)):
+        machine_type = MACHINE_TYPES[machine.machine_type]
         victims = []
         for task in range(number * 8, number * 8 + rng.randrange(4)):
-            book.apply(record("P", 1, task, 1, machine.name, machine.zone), 1)
-            victims.append(Victim(book.jobs[1].placements[task], rng.uniform(0, 50)))
-        free = Room(kind.cores - machine.cores, 0.0, 64.0)
-        candidates.append(Candidate(machine, kind, free, victims))
-        most += int((free.cores + 3.0 * len(victims) + 1e-6) / 3.0)
-    found = choose_machines(job, tasks, candidates, GpuNeeds())
-    assert (found is not None) == (most >= tasks)
-    if found is None:
+            cluster_state.apply(record("P", 1, task, 1, machine.name, machine.zone), 1)
+            victims.append(Victim(cluster_state.jobs[1].placements[task], rng.uniform(0, 50)))
+        free = Room(machine_type.cores - machine.cores, 0.0, 64.0)
+        candidates.append(Candidate(machine, machine_type, free, victims))
+        max_tasks += int((free.cores + 3.0 * len(victims) + 1e-6) / 3.0)
+    chosen = choose_machines(job, tasks, candidates, GpuNeeds())
+    assert (chosen is not None) == (max_tasks >= tasks)
+    if chosen is None:
         return
-    assert sum(slots.task_count for slots in found) >= tasks
+    assert sum(slots.task_count for slots in chosen) >= tasks
     by_machine = {candidate.machine: candidate for candidate in candidates}
-    for slots in found:
+    for slots in chosen:
         candidate = by_machine[slots.machine]
-        left = candidate.free.cores + 3.0 * len(slots.victims)
-        assert slots.task_count * 3.0 <= left + 1e-6
-        # Nobody leaves without whom as many tasks would fit.
+        free_cores = candidate.free.cores + 3.0 * len(slots.victims)
+        assert slots.task_count * 3.0 <= free_cores + 1e-6
+        # The victims are needed: without them, fewer tasks would fit.
         assert (
-            not slots.victims or (slots.task_count * 3.0) > left - 3.0 * len(slots.victims) + 1e-6
+            not slots.victims
+            or (slots.task_count * 3.0) > free_cores - 3.0 * len(slots.victims) + 1e-6
         )
         costs = [
             victim.preemption_cost
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,6 +1,6 @@
-"""Gangs on a small deployment: whole or not at all, through failures.
+"""Tests of gang scheduling on a small simulated cluster, with faults.
 
-`SimulatedCluster` checks the rules at every start and end of a task.
+`SimulatedCluster` checks the invariants whenever a task starts or finishes.
 """
 
 from __future__ import annotations
@@ -15,37 +15,38 @@
 from .simulated_cluster import SimulatedCluster, batch, gang, spec
 
 
-def begun(world: SimulatedCluster, ref: str) -> list[int]:
-    """The attempts of the gang that began."""
-    return [attempt for started, attempt in world.gangs.begun if started == ref]
+def begun_attempts(world: SimulatedCluster, ref: str) -> list[int]:
+    """Returns the attempts in which the gang started running."""
+    return [attempt for begun_ref, attempt in world.gangs.begun if begun_ref == ref]
 
 
-def running_gang(
+def cluster_with_running_gang(
     seed: int = 1, tasks: int = 4, run_time: float = 30.0, **changes: object
 ) -> SimulatedCluster:
-    """A world in which the gang j-000001 runs."""
+    """Returns a cluster in which the gang j-000001 runs."""
     world = SimulatedCluster(seed)
     world.submit(gang("j-000001", tasks, **changes), run_time=run_time)
-    assert world.until(lambda: bool(begun(world, "j-000001")), 90), world.trace
+    assert world.until(lambda: bool(begun_attempts(world, "j-000001")), 90), world.trace
     world.run(1.0)
     return world
 
 
-def ends_done(world: SimulatedCluster, ref: str, most: float = 120.0) -> None:
+def assert_completes(world: SimulatedCluster, ref: str, limit_s: float = 120.0) -> None:
     assert world.until(lambda: ref in world.accepted, 30), world.trace[-30:]
-    assert world.until(lambda: world.ask(ref)[1]["stage"] == wire.DONE, most), world.trace[-30:]
+    assert world.until(lambda: world.ask(ref)[1]["stage"] == wire.DONE, limit_s), world.trace[-30:]
 
 
 def machines_of(world: SimulatedCluster, ref: str) -> set[str]:
     return {machine for task, (machine, _) in world.running.items() if task.startswith(ref + "/")}
 
 
-def test_a_gang_starts_together_in_one_zone_and_is_done_once() -> None:
-    world = running_gang(run_time=5.0, tasks=12)
+def test_gang_starts_together_in_one_zone_and_completes_once() -> None:
+    # All tasks start together, in a single zone, and the gang completes in its first attempt.
+    world = cluster_with_running_gang(run_time=5.0, tasks=12)
     zones = {world.workers[name].machine.zone for name in machines_of(world, "j-000001")}
     assert len(zones) == 1
-    ends_done(world, "j-000001")
-    assert begun(world, "j-000001") == [1]
+    assert_completes(world, "j-000001")
+    assert begun_attempts(world, "j-000001") == [1]
     assert world.ask("j-000001")[1] == {
         "ref": "j-000001",
         "stage": "done",
@@ -54,40 +55,43 @@
     }
 
 
-def test_a_gang_begins_soon_after_its_machines_are_up_though_nothing_else_happens() -> None:
-    # Found with lower limits in the middle of a commit: a gang that found no room as the first of
-    # its machines came up was not looked at again before it was overdue.
+def test_gang_starts_soon_after_its_machines_boot_without_any_other_event() -> None:
+    # A gang that found no capacity when the first of its machines booted was not considered again
+    # until it was overdue, as no other event requested a scheduling pass. Seen when the limits of
+    # the state service dropped during a commit.
     world = SimulatedCluster(capacity=30)
     world.submit(spec("j-000009", tasks=2))
     world.run(25.0)
     world.submit(gang("j-000001", 390, cores=0.5, memory_gb=0.5), run_time=5.0)
-    # A plan, a boot of 8 s (at most 1.5 times that), an image.
-    assert world.until(lambda: begun(world, "j-000001") == [1], 18.0), world.trace[-5:]
+    # A planning step, a boot of 8 s (at most 1.5 times that), and an image fetch.
+    assert world.until(lambda: begun_attempts(world, "j-000001") == [1], 18.0), world.trace[-5:]
 
 
-def test_a_lost_machine_restarts_the_whole_gang_from_its_checkpoint() -> None:
-    # Found in the production version: a lost task came back alone with another attempt number, so
-    # the gang never met again.
-    world = running_gang(tasks=12, run_time=30.0, cores=8.0)
+def test_lost_machine_restarts_the_whole_gang_from_its_checkpoint() -> None:
+    # Seen in the production version: a lost task was replaced under another attempt number
+    # than the others, so the gang never started again.
+    world = cluster_with_running_gang(tasks=12, run_time=30.0, cores=8.0)
     assert len(machines_of(world, "j-000001")) > 1
     world.run(11.0)
     lost = sorted(machines_of(world, "j-000001"))[0]
     world.cloud.take(lost)
-    assert world.until(lambda: begun(world, "j-000001") == [1, 2], 90), world.trace[-40:]
+    assert world.until(lambda: begun_attempts(world, "j-000001") == [1, 2], 90), world.trace[-40:]
     assert world.gangs.safe["j-000001"] == pytest.approx(10.0)
-    ends_done(world, "j-000001")
+    assert_completes(world, "j-000001")
 
 
-def test_a_hung_machine_ends_the_attempt_and_nothing_runs_twice() -> None:
-    world = running_gang(tasks=12, cores=8.0)
+def test_hung_machine_ends_the_attempt_and_no_task_runs_twice() -> None:
+    # A machine that hangs blocks the attempt: the gang has to restart elsewhere, exactly once.
+    world = cluster_with_running_gang(tasks=12, cores=8.0)
     world.machine_trouble("hung", sorted(machines_of(world, "j-000001"))[:1], 25.0)
-    assert world.until(lambda: len(begun(world, "j-000001")) == 2, 120), world.trace[-40:]
-    ends_done(world, "j-000001")
+    assert world.until(lambda: len(begun_attempts(world, "j-000001")) == 2, 120), world.trace[-40:]
+    assert_completes(world, "j-000001")
 
 
-def test_a_machine_lost_before_the_start_is_replaced_under_the_same_attempt() -> None:
+def test_machine_lost_before_the_gang_starts_is_replaced_within_the_same_attempt() -> None:
+    # A task lost while the others still wait for an image must not cost them their attempt.
     world = SimulatedCluster()
-    # Large images: the tasks wait for the last of them for some seconds.
+    # The images are large, so that the tasks wait some seconds until the last one is fetched.
     world.submit(spec("j-000009", tasks=2, cores=12.0))
     world.run(25.0)
     world.submit(gang("j-000001", 6, cores=8.0, image_gb=8.0, image="img-9"), run_time=5.0)
@@ -104,11 +108,12 @@
         if any(held.state == wire.WAITING for held in worker.tasks.values())
     )
     world.cloud.take(waiting[0])
-    ends_done(world, "j-000001")
-    assert len(begun(world, "j-000001")) == 1
+    assert_completes(world, "j-000001")
+    assert len(begun_attempts(world, "j-000001")) == 1
 
 
-def test_a_cancelled_gang_is_gone_in_every_phase() -> None:
+def test_gang_can_be_cancelled_in_every_phase() -> None:
+    # Cancels at delays that fall into different phases of the attempt; no task may be left running.
     for wait in (0.0, 0.05, 0.3, 1.0, 5.0):
         world = SimulatedCluster()
         world.submit(spec("j-000009", tasks=2))
@@ -122,18 +127,20 @@
 
 
 @pytest.mark.parametrize("after", [0.02, 0.05, 0.2, 0.6, 1.2, 3.0, 9.0])
-def test_the_leader_ends_at_any_moment_of_a_gang(after: float) -> None:
+def test_gang_completes_if_the_leader_crashes_at_any_time(after: float) -> None:
+    # The new leader derives the phase of the attempt from the ledger and the workers' reports.
     world = SimulatedCluster(seed=int(after * 100))
     world.submit(spec("j-000009", tasks=2))
     world.run(25.0)
     world.submit(gang("j-000001", 8), run_time=8.0)
     world.run(after)
     change_leader(world)
-    ends_done(world, "j-000001")
+    assert_completes(world, "j-000001")
 
 
-def test_attempts_larger_than_a_transaction_are_whole_or_nothing() -> None:
-    # The lower limits: 200 placements take five pages of two kilobytes, a transaction has two.
+def test_attempt_larger_than_a_transaction_is_committed_whole_or_not_at_all() -> None:
+    # With these limits, 200 placements take five pages of two kilobytes, and a transaction holds
+    # two.
     for after in (0.05, 0.2, 0.4, 0.8, 1.5):
         world = SimulatedCluster(value_bytes=2048, txn_ops=4, capacity=30, seed=int(after * 10))
         world.submit(spec("j-000009", tasks=2))
@@ -141,23 +148,25 @@
         world.submit(gang("j-000001", 200, cores=0.5, memory_gb=1.0), run_time=8.0)
         world.run(after)
         change_leader(world)
-        ends_done(world, "j-000001", 200)
+        assert_completes(world, "j-000001", 200)
         assert not world.state.over_limit
 
 
-def test_two_gangs_that_want_the_last_room_never_hold_half_each() -> None:
+def test_gangs_that_compete_for_the_last_capacity_never_hold_half_each() -> None:
+    # Gangs that each hold a part of the capacity would wait for each other indefinitely.
     world = SimulatedCluster(capacity=1)
     for number in range(4):
         world.submit(gang(f"j-{number:06d}", 6, cores=4.0), run_time=6.0, node=number)
     for number in range(4):
-        ends_done(world, f"j-{number:06d}", 200)
+        assert_completes(world, f"j-{number:06d}", 200)
     assert all(attempt == 1 for _, attempt in world.gangs.begun)
 
 
-def test_critical_work_stops_a_gang_as_a_whole_and_its_progress_is_kept() -> None:
+def test_critical_job_stops_a_gang_as_a_whole_and_its_checkpoint_is_kept() -> None:
+    # Preempting single tasks would break the gang without saving: all tasks have to save and exit.
     world = SimulatedCluster(capacity=1)
     world.submit(gang("j-000001", 8, cores=8.0, memory_gb=1.0, one_zone=False), run_time=60.0)
-    assert world.until(lambda: bool(begun(world, "j-000001")), 90), world.trace
+    assert world.until(lambda: bool(begun_attempts(world, "j-000001")), 90), world.trace
     world.run(12.0)
     world.submit(spec("j-000002", tasks=2, cores=14.0), node=1)
     assert world.until(lambda: world.count("j-000002") == 2, 90), world.trace[-30:]
@@ -166,7 +175,8 @@
     assert world.gangs.safe["j-000001"] > 10.0
 
 
-def test_a_gang_that_no_zones_hold_is_refused() -> None:
+def test_gang_that_no_set_of_zones_can_hold_is_rejected() -> None:
+    # Contradictory or too large gangs would be pending indefinitely: they are rejected with 422.
     world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2))
     world.run(20.0)
@@ -182,23 +192,25 @@
         assert job.ref not in world.accepted
         assert world.trace[-1].endswith("refused (422)")
     world.submit(gang("j-000004", 1, one_zone=True, spread=True), run_time=1.0)
-    ends_done(world, "j-000004")
+    assert_completes(world, "j-000004")
 
 
-def test_every_controller_restarts_while_a_gang_runs() -> None:
-    world = running_gang(run_time=40.0)
+def test_gang_keeps_running_while_every_controller_restarts() -> None:
+    # The new leader learns of the attempt from the ledger and heartbeats: it must not start
+    # another one.
+    world = cluster_with_running_gang(run_time=40.0)
     for name in world.names:
         world.crash(name, back_after=2.0)
     world.run(6.0)
     leader_of(world)
-    ends_done(world, "j-000001")
-    assert begun(world, "j-000001") == [1]
+    assert_completes(world, "j-000001")
+    assert begun_attempts(world, "j-000001") == [1]
 
 
-# Two troubles at once
+# Two faults at once
 
 
-def exits(world: SimulatedCluster, ref: str, attempt: int) -> list[str]:
+def exit_causes(world: SimulatedCluster, ref: str, attempt: int) -> list[str]:
     return [
         cause
         for task, number, cause in world.gangs.exits
@@ -206,58 +218,63 @@
     ]
 
 
-def test_a_spot_notice_for_two_machines_at_once_saves_the_gang_once() -> None:
-    world = running_gang(tasks=12, cores=8.0, spot=True)
+def test_spot_notices_for_two_machines_at_once_save_the_gang_once() -> None:
+    # Each notice requests a stop of the gang; the second one must not start another stop.
+    world = cluster_with_running_gang(tasks=12, cores=8.0, spot=True)
     world.run(8.0)
     for name in sorted(machines_of(world, "j-000001"))[:2]:
         world.workers[name].notice = 12.0
         world.workers[name].changed()
         world.after(12.0, world.cloud.take, name)
-    ends_done(world, "j-000001")
-    assert exits(world, "j-000001", 1) == [wire.CAUSE_HALTED] * 12
-    assert begun(world, "j-000001") == [1, 2]
+    assert_completes(world, "j-000001")
+    assert exit_causes(world, "j-000001", 1) == [wire.CAUSE_HALTED] * 12
+    assert begun_attempts(world, "j-000001") == [1, 2]
     assert world.gangs.safe["j-000001"] > 8.0
 
 
-def test_one_task_is_done_as_the_machine_of_another_dies() -> None:
-    world = running_gang(tasks=12, cores=8.0, run_time=6.0)
-    assert world.until(lambda: wire.CAUSE_DONE in exits(world, "j-000001", 1), 20.0)
-    # All complete together; what the others' machines would have reported is lost with them.
+def test_gang_is_done_if_other_machines_are_lost_after_one_task_completed() -> None:
+    # A gang that is done must not be restarted because other tasks are lost before they report.
+    world = cluster_with_running_gang(tasks=12, cores=8.0, run_time=6.0)
+    assert world.until(lambda: wire.CAUSE_DONE in exit_causes(world, "j-000001", 1), 20.0)
+    # All tasks complete together; the reports of the others are lost with their machines.
     for name in sorted(world.workers)[1:]:
         if any(held.state == wire.EXITED for held in world.workers[name].tasks.values()):
             world.cloud.take(name)
-    ends_done(world, "j-000001")
+    assert_completes(world, "j-000001")
     world.run(30.0)
-    assert begun(world, "j-000001") == [1]
+    assert begun_attempts(world, "j-000001") == [1]
     assert world.ask("j-000001")[1]["stage"] == wire.DONE
 
 
-def test_a_machine_lost_while_the_gang_saves_sends_it_back_to_its_checkpoint() -> None:
-    world = running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=3.0)
+def test_machine_lost_while_the_gang_saves_restarts_it_from_its_last_checkpoint() -> None:
+    # A save in which a task is lost is incomplete: the last complete checkpoint counts.
+    world = cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=3.0)
     world.run(13.0)
     machines = sorted(machines_of(world, "j-000001"))
     world.workers[machines[0]].notice = 15.0
     world.workers[machines[0]].changed()
 
-    def saving() -> bool:
+    def is_saving() -> bool:
         return any(
             held.state == wire.FLUSHING
             for worker in world.workers.values()
             for held in worker.tasks.values()
         )
 
-    assert world.until(saving, 10.0)
+    assert world.until(is_saving, 10.0)
     world.run(0.5)
     world.cloud.take(machines[1])
-    ends_done(world, "j-000001")
-    assert begun(world, "j-000001") == [1, 2]
-    # Checkpoints are at multiples of 5 s.
+    assert_completes(world, "j-000001")
+    assert begun_attempts(world, "j-000001") == [1, 2]
+    # Checkpoints are saved at multiples of 5 s.
     assert world.gangs.safe["j-000001"] == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize("after", [0.2, 1.5, 3.2, 4.5])
-def test_a_gang_is_cancelled_while_it_saves_or_restarts(after: float) -> None:
-    world = running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=2.0)
+def test_gang_can_be_cancelled_while_it_saves_or_restarts(after: float) -> None:
+    # Cancels at several delays after a spot notice: neither the stop nor the restart may leave a
+    # task running.
+    world = cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=2.0)
     name = sorted(machines_of(world, "j-000001"))[0]
     world.workers[name].notice = 15.0
     world.workers[name].changed()
@@ -269,19 +286,21 @@
 
 
 @pytest.mark.parametrize("for_s", [3.0, 30.0])
-def test_the_launch_of_one_task_does_not_reach_its_machine(for_s: float) -> None:
-    # Shorter than the others wait, and longer: then they exit as incomplete, and all begins anew.
+def test_gang_starts_once_although_a_launch_does_not_reach_its_machine(for_s: float) -> None:
+    # One fault is shorter than the time that tasks wait for the others, one is longer: then the
+    # others exit as incomplete, and a new attempt is placed.
     world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2, cores=14.0))
     world.run(25.0)
-    deaf = sorted(world.workers)[0]
-    world.machine_trouble("deaf", [deaf], for_s)
+    machine_without_replies = sorted(world.workers)[0]
+    world.machine_trouble("deaf", [machine_without_replies], for_s)
     world.submit(gang("j-000001", 12, cores=2.0, one_zone=False), run_time=4.0)
-    ends_done(world, "j-000001", 150.0)
-    assert len(begun(world, "j-000001")) == 1
+    assert_completes(world, "j-000001", 150.0)
+    assert len(begun_attempts(world, "j-000001")) == 1
 
 
-def test_every_controller_restarts_while_a_gang_waits_for_its_last_image() -> None:
+def test_gang_completes_if_every_controller_restarts_while_it_fetches_its_last_image() -> None:
+    # The new leader has to continue an attempt of which only some tasks have their image.
     world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2, cores=12.0))
     world.run(25.0)
@@ -289,20 +308,21 @@
     assert world.until(lambda: any(task.startswith("j-000001/") for task in world.running), 60.0)
     for name in world.names:
         world.crash(name, back_after=1.0)
-    ends_done(world, "j-000001")
+    assert_completes(world, "j-000001")
 
 
-def test_a_gang_cut_off_in_its_zone_starts_nowhere_else_before_it_is_proven_over() -> None:
+def test_gang_on_partitioned_machines_starts_nowhere_else_before_it_is_proven_finished() -> None:
     # `SimulatedCluster` checks that no task starts while another of its job is in another zone.
-    world = running_gang(tasks=8, run_time=60.0)
-    gone = sorted(machines_of(world, "j-000001"))
-    world.machine_trouble("cut", gone, 45.0)
+    world = cluster_with_running_gang(tasks=8, run_time=60.0)
+    partitioned = sorted(machines_of(world, "j-000001"))
+    world.machine_trouble("cut", partitioned, 45.0)
     world.run(60.0)
-    ends_done(world, "j-000001", 200.0)
+    assert_completes(world, "j-000001", 200.0)
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_gangs_through_random_troubles(seed: int) -> None:
+def test_gangs_under_random_faults(seed: int) -> None:
+    # Random gangs, cancellations and faults: each gang completes unless it was cancelled.
     world = SimulatedCluster(seed, capacity=6)
     rng = world.rng
     world.submit(spec("j-000009", tasks=4))
@@ -323,24 +343,25 @@
     for _ in range(8):
         world.run(rng.uniform(2.0, 7.0))
         machines = sorted(world.workers)
-        trouble = rng.choice(["crash", "hung", "deaf", "mute", "cut", "take", "refuse", "lose"])
-        if trouble == "crash":
+        fault = rng.choice(["crash", "hung", "deaf", "mute", "cut", "take", "refuse", "lose"])
+        if fault == "crash":
             world.crash(leader_of(world), back_after=rng.uniform(0.2, 5.0))
-        elif trouble == "take":
+        elif fault == "take":
             world.cloud.take(rng.choice(machines))
-        elif trouble == "refuse":
+        elif fault == "refuse":
             world.refuse(leader_of(world), rng.uniform(2.0, 8.0))
-        elif trouble == "lose":
+        elif fault == "lose":
             world.lose_writes(0.5, 5.0, at_once=rng.random() < 0.5)
         elif machines:
-            world.machine_trouble(trouble, rng.sample(machines, 1), rng.uniform(2.0, 20.0))
+            world.machine_trouble(fault, rng.sample(machines, 1), rng.uniform(2.0, 20.0))
     ends_well(world, 150.0)
     for number in range(10):
         known = world.rules.jobs[f"j-{100 + number:06d}"]
         assert known.asked_to_cancel or known.told == wire.DONE, (number, world.trace[-40:])
 
 
-def test_a_gang_of_high_rank_stops_lower_work_only_where_it_then_starts_whole() -> None:
+def test_high_rank_gang_preempts_lower_ranks_only_if_it_can_then_start_whole() -> None:
+    # Preemption for a gang that still can't start would discard work for nothing.
     world = SimulatedCluster(capacity=1)
     for number in range(4):
         world.submit(
@@ -351,20 +372,20 @@
     world.run(60.0)
     busy = dict(world.running)
     assert len(busy) >= 16
-    # More than the whole fleet: nobody is stopped for it.
+    # The gang needs more than the whole fleet: no task is stopped for it.
     world.submit(gang("j-000001", 60, rank="high", cores=3.0), run_time=3.0)
     world.run(15.0)
     assert {task: where for task, where in world.running.items() if task in busy} == busy
     world.cancel("j-000001")
     world.run(5.0)
     world.submit(gang("j-000002", 6, rank="high", cores=4.0), run_time=3.0)
-    assert world.until(lambda: begun(world, "j-000002") == [1], 12.0), world.trace[-30:]
-    ends_done(world, "j-000002")
+    assert world.until(lambda: begun_attempts(world, "j-000002") == [1], 12.0), world.trace[-30:]
+    assert_completes(world, "j-000002")
 
 
-def test_small_work_does_not_overtake_a_waiting_gang_for_ever() -> None:
-    # Every machine is full of small tasks that end at different times, and more of them come all
-    # the time: without room held for it the gang found none as long as that lasted.
+def test_small_jobs_do_not_starve_a_waiting_gang() -> None:
+    # Every machine is full of small tasks that finish at different times, and more of them keep
+    # arriving: without a reservation the gang found no capacity as long as that lasted.
     world = SimulatedCluster(capacity=1, team=Team("crew", 0.0, 500.0, 0.0, 64.0))
     for number in range(400):
         job = spec(
@@ -380,12 +401,13 @@
         world.after(0.5 * number, world.submit, job, 5.0 + number % 4, number)
     world.run(60.0)
     world.submit(gang("j-000001", 5, cores=6.0), run_time=3.0)
-    assert world.until(lambda: begun(world, "j-000001") == [1], 130.0), world.trace[-30:]
+    assert world.until(lambda: begun_attempts(world, "j-000001") == [1], 130.0), world.trace[-30:]
 
 
-def test_an_unknown_reason_is_one_log_line_and_the_other_tasks_count(
+def test_unknown_cause_or_state_is_logged_once_and_other_tasks_still_count(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # Workers of a newer version may report unknown words: the rest of the report must be handled.
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2, spread=False, cores=1.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
@@ -401,22 +423,24 @@
     ]
 
 
-def test_a_gang_that_fits_its_teams_limit_only_once_another_is_proven_over() -> None:
-    # `SimulatedCluster` checks the limit at every start.
+def test_gang_over_its_team_limit_waits_until_another_gang_is_proven_finished() -> None:
+    # A cancelled gang counts towards the limit while a hung machine may still run its tasks.
+    # `SimulatedCluster` checks the limit whenever a task starts.
     world = SimulatedCluster(team=Team("crew", 0.0, 20.0, 0.0, 8.0), capacity=6)
     world.submit(gang("j-000001", 8, cores=2.0), run_time=60.0)
-    assert world.until(lambda: begun(world, "j-000001") == [1], 90)
+    assert world.until(lambda: begun_attempts(world, "j-000001") == [1], 90)
     world.submit(gang("j-000002", 6, cores=2.0), run_time=3.0)
-    silent = sorted(machines_of(world, "j-000001"))[:1]
+    hung = sorted(machines_of(world, "j-000001"))[:1]
     world.run(5.0)
-    world.machine_trouble("hung", silent, 12.0)
+    world.machine_trouble("hung", hung, 12.0)
     world.cancel("j-000001")
     world.run(2.0)
-    assert begun(world, "j-000002") == []
-    ends_done(world, "j-000002")
+    assert begun_attempts(world, "j-000002") == []
+    assert_completes(world, "j-000002")
 
 
-def test_lower_limits_in_the_middle_of_a_gangs_commit() -> None:
+def test_gang_completes_if_the_state_service_lowers_its_limits_during_its_commit() -> None:
+    # The rest of the commit no longer fits the limits: the gang must start whole all the same.
     world = SimulatedCluster(value_bytes=8192, capacity=30)
     world.state.enforce(8192, 32)
     world.submit(spec("j-000009", tasks=2))
@@ -424,23 +448,25 @@
     world.submit(gang("j-000001", 390, cores=0.5, memory_gb=0.5), run_time=5.0)
     assert world.until(lambda: world.nodes[leader_of(world)].ledger.is_committing, 30.0)
     world.state.enforce(2048, 4, 15.0)
-    ends_done(world, "j-000001", 150.0)
-    assert begun(world, "j-000001") in ([1], [2])
+    assert_completes(world, "j-000001", 150.0)
+    assert begun_attempts(world, "j-000001") in ([1], [2])
 
 
-def test_copies_of_a_gangs_submission_at_several_nodes_are_one_gang() -> None:
+def test_gang_submitted_to_several_nodes_is_one_gang() -> None:
+    # Users repeat a submission at other nodes: the gang must run only once.
     world = SimulatedCluster()
     world.submit(spec("j-000009", tasks=2))
     world.run(20.0)
     for node in range(3):
         world.submit(gang("j-000001", 4), run_time=4.0, node=node)
-    ends_done(world, "j-000001")
-    assert begun(world, "j-000001") == [1]
+    assert_completes(world, "j-000001")
+    assert begun_attempts(world, "j-000001") == [1]
     assert len(world.gangs.exits) == 4
 
 
-def test_a_waiting_task_of_an_attempt_that_nobody_placed_is_stopped() -> None:
-    world = running_gang(run_time=60.0)
+def test_waiting_task_of_an_unknown_attempt_is_stopped() -> None:
+    # A task that waits for a gang that isn't in the ledger would occupy its machine for nothing.
+    world = cluster_with_running_gang(run_time=60.0)
     world.cloud.add("c16", "a", False, boot=1.0)
     world.run(6.0)
     worker = world.workers[min(set(world.workers) - machines_of(world, "j-000001"))]
@@ -449,4 +475,4 @@
     worker.changed()
     assert world.until(lambda: ("j-000777/0", 3) not in worker.tasks, 20.0)
     assert stray.state == wire.EXITED
-    assert begun(world, "j-000001") == [1]
+    assert begun_attempts(world, "j-000001") == [1]
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -1,4 +1,4 @@
-"""A day of hundreds of machines and seven controllers: the rules, and a bound on the work done."""
+"""Tests on hundreds of machines and seven controllers: invariants, and bounds on the work done."""
 
 from __future__ import annotations
 
@@ -29,39 +29,46 @@
 NAMES = tuple(f"hearth-{number}" for number in range(7))
 
 
-def test_a_grown_deployment_keeps_the_rules_and_looks_at_few_machines_a_task() -> None:
-    # Found on grown deployments: each waiting task looked at every machine, twice where it found
-    # none, in each pass of the scheduler; a leader with a share of a core fell seconds behind at
-    # the start. The world checks at each start of a task: run once, committed first, in its place,
-    # within quota.
+def test_large_deployment_keeps_the_invariants_and_examines_few_machines_per_task() -> None:
+    # On large deployments, each pending task examined every machine in each scheduling pass, and
+    # twice if none had capacity; a leader with a fraction of a core fell seconds behind at the
+    # start. The cluster checks at each start of a task: it runs once, is committed first, is on an
+    # allowed machine, and is within quota.
     world = SimulatedCluster(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
-    jobs = 0
+    job_count = 0
     for number in range(90):
-        jobs += 1
-        world.submit(spec(f"j-{jobs:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
+        job_count += 1
+        world.submit(spec(f"j-{job_count:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
     for number in range(14):
-        jobs += 1
+        job_count += 1
         world.submit(
-            spec(f"j-{jobs:06d}", tasks=2, gpus=4.0, cores=14.0, memory_gb=100.0, job_class="big"),
+            spec(
+                f"j-{job_count:06d}",
+                tasks=2,
+                gpus=4.0,
+                cores=14.0,
+                memory_gb=100.0,
+                job_class="big",
+            ),
             node=number,
         )
     for number in range(20):
-        jobs += 1
-        world.submit(batch(f"j-{jobs:06d}", 60), run_time=6.0, node=number)
+        job_count += 1
+        world.submit(batch(f"j-{job_count:06d}", 60), run_time=6.0, node=number)
     world.run(26)
     assert len(world.workers) > 200
     leader = world.leader()
     assert leader
-    starts = sum(" start " in line for line in world.trace)
-    looked = world.nodes[leader].leader.duties.scheduler.examined_count
-    assert starts > 1000
-    assert looked < starts * len(world.workers) / 2, (looked, starts)
+    start_count = sum(" start " in line for line in world.trace)
+    examined_count = world.nodes[leader].leader.duties.scheduler.examined_count
+    assert start_count > 1000
+    assert examined_count < start_count * len(world.workers) / 2, (examined_count, start_count)
     world.crash(leader, back_after=5.0)
     world.cancel("j-000001", node=1)
     world.run(9)
     assert "j-000001" in world.told_cancelled
     assert world.ask("j-000002")[1]["stage"] == "running"
-    assert len(world.accepted) == jobs
+    assert len(world.accepted) == job_count
     assert all(
         world.count(ref) == job.tasks
         for ref, job in world.specs.items()
@@ -69,10 +76,13 @@
     )
 
 
-def test_who_found_no_room_looks_again_where_there_is_more() -> None:
-    # A day of 600 machines took over 400 s of processor time: each pass sought room anew for all
-    # that waited. What is remembered must be forgotten in time, or tasks wait beside free room.
-    index = MachineIndex({kind.name: kind for kind in TYPES}, random.Random(1))
+def test_search_is_repeated_on_machines_that_have_more_capacity() -> None:
+    # A run with 600 machines took over 400 s of processor time: each scheduling pass searched
+    # capacity for all pending tasks again. A remembered failure must be dropped as soon as a
+    # machine has more capacity, or tasks stay pending next to free machines.
+    index = MachineIndex(
+        {machine_type.name: machine_type for machine_type in TYPES}, random.Random(1)
+    )
     one, two, three = (
         Machine(f"n-{number}", TYPES[1].name, "a", spot=False, now=0.0) for number in range(3)
     )
@@ -83,70 +93,74 @@
     assert not index.update(two)
     one.cores = 4.0
     assert index.update(one)
-    # A GPU that is taken keeps no cores any more from what needs no GPU.
+    # Cores are reserved for a free GPU; once the GPU is in use, other tasks may take them.
     two.gpus = 1.0
     assert index.update(two)
     three.is_slow = True
     assert not index.update(three)
     three.is_slow = False
     assert index.update(three)
-    # One that is gone for a while has all its room anew when it is back.
+    # A machine that was removed counts as having more capacity when it is added again.
     index.remove(three)
     assert index.update(three)
 
 
-def test_a_size_that_found_no_room_answers_for_larger_ones() -> None:
-    full = Exhausted()
-    full.add("a", spec("j-000001", cores=4.0, memory_gb=8.0))
-    assert full.covers("a", spec("j-000002", cores=4.0, memory_gb=9.0))
-    assert not full.covers("a", spec("j-000003", cores=3.9, memory_gb=9.0))
-    assert not full.covers("b", spec("j-000002", cores=4.0, memory_gb=9.0))
-    full.add("a", spec("j-000003", cores=2.0, memory_gb=2.0))
-    assert full.covers("a", spec("j-000004", cores=2.0, memory_gb=2.0))
+def test_size_without_capacity_also_excludes_larger_sizes() -> None:
+    # Jobs of a class differ a little in size: without this, each of them searches all machines.
+    exhausted = Exhausted()
+    exhausted.add("a", spec("j-000001", cores=4.0, memory_gb=8.0))
+    assert exhausted.covers("a", spec("j-000002", cores=4.0, memory_gb=9.0))
+    assert not exhausted.covers("a", spec("j-000003", cores=3.9, memory_gb=9.0))
+    assert not exhausted.covers("b", spec("j-000002", cores=4.0, memory_gb=9.0))
+    exhausted.add("a", spec("j-000003", cores=2.0, memory_gb=2.0))
+    assert exhausted.covers("a", spec("j-000004", cores=2.0, memory_gb=2.0))
 
 
 def test_idle_machines_are_checked_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Fifty idle machines, checked one by one, kept the leader's loop busy for longer than a peer
-    # may be silent.
+    # Checking fifty idle machines one by one blocked the leader's event loop for longer than the
+    # peers' heartbeat timeout.
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
-    used = {world.machine_of(f"j-000001/{task}") for task in range(2)}
-    spare = {world.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)}
-    packed: list[int] = []
+    used_machines = {world.machine_of(f"j-000001/{task}") for task in range(2)}
+    idle_machines = {
+        world.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)
+    }
+    pack_calls: list[int] = []
     count_unplaced = Forecast._count_unplaced
     monkeypatch.setattr(
-        Forecast, "_count_unplaced", lambda *args: packed.append(1) or count_unplaced(*args)
+        Forecast, "_count_unplaced", lambda *args: pack_calls.append(1) or count_unplaced(*args)
     )
-    most = 0
+    max_calls = 0
     for _ in range(60):
-        packed.clear()
+        pack_calls.clear()
         world.run(1.0)
-        most = max(most, len(packed))
-    assert not spare & set(world.workers)
-    assert used <= set(world.workers)
-    # One a step for what the rooms hold, the checks, and the same for the consolidation.
-    assert 0 < most <= 2 * 2 * (1 + MAX_SCALE_IN_CHECKS)
+        max_calls = max(max_calls, len(pack_calls))
+    assert not idle_machines & set(world.workers)
+    assert used_machines <= set(world.workers)
+    # For each of two forecast steps: one call for the baseline and one per check; and the same
+    # again for the consolidation.
+    assert 0 < max_calls <= 2 * 2 * (1 + MAX_SCALE_IN_CHECKS)
 
 
-def test_sizes_that_are_alike_are_planned_as_one() -> None:
-    # Jobs whose cores vary made sixty demands, each of them packed into every machine.
+def test_demands_of_similar_size_are_merged() -> None:
+    # Jobs whose cores vary resulted in sixty demands, each of which was packed into every machine.
     def demand(cores: float, **changes: object) -> Demand:
         return Demand(Shape.of(spec("j-000001", cores=cores, **changes)), 10, 60.0)
 
-    found = merge_demands(
+    merged = merge_demands(
         [demand(5.0), demand(5.4), demand(5.2), demand(10.0), demand(5.2, gpus=1.0)]
     )
-    assert [(one.shape.cores, one.shape.gpus, one.count) for one in found] == [
+    assert [(each.shape.cores, each.shape.gpus, each.count) for each in merged] == [
         (5.4, 0.0, 30),
         (10.0, 0.0, 10),
         (5.2, 1.0, 10),
     ]
 
 
-def test_time_limits_that_were_kept_wake_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    # Every request sets time limits and cancels them; the loop woke for each of them when it would
-    # have been due.
+def test_cancelled_timers_do_not_wake_the_event_loop(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Every request sets timers and cancels them; the event loop woke up for each cancelled timer
+    # when it would have been due.
     loop = Loop()
     waits: list[float | None] = []
     monkeypatch.setattr(loop.selector, "select", lambda wait: waits.append(wait) or [])
@@ -158,24 +172,23 @@
     assert 59.0 < waits[0] <= 60.0
 
 
-def test_too_much_work_leaves_out_the_largest_not_the_last() -> None:
-    # Found on magnolia-plant-fleet's bursts: in the order of due times every job began when it was
-    # nearly too late.
+def test_overload_defers_the_largest_job_and_not_the_last_one() -> None:
+    # Under load bursts on magnolia-plant-fleet, scheduling in the order of due times alone started
+    # every job when it was nearly too late.
     large = [Due(number, (50.0, 90.0), 400.0) for number in range(2)]
     small = [Due(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
-    found = levels([*large, *small], 10.0, 10)
-    assert [found[due.no] for due in small] == [0] * 8
-    # 400 s of the small ones' work leave room for 400 s until 90 s, none for the other.
-    assert sorted(found[due.no] for due in large) == [1, 2]
+    levels_by_job = levels([*large, *small], 10.0, 10)
+    assert [levels_by_job[due.no] for due in small] == [0] * 8
+    # 400 s of work of the small jobs leave 400 s until 90 s: enough for one large job only.
+    assert sorted(levels_by_job[due.no] for due in large) == [1, 2]
     assert levels([Due(1, (5.0, 20.0), 1.0), Due(2, (), 1.0)], 10.0, 1) == {1: 1, 2: 0}
 
 
-def test_everything_restarts_together_at_size() -> None:
-    # 560 machines and seven controllers: all controllers end at once, some back within a fraction
-    # of a second, while machines hang and others are taken. The world checks the rules at each
-    # start and end of a task; here: every job is known and answered, what ran runs on, and no
-    # controller holds more sockets than it may. (Played at half as many machines again only by the
-    # bench: here it would take half of the suite's time.)
+def test_large_deployment_survives_a_restart_of_all_controllers() -> None:
+    # With 560 machines, all seven controllers crash at once and some restart within a fraction of a
+    # second, while machines hang and others are preempted: every job must stay known, running tasks
+    # must keep running, and no controller may exceed its socket limit. (The bench runs this with
+    # half as many machines again: here that would take half of the suite's time.)
     world = SimulatedCluster(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
     for number in range(150):
         world.submit(spec(f"j-{number:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
@@ -191,19 +204,21 @@
         world.workers[name].hung = True
     for number, name in enumerate(NAMES):
         world.crash(name, back_after=(0.2, 5.0, 0.4)[number % 3])
-    most = 0
+    max_streams = 0
     for _ in range(45):
         world.run(1.0)
         for name in NAMES:
             streams = world.sim.hosts[world.ip(name)].streams
-            most = max(most, sum(stream.opened and not stream.dead for stream in streams))
-    assert most <= 500
+            max_streams = max(
+                max_streams, sum(stream.opened and not stream.dead for stream in streams)
+            )
+    assert max_streams <= 500
     assert not set(hung) & set(world.workers)
     assert not any(" end lapsed " in line for line in world.trace)
     ended = [line for line in world.trace if " end " in line and " end done " not in line]
     assert {line.split(" end ")[1].split()[0] for line in ended} <= {"gone", "halted"}
-    # What ran on hung machines is placed anew, a few replicas are moved off dear machines; the rest
-    # stayed.
+    # Tasks of hung machines are placed again, and a few replicas are moved off expensive machines;
+    # the others stay.
     moved = {task for task in services if world.running.get(task) != before[task]}
     assert len(moved) <= sum(before[task][0] in hung for task in services) + len(services) / 20
     assert services <= set(world.running)
@@ -212,39 +227,39 @@
     assert len(world.accepted) == 178
 
 
-def test_a_replica_leaves_gpus_for_a_cold_machine_without() -> None:
-    # Found on quizul-cluj-fleet: 47 of 79 GPU machines held nothing but small replicas, while cheap
-    # machines stood idle beside them, since none of these held an image.
-    kinds = {kind.name: kind for kind in TYPES}
-    dear, cheap, other = (
-        Machine(f"n-{number}", kind, "a", spot=False, now=0.0)
-        for number, kind in enumerate(("g8", "c16", "g8"))
+def test_replica_moves_off_a_gpu_machine_to_a_cheap_one_without_its_image() -> None:
+    # On quizul-cluj-fleet, 47 of 79 GPU machines ran only small replicas while cheap machines were
+    # idle, since none of these had an image in its cache.
+    machine_types = {machine_type.name: machine_type for machine_type in TYPES}
+    expensive, cheap, other_expensive = (
+        Machine(f"n-{number}", type_name, "a", spot=False, now=0.0)
+        for number, type_name in enumerate(("g8", "c16", "g8"))
     )
-    gate = spec("j-000001")
-    assert can_move(dear, cheap, gate, kinds)
-    assert not can_move(cheap, dear, gate, kinds)
-    assert not can_move(dear, other, gate, kinds)
-    other.placements[1, 0] = Placement(Job(1, 0.0, gate), 0, 1, "n-2", "a")
-    assert not can_move(dear, other, gate, kinds)
-    other.images["img-1"] = 1.0
-    assert can_move(dear, other, gate, kinds)
-    assert not can_move(dear, cheap, spec("j-000002", gpus=1.0), kinds)
+    service = spec("j-000001")
+    assert can_move(expensive, cheap, service, machine_types)
+    assert not can_move(cheap, expensive, service, machine_types)
+    assert not can_move(expensive, other_expensive, service, machine_types)
+    other_expensive.placements[1, 0] = Placement(Job(1, 0.0, service), 0, 1, "n-2", "a")
+    assert not can_move(expensive, other_expensive, service, machine_types)
+    other_expensive.images["img-1"] = 1.0
+    assert can_move(expensive, other_expensive, service, machine_types)
+    assert not can_move(expensive, cheap, spec("j-000002", gpus=1.0), machine_types)
 
 
-def test_a_flood_of_submissions_delays_neither_reports_nor_leadership() -> None:
-    # More is asked at once than the state service's limit lets through: each is answered in time,
-    # accepted or 503, no worker loses its lease, the leader stays, and the limit on changes is
-    # kept.
+def test_burst_of_submissions_delays_neither_heartbeats_nor_leadership() -> None:
+    # More submissions arrive at once than the state service's rate limit allows: each gets a reply
+    # in time, accepted or 503, no worker loses its lease, the leader keeps its term, and the limit
+    # on changes is kept.
     world = SimulatedCluster(nodes=NAMES, capacity=20)
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
     assert world.until(lambda: len(world.running) == 8, 60)
     world.run(3)
     before, term = dict(world.running), world.nodes[NAMES[0]].election.term
-    answers: list[tuple[float, int]] = []
+    replies: list[tuple[float, int]] = []
 
-    def ask(number: int) -> None:
-        asked = world.sim.time
+    def submit(number: int) -> None:
+        submitted_at = world.sim.time
         job = batch(f"j-{number:06d}", 3, image=f"img-{number % 9}")
         world.specs[job.ref] = job
         world.call(
@@ -252,17 +267,17 @@
             "POST",
             wire.WORK,
             wire.submission(job),
-            lambda status, _: answers.append((world.sim.time - asked, status)),
+            lambda status, _: replies.append((world.sim.time - submitted_at, status)),
         )
 
-    start, changes = world.sim.time, world.state.changes
+    start, changes_before = world.sim.time, world.state.changes
     for number in range(3000):
-        world.sim.at(start + number / 1500, ask, 1000 + number)
+        world.sim.at(start + number / 1500, submit, 1000 + number)
     world.run(8)
-    assert len(answers) == 3000
-    assert {status for _, status in answers} <= {201, 503}
-    assert sum(status == 201 for _, status in answers) > 1000
-    assert max(wait for wait, _ in answers) < 4.0
-    assert world.state.changes - changes <= 8 * 40 + 40
+    assert len(replies) == 3000
+    assert {status for _, status in replies} <= {201, 503}
+    assert sum(status == 201 for _, status in replies) > 1000
+    assert max(wait_s for wait_s, _ in replies) < 4.0
+    assert world.state.changes - changes_before <= 8 * 40 + 40
     assert {node.election.term for node in world.nodes.values()} == {term}
     assert {task: world.running.get(task) for task in before} == before
