--- a/flaxtally/leader/gang_scheduling/gang_attempts.py
+++ b/flaxtally/leader/gang_scheduling/gang_attempts.py
@@ -34,7 +34,7 @@
     )
 
     def __init__(self, number: int, launched_at: float) -> None:
-        """Creates an attempt of which only the launch is known; `launched_at` in loop time."""
+        """Creates an attempt of which only the launch is known."""
         self.number = number
         self.launched_at = launched_at
         self.has_run = False
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -60,7 +60,7 @@
     # Placing
 
     def is_due(self, job: Job) -> bool:
-        """Returns whether to search capacity for the gang: after a failed search, a back-off."""
+        """Returns whether to search capacity for the gang; a failed search starts a back-off."""
         search_again_at = self._no_capacity_until.get(job.number, 0.0)
         return self.ledger.state.format >= formats.GANGS and search_again_at <= self.runtime.now()
 
@@ -128,8 +128,10 @@
         for placed in current:
             placed.is_committed = True
         attempt = self._attempts.get_or_create_attempt(job)
-        is_abandoned = job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
-        if len(job.placements) == job.spec.tasks and not is_abandoned:
+        is_stopped_or_cancelled = (
+            job.is_cancelled or attempt.is_broken or attempt.stopped_at is not None
+        )
+        if len(job.placements) == job.spec.tasks and not is_stopped_or_cancelled:
             for placed in current:
                 self._commands.launch_task(placed)
             return
@@ -169,7 +171,8 @@
                 placed.attempt,
             )
         elif not is_done and cause in (wire.CAUSE_PEERS, wire.CAUSE_ALONE):
-            # The other tasks of the attempt will exit too: waiting for that would only take time.
+            # The other tasks of the attempt will exit too: waiting for them would only delay the
+            # next attempt.
             attempt.is_broken = True
         self._no_capacity_until.pop(job.number, None)
         self._abandon_if_lost(job)
