--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -1,4 +1,4 @@
-"""Empties thinly used machines by moving their replicas, so that these can be terminated."""
+"""Empties underutilized machines by moving their replicas, so that they can be terminated."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 
 
 class Consolidation(TermActor):
-    """Chooses the machines to be emptied, when the cluster is calm.
+    """Chooses the machines to be emptied while the cluster is stable.
 
-    One at a time in a small fleet, several in a large one. `ReplicaMoves` empties them.
+    One machine at a time in a small fleet, several in a large one. `ReplicaMoves` empties them.
     """
 
     def __init__(
@@ -54,24 +54,24 @@
         self._autoscaler = autoscaler
         self._moves = ReplicaMoves(term, jobs, reconciler, commands, scheduler)
         self._skipped_until: dict[str, float] = {}
-        """Machines that could not be emptied, and until when they are skipped."""
+        """When machines that could not be emptied may be considered again, by name."""
 
     def continue_moves(self, now: float) -> None:
         """Moves the next replica of each machine that is being emptied."""
         self._moves.continue_moves(now)
 
     def consolidate(self, demands: list[Demand]) -> None:
-        """Begins to empty machines when all is calm; `continue_moves` moves their replicas."""
+        """Starts emptying machines if the cluster is stable; `continue_moves` moves replicas."""
         if not self.term.may_act:
             return
         now = self.runtime.now()
-        if not self._is_calm(now):
+        if not self._may_consolidate(now):
             return
         self._skipped_until = {
             name: until for name, until in self._skipped_until.items() if until > now
         }
-        rules = self._emptying_rules(now)
-        mean_price = self._mean_hourly_price()
+        rules = self._make_emptying_rules(now)
+        mean_price = self._compute_mean_hourly_price()
         can_spare: Callable[[set[str]], bool] | None = None
         chosen: set[str] = set()
         while self._moves.can_empty_more():
@@ -85,21 +85,24 @@
                 return
             self._start_emptying(machine, now)
 
-    def _is_calm(self, now: float) -> bool:
-        """Whether the fleet is in contact, and nothing urgent and no gang is pending."""
+    def _may_consolidate(self, now: float) -> bool:
+        """Returns whether the fleet is reachable and neither an urgent job nor a gang is pending.
+
+        Urgent jobs are those that rank above `standard`. Nothing is moved early in a term.
+        """
         return (
             self._moves.can_empty_more()
             and now - self.term.began_at > self.policy.settle
-            and self._moves.is_fleet_in_contact(now)
+            and self._moves.is_fleet_reachable(now)
             and not any(
                 wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or job.spec.job_kind == wire.GANG
                 for job in self._jobs.queue.pending_jobs()
             )
         )
 
-    def _emptying_rules(self, now: float) -> EmptyingRules:
+    def _make_emptying_rules(self, now: float) -> EmptyingRules:
         def is_settled(placed: Placement) -> bool:
-            # A replica that has just started stays: its start counts for what users see.
+            # A replica that has just started is not moved: users notice each restart.
             return (
                 placed.state == wire.RUNNING
                 and placed.started_at is not None
@@ -113,7 +116,7 @@
             is_settled, allow_finite_tasks=only_best_effort_pending, skipped=self._skipped_until
         )
 
-    def _mean_hourly_price(self) -> float:
+    def _compute_mean_hourly_price(self) -> float:
         machine_types = self.term.machine_types
         known = [
             machine
@@ -126,8 +129,8 @@
     def _choose_machine(
         self, rules: EmptyingRules, mean_price: float, now: float
     ) -> Machine | None:
-        """The next machine to empty; those found to be impossible are skipped for a while."""
-        emptying = self._moves.machines_being_emptied()
+        """Returns the next machine to empty; skips those that can't be emptied for a while."""
+        emptying = self._moves.list_machines_being_emptied()
         price_factor = self.policy.move_worth if not emptying else 1.0
         schedulable = self._reconciler.schedulable_machines()
         with without_best_effort(schedulable):
@@ -135,7 +138,7 @@
                 schedulable,
                 self.term.machine_types,
                 self.rng,
-                self._moves.target_search(),
+                self._moves.make_target_search(),
                 replace(rules, min_hourly_price=mean_price * price_factor),
                 emptying,
             )
