--- a/tests/test_gang_lifecycle.py
+++ b/tests/test_gang_lifecycle.py
@@ -28,7 +28,7 @@
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
-from flaxtally.planning.placement import GpuNeeds, Room
+from flaxtally.planning.placement import FreeResources, GpuReservations
 from flaxtally.protocol import wire
 
 from .ledger_records import accepted, record
@@ -143,7 +143,7 @@
     index = MachineIndex.of(machines, MACHINE_TYPES, rng)
     before = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     job = gang("j-000001", tasks, one_zone=one_zone, spread=spread, cores=cores)
-    search = GangMachineSearch(job, 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(job, 1, index, GpuReservations(), 24, None)
     choice = choose_machines_for_gang(search, set(ZONES), 60.0)
     after = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     assert after == before
@@ -164,7 +164,7 @@
     for machine in machines:
         machine.cores = 0.0
     index = MachineIndex.of(machines, MACHINE_TYPES, rng)
-    search = GangMachineSearch(gang("j-000001", 4), 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(gang("j-000001", 4), 1, index, GpuReservations(), 24, None)
     for zone in ZONES:
         choice = choose_machines_for_missing(search, 2, set(ZONES), {zone: 2}, 60.0)
         assert choice is not None
@@ -175,10 +175,10 @@
     # With 4,000 machines, each failed search for 100,000 tasks blocked the event loop for 2.3 s.
     rng = random.Random(1)
     index = MachineIndex.of(make_machines(rng, 300), MACHINE_TYPES, rng)
-    search = GangMachineSearch(gang("j-000001", 100_000), 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(gang("j-000001", 100_000), 1, index, GpuReservations(), 24, None)
     assert choose_machines_for_gang(search, set(ZONES), 60.0) is None
-    assert index.looked == 0
-    few = GangMachineSearch(gang("j-000002", 40), 1, index, GpuNeeds(), 24, None)
+    assert index.examined_count == 0
+    few = GangMachineSearch(gang("j-000002", 40), 1, index, GpuReservations(), 24, None)
     assert choose_machines_for_gang(few, set(ZONES), 60.0) is not None
 
 
@@ -198,10 +198,10 @@
         for task in range(number * 8, number * 8 + rng.randrange(4)):
             cluster_state.apply(record("P", 1, task, 1, machine.name, machine.zone), 1)
             victims.append(Victim(cluster_state.jobs[1].placements[task], rng.uniform(0, 50)))
-        free = Room(machine_type.cores - machine.cores, 0.0, 64.0)
+        free = FreeResources(machine_type.cores - machine.cores, 0.0, 64.0)
         candidates.append(Candidate(machine, machine_type, free, victims))
         max_tasks += int((free.cores + 3.0 * len(victims) + 1e-6) / 3.0)
-    chosen = choose_machines(job, tasks, candidates, GpuNeeds())
+    chosen = choose_machines(job, tasks, candidates, GpuReservations())
     assert (chosen is not None) == (max_tasks >= tasks)
     if chosen is None:
         return
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -13,9 +13,9 @@
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Demand
-from flaxtally.planning.placement import Exhausted
+from flaxtally.planning.placement import InfeasibleRequests
 from flaxtally.planning.provisioning import merge_demands
-from flaxtally.planning.urgency import Due, levels
+from flaxtally.planning.urgency import JobDueTimes, assign_due_time_levels
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.loop import Loop
@@ -107,7 +107,7 @@
 
 def test_size_without_capacity_also_excludes_larger_sizes() -> None:
     # Jobs of a class differ a little in size: without this, each of them searches all machines.
-    exhausted = Exhausted()
+    exhausted = InfeasibleRequests()
     exhausted.add("a", spec("j-000001", cores=4.0, memory_gb=8.0))
     assert exhausted.covers("a", spec("j-000002", cores=4.0, memory_gb=9.0))
     assert not exhausted.covers("a", spec("j-000003", cores=3.9, memory_gb=9.0))
@@ -175,13 +175,15 @@
 def test_overload_defers_the_largest_job_and_not_the_last_one() -> None:
     # Under load bursts on magnolia-plant-fleet, scheduling in the order of due times alone started
     # every job when it was nearly too late.
-    large = [Due(number, (50.0, 90.0), 400.0) for number in range(2)]
-    small = [Due(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
-    levels_by_job = levels([*large, *small], 10.0, 10)
-    assert [levels_by_job[due.no] for due in small] == [0] * 8
+    large = [JobDueTimes(number, (50.0, 90.0), 400.0) for number in range(2)]
+    small = [JobDueTimes(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
+    levels_by_job = assign_due_time_levels([*large, *small], 10.0, 10)
+    assert [levels_by_job[due.number] for due in small] == [0] * 8
     # 400 s of work of the small jobs leave 400 s until 90 s: enough for one large job only.
-    assert sorted(levels_by_job[due.no] for due in large) == [1, 2]
-    assert levels([Due(1, (5.0, 20.0), 1.0), Due(2, (), 1.0)], 10.0, 1) == {1: 1, 2: 0}
+    assert sorted(levels_by_job[due.number] for due in large) == [1, 2]
+    assert assign_due_time_levels(
+        [JobDueTimes(1, (5.0, 20.0), 1.0), JobDueTimes(2, (), 1.0)], 10.0, 1
+    ) == {1: 1, 2: 0}
 
 
 def test_large_deployment_survives_a_restart_of_all_controllers() -> None:
