--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from ..planning.choice import choose, fetch_seconds
+from ..planning.choice import choose_machine, estimate_fetch_s
 from ..planning.fleet import Machine
 from ..planning.machine_index import Fit, MachineIndex
 
 if TYPE_CHECKING:
-    from ..planning.placement import GpuNeeds
+    from ..planning.placement import GpuReservations
     from ..protocol import wire
 
 MachineFilter = Callable[[Machine], bool]
@@ -24,7 +24,7 @@
     spec: wire.Spec
     job_number: int
     index: MachineIndex
-    gpu_reservations: GpuNeeds | None
+    gpu_reservations: GpuReservations | None
     """None: nothing is reserved for GPU tasks, and slow machines will do."""
     sample_size: int
     machine_filter: MachineFilter | None
@@ -38,7 +38,7 @@
             fits = Fit(self.spec, self.gpu_reservations, self.machine_filter)
             if fits(previous, self.index.machine_types[previous.machine_type]):
                 return previous
-        return choose(
+        return choose_machine(
             self.spec,
             self.job_number,
             self.index,
@@ -133,7 +133,7 @@
         if machine is None:
             break
         machine_type = index.machine_types[machine.machine_type]
-        longest_fetch_s = max(longest_fetch_s, fetch_seconds(spec, machine, machine_type))
+        longest_fetch_s = max(longest_fetch_s, estimate_fetch_s(spec, machine, machine_type))
         tasks_by_zone[machine.zone] = tasks_by_zone.get(machine.zone, 0) + 1
         machine.reserve(spec, 1)
         index.update(machine)
--- a/flaxtally/gangs/gang_preemption.py
+++ b/flaxtally/gangs/gang_preemption.py
@@ -12,7 +12,7 @@
 
     from ..ledger.placement import Placement
     from ..planning.fleet import Machine
-    from ..planning.placement import GpuNeeds, Room
+    from ..planning.placement import FreeResources, GpuReservations
     from ..protocol import wire
 
 
@@ -30,7 +30,7 @@
 
     machine: Machine
     machine_type: wire.MachineType
-    free: Room
+    free: FreeResources
     victims: Sequence[Victim]
 
 
@@ -48,7 +48,7 @@
     spec: wire.Spec,
     zones: Collection[str],
     candidates_outside: Callable[[Collection[str]], Iterable[Candidate]],
-    gpu_reservations: GpuNeeds,
+    gpu_reservations: GpuReservations,
     total_cost: Callable[[list[MachineSlots]], float],
 ) -> list[MachineSlots] | None:
     """Machines that together hold the gang, in the zones where that costs least; None: nowhere.
@@ -68,7 +68,7 @@
     spec: wire.Spec,
     task_count: int,
     candidates: Iterable[Candidate],
-    gpu_reservations: GpuNeeds,
+    gpu_reservations: GpuReservations,
 ) -> list[MachineSlots] | None:
     """Machines that together hold the tasks, those with the least cost first; None: they don't."""
     usable = [
@@ -88,7 +88,7 @@
 
 
 def _find_slots(
-    spec: wire.Spec, max_tasks: int, candidate: Candidate, gpu_reservations: GpuNeeds
+    spec: wire.Spec, max_tasks: int, candidate: Candidate, gpu_reservations: GpuReservations
 ) -> MachineSlots | None:
     """The slots of a machine for at most `max_tasks` tasks, with no more victims than needed."""
     free = candidate.free
@@ -119,7 +119,7 @@
 
 
 def _count_tasks(
-    spec: wire.Spec, candidate: Candidate, free: Room, gpu_reservations: GpuNeeds
+    spec: wire.Spec, candidate: Candidate, free: FreeResources, gpu_reservations: GpuReservations
 ) -> int:
     """How many tasks of the gang the machine holds with that much free capacity."""
     machine = candidate.machine
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -90,12 +90,12 @@
         job_class = demand.shape.job_class
         # Not by the last job's own run time: one long job made the plan provision for a hundred
         # machines' work.
-        run_s = arrivals.length(job_class, now) or demand.needed_until_s
-        expected = arrivals.rate(job_class, now) * min(step_s, run_s)
+        run_s = arrivals.mean_run_s(job_class, now) or demand.needed_until_s
+        expected = arrivals.tasks_per_s(job_class, now) * min(step_s, run_s)
         if job_class in self._classes_with_headroom:
             # Capacity for the next job, and for what the loss of a few machines would leave
             # without.
-            expected += arrivals.largest(job_class, now)
+            expected += arrivals.max_tasks_per_job(job_class, now)
             expected += math.ceil(self.policy.slack * self._running_by_class[job_class])
         return expected
 
@@ -146,9 +146,9 @@
         cores, gpus = headroom[spec.team]
         count = job.pending_count
         if spec.cores:
-            count = min(count, int(cores / spec.cores + placement.SLACK))
+            count = min(count, int(cores / spec.cores + placement.RESOURCE_TOLERANCE))
         if spec.gpus:
-            count = min(count, int(gpus / spec.gpus + placement.SLACK))
+            count = min(count, int(gpus / spec.gpus + placement.RESOURCE_TOLERANCE))
         count = max(0, count)
         headroom[spec.team] = cores - count * spec.cores, gpus - count * spec.gpus
         return count
@@ -174,11 +174,11 @@
         for shape, spec in self._jobs.shapes.typical_shapes():
             job_class = shape.job_class
             is_expected = (
-                arrivals.rate(job_class, now) > 0 or job_class in self._classes_with_headroom
+                arrivals.tasks_per_s(job_class, now) > 0 or job_class in self._classes_with_headroom
             )
             if shape in by_shape or not is_expected:
                 continue
-            run_s = arrivals.length(job_class, now) or self._jobs.expected_run_s(spec)
+            run_s = arrivals.mean_run_s(job_class, now) or self._jobs.expected_run_s(spec)
             demand = Demand(shape, 0.0, run_s, represents_job_class=True)
             by_shape[shape] = demand
             if spec.spread:
@@ -220,7 +220,9 @@
         for demand in demands:
             by_zone = demand.machines_by_zone
             for (machine_type, zone, spot), count in pools.items():
-                if placement.allowed(demand.shape, machine_types[machine_type], zone, spot):
+                if placement.may_use_machine_type(
+                    demand.shape, machine_types[machine_type], zone, spot
+                ):
                     by_zone[zone] = by_zone.get(zone, 0) + count
 
 
--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -119,14 +119,20 @@
         """The machines that together hold the gang soonest, as their finite tasks end."""
 
         def candidates_outside(excluded_zones: Collection[str]) -> Iterator[Candidate]:
-            max_machines = placement.WIDEN**2 * self.policy.sample
-            machines = itertools.islice(index.walk(job.spec, excluded_zones), max_machines)
+            max_machines = placement.SAMPLE_WIDENING_FACTOR**2 * self.policy.sample
+            machines = itertools.islice(
+                index.iterate_allowed(job.spec, excluded_zones), max_machines
+            )
             for machine, machine_type in machines:
-                free = placement.room(machine, machine_type)
+                free = placement.free_resources(machine, machine_type)
                 yield Candidate(machine, machine_type, free, _finite_tasks(machine, now))
 
         chosen = choose_cheapest_machines(
-            job.spec, self.fleet.zones, candidates_outside, placement.GpuNeeds(), _longest_wait_s
+            job.spec,
+            self.fleet.zones,
+            candidates_outside,
+            placement.GpuReservations(),
+            _longest_wait_s,
         )
         return None if chosen is None else frozenset(slots.machine.name for slots in chosen)
 
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -41,7 +41,7 @@
             shape = demand.shape
             if not shape.one_zone or shape.zone is not None:
                 continue
-            largest_job = self._jobs.arrivals.largest(shape.job_class, now)
+            largest_job = self._jobs.arrivals.max_tasks_per_job(shape.job_class, now)
             zone = self._choose_zone(shape, max(math.ceil(demand.count), largest_job))
             if zone is not None:
                 self._zone_by_class[shape.job_class] = zone
@@ -52,7 +52,7 @@
             zone
             for machine_type in self.term.machine_types.values()
             for zone in machine_type.zones
-            if placement.allowed(shape, machine_type, zone, spot=False)
+            if placement.may_use_machine_type(shape, machine_type, zone, spot=False)
         }
         free_slots = self._count_free_slots(shape)
         current_zone = self._zone_by_class.get(shape.job_class)
@@ -79,10 +79,12 @@
                 or machine.is_cordoned
                 or machine.is_terminating
                 or machine.is_slow
-                or not placement.allowed(shape, machine_type, machine.zone, machine.spot)
+                or not placement.may_use_machine_type(
+                    shape, machine_type, machine.zone, machine.spot
+                )
             ):
                 continue
-            free = placement.room(machine, machine_type)
+            free = placement.free_resources(machine, machine_type)
             free_bin = Bin(
                 machine_type,
                 machine.zone,
@@ -97,7 +99,7 @@
     def _can_provision(self, shape: Shape, zone: str) -> bool:
         return any(
             zone in machine_type.zones
-            and placement.allowed(shape, machine_type, zone, spot)
+            and placement.may_use_machine_type(shape, machine_type, zone, spot)
             and not self._is_in_backoff(Pool(machine_type.name, zone, spot))
             for machine_type in self.term.machine_types.values()
             for spot in (False, True)
--- a/flaxtally/leader/job_admission.py
+++ b/flaxtally/leader/job_admission.py
@@ -38,7 +38,7 @@
         """Yields the zone of each machine type and zone that may take a task of the job."""
         for machine_type in self._term.machine_types.values():
             for zone in machine_type.zones:
-                if placement.allowed(spec, machine_type, zone, spot=False):
+                if placement.may_use_machine_type(spec, machine_type, zone, spot=False):
                     yield zone
 
     def _can_hold_gang(self, spec: wire.Spec) -> bool:
@@ -51,6 +51,10 @@
 def _exceeds_limit(spec: wire.Spec, team: Team) -> bool:
     """Whether what must run at the same time, of an array one task, is beyond the hard limit."""
     count = 1 if spec.job_kind == wire.ARRAY else spec.tasks
-    exceeds_cores = team.cores_max and spec.cores * count > team.cores_max + placement.SLACK
-    exceeds_gpus = team.gpus_max and spec.gpus * count > team.gpus_max + placement.SLACK
+    exceeds_cores = (
+        team.cores_max and spec.cores * count > team.cores_max + placement.RESOURCE_TOLERANCE
+    )
+    exceeds_gpus = (
+        team.gpus_max and spec.gpus * count > team.gpus_max + placement.RESOURCE_TOLERANCE
+    )
     return bool(exceeds_cores or exceeds_gpus)
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -7,7 +7,7 @@
 
 from ..ledger.records import JobAccepted, JobCancelled
 from ..planning import placement
-from ..planning.forecast import Arrivals
+from ..planning.forecast import ArrivalStatistics
 from ..protocol import formats, wire
 from .job_admission import JobAdmission
 from .replies import (
@@ -45,7 +45,7 @@
         super().__init__(term)
         self.commands = commands
         self.live_jobs: dict[int, Job] = {}
-        self.arrivals = Arrivals(self.policy.plan_horizon, self.policy.plan_step * 2)
+        self.arrivals = ArrivalStatistics(self.policy.plan_horizon, self.policy.plan_step * 2)
         self.shapes = ResourceShapes()
         self.backoff: dict[int, float] = {}
         """Jobs of which no task is placed until a time."""
@@ -117,7 +117,7 @@
         self.queue.add(job)
         self.shapes.record_shape(job.shape, job.spec)
         run_s = self.expected_run_s(job.spec)
-        self.arrivals.note(job.spec.job_class, job.spec.tasks, run_s, now)
+        self.arrivals.record_arrival(job.spec.job_class, job.spec.tasks, run_s, now)
         self.term.request_pass()
 
     # Status
@@ -241,7 +241,7 @@
         return self.policy.plan_horizon
 
     @property
-    def gpu_reservations(self) -> placement.GpuNeeds:
+    def gpu_reservations(self) -> placement.GpuReservations:
         """The cores and memory to reserve for each GPU."""
         return self.shapes.gpu_reservations
 
@@ -272,6 +272,12 @@
             return False
         cores, gpus = self.term.team_usage(spec.team)
         return not (
-            (team.cores_max and cores + spec.cores * count > team.cores_max + placement.SLACK)
-            or (team.gpus_max and gpus + spec.gpus * count > team.gpus_max + placement.SLACK)
+            (
+                team.cores_max
+                and cores + spec.cores * count > team.cores_max + placement.RESOURCE_TOLERANCE
+            )
+            or (
+                team.gpus_max
+                and gpus + spec.gpus * count > team.gpus_max + placement.RESOURCE_TOLERANCE
+            )
         )
--- a/flaxtally/leader/reclaim/reclaim_admission.py
+++ b/flaxtally/leader/reclaim/reclaim_admission.py
@@ -90,7 +90,7 @@
             spec, machine_types, self._jobs.gpu_reservations, self.policy.best_effort_price
         )
         return any(
-            placement.allowed(spec, machine_type, zone, is_spot)
+            placement.may_use_machine_type(spec, machine_type, zone, is_spot)
             and (machine_type.name, is_spot) not in expensive
             and not self._pools.is_in_backoff(Pool(machine_type.name, zone, is_spot))
             for machine_type in machine_types.values()
--- a/flaxtally/leader/resource_shapes.py
+++ b/flaxtally/leader/resource_shapes.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         """Starts without shapes."""
         self._job_classes: dict[str, OrderedDict[Shape, wire.Spec]] = {}
-        self._gpu_reservations: placement.GpuNeeds | None = placement.GpuNeeds()
+        self._gpu_reservations: placement.GpuReservations | None = placement.GpuReservations()
         """None: to be computed when next asked for."""
 
     def record_shape(self, shape: Shape, spec: wire.Spec) -> None:
@@ -38,10 +38,10 @@
             self._gpu_reservations = None
 
     @property
-    def gpu_reservations(self) -> placement.GpuNeeds:
+    def gpu_reservations(self) -> placement.GpuReservations:
         """The cores and memory to reserve for each GPU."""
         if self._gpu_reservations is None:
-            self._gpu_reservations = placement.gpu_needs(
+            self._gpu_reservations = placement.compute_gpu_reservations(
                 spec for shapes in self._job_classes.values() for spec in shapes.values()
             )
         return self._gpu_reservations
--- a/flaxtally/leader/scheduling/job_urgency.py
+++ b/flaxtally/leader/scheduling/job_urgency.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...planning.urgency import Due, levels
+from ...planning.urgency import JobDueTimes, assign_due_time_levels
 from ...protocol import wire
 
 if TYPE_CHECKING:
@@ -88,15 +88,15 @@
             return
         running = _count_placements_by_class(live_jobs)
         for job_class, dues in dues_by_class.items():
-            self._levels |= levels(dues, wall, max(1, running.get(job_class, 0)))
+            self._levels |= assign_due_time_levels(dues, wall, max(1, running.get(job_class, 0)))
 
-    def _dues_by_class(self, pending: Iterable[Job]) -> dict[str, list[Due]]:
-        dues_by_class: dict[str, list[Due]] = {}
+    def _dues_by_class(self, pending: Iterable[Job]) -> dict[str, list[JobDueTimes]]:
+        dues_by_class: dict[str, list[JobDueTimes]] = {}
         for job in pending:
             spec = job.spec
             if spec.job_kind != wire.SERVICE:
                 work = job.pending_count * spec.estimated_run_s
-                due = Due(job.number, self._latest_starts(job), work)
+                due = JobDueTimes(job.number, self._latest_starts(job), work)
                 dues_by_class.setdefault(spec.job_class, []).append(due)
         return dues_by_class
 
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -145,7 +145,7 @@
         """What the other teams use beyond their quotas."""
         return QuotaBudget(spec.team, self._quota.reclaimable(), self._open_reclaims)
 
-    def patience_s(self, job: Job) -> float:
+    def overdue_after_s(self, job: Job) -> float:
         """Shorter for a job within its team's quota."""
         if self._quota.is_entitled(job):
             return min(self.policy.keep_patience, self.policy.recall * PATIENCE_SHARE)
@@ -153,4 +153,4 @@
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
         """Whether the job has waited for longer than its patience."""
-        return request.now - request.job.pending_since > self.patience_s(request.job)
+        return request.now - request.job.pending_since > self.overdue_after_s(request.job)
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -54,7 +54,7 @@
         self._open_reclaims = open_reclaims
         self._quota_reclaim = quota_reclaim
         self._served = ServedTasks()
-        self._infeasible = placement.Exhausted()
+        self._infeasible = placement.InfeasibleRequests()
         """Who found no victim, until `_infeasible_until`."""
         self._infeasible_until = 0.0
 
@@ -62,7 +62,7 @@
         """Expires what no longer holds; returns the machines on which reservations ended."""
         now = self.runtime.now()
         if now >= self._infeasible_until:
-            self._infeasible = placement.Exhausted()
+            self._infeasible = placement.InfeasibleRequests()
             self._infeasible_until = now + self.policy.retry
         self._policies.current.begin_pass()
         return self._reservations.expire(now, self.ledger.state)
@@ -81,9 +81,9 @@
         """Whether a job with that key that asked for no more found no victim a while ago."""
         return self._infeasible.covers(key, spec)
 
-    def patience_s(self, job: Job) -> float:
+    def overdue_after_s(self, job: Job) -> float:
         """How long a job waits before it takes any capacity, also what is kept for GPU tasks."""
-        return self._policies.current.patience_s(job)
+        return self._policies.current.overdue_after_s(job)
 
     # Placed
 
--- a/flaxtally/leader/scheduling/preemption_policy.py
+++ b/flaxtally/leader/scheduling/preemption_policy.py
@@ -81,7 +81,7 @@
     def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
         """The budget of one decision for a job."""
 
-    def patience_s(self, job: Job) -> float:
+    def overdue_after_s(self, job: Job) -> float:
         """How long a job waits before it takes any capacity, also what is kept for GPU tasks."""
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
@@ -163,7 +163,7 @@
         """No team's quota protects its tasks."""
         return self._budget
 
-    def patience_s(self, job: Job) -> float:
+    def overdue_after_s(self, job: Job) -> float:
         """The policy file's."""
         return self.policy.keep_patience
 
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -63,7 +63,7 @@
         self._is_pass_requested = False
         self._next_pass_at = 0.0
         self._machines = preemption_parts.machines
-        self._infeasible = placement.Exhausted()
+        self._infeasible = placement.InfeasibleRequests()
         """Requests that found no capacity up to now; they search only where there is more now."""
         self._gpu_reservations = jobs.gpu_reservations
         """Those that the last pass went by."""
@@ -102,20 +102,20 @@
         released = self.gang_reservations.take_released_machines
         freed_machines = self.preemption.begin_pass() | released()
         if self._machines.apply_changes():
-            self._infeasible = placement.Exhausted()
+            self._infeasible = placement.InfeasibleRequests()
         self._machines.mark_grown(freed_machines)
         if self.jobs.gpu_reservations != self._gpu_reservations:
             # They decide which capacity is free for others: all requests search everywhere again.
             self._gpu_reservations = self.jobs.gpu_reservations
-            self._infeasible = placement.Exhausted()
+            self._infeasible = placement.InfeasibleRequests()
         index = self._machines.index
         grown = self._machines.take_grown()
-        examined_before = index.looked
+        examined_before = index.examined_count
         scheduling_pass = SchedulingPass(
             self, index=index, grown=grown, infeasible=self._infeasible, now=now
         )
         self._infeasible = scheduling_pass.run(queue)
-        self.examined_count += index.looked - examined_before + grown.looked
+        self.examined_count += index.examined_count - examined_before + grown.examined_count
         return scheduling_pass.is_full
 
     def _request_pass_later(self) -> None:
@@ -155,7 +155,7 @@
         spec = job.spec
         machine_type = self.term.machine_types[machine.machine_type]
         fits = Fit(spec, self.jobs.gpu_reservations, is_available)
-        is_allowed = placement.allowed(spec, machine_type, machine.zone, machine.spot)
+        is_allowed = placement.may_use_machine_type(spec, machine_type, machine.zone, machine.spot)
         return machine if is_allowed and fits(machine, machine_type) else None
 
     def availability_filter(self, job: Job) -> MachineFilter | None:
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -7,7 +7,7 @@
 
 from ...planning import placement
 from ...planning.best_effort import find_expensive_types
-from ...planning.choice import choose
+from ...planning.choice import choose_machine
 from ...planning.fleet import Machine
 from ...planning.machine_index import Fit, MachineIndex
 from ...protocol import wire
@@ -20,7 +20,7 @@
     from .pending_queue import PendingJob
     from .preemption import Preemption
 
-MAX_PLACEMENTS = 400
+MAX_PLACEMENTS_PER_PASS = 400
 """Tasks per pass: one large array on an idle fleet must not hold up heartbeats and users."""
 
 MachineFilter = Callable[[Machine], bool]
@@ -84,7 +84,7 @@
         *,
         index: MachineIndex,
         grown: MachineIndex,
-        infeasible: placement.Exhausted,
+        infeasible: placement.InfeasibleRequests,
         now: float,
     ) -> None:
         """Prepares a pass over the machines of `index`.
@@ -102,7 +102,7 @@
         self._has_grown = len(grown) > 0
         self._now = now
         self._infeasible_before = infeasible
-        self._infeasible = placement.Exhausted()
+        self._infeasible = placement.InfeasibleRequests()
         """Requests that found no capacity in this pass: the same ones and larger ones don't search.
         """
         self._best_effort_filters: dict[int, MachineFilter] = {}
@@ -114,9 +114,9 @@
     @property
     def is_full(self) -> bool:
         """Whether the pass has placed as many tasks as one may."""
-        return self._placed_count >= MAX_PLACEMENTS
+        return self._placed_count >= MAX_PLACEMENTS_PER_PASS
 
-    def run(self, queue: list[PendingJob]) -> placement.Exhausted:
+    def run(self, queue: list[PendingJob]) -> placement.InfeasibleRequests:
         """Places what it can; returns the requests known to find no capacity from here on."""
         hopeless: set[Hashable] = set()
         backoff = self._jobs.backoff
@@ -193,7 +193,7 @@
         return _TaskRequest(job, excluded_zones, key, is_available)
 
     def _is_overdue(self, job: Job) -> bool:
-        return self._now - job.pending_since > self._preemption.patience_s(job)
+        return self._now - job.pending_since > self._preemption.overdue_after_s(job)
 
     # Finding a machine
 
@@ -222,7 +222,7 @@
         """Chooses a machine; where the request is known as infeasible, among those that grew."""
         spec = request.job.spec
         was_infeasible = self._infeasible_before.covers(request.key, spec)
-        machine = choose(
+        machine = choose_machine(
             spec,
             request.job.number,
             self._grown if was_infeasible else self._index,
@@ -237,7 +237,7 @@
                 self._infeasible_before.add(request.key, spec)
         return machine
 
-    def _gpu_reservations_for(self, request: _TaskRequest) -> placement.GpuNeeds | None:
+    def _gpu_reservations_for(self, request: _TaskRequest) -> placement.GpuReservations | None:
         """Returns what the task must leave for GPU tasks; None: nothing."""
         return None if request.key.is_overdue else self._jobs.gpu_reservations
 
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -55,7 +55,7 @@
     @property
     def _max_machines(self) -> int:
         """How many machines one search looks at: another part of the fleet the next time."""
-        return placement.WIDEN**2 * self.policy.sample
+        return placement.SAMPLE_WIDENING_FACTOR**2 * self.policy.sample
 
     def request_for(self, job: Job, *, is_entitled: bool) -> PreemptionRequest:
         """A search for the job, as of now."""
@@ -72,7 +72,7 @@
         """Of a sample of machines, the one on which the least work is lost; None: none found."""
         best: PreemptionPlan | None = None
         found_count = 0
-        machines = self._machines.index.walk(request.spec, excluded_zones)
+        machines = self._machines.index.iterate_allowed(request.spec, excluded_zones)
         for seen_count, (machine, machine_type) in enumerate(machines):
             if seen_count >= self._max_machines:
                 break
@@ -123,7 +123,7 @@
         budget = policy.new_budget(spec)
 
         def candidates(excluded_zones: Collection[str]) -> Iterator[Candidate]:
-            machines = self._machines.index.walk(spec, excluded_zones)
+            machines = self._machines.index.iterate_allowed(spec, excluded_zones)
             for machine, machine_type in itertools.islice(machines, self._max_machines):
                 victims = [
                     Victim(placed, self._cost.of_task(placed, request.now))
@@ -157,9 +157,9 @@
 
     def _unreserved_capacity(
         self, machine: Machine, machine_type: wire.MachineType
-    ) -> placement.Room:
+    ) -> placement.FreeResources:
         """What is free there: a task that stops for another one can't make room twice."""
-        free = placement.room(machine, machine_type)
+        free = placement.free_resources(machine, machine_type)
         for reservation in self._reservations.list_on(machine.name):
             free = free.minus(reservation.spec)
         for spec in self._reclaimed.reserved_on(machine.name):
--- a/flaxtally/lending/entitlement.py
+++ b/flaxtally/lending/entitlement.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from ..planning.placement import SLACK
+from ..planning.placement import RESOURCE_TOLERANCE
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -71,8 +71,8 @@
         """Whether that much use is within the quota in every resource."""
         return (
             self.is_granted
-            and use.cores <= self.amounts.cores + SLACK
-            and use.gpus <= self.amounts.gpus + SLACK
+            and use.cores <= self.amounts.cores + RESOURCE_TOLERANCE
+            and use.gpus <= self.amounts.gpus + RESOURCE_TOLERANCE
         )
 
     def is_preserved(self, use: Amounts, taken: Amounts) -> bool:
@@ -81,7 +81,7 @@
         What alone is more than the quota (a large gang) was never within it.
         """
         return not self.covers(taken) or any(
-            amount > 0 and used >= granted - SLACK
+            amount > 0 and used >= granted - RESOURCE_TOLERANCE
             for amount, used, granted in zip(taken, use, self.amounts, strict=True)
         )
 
--- a/flaxtally/lending/victim_selection.py
+++ b/flaxtally/lending/victim_selection.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from ..planning.placement import Room
+    from ..planning.placement import FreeResources
     from ..protocol import wire
 
 Task = TypeVar("Task")
@@ -15,11 +15,11 @@
 
 def select_victims(
     spec: wire.Spec,
-    free: Room,
+    free: FreeResources,
     candidates: Iterable[Task],
     spec_of: Callable[[Task], wire.Spec],
     try_take: Callable[[Task], bool],
-) -> tuple[Room, list[Task]]:
+) -> tuple[FreeResources, list[Task]]:
     """The tasks to stop, in the order given, and the capacity that is free without them.
 
     `try_take`: whether a task may be stopped beside those before it; then it counts as stopped. The
--- a/flaxtally/planning/best_effort.py
+++ b/flaxtally/planning/best_effort.py
@@ -9,7 +9,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from .placement import GpuNeeds, allowed
+from .placement import GpuReservations, may_use_machine_type
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -25,7 +25,7 @@
 def find_expensive_types(
     spec: wire.Spec | Shape,
     machine_types: Mapping[str, wire.MachineType],
-    gpu_reservations: GpuNeeds,
+    gpu_reservations: GpuReservations,
     max_price_ratio: float,
 ) -> ExpensiveTypes:
     """The types on which a task costs more than `max_price_ratio` times as much as the cheapest.
@@ -36,7 +36,7 @@
         (machine_type.name, spot): _hourly_price(spec, machine_type, gpu_reservations, spot=spot)
         for machine_type in machine_types.values()
         for spot in (False, True)
-        if any(allowed(spec, machine_type, zone, spot) for zone in machine_type.zones)
+        if any(may_use_machine_type(spec, machine_type, zone, spot) for zone in machine_type.zones)
     }
     lowest = min(prices.values(), default=0.0)
     return frozenset(pool for pool, price in prices.items() if price > max_price_ratio * lowest)
@@ -45,7 +45,7 @@
 def _hourly_price(
     spec: wire.Spec | Shape,
     machine_type: wire.MachineType,
-    gpu_reservations: GpuNeeds,
+    gpu_reservations: GpuReservations,
     *,
     spot: bool,
 ) -> float:
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ..protocol import wire
-from .placement import SLACK, GpuNeeds
+from .placement import RESOURCE_TOLERANCE, GpuReservations
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection
@@ -14,12 +14,16 @@
     from .machine_index import MachineIndex
 
 
-def fetch_seconds(spec: wire.Spec, machine: Machine, kind: wire.MachineType) -> float:
+def estimate_fetch_s(spec: wire.Spec, machine: Machine, kind: wire.MachineType) -> float:
     """About how long the image takes to be there; fetches at the same time share the rate."""
     if spec.image in machine.images:
         return 0.0
     busy = machine.images_being_fetched()
-    return spec.image_gb / max(kind.fetch_gb_per_s, SLACK) * (1 + len(busy - {spec.image}))
+    return (
+        spec.image_gb
+        / max(kind.fetch_gb_per_s, RESOURCE_TOLERANCE)
+        * (1 + len(busy - {spec.image}))
+    )
 
 
 def _grade(seconds: float) -> int:
@@ -30,11 +34,11 @@
     return 5
 
 
-def choose(
+def choose_machine(
     spec: wire.Spec,
     job_no: int,
     index: MachineIndex,
-    needs: GpuNeeds | None,
+    needs: GpuReservations | None,
     sample: int,
     shut: Collection[str],
     keep: Callable[[Machine], bool] | None = None,
@@ -44,14 +48,14 @@
     `shut`: zones that the job may not use now.
     """
     best: tuple[tuple[float, ...], Machine] | None = None
-    for machine in index.fitting(spec, shut, needs, sample, keep):
+    for machine in index.sample_fitting(spec, shut, needs, sample, keep):
         kind = index.machine_types[machine.machine_type]
         after = max(
             (kind.cores - machine.cores - spec.cores) / kind.cores if kind.cores else 0.0,
             (kind.gpus - machine.gpus - spec.gpus) / kind.gpus if kind.gpus else 0.0,
         )
         score: tuple[float, ...] = (
-            _grade(fetch_seconds(spec, machine, kind)),
+            _grade(estimate_fetch_s(spec, machine, kind)),
             float(
                 spec.job_kind == wire.SERVICE and any(no == job_no for no, _ in machine.placements)
             ),
--- a/flaxtally/planning/consolidation.py
+++ b/flaxtally/planning/consolidation.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from ..protocol import wire
-from .choice import choose
+from .choice import choose_machine
 from .machine_index import MachineIndex
 
 if TYPE_CHECKING:
@@ -22,14 +22,14 @@
     from ..ledger.job import Job
     from ..ledger.placement import Placement
     from .fleet import Machine
-    from .placement import GpuNeeds
+    from .placement import GpuReservations
 
 
 @dataclass(frozen=True)
 class TargetSearch:
     """How machines are searched to which replicas can move."""
 
-    gpu_reservations: GpuNeeds
+    gpu_reservations: GpuReservations
     sample_size: int
     excluded_zones: Callable[[Job, Placement], Collection[str]]
     """Zones that a job may not use, given that this placement of it moves away."""
@@ -176,7 +176,7 @@
 ) -> Machine | None:
     """The machine to which a replica of `machine` can move now."""
     job = placed.job
-    return choose(
+    return choose_machine(
         job.spec,
         job.number,
         index,
--- a/flaxtally/planning/forecast.py
+++ b/flaxtally/planning/forecast.py
@@ -15,24 +15,24 @@
         self._tasks = 0
         self._work = 0.0
 
-    def note(self, now: float, tasks: int, length: float) -> None:
+    def record_arrival(self, now: float, tasks: int, mean_run_s: float) -> None:
         """A job came."""
-        self._jobs.append((now, tasks, length))
+        self._jobs.append((now, tasks, mean_run_s))
         self._tasks += tasks
-        self._work += tasks * length
+        self._work += tasks * mean_run_s
 
     def forget(self, before: float) -> None:
         """Drops the jobs that came before."""
         while self._jobs and self._jobs[0][0] < before:
-            _, tasks, length = self._jobs.popleft()
+            _, tasks, mean_run_s = self._jobs.popleft()
             self._tasks -= tasks
-            self._work -= tasks * length
+            self._work -= tasks * mean_run_s
         if not self._jobs:
             # Sums and differences leave a little behind.
             self._work = 0.0
 
     @property
-    def largest(self) -> int:
+    def max_tasks_per_job(self) -> int:
         """The most tasks of a job."""
         return max((tasks for _, tasks, _ in self._jobs), default=0)
 
@@ -42,7 +42,7 @@
         return self._work / max(1, self._tasks)
 
 
-class Arrivals:
+class ArrivalStatistics:
     """The past window's arrivals by lane, in buckets of a step.
 
     The busiest buckets are left out of the average: a start-up burst or a single huge job says
@@ -61,28 +61,28 @@
         recent.forget(now - self._window)
         return recent
 
-    def largest(self, job_class: str, now: float) -> int:
+    def max_tasks_per_job(self, job_class: str, now: float) -> int:
         """The most tasks of one job of the lane within the window."""
-        return self._recent(job_class, now).largest
+        return self._recent(job_class, now).max_tasks_per_job
 
-    def length(self, job_class: str, now: float) -> float:
+    def mean_run_s(self, job_class: str, now: float) -> float:
         """How long a task of the lane is estimated to run.
 
         The average over the window's tasks; 0: none came.
         """
         return self._recent(job_class, now).mean_length
 
-    def note(self, job_class: str, tasks: int, length: float, now: float) -> None:
+    def record_arrival(self, job_class: str, tasks: int, mean_run_s: float, now: float) -> None:
         if self._first is None:
             self._first = now
-        self._recent(job_class, now).note(now, tasks, length)
+        self._recent(job_class, now).record_arrival(now, tasks, mean_run_s)
         slot = int(now / self._step)
         if not self._buckets or self._buckets[-1][0] != slot:
             self._buckets.append((slot, {}))
         counts = self._buckets[-1][1]
         counts[job_class] = counts.get(job_class, 0.0) + tasks
 
-    def rate(self, job_class: str, now: float) -> float:
+    def tasks_per_s(self, job_class: str, now: float) -> float:
         """Tasks a second."""
         if self._first is None:
             return 0.0
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -14,7 +14,15 @@
 
 from ..protocol import wire
 from .fleet import Machine, Pool
-from .placement import SLACK, WIDEN, GpuNeeds, Room, allowed, leaves_gpus_usable, room
+from .placement import (
+    RESOURCE_TOLERANCE,
+    SAMPLE_WIDENING_FACTOR,
+    FreeResources,
+    GpuReservations,
+    free_resources,
+    leaves_gpus_usable,
+    may_use_machine_type,
+)
 
 if TYPE_CHECKING:
     import random
@@ -121,7 +129,7 @@
     """The machines that may be used, as of the last `update` of each.
 
     `usable` is asked again for each machine looked at, since a machine may fall silent without
-    anything happening. `looked` counts the machines looked at.
+    anything happening. `examined_count` counts the machines looked at.
     """
 
     def __init__(
@@ -133,7 +141,7 @@
     ) -> None:
         """`by_image`: machines are also found by the images that they hold."""
         self.machine_types, self._rng, self._usable = kinds, rng, usable
-        self.looked = 0
+        self.examined_count = 0
         self._entries: dict[Machine, _Entry] = {}
         self._numbered = 0
         self._pools: dict[Pool, _Pool] = {}
@@ -225,7 +233,7 @@
 
     # Searches
 
-    def walk(
+    def iterate_allowed(
         self, spec: wire.Spec, shut: Collection[str]
     ) -> Iterator[tuple[Machine, wire.MachineType]]:
         """The machines that the job may use, whatever room they have, in a random order.
@@ -237,15 +245,15 @@
             for pool in self._open(spec, shut)
         ]
         for machine in self._shuffled(spans):
-            self.looked += 1
+            self.examined_count += 1
             if self._usable(machine):
                 yield machine, self.machine_types[machine.machine_type]
 
-    def fitting(
+    def sample_fitting(
         self,
         spec: wire.Spec,
         shut: Collection[str],
-        needs: GpuNeeds | None,
+        needs: GpuReservations | None,
         most: int,
         keep: Callable[[Machine], bool] | None = None,
     ) -> list[Machine]:
@@ -255,7 +263,7 @@
         among all. In a large fleet a sample of all misses the few that do.
 
         Without `needs` nothing is kept for GPU tasks, and slow machines will do. Who has found some
-        ends after `WIDEN` times as many looks; who has found none looks at all that have the cores
+        ends after `SAMPLE_WIDENING_FACTOR` times as many looks; who has found none looks at all that have the cores
         and GPUs.
         """
         pools = self._open(spec, shut)
@@ -264,15 +272,15 @@
             return []
         fits = Fit(spec, needs, keep)
         count = sum(span.end - span.first for span in spans)
-        if count <= WIDEN**2 * most:
+        if count <= SAMPLE_WIDENING_FACTOR**2 * most:
             return self._sample_of_few(spans, fits, most)
-        holding = self._with_image(spec, pools, WIDEN**2 * most)
+        holding = self._with_image(spec, pools, SAMPLE_WIDENING_FACTOR**2 * most)
         return self._sample(holding, fits, most) or self._sample(
             (entry[2] for entry in self._shuffled(spans)), fits, most
         )
 
     def can_hold(
-        self, spec: wire.Spec, shut: Collection[str], needs: GpuNeeds | None, count: int
+        self, spec: wire.Spec, shut: Collection[str], needs: GpuReservations | None, count: int
     ) -> bool:
         """Whether there may be room for that many tasks together.
 
@@ -282,7 +290,7 @@
             kind = pool.kind
             for span in self._with_room(pool, spec, needs):
                 for entry in itertools.islice(span.items, span.first, span.end):
-                    count -= _most_tasks(spec, room(entry[2], kind))
+                    count -= _most_tasks(spec, free_resources(entry[2], kind))
                     if count <= 0:
                         return True
         return False
@@ -295,21 +303,21 @@
             pools = self._allowed[key] = [
                 pool
                 for (_, zone, spot), pool in self._pools.items()
-                if allowed(spec, pool.kind, zone, spot)
+                if may_use_machine_type(spec, pool.kind, zone, spot)
             ]
         return [pool for pool in pools if pool.zone not in shut] if shut else pools
 
     @staticmethod
-    def _with_room(pool: _Pool, spec: wire.Spec, needs: GpuNeeds | None) -> Iterator[_Span]:
+    def _with_room(pool: _Pool, spec: wire.Spec, needs: GpuReservations | None) -> Iterator[_Span]:
         """The pool's machines that have the cores and GPUs; memory is looked at one by one."""
         kind = pool.kind
         kept = 0.0
         if needs is not None and kind.gpus and not spec.gpus:
             kept = min(needs.cores, kind.cores / kind.gpus)
         for free_gpus, by_cores in pool.by_free_gpus.items():
-            if free_gpus < spec.gpus - SLACK:
+            if free_gpus < spec.gpus - RESOURCE_TOLERANCE:
                 continue
-            least = spec.cores + free_gpus * kept - 2 * SLACK
+            least = spec.cores + free_gpus * kept - 2 * RESOURCE_TOLERANCE
             if by_cores[-1][0] >= least:
                 yield _Span(by_cores, bisect_left(by_cores, (least,)), len(by_cores))
 
@@ -331,7 +339,7 @@
             for span in spans
             for entry in itertools.islice(span.items, span.first, span.end)
         ]
-        self.looked += len(machines)
+        self.examined_count += len(machines)
         image = fits.spec.image
         holding = [machine for machine in machines if image in machine.images]
         for some in (holding, machines):
@@ -346,12 +354,12 @@
 
     def _sample(self, machines: Iterator[Machine], fits: Fit, most: int) -> list[Machine]:
         found: list[Machine] = []
-        enough = self.looked + WIDEN * most
+        enough = self.examined_count + SAMPLE_WIDENING_FACTOR * most
         for machine in machines:
-            self.looked += 1
+            self.examined_count += 1
             if fits(machine, self.machine_types[machine.machine_type]) and self._usable(machine):
                 found.append(machine)
-            if found and (len(found) >= most or self.looked >= enough):
+            if found and (len(found) >= most or self.examined_count >= enough):
                 break
         return found
 
@@ -387,10 +395,13 @@
         return 1
 
 
-def _most_tasks(spec: wire.Spec, free: Room) -> int:
+def _most_tasks(spec: wire.Spec, free: FreeResources) -> int:
     """How many tasks that room holds at most."""
     sizes = ((spec.cores, free.cores), (spec.gpus, free.gpus), (spec.memory_gb, free.memory_gb))
-    return min((int((left + SLACK) / size) for size, left in sizes if size), default=spec.tasks)
+    return min(
+        (int((left + RESOURCE_TOLERANCE) / size) for size, left in sizes if size),
+        default=spec.tasks,
+    )
 
 
 class Fit:
@@ -399,13 +410,13 @@
     __slots__ = ("_any_speed", "_cores", "_gpus", "_keep", "_needs", "_ram", "spec")
 
     def __init__(
-        self, spec: wire.Spec, needs: GpuNeeds | None, keep: Callable[[Machine], bool] | None
+        self, spec: wire.Spec, needs: GpuReservations | None, keep: Callable[[Machine], bool] | None
     ) -> None:
         self.spec, self._needs, self._keep = spec, needs, keep
         self._cores, self._gpus, self._ram = (
-            spec.cores - SLACK,
-            spec.gpus - SLACK,
-            spec.memory_gb - SLACK,
+            spec.cores - RESOURCE_TOLERANCE,
+            spec.gpus - RESOURCE_TOLERANCE,
+            spec.memory_gb - RESOURCE_TOLERANCE,
         )
         self._any_speed = spec.job_kind == wire.SERVICE or needs is None
 
@@ -420,7 +431,7 @@
                 bool(spec.gpus)
                 or not kind.gpus
                 or needs is None
-                or leaves_gpus_usable(spec, room(machine, kind), kind, needs)
+                or leaves_gpus_usable(spec, free_resources(machine, kind), kind, needs)
             )
             and (self._keep is None or self._keep(machine))
         )
--- a/flaxtally/planning/packing.py
+++ b/flaxtally/planning/packing.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from .best_effort import NO_EXPENSIVE_TYPES, ExpensiveTypes
-from .placement import SLACK, GpuNeeds, allowed
+from .placement import RESOURCE_TOLERANCE, GpuReservations, may_use_machine_type
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterable
@@ -103,7 +103,7 @@
     def can_use(self, free_bin: Bin) -> bool:
         """Whether the capacity counts for this demand."""
         machine_type = free_bin.machine_type
-        return allowed(self.shape, machine_type, free_bin.zone, free_bin.spot) and (
+        return may_use_machine_type(self.shape, machine_type, free_bin.zone, free_bin.spot) and (
             free_bin.has_regular_tasks
             or (machine_type.name, free_bin.spot) not in self.expensive_types
         )
@@ -159,7 +159,7 @@
         }
         return copied
 
-    def drop_full_bins(self, demands: Iterable[Demand], gpu_reservations: GpuNeeds) -> None:
+    def drop_full_bins(self, demands: Iterable[Demand], gpu_reservations: GpuReservations) -> None:
         """Drops the bins that have no slot for any demand: packing passes over them."""
         demands = list(demands)
         for key, bins in self._bins.items():
@@ -228,7 +228,7 @@
     return _Size(min(cores), min(gpus), min(memory_gb))
 
 
-def count_slots(size: Size, free_bin: Bin, gpu_reservations: GpuNeeds) -> int:
+def count_slots(size: Size, free_bin: Bin, gpu_reservations: GpuReservations) -> int:
     """How many more tasks of a size the bin takes."""
     cores = free_bin.cores
     memory_gb = free_bin.memory_gb
@@ -240,11 +240,11 @@
         )
     slots = math.inf
     if size.cores:
-        slots = (cores + SLACK) / size.cores
+        slots = (cores + RESOURCE_TOLERANCE) / size.cores
     if size.gpus:
-        slots = min(slots, (free_bin.gpus + SLACK) / size.gpus)
+        slots = min(slots, (free_bin.gpus + RESOURCE_TOLERANCE) / size.gpus)
     if size.memory_gb:
-        slots = min(slots, (memory_gb + SLACK) / size.memory_gb)
+        slots = min(slots, (memory_gb + RESOURCE_TOLERANCE) / size.memory_gb)
     return max(0, int(slots)) if slots < math.inf else NO_LIMIT
 
 
@@ -255,7 +255,9 @@
     free_bin.memory_gb -= size.memory_gb * count
 
 
-def pack_demand(demand: Demand, free_capacity: FreeCapacity, gpu_reservations: GpuNeeds) -> int:
+def pack_demand(
+    demand: Demand, free_capacity: FreeCapacity, gpu_reservations: GpuReservations
+) -> int:
     """Packs the demand into the capacity, which it uses up; gives how many tasks are left over."""
     unplaced = int(demand.count)
     if unplaced <= 0:
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -12,11 +12,11 @@
     from ..protocol.shape import Shape
     from .fleet import Machine
 
-SLACK = 1e-6
-WIDEN = 4
+RESOURCE_TOLERANCE = 1e-6
+SAMPLE_WIDENING_FACTOR = 4
 
 
-class Room(NamedTuple):
+class FreeResources(NamedTuple):
     """What a machine has left."""
 
     cores: float
@@ -25,48 +25,54 @@
 
     def holds(self, spec: wire.Spec) -> bool:
         return (
-            spec.cores <= self.cores + SLACK
-            and spec.gpus <= self.gpus + SLACK
-            and spec.memory_gb <= self.memory_gb + SLACK
+            spec.cores <= self.cores + RESOURCE_TOLERANCE
+            and spec.gpus <= self.gpus + RESOURCE_TOLERANCE
+            and spec.memory_gb <= self.memory_gb + RESOURCE_TOLERANCE
         )
 
-    def plus(self, spec: wire.Spec) -> Room:
+    def plus(self, spec: wire.Spec) -> FreeResources:
         """The room when a task of the job is gone."""
-        return Room(self.cores + spec.cores, self.gpus + spec.gpus, self.memory_gb + spec.memory_gb)
+        return FreeResources(
+            self.cores + spec.cores, self.gpus + spec.gpus, self.memory_gb + spec.memory_gb
+        )
 
-    def minus(self, spec: wire.Spec) -> Room:
+    def minus(self, spec: wire.Spec) -> FreeResources:
         """The room when a task of the job has come."""
-        return Room(self.cores - spec.cores, self.gpus - spec.gpus, self.memory_gb - spec.memory_gb)
+        return FreeResources(
+            self.cores - spec.cores, self.gpus - spec.gpus, self.memory_gb - spec.memory_gb
+        )
 
 
-def room(machine: Machine, kind: wire.MachineType) -> Room:
+def free_resources(machine: Machine, kind: wire.MachineType) -> FreeResources:
     """What the machine has left."""
-    return Room(
+    return FreeResources(
         kind.cores - machine.cores, kind.gpus - machine.gpus, kind.memory_gb - machine.memory_gb
     )
 
 
-def allowed(spec: wire.Spec | Shape, kind: wire.MachineType, zone: str, spot: bool) -> bool:
+def may_use_machine_type(
+    spec: wire.Spec | Shape, kind: wire.MachineType, zone: str, spot: bool
+) -> bool:
     """Whether a job, or a planner's shape of jobs, may use this kind of machine at all."""
     return (
         (spec.machine_types is None or kind.name in spec.machine_types)
         and (spec.zone is None or spec.zone == zone)
         and (spec.spot or not spot)
-        and spec.cores <= kind.cores + SLACK
-        and spec.gpus <= kind.gpus + SLACK
-        and spec.memory_gb <= kind.memory_gb + SLACK
+        and spec.cores <= kind.cores + RESOURCE_TOLERANCE
+        and spec.gpus <= kind.gpus + RESOURCE_TOLERANCE
+        and spec.memory_gb <= kind.memory_gb + RESOURCE_TOLERANCE
     )
 
 
 @dataclass(frozen=True)
-class GpuNeeds:
+class GpuReservations:
     """The cores and memory that tasks take with each GPU; what cheap fillers must leave."""
 
     cores: float = 0.0
     memory_gb: float = 0.0
 
 
-def gpu_needs(specs: Iterable[wire.Spec]) -> GpuNeeds:
+def compute_gpu_reservations(specs: Iterable[wire.Spec]) -> GpuReservations:
     """What tasks need beside each GPU, for the class that takes most on average.
 
     One greedy task is no reason to leave the cores of all GPUs idle.
@@ -82,26 +88,27 @@
         )
         for found in job_classes.values()
     ]
-    return GpuNeeds(
+    return GpuReservations(
         max((cores for cores, _ in means), default=0.0),
         max((memory_gb for _, memory_gb in means), default=0.0),
     )
 
 
 def leaves_gpus_usable(
-    spec: wire.Spec, left: Room, kind: wire.MachineType, needs: GpuNeeds
+    spec: wire.Spec, left: FreeResources, kind: wire.MachineType, needs: GpuReservations
 ) -> bool:
     """Tasks without GPUs may use a GPU machine's cores, but not those its free GPUs need."""
     if spec.gpus or not kind.gpus:
         return True
     return (
-        left.cores - spec.cores >= left.gpus * min(needs.cores, kind.cores / kind.gpus) - SLACK
+        left.cores - spec.cores
+        >= left.gpus * min(needs.cores, kind.cores / kind.gpus) - RESOURCE_TOLERANCE
         and left.memory_gb - spec.memory_gb
-        >= left.gpus * min(needs.memory_gb, kind.memory_gb / kind.gpus) - SLACK
+        >= left.gpus * min(needs.memory_gb, kind.memory_gb / kind.gpus) - RESOURCE_TOLERANCE
     )
 
 
-class Exhausted:
+class InfeasibleRequests:
     """Sizes of tasks for which nothing was found; larger ones needn't look.
 
     Jobs of a class ask for amounts that differ a little; one that found no room answers for all the
--- a/flaxtally/planning/provisioning.py
+++ b/flaxtally/planning/provisioning.py
@@ -21,7 +21,7 @@
 
     from ..protocol import wire
     from .fleet import Pool
-    from .placement import GpuNeeds
+    from .placement import GpuReservations
 
 MAX_URGENCY_PREMIUM = 2.0
 """How many times the price of the cheapest pool one may cost that boots in time."""
@@ -102,7 +102,7 @@
 
     machine_types: dict[str, wire.MachineType]
     pools: list[Pool]
-    gpu_reservations: GpuNeeds
+    gpu_reservations: GpuReservations
     spot_price_factor: float
 
     def plan(self, steps: list[ForecastStep], max_machines: int) -> list[ProvisionDecision]:
--- a/flaxtally/planning/urgency.py
+++ b/flaxtally/planning/urgency.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable
 
 
-class Due(NamedTuple):
+class JobDueTimes(NamedTuple):
     """A job with waiting tasks.
 
     `latest`: by when these must begin for each of its due times, in order.
@@ -25,7 +25,7 @@
     work: float
 
 
-def levels(jobs: Iterable[Due], now: float, slots: int) -> dict[int, int]:
+def assign_due_time_levels(jobs: Iterable[JobDueTimes], now: float, slots: int) -> dict[int, int]:
     """By job, the first of its due times for which there is room.
 
     `slots` tasks run at a time. The number of its due times if there is none. Jobs of an earlier
@@ -38,7 +38,7 @@
         found.update({job.no: level for job in left if level >= len(job.latest)})
         left = [job for job in left if level < len(job.latest) and job.latest[level] >= now]
         left.sort(key=lambda job: (job.latest[level], job.no))
-        chosen: list[tuple[float, int, Due]] = []
+        chosen: list[tuple[float, int, JobDueTimes]] = []
         for job in left:
             heapq.heappush(chosen, (-job.work, job.no, job))
             ahead += job.work
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from flaxtally.leader.scheduling.scheduler import Scheduler
-from flaxtally.leader.scheduling.scheduling_pass import MAX_PLACEMENTS
+from flaxtally.leader.scheduling.scheduling_pass import MAX_PLACEMENTS_PER_PASS
 from flaxtally.settings import Objective, Team
 
 from .scenarios import ends_well, leader_of
@@ -162,7 +162,7 @@
     for number in range(20):
         world.after(number, world.submit, batch(f"j-{300 + number:06d}", 1), 2.0, number)
     world.run(30)
-    assert MAX_PLACEMENTS / 2 < max(placed.values()) <= MAX_PLACEMENTS
+    assert MAX_PLACEMENTS_PER_PASS / 2 < max(placed.values()) <= MAX_PLACEMENTS_PER_PASS
     assert not world.state.over_limit
     assert world.state.changes < 40 * world.sim.time
     assert all(f"j-{300 + number:06d}" in world.accepted for number in range(20))
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -16,7 +16,7 @@
 from flaxtally.lending.entitlement import NOTHING, Amounts, Quota, Reclaimable, amounts_of
 from flaxtally.lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
 from flaxtally.lending.victim_selection import select_victims
-from flaxtally.planning.placement import Room
+from flaxtally.planning.placement import FreeResources
 from flaxtally.settings import Team
 
 from .simulated_cluster import spec
@@ -80,10 +80,10 @@
                 use = use.plus(amounts_of(task.spec))
         return use
 
-    def free(self, machine: int) -> Room:
+    def free(self, machine: int) -> FreeResources:
         gpus = GPUS - sum(task.spec.gpus for task in self.on(machine))
         kept = sum(r.task.spec.gpus for r in self.recalls if r.machine == machine)
-        return Room(1000.0, gpus - kept, 1000.0)
+        return FreeResources(1000.0, gpus - kept, 1000.0)
 
     def is_entitled(self, task: Task) -> bool:
         team = task.spec.team
@@ -236,7 +236,9 @@
                 budget = Reclaimable(GUARANTEES.__getitem__, model.use)
                 room, _ = select_victims(
                     task.spec,
-                    Room(1000.0, GPUS - sum(t.spec.gpus for t in model.on(machine)), 1000.0),
+                    FreeResources(
+                        1000.0, GPUS - sum(t.spec.gpus for t in model.on(machine)), 1000.0
+                    ),
                     [t for t in model.on(machine) if t.spec.team != team],
                     lambda t: t.spec,
                     lambda t, budget=budget: budget.try_take(t.spec.team, amounts_of(t.spec)),  # type: ignore[misc]
--- a/tests/test_gang_lifecycle.py
+++ b/tests/test_gang_lifecycle.py
@@ -28,7 +28,7 @@
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
-from flaxtally.planning.placement import GpuNeeds, Room
+from flaxtally.planning.placement import FreeResources, GpuReservations
 from flaxtally.protocol import wire
 
 from .ledger_records import accepted, record
@@ -132,7 +132,7 @@
     index = MachineIndex.of(machines, KINDS, rng)
     before = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     job = gang("j-000001", tasks, one_zone=one_zone, spread=spread, cores=cores)
-    search = GangMachineSearch(job, 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(job, 1, index, GpuReservations(), 24, None)
     choice = choose_machines_for_gang(search, set(ZONES), 60.0)
     after = {machine: (machine.cores, machine.memory_gb) for machine in machines}
     assert after == before
@@ -152,7 +152,7 @@
     for machine in machines:
         machine.cores = 0.0
     index = MachineIndex.of(machines, KINDS, rng)
-    search = GangMachineSearch(gang("j-000001", 4), 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(gang("j-000001", 4), 1, index, GpuReservations(), 24, None)
     for zone in ZONES:
         choice = choose_machines_for_missing(search, 2, set(ZONES), {zone: 2}, 60.0)
         assert choice is not None
@@ -163,10 +163,10 @@
     # Measured with 4,000 machines: each vain search for 100,000 tasks took 2.3 s of the loop.
     rng = random.Random(1)
     index = MachineIndex.of(fleet(rng, 300), KINDS, rng)
-    search = GangMachineSearch(gang("j-000001", 100_000), 1, index, GpuNeeds(), 24, None)
+    search = GangMachineSearch(gang("j-000001", 100_000), 1, index, GpuReservations(), 24, None)
     assert choose_machines_for_gang(search, set(ZONES), 60.0) is None
-    assert index.looked == 0
-    few = GangMachineSearch(gang("j-000002", 40), 1, index, GpuNeeds(), 24, None)
+    assert index.examined_count == 0
+    few = GangMachineSearch(gang("j-000002", 40), 1, index, GpuReservations(), 24, None)
     assert choose_machines_for_gang(few, set(ZONES), 60.0) is not None
 
 
@@ -185,10 +185,10 @@
         for task in range(number * 8, number * 8 + rng.randrange(4)):
             book.apply(record("P", 1, task, 1, machine.name, machine.zone), 1)
             victims.append(Victim(book.jobs[1].placements[task], rng.uniform(0, 50)))
-        free = Room(kind.cores - machine.cores, 0.0, 64.0)
+        free = FreeResources(kind.cores - machine.cores, 0.0, 64.0)
         candidates.append(Candidate(machine, kind, free, victims))
         most += int((free.cores + 3.0 * len(victims) + 1e-6) / 3.0)
-    found = choose_machines(job, tasks, candidates, GpuNeeds())
+    found = choose_machines(job, tasks, candidates, GpuReservations())
     assert (found is not None) == (most >= tasks)
     if found is None:
         return
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -13,9 +13,9 @@
 from flaxtally.planning.fleet import Machine
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Demand
-from flaxtally.planning.placement import Exhausted
+from flaxtally.planning.placement import InfeasibleRequests
 from flaxtally.planning.provisioning import merge_demands
-from flaxtally.planning.urgency import Due, levels
+from flaxtally.planning.urgency import JobDueTimes, assign_due_time_levels
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime.loop import Loop
@@ -96,7 +96,7 @@
 
 
 def test_a_size_that_found_no_room_answers_for_larger_ones() -> None:
-    full = Exhausted()
+    full = InfeasibleRequests()
     full.add("a", spec("j-000001", cores=4.0, memory_gb=8.0))
     assert full.covers("a", spec("j-000002", cores=4.0, memory_gb=9.0))
     assert not full.covers("a", spec("j-000003", cores=3.9, memory_gb=9.0))
@@ -161,13 +161,15 @@
 def test_too_much_work_leaves_out_the_largest_not_the_last() -> None:
     # Found on magnolia-plant-fleet's bursts: in the order of due times every job began when it was
     # nearly too late.
-    large = [Due(number, (50.0, 90.0), 400.0) for number in range(2)]
-    small = [Due(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
-    found = levels([*large, *small], 10.0, 10)
+    large = [JobDueTimes(number, (50.0, 90.0), 400.0) for number in range(2)]
+    small = [JobDueTimes(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
+    found = assign_due_time_levels([*large, *small], 10.0, 10)
     assert [found[due.no] for due in small] == [0] * 8
     # 400 s of the small ones' work leave room for 400 s until 90 s, none for the other.
     assert sorted(found[due.no] for due in large) == [1, 2]
-    assert levels([Due(1, (5.0, 20.0), 1.0), Due(2, (), 1.0)], 10.0, 1) == {1: 1, 2: 0}
+    assert assign_due_time_levels(
+        [JobDueTimes(1, (5.0, 20.0), 1.0), JobDueTimes(2, (), 1.0)], 10.0, 1
+    ) == {1: 1, 2: 0}
 
 
 def test_everything_restarts_together_at_size() -> None:
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -19,10 +19,16 @@
 from flaxtally.leader.resource_shapes import MAX_SHAPES, ResourceShapes
 from flaxtally.ledger import terminal_jobs
 from flaxtally.planning.fleet import Machine
-from flaxtally.planning.forecast import Arrivals
+from flaxtally.planning.forecast import ArrivalStatistics
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Bin, Demand, FreeCapacity, pack_demand
-from flaxtally.planning.placement import WIDEN, GpuNeeds, allowed, leaves_gpus_usable, room
+from flaxtally.planning.placement import (
+    SAMPLE_WIDENING_FACTOR,
+    GpuReservations,
+    free_resources,
+    leaves_gpus_usable,
+    may_use_machine_type,
+)
 from flaxtally.protocol import wire
 from flaxtally.protocol.shape import Shape
 from flaxtally.runtime import open_files
@@ -70,13 +76,15 @@
     return machine
 
 
-def fits(machine: Machine, job: wire.Spec, needs: GpuNeeds | None, shut: frozenset[str]) -> bool:
+def fits(
+    machine: Machine, job: wire.Spec, needs: GpuReservations | None, shut: frozenset[str]
+) -> bool:
     """What the index must find, machine by machine."""
     kind = KINDS[machine.machine_type]
-    left = room(machine, kind)
+    left = free_resources(machine, kind)
     return (
         machine.zone not in shut
-        and allowed(job, kind, machine.zone, machine.spot)
+        and may_use_machine_type(job, kind, machine.zone, machine.spot)
         and left.holds(job)
         and (job.job_kind == wire.SERVICE or needs is None or not machine.is_slow)
         and (needs is None or leaves_gpus_usable(job, left, kind, needs))
@@ -134,8 +142,8 @@
         rank=rank,
         spot=spot,
     )
-    for needs in (None, GpuNeeds(kept, 4.0)):
-        found = index.fitting(job, shut, needs, SAMPLE)
+    for needs in (None, GpuReservations(kept, 4.0)):
+        found = index.sample_fitting(job, shut, needs, SAMPLE)
         right = [machine for machine in known if fits(machine, job, needs, shut)]
         assert set(found) <= set(right)
         assert len(found) == len(set(found))
@@ -157,20 +165,20 @@
         machine.record_image("img-1", 1.0, 40.0)
         index.update(machine)
     job = spec("j-000001", cores=5.0)
-    found = index.fitting(job, (), GpuNeeds(), SAMPLE)
+    found = index.sample_fitting(job, (), GpuReservations(), SAMPLE)
     assert {machine.name for machine in found} == {
         f"n-{number}" for number in (7, 1007, 2007, 3007)
     }
-    assert index.looked == 4
-    assert index.fitting(spec("j-000002", cores=7.0), (), GpuNeeds(), SAMPLE) == []
-    assert index.looked == 4
+    assert index.examined_count == 4
+    assert index.sample_fitting(spec("j-000002", cores=7.0), (), GpuReservations(), SAMPLE) == []
+    assert index.examined_count == 4
     # An empty one: a sample, whatever the size.
     for machine in fleet:
         machine.cores = 0.0
         index.update(machine)
-    index.looked = 0
-    assert len(index.fitting(job, (), GpuNeeds(), SAMPLE)) == SAMPLE
-    assert index.looked <= WIDEN * SAMPLE
+    index.examined_count = 0
+    assert len(index.sample_fitting(job, (), GpuReservations(), SAMPLE)) == SAMPLE
+    assert index.examined_count <= SAMPLE_WIDENING_FACTOR * SAMPLE
 
 
 def test_what_falls_silent_without_an_event_is_not_found() -> None:
@@ -180,8 +188,8 @@
     index.update(one)
     index.update(two)
     silent.add(one)
-    assert index.fitting(spec("j-000001"), (), GpuNeeds(), SAMPLE) == [two]
-    assert list(index.walk(spec("j-000001"), ())) == [(two, KINDS["c16"])]
+    assert index.sample_fitting(spec("j-000001"), (), GpuReservations(), SAMPLE) == [two]
+    assert list(index.iterate_allowed(spec("j-000001"), ())) == [(two, KINDS["c16"])]
     assert not index.update(one)
     assert one not in index
     silent.clear()
@@ -201,7 +209,7 @@
     drawn: list[tuple[float, float, int]],
     drawn_machines: list[tuple],  # type: ignore[type-arg]
 ) -> None:
-    needs = GpuNeeds(2.0, 8.0)
+    needs = GpuReservations(2.0, 8.0)
 
     def bins() -> list[Bin]:
         return [
@@ -255,15 +263,15 @@
 def test_the_sums_of_recent_arrivals_are_those_of_the_window(
     came: list[tuple[str, int, float]],
 ) -> None:
-    arrivals, jobs = Arrivals(10.0, 1.0), []
-    for number, (job_class, tasks, length) in enumerate(came):
-        arrivals.note(job_class, tasks, length, float(number))
-        jobs.append((float(number), job_class, tasks, length))
+    arrivals, jobs = ArrivalStatistics(10.0, 1.0), []
+    for number, (job_class, tasks, mean_run_s) in enumerate(came):
+        arrivals.record_arrival(job_class, tasks, mean_run_s, float(number))
+        jobs.append((float(number), job_class, tasks, mean_run_s))
         now = number + 0.5
         recent = [(n, s) for at, of, n, s in jobs if of == job_class and at >= now - 10.0]
         mean = sum(n * s for n, s in recent) / max(1, sum(n for n, _ in recent))
-        assert abs(arrivals.length(job_class, now) - mean) < 1e-6
-        assert arrivals.largest(job_class, now) == max(n for n, _ in recent)
+        assert abs(arrivals.mean_run_s(job_class, now) - mean) < 1e-6
+        assert arrivals.max_tasks_per_job(job_class, now) == max(n for n, _ in recent)
 
 
 # Mail
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -11,13 +11,13 @@
 
 from flaxtally.api.sharding import shard_owner
 from flaxtally.ledger.cluster_state import ClusterState
-from flaxtally.planning.choice import choose
+from flaxtally.planning.choice import choose_machine
 from flaxtally.planning.consolidation import EmptyingRules, TargetSearch, choose_machine_to_empty
 from flaxtally.planning.fleet import Machine, Pool
-from flaxtally.planning.forecast import Arrivals
+from flaxtally.planning.forecast import ArrivalStatistics
 from flaxtally.planning.machine_index import MachineIndex
 from flaxtally.planning.packing import Bin, Demand, FreeCapacity, pack_demand
-from flaxtally.planning.placement import GpuNeeds, gpu_needs
+from flaxtally.planning.placement import GpuReservations, compute_gpu_reservations
 from flaxtally.planning.provisioning import ForecastStep, ProvisionDecision, Provisioner
 from flaxtally.protocol.shape import Shape
 
@@ -31,7 +31,7 @@
 KINDS = {kind.name: kind for kind in TYPES}
 
 
-NEEDS = GpuNeeds()
+NEEDS = GpuReservations()
 
 
 def room(kind: str, zone: str = "a", spot: bool = False) -> Bin:
@@ -40,24 +40,24 @@
 
 
 def test_forecast_averages_and_leaves_the_burst_out() -> None:
-    arrivals = Arrivals(100.0, 5.0)
-    arrivals.note("batch", 80, 30.0, 0.0)
+    arrivals = ArrivalStatistics(100.0, 5.0)
+    arrivals.record_arrival("batch", 80, 30.0, 0.0)
     for at in range(5, 100, 5):
-        arrivals.note("batch", 2, 30.0, float(at))
-    assert arrivals.rate("batch", 100.0) == pytest.approx(0.4, rel=0.15)
-    assert arrivals.rate("other", 100.0) == 0.0
+        arrivals.record_arrival("batch", 2, 30.0, float(at))
+    assert arrivals.tasks_per_s("batch", 100.0) == pytest.approx(0.4, rel=0.15)
+    assert arrivals.tasks_per_s("other", 100.0) == 0.0
 
 
 def test_one_long_job_does_not_stand_for_its_lane() -> None:
     # Found on magnolia-plant-fleet: the last job's estimate (160 s for a class of 35 s) made each
     # plan rent for all arrivals of that long, a hundred machines and more; they fell idle one after
     # the other.
-    arrivals = Arrivals(100.0, 5.0)
+    arrivals = ArrivalStatistics(100.0, 5.0)
     for at in range(20):
-        arrivals.note("batch", 10, 35.0, float(at))
-    arrivals.note("batch", 5, 160.0, 20.0)
-    assert 35.0 < arrivals.length("batch", 20.0) < 40.0
-    assert arrivals.length("other", 20.0) == 0.0
+        arrivals.record_arrival("batch", 10, 35.0, float(at))
+    arrivals.record_arrival("batch", 5, 160.0, 20.0)
+    assert 35.0 < arrivals.mean_run_s("batch", 20.0) < 40.0
+    assert arrivals.mean_run_s("other", 20.0) == 0.0
 
 
 def plan(
@@ -125,14 +125,23 @@
         for name, kind in (("n-1", "c16"), ("n-2", "c16"), ("n-3", "g8"))
     )
     warm.record_image("img-1", 8.0, 40.0)
-    chosen = choose(gate, 1, MachineIndex.of([cold, warm], KINDS, random.Random(1)), NEEDS, 9, ())
+    chosen = choose_machine(
+        gate, 1, MachineIndex.of([cold, warm], KINDS, random.Random(1)), NEEDS, 9, ()
+    )
     assert chosen is warm
-    needs = gpu_needs([work])
+    needs = compute_gpu_reservations([work])
     gpu.cores = 8.0  # 24 cores left, which its 8 free GPUs will all need
-    assert choose(gate, 1, MachineIndex.of([gpu], KINDS, random.Random(1)), needs, 9, ()) is None
-    assert choose(work, 2, MachineIndex.of([gpu], KINDS, random.Random(1)), needs, 9, ()) is gpu
     assert (
-        choose(gate, 1, MachineIndex.of([warm], KINDS, random.Random(1)), NEEDS, 9, {"a"}) is None
+        choose_machine(gate, 1, MachineIndex.of([gpu], KINDS, random.Random(1)), needs, 9, ())
+        is None
+    )
+    assert (
+        choose_machine(work, 2, MachineIndex.of([gpu], KINDS, random.Random(1)), needs, 9, ())
+        is gpu
+    )
+    assert (
+        choose_machine(gate, 1, MachineIndex.of([warm], KINDS, random.Random(1)), NEEDS, 9, {"a"})
+        is None
     )
 
 
