--- a/flaxtally/planning/urgency.py
+++ b/flaxtally/planning/urgency.py
@@ -20,7 +20,7 @@
     `latest`: by when these must begin for each of its due times, in order.
     """
 
-    no: int
+    number: int
     latest: tuple[float, ...]
     work: float
 
@@ -35,17 +35,17 @@
     left, ahead, level = list(jobs), 0.0, 0
     while left:
         next_left = [job for job in left if level < len(job.latest) and job.latest[level] < now]
-        found.update({job.no: level for job in left if level >= len(job.latest)})
+        found.update({job.number: level for job in left if level >= len(job.latest)})
         left = [job for job in left if level < len(job.latest) and job.latest[level] >= now]
-        left.sort(key=lambda job: (job.latest[level], job.no))
+        left.sort(key=lambda job: (job.latest[level], job.number))
         chosen: list[tuple[float, int, JobDueTimes]] = []
         for job in left:
-            heapq.heappush(chosen, (-job.work, job.no, job))
+            heapq.heappush(chosen, (-job.work, job.number, job))
             ahead += job.work
             while chosen and ahead > slots * (job.latest[level] - now):
                 largest = heapq.heappop(chosen)[2]
                 ahead -= largest.work
                 next_left.append(largest)
-        found.update({no: level for _, no, _ in chosen})
+        found.update({number: level for _, number, _ in chosen})
         left, level = next_left, level + 1
     return found
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -164,9 +164,9 @@
     large = [JobDueTimes(number, (50.0, 90.0), 400.0) for number in range(2)]
     small = [JobDueTimes(10 + number, (60.0, 90.0), 50.0) for number in range(8)]
     found = assign_due_time_levels([*large, *small], 10.0, 10)
-    assert [found[due.no] for due in small] == [0] * 8
+    assert [found[due.number] for due in small] == [0] * 8
     # 400 s of the small ones' work leave room for 400 s until 90 s, none for the other.
-    assert sorted(found[due.no] for due in large) == [1, 2]
+    assert sorted(found[due.number] for due in large) == [1, 2]
     assert assign_due_time_levels(
         [JobDueTimes(1, (5.0, 20.0), 1.0), JobDueTimes(2, (), 1.0)], 10.0, 1
     ) == {1: 1, 2: 0}
