--- a/flaxtally/leader/scheduling/job_urgency.py
+++ b/flaxtally/leader/scheduling/job_urgency.py
@@ -16,9 +16,9 @@
 
 OVERDUE_LEVEL = -1
 """The level of jobs that have waited for so long that they go before all others of their rank."""
-NO_DUE_TIME = 1000
+NO_DUE_TIME_LEVEL = 1000
 """The level of best-effort jobs without a due time: after all others."""
-BEGIN_SHARE = 0.7
+MAX_WAIT_FRACTION = 0.7
 """Of the time within which an objective wants a job class to begin: from then on a job that still
 waits is overdue.
 """
@@ -44,7 +44,7 @@
             self._deadline_factors.setdefault(job_class, []).append(objective.times)
         if objective.kind == "wait" and objective.within:
             self._begin_within[job_class] = min(
-                objective.within * BEGIN_SHARE, self._policy.begin_latest
+                objective.within * MAX_WAIT_FRACTION, self._policy.begin_latest
             )
         if objective.kind == "finished" and objective.within:
             self._finish_within.setdefault(job_class, []).append(objective.within)
@@ -59,7 +59,7 @@
             return OVERDUE_LEVEL, job.accepted_at
         latest_starts = self._latest_starts(job)
         if spec.is_best_effort and not latest_starts:
-            return NO_DUE_TIME, job.accepted_at
+            return NO_DUE_TIME_LEVEL, job.accepted_at
         missed = sum(wall > start for start in latest_starts)
         level = max(missed, self._levels.get(job.number, 0))
         if level < len(latest_starts):
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -23,7 +23,7 @@
     from .reservations import TaskKey
     from .served_tasks import ServedTasks
 
-PATIENCE_SHARE = 0.5
+OVERDUE_RECLAIM_FRACTION = 0.5
 """Of the recall time: then who is entitled to capacity takes what is kept for GPU tasks, too."""
 
 
@@ -148,7 +148,7 @@
     def overdue_after_s(self, job: Job) -> float:
         """Shorter for a job within its team's quota."""
         if self._quota.is_entitled(job):
-            return min(self.policy.keep_patience, self.policy.recall * PATIENCE_SHARE)
+            return min(self.policy.keep_patience, self.policy.recall * OVERDUE_RECLAIM_FRACTION)
         return self.policy.keep_patience
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -124,10 +124,10 @@
             return False
         if policy.is_reclaim(request, plan.victims):
             return self._quota_reclaim.try_start(job, plan)
-        self._carry_out(job, task, plan)
+        self._execute_plan(job, task, plan)
         return True
 
-    def _carry_out(self, job: Job, task: TaskKey, plan: PreemptionPlan) -> None:
+    def _execute_plan(self, job: Job, task: TaskKey, plan: PreemptionPlan) -> None:
         self._served.expire(self.runtime.now())
         self._preempt(task, job.spec, plan.machine, plan.victims)
         log.debug(
@@ -177,10 +177,10 @@
         victims = [placed for slots in choice for placed in slots.victims]
         if policy.is_reclaim(request, victims):
             return self._quota_reclaim.try_start(job, *map(_plan_of, choice))
-        self._carry_out_for_gang(job, choice)
+        self._execute_gang_plan(job, choice)
         return True
 
-    def _carry_out_for_gang(self, job: Job, choice: list[MachineSlots]) -> None:
+    def _execute_gang_plan(self, job: Job, choice: list[MachineSlots]) -> None:
         self._served.expire(self.runtime.now())
         tasks = iter(range(job.spec.tasks))
         for slots in choice:
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -89,11 +89,11 @@
         queue = self.jobs.queue.ordered_jobs()
         is_unfinished = bool(queue) and self._run_pass(queue, began_at)
         ended_at = self.runtime.now()
-        self._next_pass_at = ended_at + self._rest_s(ended_at - began_at)
+        self._next_pass_at = ended_at + self._pass_backoff_s(ended_at - began_at)
         if is_unfinished:
             self.request_pass()
 
-    def _rest_s(self, pass_s: float) -> float:
+    def _pass_backoff_s(self, pass_s: float) -> float:
         """How long no other pass is made after one that took so long."""
         return max(self.policy.pass_rest * pass_s, self.policy.heartbeat / MAX_PASSES_PER_HEARTBEAT)
 
@@ -188,10 +188,10 @@
             self.gang_reservations.on_gang_placed(job)
             self._machines.apply_changes()
         elif not job.placements and self.jobs.is_within_limit(job.spec, job.spec.tasks):
-            self._make_gang_room(job, index, is_overdue=is_overdue)
+            self._free_capacity_for_gang(job, index, is_overdue=is_overdue)
         return count
 
-    def _make_gang_room(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> None:
+    def _free_capacity_for_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> None:
         """Preempts others for the gang, or reserves machines that it can use in a while."""
         if not self.preemption.preempt_for_gang(job) and is_overdue:
             self.gang_reservations.reserve_machines(job, index)
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -118,19 +118,19 @@
 
     def run(self, queue: list[PendingJob]) -> placement.InfeasibleRequests:
         """Places what it can; returns the requests known to find no capacity from here on."""
-        hopeless: set[Hashable] = set()
+        infeasible_keys: set[Hashable] = set()
         backoff = self._jobs.backoff
         for _, job, equivalence_class in list(queue):
             if self.is_full:
                 break
             key = equivalence_class, self._jobs.excluded_zones(job)
-            if key in hopeless and not self._scheduler.has_hint(job):
+            if key in infeasible_keys and not self._scheduler.has_hint(job):
                 continue
             if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_job(job) and equivalence_class is not None:
                 # With the zones excluded now: some of its tasks may have been placed.
-                hopeless.add((equivalence_class, self._jobs.excluded_zones(job)))
+                infeasible_keys.add((equivalence_class, self._jobs.excluded_zones(job)))
         # Requests that did not search in this pass have not seen the machines that grew.
         return self._infeasible if self._has_grown else self._infeasible_before
 
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -1,4 +1,4 @@
-"""Which of the machines that can hold a task takes it. Pure."""
+"""Chooses the machine for a task among those that can hold it. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
     from .machine_index import MachineIndex
 
 
-def estimate_fetch_s(spec: wire.Spec, machine: Machine, kind: wire.MachineType) -> float:
-    """About how long the image takes to be there; fetches at the same time share the rate."""
+def estimate_fetch_s(spec: wire.Spec, machine: Machine, machine_type: wire.MachineType) -> float:
+    """Estimates how long the image fetch takes; concurrent fetches share the bandwidth."""
     if spec.image in machine.images:
         return 0.0
-    busy = machine.images_being_fetched()
+    fetched_images = machine.images_being_fetched()
     return (
         spec.image_gb
-        / max(kind.fetch_gb_per_s, RESOURCE_TOLERANCE)
-        * (1 + len(busy - {spec.image}))
+        / max(machine_type.fetch_gb_per_s, RESOURCE_TOLERANCE)
+        * (1 + len(fetched_images - {spec.image}))
     )
 
 
-def _grade(seconds: float) -> int:
-    """Fetch times by order of size: differences within a grade don't decide."""
+def _fetch_time_grade(seconds: float) -> int:
+    """Returns a coarse grade of a fetch time; differences within a grade are ignored."""
     for grade, limit in enumerate((0.25, 0.75, 2.5, 8.0, 25.0)):
         if seconds <= limit:
             return grade
@@ -36,33 +36,41 @@
 
 def choose_machine(
     spec: wire.Spec,
-    job_no: int,
+    job_number: int,
     index: MachineIndex,
-    needs: GpuReservations | None,
-    sample: int,
-    shut: Collection[str],
-    keep: Callable[[Machine], bool] | None = None,
+    gpu_reservations: GpuReservations | None,
+    sample_size: int,
+    excluded_zones: Collection[str],
+    is_available: Callable[[Machine], bool] | None = None,
 ) -> Machine | None:
-    """The machine for a task, or None. Looks at a sample of those that can hold it.
+    """Returns the best machine of a sample of those that can hold the task; None: there is none.
 
-    `shut`: zones that the job may not use now.
+    `excluded_zones`: zones that the job may not use now.
     """
     best: tuple[tuple[float, ...], Machine] | None = None
-    for machine in index.sample_fitting(spec, shut, needs, sample, keep):
-        kind = index.machine_types[machine.machine_type]
-        after = max(
-            (kind.cores - machine.cores - spec.cores) / kind.cores if kind.cores else 0.0,
-            (kind.gpus - machine.gpus - spec.gpus) / kind.gpus if kind.gpus else 0.0,
+    for machine in index.sample_fitting(
+        spec, excluded_zones, gpu_reservations, sample_size, is_available
+    ):
+        machine_type = index.machine_types[machine.machine_type]
+        remaining_fraction = max(
+            (machine_type.cores - machine.cores - spec.cores) / machine_type.cores
+            if machine_type.cores
+            else 0.0,
+            (machine_type.gpus - machine.gpus - spec.gpus) / machine_type.gpus
+            if machine_type.gpus
+            else 0.0,
         )
         score: tuple[float, ...] = (
-            _grade(estimate_fetch_s(spec, machine, kind)),
+            _fetch_time_grade(estimate_fetch_s(spec, machine, machine_type)),
             float(
-                spec.job_kind == wire.SERVICE and any(no == job_no for no, _ in machine.placements)
+                spec.job_kind == wire.SERVICE
+                and any(number == job_number for number, _ in machine.placements)
             ),
             float(spec.spot and not machine.spot),
-            # Services pin a machine for long: the fewer are pinned, the more can be given back.
+            # Services occupy a machine for long: the fewer machines have any, the more can be
+            # terminated.
             -round(machine.service_load, 3),
-            after,
+            remaining_fraction,
         )
         if best is None or score < best[0]:
             best = (score, machine)
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -1,4 +1,4 @@
-"""What fits where: pure functions over rooms and specs."""
+"""Whether tasks fit on machines: functions of free resources and job specs, without I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
     from .fleet import Machine
 
 RESOURCE_TOLERANCE = 1e-6
+"""Rounding error that comparisons of resource amounts allow: cores, GPUs or GB."""
 SAMPLE_WIDENING_FACTOR = 4
+"""How many times the sample size a search may examine, per stage of widening."""
 
 
 class FreeResources(NamedTuple):
-    """What a machine has left."""
+    """The free resources of a machine."""
 
     cores: float
     gpus: float
@@ -31,51 +33,53 @@
         )
 
     def plus(self, spec: wire.Spec) -> FreeResources:
-        """The room when a task of the job is gone."""
+        """Returns the free resources after a task of the job is removed."""
         return FreeResources(
             self.cores + spec.cores, self.gpus + spec.gpus, self.memory_gb + spec.memory_gb
         )
 
     def minus(self, spec: wire.Spec) -> FreeResources:
-        """The room when a task of the job has come."""
+        """Returns the free resources after a task of the job is added."""
         return FreeResources(
             self.cores - spec.cores, self.gpus - spec.gpus, self.memory_gb - spec.memory_gb
         )
 
 
-def free_resources(machine: Machine, kind: wire.MachineType) -> FreeResources:
-    """What the machine has left."""
+def free_resources(machine: Machine, machine_type: wire.MachineType) -> FreeResources:
+    """Returns the machine's free resources."""
     return FreeResources(
-        kind.cores - machine.cores, kind.gpus - machine.gpus, kind.memory_gb - machine.memory_gb
+        machine_type.cores - machine.cores,
+        machine_type.gpus - machine.gpus,
+        machine_type.memory_gb - machine.memory_gb,
     )
 
 
 def may_use_machine_type(
-    spec: wire.Spec | Shape, kind: wire.MachineType, zone: str, spot: bool
+    spec: wire.Spec | Shape, machine_type: wire.MachineType, zone: str, spot: bool
 ) -> bool:
-    """Whether a job, or a planner's shape of jobs, may use this kind of machine at all."""
+    """Whether a job, or a shape of jobs, may use machines of this type and pool at all."""
     return (
-        (spec.machine_types is None or kind.name in spec.machine_types)
+        (spec.machine_types is None or machine_type.name in spec.machine_types)
         and (spec.zone is None or spec.zone == zone)
         and (spec.spot or not spot)
-        and spec.cores <= kind.cores + RESOURCE_TOLERANCE
-        and spec.gpus <= kind.gpus + RESOURCE_TOLERANCE
-        and spec.memory_gb <= kind.memory_gb + RESOURCE_TOLERANCE
+        and spec.cores <= machine_type.cores + RESOURCE_TOLERANCE
+        and spec.gpus <= machine_type.gpus + RESOURCE_TOLERANCE
+        and spec.memory_gb <= machine_type.memory_gb + RESOURCE_TOLERANCE
     )
 
 
 @dataclass(frozen=True)
 class GpuReservations:
-    """The cores and memory that tasks take with each GPU; what cheap fillers must leave."""
+    """The cores and memory that tasks without GPUs must leave free for each free GPU."""
 
     cores: float = 0.0
     memory_gb: float = 0.0
 
 
 def compute_gpu_reservations(specs: Iterable[wire.Spec]) -> GpuReservations:
-    """What tasks need beside each GPU, for the class that takes most on average.
+    """Returns the cores and memory per GPU of the job class with the highest mean.
 
-    One greedy task is no reason to leave the cores of all GPUs idle.
+    The mean, since one task with an unusually high need must not keep the cores of all GPUs idle.
     """
     job_classes: dict[str, list[wire.Spec]] = {}
     for spec in specs:
@@ -83,10 +87,10 @@
             job_classes.setdefault(spec.job_class, []).append(spec)
     means = [
         (
-            sum(s.cores / s.gpus for s in found) / len(found),
-            sum(s.memory_gb / s.gpus for s in found) / len(found),
+            sum(s.cores / s.gpus for s in class_specs) / len(class_specs),
+            sum(s.memory_gb / s.gpus for s in class_specs) / len(class_specs),
         )
-        for found in job_classes.values()
+        for class_specs in job_classes.values()
     ]
     return GpuReservations(
         max((cores for cores, _ in means), default=0.0),
@@ -95,24 +99,29 @@
 
 
 def leaves_gpus_usable(
-    spec: wire.Spec, left: FreeResources, kind: wire.MachineType, needs: GpuReservations
+    spec: wire.Spec,
+    free: FreeResources,
+    machine_type: wire.MachineType,
+    gpu_reservations: GpuReservations,
 ) -> bool:
-    """Tasks without GPUs may use a GPU machine's cores, but not those its free GPUs need."""
-    if spec.gpus or not kind.gpus:
+    """Whether a task leaves the cores and memory that the machine's free GPUs need."""
+    if spec.gpus or not machine_type.gpus:
         return True
     return (
-        left.cores - spec.cores
-        >= left.gpus * min(needs.cores, kind.cores / kind.gpus) - RESOURCE_TOLERANCE
-        and left.memory_gb - spec.memory_gb
-        >= left.gpus * min(needs.memory_gb, kind.memory_gb / kind.gpus) - RESOURCE_TOLERANCE
+        free.cores - spec.cores
+        >= free.gpus * min(gpu_reservations.cores, machine_type.cores / machine_type.gpus)
+        - RESOURCE_TOLERANCE
+        and free.memory_gb - spec.memory_gb
+        >= free.gpus * min(gpu_reservations.memory_gb, machine_type.memory_gb / machine_type.gpus)
+        - RESOURCE_TOLERANCE
     )
 
 
 class InfeasibleRequests:
-    """Sizes of tasks for which nothing was found; larger ones needn't look.
+    """Sizes of tasks for which a search found nothing, so that larger ones need no search.
 
-    Jobs of a class ask for amounts that differ a little; one that found no room answers for all the
-    larger ones.
+    Jobs of a class request slightly different amounts; where one of them does not fit, neither do
+    all the larger ones.
     """
 
     def __init__(self) -> None:
@@ -123,10 +132,17 @@
         if sizes is None:
             return False
         cores, gpus, memory_gb = spec.cores, spec.gpus, spec.memory_gb
-        return any(low[0] <= cores and low[1] <= gpus and low[2] <= memory_gb for low in sizes)
+        return any(
+            smaller[0] <= cores and smaller[1] <= gpus and smaller[2] <= memory_gb
+            for smaller in sizes
+        )
 
     def add(self, key: Hashable, spec: wire.Spec) -> None:
         size = spec.cores, spec.gpus, spec.memory_gb
         sizes = self._sizes.get(key, [])
-        kept = [low for low in sizes if low[0] < size[0] or low[1] < size[1] or low[2] < size[2]]
+        kept = [
+            smaller
+            for smaller in sizes
+            if smaller[0] < size[0] or smaller[1] < size[1] or smaller[2] < size[2]
+        ]
         self._sizes[key] = [*kept, size]
--- a/flaxtally/planning/urgency.py
+++ b/flaxtally/planning/urgency.py
@@ -1,8 +1,8 @@
-"""Which jobs can be in time together. Pure.
+"""Decides which jobs can meet their due times together. Performs no I/O.
 
-When more is asked for than the machines can do, the order of due times makes job after job late:
-each begins when it is nearly too late. Moore and Hodgson's rule leaves out the largest jobs
-instead, so that the most can be in time.
+When demand exceeds capacity, scheduling by earliest due time makes one job after the other late:
+each starts when it is nearly too late. The Moore-Hodgson algorithm defers the largest jobs
+instead, so that as many jobs as possible are on time.
 """
 
 from __future__ import annotations
@@ -15,37 +15,50 @@
 
 
 class JobDueTimes(NamedTuple):
-    """A job with waiting tasks.
+    """A job with pending tasks.
 
-    `latest`: by when these must begin for each of its due times, in order.
+    `latest_starts`: when they must start to meet each of the job's due times, in order. `work_s`:
+    the estimated run time of all of them together.
     """
 
     number: int
-    latest: tuple[float, ...]
-    work: float
+    latest_starts: tuple[float, ...]
+    work_s: float
 
 
-def assign_due_time_levels(jobs: Iterable[JobDueTimes], now: float, slots: int) -> dict[int, int]:
-    """By job, the first of its due times for which there is room.
+def assign_due_time_levels(
+    jobs: Iterable[JobDueTimes], now: float, max_running_tasks: int
+) -> dict[int, int]:
+    """Returns, by job number, the index of the first due time that the job can meet.
 
-    `slots` tasks run at a time. The number of its due times if there is none. Jobs of an earlier
-    level go before those of a later one.
+    The index is the number of its due times if it can meet none. `max_running_tasks` tasks run at a
+    time. Jobs with a lower index are scheduled before those with a higher one.
     """
-    found: dict[int, int] = {}
-    left, ahead, level = list(jobs), 0.0, 0
-    while left:
-        next_left = [job for job in left if level < len(job.latest) and job.latest[level] < now]
-        found.update({job.number: level for job in left if level >= len(job.latest)})
-        left = [job for job in left if level < len(job.latest) and job.latest[level] >= now]
-        left.sort(key=lambda job: (job.latest[level], job.number))
+    level_by_job: dict[int, int] = {}
+    remaining, chosen_work_s, level = list(jobs), 0.0, 0
+    while remaining:
+        next_remaining = [
+            job
+            for job in remaining
+            if level < len(job.latest_starts) and job.latest_starts[level] < now
+        ]
+        level_by_job.update(
+            {job.number: level for job in remaining if level >= len(job.latest_starts)}
+        )
+        remaining = [
+            job
+            for job in remaining
+            if level < len(job.latest_starts) and job.latest_starts[level] >= now
+        ]
+        remaining.sort(key=lambda job: (job.latest_starts[level], job.number))
         chosen: list[tuple[float, int, JobDueTimes]] = []
-        for job in left:
-            heapq.heappush(chosen, (-job.work, job.number, job))
-            ahead += job.work
-            while chosen and ahead > slots * (job.latest[level] - now):
+        for job in remaining:
+            heapq.heappush(chosen, (-job.work_s, job.number, job))
+            chosen_work_s += job.work_s
+            while chosen and chosen_work_s > max_running_tasks * (job.latest_starts[level] - now):
                 largest = heapq.heappop(chosen)[2]
-                ahead -= largest.work
-                next_left.append(largest)
-        found.update({number: level for _, number, _ in chosen})
-        left, level = next_left, level + 1
-    return found
+                chosen_work_s -= largest.work_s
+                next_remaining.append(largest)
+        level_by_job.update({number: level for _, number, _ in chosen})
+        remaining, level = next_remaining, level + 1
+    return level_by_job
