--- a/flaxtally/leader/scheduling/job_urgency.py
+++ b/flaxtally/leader/scheduling/job_urgency.py
@@ -1,4 +1,4 @@
-"""How urgent a pending job is: which of its due times it is to meet, and when it must start."""
+"""The urgency of pending jobs: the due time that a job is to meet, and its latest start."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
     from ...settings import Objective
 
 OVERDUE_LEVEL = -1
-"""The level of jobs that have waited for so long that they go before all others of their rank."""
+"""The level of jobs that have waited for too long: before all others of their rank."""
 NO_DUE_TIME_LEVEL = 1000
 """The level of best-effort jobs without a due time: after all others."""
 MAX_WAIT_FRACTION = 0.7
-"""Of the time within which an objective wants a job class to begin: from then on a job that still
-waits is overdue.
+"""A job is overdue after it has waited for this fraction of the time within which an objective
+wants its job class to start.
 """
 
 
 class JobUrgency:
-    """Derives due times from the objectives, and chooses which of them pending jobs can meet."""
+    """Derives due times from the objectives, and chooses those that pending jobs can meet."""
 
     def __init__(self, objectives: Iterable[Objective], policy: Policy) -> None:
-        """Reads the due times of each job class from the platform's objectives."""
+        """Reads the due times of each job class from the objectives."""
         self._policy = policy
         self._levels: dict[int, int] = {}
-        """By job, the due time that it is to meet where capacity doesn't suffice for all."""
+        """By job, the index of the due time to meet where capacity doesn't suffice for all."""
         self._begin_within: dict[str, float] = {}
         self._finish_within: dict[str, list[float]] = {}
         self._deadline_factors: dict[str, list[float]] = {}
@@ -50,12 +50,12 @@
             self._finish_within.setdefault(job_class, []).append(objective.within)
 
     def compute(self, job: Job, wall: float) -> tuple[int, float]:
-        """Returns the number of the due time that the job is to meet, and its latest start."""
+        """Returns the index of the due time that the job is to meet, and its latest start."""
         spec = job.spec
         begin_within = self._begin_within.get(spec.job_class, self._policy.begin_latest)
         may_wait = spec.job_kind == wire.SERVICE or (spec.is_best_effort and job.has_started)
         if wall - job.accepted_at > begin_within and not may_wait:
-            # A job that was passed over because it is large must begin all the same.
+            # A job that was deferred because it is large must start nevertheless.
             return OVERDUE_LEVEL, job.accepted_at
         latest_starts = self._latest_starts(job)
         if spec.is_best_effort and not latest_starts:
@@ -67,12 +67,12 @@
         return len(latest_starts), 0.0
 
     def _latest_starts(self, job: Job) -> tuple[float, ...]:
-        """Returns when its tasks must start to meet each of its due times, in order."""
+        """Returns when the job's tasks must start to meet each of its due times, in order."""
         spec = job.spec
         due_times = list(self._finish_within.get(spec.job_class, ()))
         if spec.deadline is not None:
             due_times.append(spec.deadline)
-            # After a missed deadline an objective may still ask for a multiple of it.
+            # After a missed deadline, an objective may still require a multiple of it.
             factors = self._deadline_factors.get(spec.job_class, ())
             due_times += [spec.deadline * factor for factor in factors]
         return tuple(job.accepted_at + due - spec.estimated_run_s for due in sorted(due_times))
@@ -80,7 +80,7 @@
     def choose_levels(self, pending: Iterable[Job], live_jobs: Iterable[Job], wall: float) -> None:
         """Chooses the due time that each pending job is to meet.
 
-        A job class counts on as many tasks at a time as it has running among `live_jobs`.
+        Each job class is assumed to run as many tasks at a time as it has placed among `live_jobs`.
         """
         self._levels = {}
         dues_by_class = self._dues_by_class(pending)
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -1,4 +1,4 @@
-"""Preemption where teams lend each other unused quota."""
+"""The preemption policy where teams lend each other unused quota."""
 
 from __future__ import annotations
 
@@ -24,22 +24,24 @@
     from .served_tasks import ServedTasks
 
 OVERDUE_RECLAIM_FRACTION = 0.5
-"""Of the recall time: then who is entitled to capacity takes what is kept for GPU tasks, too."""
+"""The fraction of the reclaim deadline after which an entitled job also uses capacity that is
+reserved for GPU tasks.
+"""
 
 
 class QuotaBudget:
-    """Takes tasks of another team only while that team keeps its quota."""
+    """Allows victims of another team only while that team keeps its quota."""
 
     def __init__(self, team: str, reclaimable: Reclaimable, open_reclaims: OpenReclaims) -> None:
-        """`team`: the one that takes, whose own tasks are not counted."""
+        """`team`: the team that preempts, whose own tasks are not counted."""
         self._team = team
         self._reclaimable = reclaimable
         self._open_reclaims = open_reclaims
         self._gangs: set[int] = set()
-        """Gangs that are counted: they stop as a whole."""
+        """Numbers of the gangs that are counted already, since a gang stops as a whole."""
 
     def try_take(self, placed: Placement) -> bool:
-        """Whether the task's team keeps its quota without it, too; then it counts."""
+        """Whether the task's team keeps its quota without it; if so, counts the task as taken."""
         job = placed.job
         is_leaving = job.number in self._gangs or self._open_reclaims.is_leaving(placed)
         if job.spec.team == self._team or is_leaving:
@@ -54,7 +56,7 @@
 
 
 class LendingPolicy(TermActor):
-    """A team's quota protects its tasks; what it borrows goes to teams within theirs."""
+    """Protects tasks within their team's quota; borrowed capacity goes to teams within theirs."""
 
     def __init__(
         self,
@@ -64,47 +66,47 @@
         open_reclaims: OpenReclaims,
         capacity: ReclaimedCapacity,
     ) -> None:
-        """`capacity`: in which zones capacity is being reclaimed."""
+        """`capacity` knows the zones in which capacity is being reclaimed."""
         super().__init__(term)
         self._quota = quota
         self._admission = admission
         self._open_reclaims = open_reclaims
         self._capacity = capacity
         self._borrowers: frozenset[str] = frozenset()
-        """The teams that borrow, as of this pass: a search must not look into all others' tasks."""
+        """The teams that borrow, as of this pass, so that a search examines only their tasks."""
 
     def begin_pass(self) -> None:
-        """Notes which teams borrow."""
+        """Determines which teams borrow."""
         self._borrowers = self._quota.borrowers()
 
     def is_entitled(self, job: Job) -> bool:
-        """Whether one more task of the job, or the gang, is within its team's quota."""
+        """Whether the job's next task, or the whole gang, is within its team's quota."""
         return self._quota.is_entitled(job)
 
     def equivalence_key(self, job: Job) -> Hashable:
-        """The team's own tasks are under other rules than those of others."""
+        """Includes the team, since other rules hold for its own tasks than for other teams'."""
         return job.spec.team, self.is_entitled(job)
 
     def gang_equivalence_key(self, job: Job) -> Hashable:
-        """The same as for other jobs."""
+        """Returns the same key as for other jobs."""
         return self.equivalence_key(job)
 
     def may_preempt_for_gang(self, job: Job) -> bool:
-        """Ranks above that of batch work, and gangs within their team's quota."""
+        """Whether the rank is above that of batch jobs, or the gang is within its team's quota."""
         return wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or self.is_entitled(job)
 
     def is_reclaim(self, request: PreemptionRequest, victims: Collection[Placement]) -> bool:
-        """Whether another team's work is stopped for a job within its team's quota."""
+        """Whether another team's tasks are stopped for a job within its team's quota."""
         return request.is_entitled and any(
             placed.job.spec.team != request.spec.team for placed in victims
         )
 
     def record_demand(self, job: Job) -> None:
-        """From now on the recall time runs."""
+        """Starts the reclaim deadline of the job."""
         self._admission.record_demand(job)
 
     def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
-        """The next pending task that neither a reclaim nor a preemption is for."""
+        """Returns the next pending task for which no reclaim or preemption is open."""
         reclaimed_count = self._open_reclaims.task_count_for(job)
         served_tasks = served.pending_of(job, now)
         if reclaimed_count + len(served_tasks) >= job.pending_count:
@@ -116,14 +118,14 @@
         return next(((job.number, task) for task in pending if task not in served_tasks), None)
 
     def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
-        """Counts what is being reclaimed as placed."""
+        """Counts tasks for which capacity is being reclaimed as placed."""
         return self._capacity.excluded_zones(job)
 
     def is_preemptible(self, placed: Placement, request: PreemptionRequest) -> bool:
-        """Whether the task may be stopped, as far as its team keeps its quota (`QuotaBudget`).
+        """Whether the task may be stopped, if its team keeps its quota (see `QuotaBudget`).
 
-        Within a team rank decides. Replicas of higher rank are not reclaimed: they are answering
-        somebody, and the autoscaler provisions for who waits.
+        Within a team, rank decides. Replicas of higher rank are not reclaimed: they are serving
+        requests, and the autoscaler provisions machines for the pending job.
         """
         other, spec = placed.job.spec, request.spec
         rank, other_rank = wire.RANKS[spec.rank], wire.RANKS[other.rank]
@@ -142,15 +144,15 @@
         return other.job_kind == wire.SERVICE and other.team != spec.team
 
     def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
-        """What the other teams use beyond their quotas."""
+        """Returns a budget of what the other teams use beyond their quotas."""
         return QuotaBudget(spec.team, self._quota.reclaimable(), self._open_reclaims)
 
     def overdue_after_s(self, job: Job) -> float:
-        """Shorter for a job within its team's quota."""
+        """Returns `keep_patience`, or less for a job within its team's quota."""
         if self._quota.is_entitled(job):
             return min(self.policy.keep_patience, self.policy.recall * OVERDUE_RECLAIM_FRACTION)
         return self.policy.keep_patience
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
-        """Whether the job has waited for longer than its patience."""
+        """Whether the job is overdue."""
         return request.now - request.job.pending_since > self.overdue_after_s(request.job)
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -1,4 +1,4 @@
-"""The order in which pending jobs are placed."""
+"""The queue of pending jobs, in the order in which they are placed."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class QueueKey(NamedTuple):
-    """What the queue is sorted by, in this order."""
+    """The sort key of the queue; its fields are compared in this order."""
 
     rank: int
     is_over_quota: bool
     level: int
-    """The due time that the job is to meet, see `JobUrgency`."""
+    """The index of the due time that the job is to meet, see `JobUrgency`."""
     latest_start_at: float
-    """When the job must start to meet it."""
+    """When the job must start to meet that due time."""
     number: int
 
 
 class PendingJob(NamedTuple):
-    """A job in its place in the queue."""
+    """A job and its position in the queue."""
 
     key: QueueKey
     job: Job
     equivalence_class: int | None
-    """Equal for jobs of which none finds capacity where another found none, if they may use the
-    same zones; None: no other job is equivalent.
+    """Equal for jobs of which none finds capacity if one of them found none, as far as they may use
+    the same zones; None: no other job is equivalent.
     """
 
 
@@ -48,21 +48,22 @@
     def __init__(self, term: Term, live_jobs: dict[int, Job], suspects: set[int]) -> None:
         """Starts empty.
 
-        `live_jobs`: the jobs that are not over; `suspects`: those likely submitted with a mistake.
+        `live_jobs`: the unfinished jobs; `suspects`: numbers of jobs that were likely submitted
+        with a mistake.
         """
         super().__init__(term)
         self._live_jobs = live_jobs
         self._suspects = suspects
         self.jobs_over_quota: set[int] = set()
-        """Jobs that are over their team's quota, as of the last count."""
+        """Numbers of the jobs that are over their team's quota, as of the last count."""
         self._pending: dict[int, Job] = {}
-        """Jobs that may have pending tasks: a pass over all live jobs cost more than it placed."""
+        """Jobs that may have pending tasks; a pass over all live jobs would cost too much."""
         self._order: list[PendingJob] = []
         self._ordered_numbers: set[int] = set()
         self._ordered_at = float("-inf")
         self._equivalence_classes: dict[Hashable, int] = {}
         self._demand: dict[str, Amounts] = {}
-        """What each team's unfinished jobs take together, as of the last count."""
+        """Resources that each team's unfinished jobs need together, as of the last count."""
         self._quotas: dict[str, Quota] = {}
         """The teams' quotas as of the last count."""
         self._urgency = JobUrgency(self.settings.objectives, self.policy)
@@ -70,7 +71,7 @@
     # Membership
 
     def restore(self, job: Job) -> None:
-        """Takes up a job that an earlier term accepted."""
+        """Adds a job that was accepted in an earlier term."""
         self._pending[job.number] = job
 
     def add(self, job: Job) -> None:
@@ -80,7 +81,7 @@
         self._insert(job)
 
     def requeue(self, job: Job) -> None:
-        """Adds the job again if it isn't there: one of its tasks is to be placed again."""
+        """Adds the job unless it is in the queue: one of its tasks must be placed again."""
         if job.number not in self._pending:
             job.pending_since = self.runtime.now()
         self._pending[job.number] = job
@@ -96,17 +97,17 @@
     # Order
 
     def ordered_jobs(self) -> list[PendingJob]:
-        """Returns jobs in the order of placement; some may have no pending tasks any more.
+        """Returns the jobs in the order of placement; some may have no pending tasks any more.
 
-        By rank, then those within their team's quota, then those that can still meet a due time,
-        the most urgent of them first, then by age.
+        Orders them by rank; then jobs within their team's quota come first, then jobs that can
+        still meet a due time, the most urgent first, then older jobs.
         """
         if self.runtime.now() - self._ordered_at > self.policy.retry / 2:
             self._sort_queue(self.pending_jobs())
         return self._order
 
     def compute_urgency(self, job: Job, wall: float) -> tuple[int, float]:
-        """Returns the due time that the job is to meet, and when it must start for that."""
+        """Returns the index of the due time that the job is to meet, and its latest start."""
         return self._urgency.compute(job, wall)
 
     def _sort_queue(self, pending: list[Job]) -> None:
@@ -135,7 +136,7 @@
         return PendingJob(key, job, self._equivalence_class(job))
 
     def _equivalence_class(self, job: Job) -> int | None:
-        """Returns a number for what decides whether a task finds capacity, or tasks to preempt."""
+        """Returns a number for the properties that decide where a task fits or may preempt."""
         spec = job.spec
         if spec.job_kind == wire.GANG or job.number in self._suspects:
             return None
@@ -156,13 +157,12 @@
     # Quotas
 
     def _count_all_demand(self) -> None:
-        """Determines which jobs are over quota; until the next call only new jobs are added."""
+        """Determines which jobs are over quota; until the next call, only new jobs are added."""
         self._demand = {}
         self._quotas = {}
         self.jobs_over_quota = set()
         for job in self._live_jobs.values():
-            # Asked in place: a call of the property for each live job would cost as much as the
-            # count.
+            # Inlined: calling a property for each live job would cost as much as the count itself.
             if not (job.is_done or job.is_cancelled):
                 self._count_demand(job)
 
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -1,4 +1,4 @@
-"""Stops tasks so that more important ones, or those of a lender, find room."""
+"""Stops tasks to free capacity for more important ones, or for those of a lending team."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class Preemption(TermActor):
-    """Owns the reservations of capacity for which others were stopped."""
+    """Owns the reservations of capacity that was freed by stopping tasks."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         open_reclaims: OpenReclaims,
         quota_reclaim: QuotaReclaim,
     ) -> None:
-        """`quota_reclaim` stops what a borrower must give back; all else is stopped here."""
+        """`quota_reclaim` stops borrowed tasks for a reclaim; all other tasks are stopped here."""
         super().__init__(term)
         self._commands = commands
         self._gang_scheduler = gang_scheduler
@@ -55,11 +55,11 @@
         self._quota_reclaim = quota_reclaim
         self._served = ServedTasks()
         self._infeasible = placement.InfeasibleRequests()
-        """Who found no victim, until `_infeasible_until`."""
+        """Requests that found no victim, until `_infeasible_until`."""
         self._infeasible_until = 0.0
 
     def begin_pass(self) -> set[str]:
-        """Expires what no longer holds; returns the machines on which reservations ended."""
+        """Drops expired state; returns the names of machines on which reservations ended."""
         now = self.runtime.now()
         if now >= self._infeasible_until:
             self._infeasible = placement.InfeasibleRequests()
@@ -70,29 +70,29 @@
     # Queries
 
     def filter_for_rank(self, rank: int) -> Callable[[Machine], bool] | None:
-        """Which machines are not reserved for a more important task; None: none is reserved."""
+        """Returns a filter of machines that no more important task has reserved; None: all."""
         return self._reservations.filter_for_rank(rank) if self._reservations else None
 
     def equivalence_key(self, job: Job) -> Hashable:
-        """Equal for jobs for which the same tasks may be stopped."""
+        """Returns a key that is equal for jobs for which the same tasks may be stopped."""
         return self._policies.current.equivalence_key(job)
 
     def is_infeasible(self, key: Hashable, spec: wire.Spec) -> bool:
-        """Whether a job with that key that asked for no more found no victim a while ago."""
+        """Whether a job with that key that needs no more resources recently found no victim."""
         return self._infeasible.covers(key, spec)
 
     def overdue_after_s(self, job: Job) -> float:
-        """How long a job waits before it takes any capacity, also what is kept for GPU tasks."""
+        """Returns how long a job waits before it also uses capacity reserved for GPU tasks."""
         return self._policies.current.overdue_after_s(job)
 
-    # Placed
+    # Placements
 
     def on_task_placed(self, key: TaskKey) -> None:
-        """The task is placed: its reservation is used."""
+        """Drops the reservation of a task that was placed."""
         self._reservations.fulfil(key)
 
     def on_gang_placed(self, job: Job) -> None:
-        """The gang is placed: its reservations are used."""
+        """Drops the reservations of a gang that was placed."""
         self._quota_reclaim.on_gang_placed(job)
         for task in range(job.spec.tasks):
             if self._served.remove((job.number, task)):
@@ -101,10 +101,10 @@
     # For single tasks
 
     def preempt_for(self, job: Job, key: Hashable, excluded_zones: Collection[str]) -> bool:
-        """Stops tasks so that one of the job finds room, where the least work is lost.
+        """Stops tasks to free capacity for one task of the job, where the least work is lost.
 
-        The machine is reserved for that rank until the stopped tasks are proven gone. False: there
-        is no victim, for this job and those with the same `key`.
+        The capacity is reserved for the job's rank until the stopped tasks are known to have ended.
+        Returns False if there is no victim for this job, nor for others with the same `key`.
         """
         policy = self._policies.current
         is_entitled = policy.is_entitled(job)
@@ -140,7 +140,7 @@
         )
 
     def preempt_to_move(self, placed: Placement, machine: Machine) -> None:
-        """Stops best-effort tasks on the machine so that a replica can move there."""
+        """Stops best-effort tasks on the machine, so that a replica can move there."""
         key = placed.job.number, placed.task
         if self._reservations.has_task(key):
             return
@@ -154,10 +154,12 @@
     # For gangs
 
     def preempt_for_gang(self, job: Job) -> bool:
-        """Stops tasks so that a whole gang finds room, or none; whether room is being made.
+        """Stops tasks to free capacity for a whole gang; returns whether it is being freed.
 
-        By rank only for those above batch work: a gang waits until all its tasks have room, and
-        what is stopped for it meanwhile does nothing.
+        Stops nothing if there isn't enough for all its tasks.
+
+        By rank, only gangs above batch jobs may preempt: a gang waits until all its tasks have
+        capacity, and the capacity that was freed for it is idle meanwhile.
         """
         policy, now = self._policies.current, self.runtime.now()
         if self._served.is_served((job.number, 0), now) or self._open_reclaims.task_count_for(job):
@@ -193,7 +195,7 @@
             len(choice),
         )
 
-    # Carrying out
+    # Execution
 
     def _preempt(
         self, key: TaskKey, spec: wire.Spec, machine: Machine, victims: list[Placement]
@@ -212,7 +214,7 @@
         *,
         is_moving: bool,
     ) -> float:
-        """Reserves the victims' capacity for as long as they may need; returns until when."""
+        """Reserves the victims' capacity for as long as their stop may take; returns the expiry."""
         longest_save_s = max((placed.job.spec.checkpoint_save_s for placed in victims), default=0.0)
         expires_at = self.runtime.now() + 2 * self.policy.order_call + longest_save_s
         reservation = Reservation(wire.RANKS[spec.rank], expires_at, spec, is_moving)
--- a/flaxtally/leader/scheduling/preemption_cost.py
+++ b/flaxtally/leader/scheduling/preemption_cost.py
@@ -1,4 +1,4 @@
-"""What a task's stop throws away."""
+"""The work that is lost when a task is stopped."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     """Estimates the work that is lost when a task is stopped."""
 
     def __init__(self, gang_scheduler: GangScheduler, open_reclaims: OpenReclaims) -> None:
-        """`open_reclaims`: its victims stop anyway, so they cost nothing more."""
+        """`open_reclaims` knows tasks that stop anyway, so that preempting them costs nothing."""
         self._gang_scheduler = gang_scheduler
         self._open_reclaims = open_reclaims
 
     def of_task(self, placed: Placement, now: float) -> float:
-        """Seconds of work that a stop throws away; of a gang's task, those of the whole gang."""
+        """Returns the seconds of work lost by a stop; for a gang's task, by the whole gang."""
         if self._open_reclaims.is_leaving(placed) or placed.started_at is None:
             return 0.0
         spec = placed.job.spec
--- a/flaxtally/leader/scheduling/preemption_parts.py
+++ b/flaxtally/leader/scheduling/preemption_parts.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class PreemptionParts:
-    """What the scheduler and the leader use of them."""
+    """The objects that the scheduler and the leader use."""
 
     machines: SchedulableMachines
     quota: QuotaAccounting
@@ -48,7 +48,7 @@
     pools: PoolAvailability,
     feature: LendingFeature | None,
 ) -> PreemptionParts:
-    """Wires the parts for one term: state first, then decisions, then what carries them out."""
+    """Builds the objects for one term: state, then decisions, then their execution."""
     machines = SchedulableMachines(term, reconciler)
     reservations = Reservations()
     open_reclaims = OpenReclaims(term.ledger)
--- a/flaxtally/leader/scheduling/preemption_policy.py
+++ b/flaxtally/leader/scheduling/preemption_policy.py
@@ -1,7 +1,7 @@
-"""Who may be stopped for whom: by rank alone, or, where lending is enabled, by quota too.
+"""The rules of preemption: by rank alone or, where lending is enabled, by quota too.
 
-`PreemptionPolicy` is what preemption asks. `RankPolicy` is the null policy of lending; the other is
-`lending_policy.LendingPolicy`.
+`PreemptionPolicy` is their interface. `RankPolicy` implements it without lending, and
+`lending_policy.LendingPolicy` with it.
 """
 
 from __future__ import annotations
@@ -26,126 +26,129 @@
 
 @dataclass(frozen=True, slots=True)
 class PreemptionRequest:
-    """A search for tasks to stop for one of a job."""
+    """A search for tasks that can be stopped for the next task of a job."""
 
     job: Job
     spec: wire.Spec
     is_entitled: bool
-    """The job's next task has a right to capacity that others use beyond their quota."""
+    """Whether the job's next task is entitled to capacity that others use beyond their quota."""
     now: float
 
 
 class PreemptionBudget(Protocol):
-    """What one decision may take from each team, which may stop several tasks."""
+    """Limits the tasks of each team that one decision, which may stop several, can stop."""
 
     def try_take(self, placed: Placement) -> bool:
-        """Whether the task may be stopped beside those taken before; then it counts as taken."""
+        """Whether the task may be stopped in addition to those taken; if so, counts it as taken."""
 
 
 class PreemptionPolicy(Protocol):
-    """The rules of preemption; they decide, and stop nothing."""
+    """Decides which tasks may be stopped for which jobs; stops nothing itself."""
 
     def begin_pass(self) -> None:
-        """A scheduling pass begins."""
+        """Prepares for a new scheduling pass."""
 
     def is_entitled(self, job: Job) -> bool:
-        """Whether the job's next task has a right to what others use beyond their quota."""
+        """Whether the job's next task is entitled to what others use beyond their quota."""
 
     def equivalence_key(self, job: Job) -> Hashable:
-        """Equal for jobs for which the same tasks may be stopped."""
+        """Returns a key that is equal for jobs for which the same tasks may be stopped."""
 
     def gang_equivalence_key(self, job: Job) -> Hashable:
-        """The same for a gang."""
+        """Returns the equivalence key of a gang."""
 
     def may_preempt_for_gang(self, job: Job) -> bool:
-        """Whether tasks may be stopped for all of a gang."""
+        """Whether tasks may be stopped for a whole gang."""
 
     def is_reclaim(self, request: PreemptionRequest, victims: Collection[Placement]) -> bool:
-        """Whether to stop these is a reclaim of borrowed quota, which must be recorded first."""
+        """Whether stopping the victims reclaims borrowed quota, which must be recorded first."""
 
     def record_demand(self, job: Job) -> None:
-        """The job is entitled to capacity and found none."""
+        """Records that the job is entitled to capacity and found none."""
 
     def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
-        """The pending task to preempt for next; None: capacity is being made for all of them."""
+        """Returns the pending task to preempt for next; None: capacity is being freed for all."""
 
     def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
-        """Where nothing may be stopped for the job; `zones`: where it may have no more tasks."""
+        """Returns the zones where nothing may be stopped for the job.
+
+        `zones`: those where the job may have no more tasks.
+        """
 
     def is_preemptible(self, placed: Placement, request: PreemptionRequest) -> bool:
         """Whether the task may be stopped, as far as the budget allows."""
 
     def is_last_resort(self, placed: Placement, spec: wire.Spec) -> bool:
-        """Whether the task is stopped only if all others do not make enough room."""
+        """Whether the task is stopped only if stopping all others does not free enough."""
 
     def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
-        """The budget of one decision for a job."""
+        """Returns the budget of one decision for a job."""
 
     def overdue_after_s(self, job: Job) -> float:
-        """How long a job waits before it takes any capacity, also what is kept for GPU tasks."""
+        """Returns how long a job waits before it also uses capacity reserved for GPU tasks."""
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
-        """Whether the job may be given what is kept for GPU tasks by stopping others."""
+        """Whether the job may preempt for capacity that is reserved for GPU tasks."""
 
 
 class UnlimitedBudget:
-    """Takes any task: ranks alone decide."""
+    """Allows any task, since ranks alone decide."""
 
     def try_take(self, placed: Placement) -> bool:
-        """Always true."""
+        """Returns True."""
         return True
 
 
 class RankPolicy(TermActor):
-    """Lower ranks are stopped for higher ones, without lending.
+    """Preempts lower ranks for higher ones, without lending.
 
-    A team within its quota also goes before what another team runs beyond its own, of which little
-    may be lost.
+    A job within its team's quota also preempts tasks that another team runs beyond its quota, if
+    little work is lost.
     """
 
     def __init__(self, term: Term, jobs: JobRegistry, cost: PreemptionCost) -> None:
-        """`jobs`: its queue knows the jobs beyond their team's quota."""
+        """The queue of `jobs` knows the jobs over their team's quota."""
         super().__init__(term)
         self._jobs = jobs
         self._cost = cost
         self._budget = UnlimitedBudget()
 
     def begin_pass(self) -> None:
-        """Nothing is kept from pass to pass."""
+        """Does nothing, since the policy keeps no state."""
 
     def is_entitled(self, job: Job) -> bool:
-        """Whether all demand of the job's team up to this job is within the quota."""
+        """Whether the demand of the job's team up to and including this job is within its quota."""
         return job.number not in self._jobs.queue.jobs_over_quota
 
     def equivalence_key(self, job: Job) -> Hashable:
-        """The team matters only within its quota."""
+        """Returns the team within its quota; otherwise None, since the team does not matter."""
         return job.spec.team if self.is_entitled(job) else None
 
     def gang_equivalence_key(self, job: Job) -> Hashable:
-        """Ranks alone decide for a gang, and its shape says its rank."""
+        """Returns None: ranks alone decide for a gang, and its shape contains its rank."""
 
     def may_preempt_for_gang(self, job: Job) -> bool:
-        """Only ranks above that of batch work."""
+        """Whether the rank is above that of batch jobs."""
         return wire.RANKS[job.spec.rank] < wire.RANKS["standard"]
 
     def is_reclaim(self, request: PreemptionRequest, victims: Collection[Placement]) -> bool:
-        """Nothing is lent."""
+        """Returns False, since nothing is lent."""
         return False
 
     def record_demand(self, job: Job) -> None:
-        """No deadline runs."""
+        """Does nothing, since there is no reclaim deadline."""
 
     def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
-        """The job's next pending task: one at a time."""
+        """Returns the job's next pending task; preempts for one task at a time."""
         key = job.number, job.next_pending_task()
         return None if served.is_served(key, now) else key
 
     def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
-        """No others than those in which the job may have no more tasks."""
+        """Returns `zones`."""
         return zones
 
     def is_preemptible(self, placed: Placement, request: PreemptionRequest) -> bool:
-        """Whether the task has a lower rank, or runs beyond its quota and loses little."""
+        """Whether the task has a lower rank, or is over its team's quota and loses little work."""
         other, spec = placed.job.spec, request.spec
         return wire.RANKS[other.rank] > wire.RANKS[spec.rank] or (
             request.is_entitled
@@ -156,34 +159,34 @@
         )
 
     def is_last_resort(self, placed: Placement, spec: wire.Spec) -> bool:
-        """Cost alone decides about the order."""
+        """Returns False, since cost alone decides the order."""
         return False
 
     def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
-        """No team's quota protects its tasks."""
+        """Returns an unlimited budget, since no quota protects tasks."""
         return self._budget
 
     def overdue_after_s(self, job: Job) -> float:
-        """The policy file's."""
+        """Returns `keep_patience`."""
         return self.policy.keep_patience
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
-        """Never by preemption."""
+        """Returns False."""
         return False
 
 
 class PreemptionPolicies:
-    """Chooses the policy: lending may become enabled within a term."""
+    """Selects the policy in force, since lending may be enabled within a term."""
 
     def __init__(
         self, by_rank: PreemptionPolicy, with_lending: PreemptionPolicy, quota: QuotaAccounting
     ) -> None:
-        """`quota`: knows whether lending is enabled."""
+        """`quota` knows whether lending is enabled."""
         self._by_rank = by_rank
         self._with_lending = with_lending
         self._quota = quota
 
     @property
     def current(self) -> PreemptionPolicy:
-        """The policy that holds now."""
+        """The policy in force now."""
         return self._with_lending if self._quota.is_enabled else self._by_rank
--- a/flaxtally/leader/scheduling/reservations.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -1,4 +1,4 @@
-"""Capacity that is reserved for a task while other tasks are stopped to free it."""
+"""Reservations of capacity for a task while other tasks are stopped to free it."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     from ...protocol import wire
 
 TaskKey = tuple[int, int]
-"""A job's number and a task's."""
+"""The number of a job and the number of one of its tasks."""
 
 
 class Reservation(NamedTuple):
-    """Capacity on a machine that is reserved for a task until a time."""
+    """Capacity on a machine that is reserved for a task until `expires_at`."""
 
     rank: int
     expires_at: float
     spec: wire.Spec
     is_move: bool
-    """The task still runs elsewhere, and moves once the capacity is free."""
+    """Whether the task still runs elsewhere and moves once the capacity is free."""
 
 
 class Reservations:
@@ -32,7 +32,7 @@
         """Starts without reservations."""
         self._by_machine: dict[str, dict[TaskKey, Reservation]] = {}
         self._freed_machines: set[str] = set()
-        """Machines on which a reservation was fulfilled since the last `expire`."""
+        """Names of machines on which a reservation was fulfilled since the last `expire`."""
 
     def __bool__(self) -> bool:
         return bool(self._by_machine)
@@ -60,14 +60,14 @@
     def fulfil(self, key: TaskKey) -> None:
         """Drops the reservations of a placed task.
 
-        Otherwise later searches would count them in addition to the placement.
+        Otherwise, later searches would count them in addition to the placement.
         """
         for machine, reservations in self._by_machine.items():
             if reservations.pop(key, None) is not None:
                 self._freed_machines.add(machine)
 
     def expire(self, now: float, state: ClusterState) -> set[str]:
-        """Drops reservations that are fulfilled or expired; returns the machines they were on."""
+        """Drops fulfilled and expired reservations; returns the names of their machines."""
         live_by_machine = {}
         freed_machines = self._freed_machines
         self._freed_machines = set()
--- a/flaxtally/leader/scheduling/schedulable_machines.py
+++ b/flaxtally/leader/scheduling/schedulable_machines.py
@@ -15,7 +15,7 @@
 
 
 class SchedulableMachines(TermActor):
-    """Owns the index of the machines that may be used, and which of them gained capacity."""
+    """Owns the index of schedulable machines and the set of those that gained capacity."""
 
     def __init__(self, term: Term, reconciler: Reconciler) -> None:
         """`reconciler` knows which machines are schedulable."""
@@ -23,9 +23,9 @@
         self._reconciler = reconciler
         self.index = self._new_index(by_image=True)
         self._indexed_sizes: Hashable = None
-        """The sizes of the machine types that the index was built for."""
+        """The sizes of the machine types for which the index was built."""
         self._grown: dict[str, Machine] = {}
-        """Machines with more free capacity than in the last pass."""
+        """Machines with more free capacity than in the last pass, by name."""
 
     def _new_index(self, *, by_image: bool) -> MachineIndex:
         return MachineIndex(
@@ -33,7 +33,7 @@
         )
 
     def apply_changes(self) -> bool:
-        """Updates the index with what happened to machines; returns whether it was rebuilt."""
+        """Applies changes of machines to the index; returns whether it was rebuilt."""
         was_rebuilt = self._apply_machine_types()
         changed = self.fleet.changed_machines
         while changed:
@@ -58,14 +58,14 @@
         return must_rebuild
 
     def mark_grown(self, names: Iterable[str]) -> None:
-        """Counts these machines among those that gained capacity."""
+        """Adds the named machines to those that gained capacity."""
         for name in names:
             machine = self.fleet.machines.get(name)
             if machine is not None:
                 self._grown[name] = machine
 
     def take_grown(self) -> MachineIndex:
-        """Returns the machines that gained capacity since this was last called."""
+        """Returns an index of the machines that gained capacity since the last call."""
         grown = self._new_index(by_image=False)
         for machine in self._grown.values():
             grown.update(machine)
@@ -73,7 +73,7 @@
         return grown
 
     def refresh(self) -> None:
-        """Marks the machines as changed that became schedulable, or not, by time alone."""
+        """Marks machines as changed whose schedulability changed through passing time alone."""
         for machine in self.fleet.machines.values():
             if self._reconciler.is_schedulable(machine) != (machine in self.index):
                 machine.mark_changed()
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""When scheduling passes are made, and what a placement does."""
+"""Runs scheduling passes when they are due, and carries out placements."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 MAX_PASSES_PER_HEARTBEAT = 8
 MIN_PASS_DELAY_S = 0.002
-"""Requests that come together lead to one pass."""
+"""Delay of a pass after a request, so that several requests in a row lead to one pass."""
 
 
 class Scheduler(TermActor):
@@ -57,22 +57,22 @@
         self._reclaimed = preemption_parts.reclaimed
         self.gang_reservations = GangReservations(term, jobs)
         self.examined_count = 0
-        """Machines that passes have examined."""
+        """The number of machines that passes have examined."""
         self.hints: dict[TaskKey, str] = {}
-        """The machine to which a moved task is to go."""
+        """The name of the machine on which a task that is moved should be placed."""
         self._is_pass_requested = False
         self._next_pass_at = 0.0
         self._machines = preemption_parts.machines
         self._infeasible = placement.InfeasibleRequests()
-        """Requests that found no capacity up to now; they search only where there is more now."""
+        """Requests that found no capacity; they search only machines that gained capacity."""
         self._gpu_reservations = jobs.gpu_reservations
-        """Those that the last pass went by."""
+        """The reservations that the last pass used."""
         term.pass_requests.subscribe(self.request_pass)
 
     # Passes
 
     def request_pass(self) -> None:
-        """Makes a pass soon, unless one is already due."""
+        """Runs a pass soon, unless one is already due."""
         if not self._is_pass_requested and self.term.active:
             self._is_pass_requested = True
             delay = self._next_pass_at - self.runtime.now()
@@ -94,18 +94,19 @@
             self.request_pass()
 
     def _pass_backoff_s(self, pass_s: float) -> float:
-        """How long no other pass is made after one that took so long."""
+        """Returns the delay before the next pass, given the duration of the last one."""
         return max(self.policy.pass_rest * pass_s, self.policy.heartbeat / MAX_PASSES_PER_HEARTBEAT)
 
     def _run_pass(self, queue: list[PendingJob], now: float) -> bool:
-        """Places what can be placed; returns whether it ended before all jobs were tried."""
+        """Places what fits; returns whether the pass ended before it had tried all jobs."""
         released = self.gang_reservations.take_released_machines
         freed_machines = self.preemption.begin_pass() | released()
         if self._machines.apply_changes():
             self._infeasible = placement.InfeasibleRequests()
         self._machines.mark_grown(freed_machines)
         if self.jobs.gpu_reservations != self._gpu_reservations:
-            # They decide which capacity is free for others: all requests search everywhere again.
+            # They decide which capacity other tasks may use, so all requests must search all
+            # machines again.
             self._gpu_reservations = self.jobs.gpu_reservations
             self._infeasible = placement.InfeasibleRequests()
         index = self._machines.index
@@ -122,7 +123,7 @@
         self.later(self.policy.retry, self.request_pass)
 
     def resume_backed_off_jobs(self) -> None:
-        """Requests a pass if the backoff of a job ends soon; forgets those that ended long ago."""
+        """Requests a pass if a job's backoff ends soon; drops those that ended long ago."""
         now = self.runtime.now()
         backoff = self.jobs.backoff
         if any(now < until < now + 2 * self.policy.retry for until in backoff.values()):
@@ -132,20 +133,23 @@
         }
 
     def refresh_machines(self) -> None:
-        """Takes up which machines became schedulable, or not, by time alone."""
+        """Updates machines whose schedulability changed through passing time alone."""
         self._machines.refresh()
 
-    # Which machine
+    # Machine hints and filters
 
     def has_hint(self, job: Job) -> bool:
-        """Whether a machine is chosen for the job's next task."""
+        """Whether a machine has been chosen for the job's next task."""
         is_hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
         return is_hinted or self._reclaimed.machine_for(job) is not None
 
     def take_hinted_machine(
         self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
     ) -> Machine | None:
-        """Returns where the job's next task was moved, or capacity reclaimed, if it fits there."""
+        """Returns the machine chosen for the job's next task, if the task fits there.
+
+        It was chosen for a move of the task, or capacity was reclaimed there.
+        """
         hint = self.hints.pop((job.number, job.next_pending_task()), "")
         machine = self.fleet.machines.get(hint) or self._reclaimed.machine_for(job)
         if machine is None or machine.zone in excluded_zones:
@@ -161,8 +165,8 @@
     def availability_filter(self, job: Job) -> MachineFilter | None:
         """Returns a filter of machines whose capacity isn't reserved against the job.
 
-        It may be reserved for a more important rank, for a gang, or by a reclaim. None: nothing is
-        reserved.
+        Capacity may be reserved for a more important rank, for a gang, or by a reclaim. Returns
+        None if nothing is reserved.
         """
         candidates = (
             self.preemption.filter_for_rank(wire.RANKS[job.spec.rank]),
@@ -177,7 +181,7 @@
     # Placements
 
     def place_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> int:
-        """Places all that is due of a gang, or nothing; returns how many tasks."""
+        """Places all due tasks of a gang, or none; returns how many were placed."""
         if not self.gang_scheduler.is_due(job):
             return 0
         count = self.gang_scheduler.place_gang(
@@ -188,16 +192,16 @@
             self.gang_reservations.on_gang_placed(job)
             self._machines.apply_changes()
         elif not job.placements and self.jobs.is_within_limit(job.spec, job.spec.tasks):
-            self._free_capacity_for_gang(job, index, is_overdue=is_overdue)
+            self._make_capacity_for_gang(job, index, is_overdue=is_overdue)
         return count
 
-    def _free_capacity_for_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> None:
-        """Preempts others for the gang, or reserves machines that it can use in a while."""
+    def _make_capacity_for_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> None:
+        """Preempts other tasks for the gang, or reserves machines that it can use later."""
         if not self.preemption.preempt_for_gang(job) and is_overdue:
             self.gang_reservations.reserve_machines(job, index)
 
     def place_task(self, job: Job, machine: Machine) -> None:
-        """Proposes the placement of the job's next task; it is launched once that is committed."""
+        """Proposes the placement of the job's next task, which is launched after its commit."""
         task = job.next_pending_task()
         attempt = job.attempts.get(task, 0) + 1
         now = self.runtime.now()
@@ -217,14 +221,15 @@
         self._machines.apply_changes()
 
     def _launch_if_current(self, placed: Placement) -> None:
-        """Launches a task whose placement is committed, unless its job or machine is gone."""
+        """Launches a task after the commit, unless its job is cancelled or its machine lost."""
         job = placed.job
         if job.placements.get(placed.task) is not placed:
-            # Its machine was removed meanwhile.
+            # The machine was removed before the commit.
             return
         placed.is_committed = True
         if job.is_cancelled:
-            # Cancelled between proposal and commit: it was never launched, so it is over.
+            # Cancelled between proposal and commit: the task was never launched, so the attempt
+            # is finished.
             self.reconciler.attempts.finish_attempt(placed, EndReason.CANCELLED_BEFORE_LAUNCH)
         else:
             self.commands.launch_task(placed)
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -1,4 +1,4 @@
-"""One pass over the pending jobs: what can be placed is placed."""
+"""One scheduling pass over the pending jobs, which places the tasks that fit."""
 
 from __future__ import annotations
 
@@ -21,13 +21,15 @@
     from .preemption import Preemption
 
 MAX_PLACEMENTS_PER_PASS = 400
-"""Tasks per pass: one large array on an idle fleet must not hold up heartbeats and users."""
+"""Tasks that a pass may place: a large array on an idle fleet must not delay heartbeats and user
+requests.
+"""
 
 MachineFilter = Callable[[Machine], bool]
 
 
 class TaskPlacer(Protocol):
-    """What a pass needs of the scheduler."""
+    """The part of the scheduler that a pass uses."""
 
     jobs: JobRegistry
     preemption: Preemption
@@ -35,12 +37,12 @@
     term: Term
 
     def has_hint(self, job: Job) -> bool:
-        """Whether a machine is chosen for the job's next task."""
+        """Whether a machine has been chosen for the job's next task."""
 
     def take_hinted_machine(
         self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
     ) -> Machine | None:
-        """Returns the machine chosen for the job's next task, if that can still go there."""
+        """Returns the machine chosen for the job's next task, if the task fits there."""
 
     def place_task(self, job: Job, machine: Machine) -> None:
         """Places the job's next task."""
@@ -49,18 +51,18 @@
         """Returns a filter of machines whose capacity isn't reserved against the job; None: all."""
 
     def place_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> int:
-        """Places all that is due of a gang, or nothing; returns how many tasks.
+        """Places all due tasks of a gang, or none; returns how many were placed.
 
-        `is_overdue`: it takes any capacity, like other jobs that have waited for long.
+        `is_overdue`: the gang may also use capacity that is reserved for GPU tasks.
         """
 
 
 class _SearchKey(NamedTuple):
-    """Equal for requests that may use the same machines, and that reserve the same for others."""
+    """Equal for requests that may use the same machines and leave the same reserves on them."""
 
     constraints: Hashable
     is_overdue: bool
-    """The job has waited for long and takes any capacity: that of slow machines, and what is
+    """Whether the job has waited so long that it may also use slow machines and capacity that is
     reserved for GPU tasks.
     """
 
@@ -72,11 +74,11 @@
     excluded_zones: frozenset[str]
     key: _SearchKey
     is_available: MachineFilter | None
-    """Machines whose capacity isn't reserved against the job; None: all."""
+    """A filter of machines whose capacity isn't reserved against the job; None: all."""
 
 
 class SchedulingPass:
-    """Places tasks in the queue's order. Within a pass free capacity only shrinks."""
+    """Places tasks in the order of the queue; within a pass, free capacity only decreases."""
 
     def __init__(
         self,
@@ -103,12 +105,11 @@
         self._now = now
         self._infeasible_before = infeasible
         self._infeasible = placement.InfeasibleRequests()
-        """Requests that found no capacity in this pass: the same ones and larger ones don't search.
-        """
+        """Requests that found no capacity in this pass; equal and larger ones are not searched."""
         self._best_effort_filters: dict[int, MachineFilter] = {}
-        """By job, whether best-effort work may use a machine."""
+        """By job number, a filter of the machines that the best-effort job may use."""
         self._preempted_for: set[Hashable] = set()
-        """Shapes of batch work for which others were preempted in this pass."""
+        """Job shapes, with their keys, for which tasks were preempted in this pass."""
         self._placed_count = 0
 
     @property
@@ -117,7 +118,7 @@
         return self._placed_count >= MAX_PLACEMENTS_PER_PASS
 
     def run(self, queue: list[PendingJob]) -> placement.InfeasibleRequests:
-        """Places what it can; returns the requests known to find no capacity from here on."""
+        """Places the tasks that fit; returns the requests that are known to find no capacity."""
         infeasible_keys: set[Hashable] = set()
         backoff = self._jobs.backoff
         for _, job, equivalence_class in list(queue):
@@ -129,15 +130,16 @@
             if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_job(job) and equivalence_class is not None:
-                # With the zones excluded now: some of its tasks may have been placed.
+                # Zones are read again: placing some of the job's tasks may have excluded more.
                 infeasible_keys.add((equivalence_class, self._jobs.excluded_zones(job)))
-        # Requests that did not search in this pass have not seen the machines that grew.
+        # Requests that did not search in this pass have not examined the machines that gained
+        # capacity.
         return self._infeasible if self._has_grown else self._infeasible_before
 
     def _place_job(self, job: Job) -> bool:
-        """Places the job's pending tasks; False: there is no capacity for one, nor for equivalents.
+        """Places the job's pending tasks; False: one, or an equivalent one, finds no capacity.
 
-        Of a suspect job at most one task runs at a time.
+        A suspect job runs at most one task at a time.
         """
         if job.spec.job_kind == wire.GANG:
             self._placed_count += self._scheduler.place_gang(
@@ -149,7 +151,7 @@
         return self._place_tasks(job)
 
     def _try_suspect(self, job: Job) -> bool:
-        """Places one task, without preemption: it will likely fail. False: it is over the limit."""
+        """Places one task without preemption, as it is likely to fail; False: over the limit."""
         is_available = self._scheduler.availability_filter(job)
         if not self._jobs.is_within_limit(job.spec):
             return False
@@ -198,7 +200,7 @@
     # Finding a machine
 
     def _find_machine(self, request: _TaskRequest, previous: Machine | None) -> Machine | None:
-        """Returns a machine for the task; `previous`: that of the job's task placed before."""
+        """Returns a machine for the task; `previous`: the machine of the job's previous task."""
         job, excluded_zones, key, is_available = request
         machine = self._scheduler.take_hinted_machine(job, excluded_zones, is_available)
         if machine is None and previous is not None and previous.zone not in excluded_zones:
@@ -208,9 +210,9 @@
         return machine
 
     def _reuse_machine(self, machine: Machine, request: _TaskRequest) -> Machine | None:
-        """Returns the machine of the task before, if it can hold one more task of an array.
+        """Returns the machine of the previous task, if it can hold one more task of an array.
 
-        It was the best of a sample, and is more so the less capacity it has left.
+        It scored best in a sample, and scores even better with less free capacity.
         """
         spec = request.job.spec
         if spec.job_kind != wire.ARRAY:
@@ -219,7 +221,7 @@
         return machine if fits(machine, self._term.machine_types[machine.machine_type]) else None
 
     def _search(self, request: _TaskRequest) -> Machine | None:
-        """Chooses a machine; where the request is known as infeasible, among those that grew."""
+        """Chooses a machine; for a known infeasible request, among those that gained capacity."""
         spec = request.job.spec
         was_infeasible = self._infeasible_before.covers(request.key, spec)
         machine = choose_machine(
@@ -238,11 +240,11 @@
         return machine
 
     def _gpu_reservations_for(self, request: _TaskRequest) -> placement.GpuReservations | None:
-        """Returns what the task must leave for GPU tasks; None: nothing."""
+        """Returns the reservations for GPU tasks that the task must leave free; None: none."""
         return None if request.key.is_overdue else self._jobs.gpu_reservations
 
     def _machine_filter(self, request: _TaskRequest) -> MachineFilter | None:
-        """Returns which machines the job may use, beside its own constraints; None: all."""
+        """Returns a filter of machines in addition to the job's own constraints; None: all."""
         job = request.job
         if not job.spec.is_best_effort or request.key.is_overdue:
             return request.is_available
@@ -251,7 +253,7 @@
         return self._best_effort_filters[job.number]
 
     def _best_effort_filter(self, request: _TaskRequest) -> MachineFilter:
-        """Returns a filter without expensive machines that would stay up for this job alone."""
+        """Returns a filter without expensive machines that would be kept for this job alone."""
         is_available = request.is_available
         expensive_types = find_expensive_types(
             request.job.spec,
@@ -273,10 +275,10 @@
     # Preemption
 
     def _preempt(self, request: _TaskRequest) -> None:
-        """Preempts others for the job's next task, where that is due.
+        """Preempts other tasks for the job's next task, unless that is known to be futile.
 
-        Batch work preempts for one task of a shape at a time. For services, who may be preempted
-        depends on the team too, while it is within its quota.
+        Jobs without spread preempt for one task of a shape per pass. Which tasks may be preempted
+        can also depend on the team, through the equivalence key.
         """
         job = request.job
         key = request.key.constraints, self._preemption.equivalence_key(job)
--- a/flaxtally/leader/scheduling/served_tasks.py
+++ b/flaxtally/leader/scheduling/served_tasks.py
@@ -1,4 +1,4 @@
-"""The pending tasks for which others were stopped, so that none is served twice."""
+"""The pending tasks for which others were stopped, so that none preempts twice."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
     """Owns the pending tasks for which others were stopped, until their reservation expires."""
 
     def __init__(self) -> None:
-        """None is served yet."""
+        """Starts without tasks."""
         self._expires_at: dict[TaskKey, float] = {}
 
     def add(self, key: TaskKey, expires_at: float) -> None:
-        """Others were stopped for the task; its capacity is reserved until then."""
+        """Adds a task for which others were stopped and capacity is reserved until then."""
         self._expires_at[key] = expires_at
 
     def remove(self, key: TaskKey) -> bool:
-        """Forgets the task; whether others had been stopped for it."""
+        """Removes the task; returns whether others had been stopped for it."""
         return self._expires_at.pop(key, None) is not None
 
     def is_served(self, key: TaskKey, now: float) -> bool:
@@ -29,7 +29,7 @@
         return self._expires_at.get(key, 0.0) > now
 
     def pending_of(self, job: Job, now: float) -> set[int]:
-        """The job's pending tasks that are served."""
+        """Returns the job's pending tasks for which others were stopped."""
         return {
             task
             for (number, task), expires_at in self._expires_at.items()
@@ -37,7 +37,7 @@
         }
 
     def expire(self, now: float) -> None:
-        """Forgets the tasks whose reservation has expired."""
+        """Removes the tasks whose reservation has expired."""
         self._expires_at = {
             key: expires_at for key, expires_at in self._expires_at.items() if expires_at > now
         }
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -1,4 +1,4 @@
-"""Searches the fleet for the tasks whose stop loses the least work. Stops nothing."""
+"""Searches the fleet for the tasks whose preemption loses the least work; stops nothing."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class VictimSearch(TermActor):
-    """Chooses victims, as the policy that holds allows."""
+    """Chooses victims as the preemption policy in force allows."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         reservations: Reservations,
         reclaimed: ReclaimedCapacity,
     ) -> None:
-        """`reservations`, `reclaimed`: capacity that is being made for others already."""
+        """`reservations` and `reclaimed` know the capacity that is being freed for other tasks."""
         super().__init__(term)
         self._jobs = jobs
         self._gang_scheduler = gang_scheduler
@@ -54,22 +54,22 @@
 
     @property
     def _max_machines(self) -> int:
-        """How many machines one search looks at: another part of the fleet the next time."""
+        """The most machines that one search examines; the next one examines a different part."""
         return placement.SAMPLE_WIDENING_FACTOR**2 * self.policy.sample
 
     def request_for(self, job: Job, *, is_entitled: bool) -> PreemptionRequest:
-        """A search for the job, as of now."""
+        """Returns a request for the job as of now."""
         return PreemptionRequest(job, job.spec, is_entitled, self.runtime.now())
 
     def find_plan(self, job: Job) -> PreemptionPlan | None:
-        """Where tasks can be stopped for a task of a job that is entitled to capacity."""
+        """Returns a plan to stop tasks for a job that is entitled to capacity; None: none found."""
         excluded = self._reclaimed.excluded_zones(job)
         return self.find_cheapest(self.request_for(job, is_entitled=True), excluded)
 
     def find_cheapest(
         self, request: PreemptionRequest, excluded_zones: Collection[str]
     ) -> PreemptionPlan | None:
-        """Of a sample of machines, the one on which the least work is lost; None: none found."""
+        """Returns the plan that loses the least work in a sample of machines; None: none found."""
         best: PreemptionPlan | None = None
         found_count = 0
         machines = self._machines.index.iterate_allowed(request.spec, excluded_zones)
@@ -90,9 +90,9 @@
     def victims_on(
         self, machine: Machine, machine_type: wire.MachineType, request: PreemptionRequest
     ) -> list[Placement]:
-        """The tasks whose stop makes room for one of the job there; none: it can't be made.
+        """Returns the tasks to stop on the machine for one task of the job; empty: not possible.
 
-        Those that lose the least come first.
+        Tasks that lose the least work are chosen first.
         """
         policy, spec = self._policies.current, request.spec
         preemptible = self._preemptible_on(machine, request, policy)
@@ -118,7 +118,7 @@
         return victims if fits else []
 
     def find_cheapest_for_gang(self, request: PreemptionRequest) -> list[MachineSlots] | None:
-        """Machines that together hold the gang once some tasks have left; None: none do."""
+        """Returns machines that can hold the gang once their victims stop; None: none can."""
         policy, spec = self._policies.current, request.spec
         budget = policy.new_budget(spec)
 
@@ -143,7 +143,7 @@
     def _preemptible_on(
         self, machine: Machine, request: PreemptionRequest, policy: PreemptionPolicy
     ) -> list[Placement]:
-        """The tasks that run there for all that is known, and that the policy allows to stop."""
+        """Returns the tasks that were reported as running there and that the policy may stop."""
         is_preemptible = policy.is_preemptible
         return [
             placed
@@ -158,7 +158,7 @@
     def _unreserved_capacity(
         self, machine: Machine, machine_type: wire.MachineType
     ) -> placement.FreeResources:
-        """What is free there: a task that stops for another one can't make room twice."""
+        """Returns free resources minus reservations: a victim must not free capacity twice."""
         free = placement.free_resources(machine, machine_type)
         for reservation in self._reservations.list_on(machine.name):
             free = free.minus(reservation.spec)
--- a/flaxtally/planning/__init__.py
+++ b/flaxtally/planning/__init__.py
@@ -1,5 +1,6 @@
-"""Machines and decisions about them, without I/O: where a task goes, what to rent, what to empty.
+"""The fleet's machines and decisions about them, without I/O.
 
-Imports the protocol and the ledger's content; the leader's duties import it. Start with `fleet`,
-then `placement` and `fill`.
+Decides where a task is placed, which machines to provision and which machine to empty. Imports the
+protocol and the ledger's content; the leader's duties import it. Start with `fleet`, then
+`placement` and `provisioning`.
 """
--- a/flaxtally/planning/best_effort.py
+++ b/flaxtally/planning/best_effort.py
@@ -1,7 +1,7 @@
-"""Best-effort work: arrays of the lowest rank. Pure.
+"""Best-effort jobs: arrays of the lowest rank. Performs no I/O.
 
-It runs on capacity that other work leaves and on cheap machines. A machine type that costs several
-times the cheapest is neither provisioned nor kept for it alone.
+They run on capacity that other jobs leave unused, and on cheap machines. A machine type that costs
+several times as much as the cheapest is neither provisioned nor kept for best-effort jobs alone.
 """
 
 from __future__ import annotations
@@ -18,8 +18,9 @@
     from ..protocol.shape import Shape
 
 ExpensiveTypes = frozenset[tuple[str, bool]]
-"""Machine types, each with whether it is a spot instance."""
+"""Names of machine types, each with whether its machines are spot instances."""
 NO_EXPENSIVE_TYPES: ExpensiveTypes = frozenset()
+"""For jobs that are not best-effort: they may use all machine types."""
 
 
 def find_expensive_types(
@@ -28,9 +29,10 @@
     gpu_reservations: GpuReservations,
     max_price_ratio: float,
 ) -> ExpensiveTypes:
-    """The types on which a task costs more than `max_price_ratio` times as much as the cheapest.
+    """Returns the types on which a task costs more than `max_price_ratio` times the lowest price.
 
-    The cheapest counts even while none can be had: a refused pool makes no other one cheap.
+    The lowest price counts even while the cheapest pool is unavailable: that makes no other pool
+    cheap.
     """
     prices = {
         (machine_type.name, spot): _hourly_price(spec, machine_type, gpu_reservations, spot=spot)
@@ -49,9 +51,9 @@
     *,
     spot: bool,
 ) -> float:
-    """What a task's share of the machine costs an hour, by its scarcest resource.
+    """Returns the hourly price of the largest fraction of a resource that a task takes.
 
-    On a GPU machine a task without GPUs gets what isn't reserved for GPU tasks.
+    On a GPU machine, a task without GPUs may use only what isn't reserved for GPU tasks.
     """
     cores = machine_type.cores
     memory_gb = machine_type.memory_gb
--- a/flaxtally/planning/consolidation.py
+++ b/flaxtally/planning/consolidation.py
@@ -1,8 +1,8 @@
-"""Which thinly used machine to empty, by moving its replicas to capacity that is paid for anyway.
+"""Chooses an underused machine to empty by moving its replicas to other machines.
 
-Pure. The design terminates machines that become idle; replicas that stay for long keep thinly used
-ones from ever becoming idle. A replica whose image the other machine holds is away for a fraction
-of a second.
+Performs no I/O. Machines are terminated once they are idle, but long-running replicas keep
+underused machines from ever becoming idle. The replicas move to capacity that is paid for anyway;
+one whose image the target has is unavailable for a fraction of a second.
 """
 
 from __future__ import annotations
@@ -27,38 +27,38 @@
 
 @dataclass(frozen=True)
 class TargetSearch:
-    """How machines are searched to which replicas can move."""
+    """The parameters of a search for machines to which replicas can move."""
 
     gpu_reservations: GpuReservations
     sample_size: int
     excluded_zones: Callable[[Job, Placement], Collection[str]]
-    """Zones that a job may not use, given that this placement of it moves away."""
+    """Returns the zones that a job may not use once this placement of it has moved."""
 
 
 @dataclass(frozen=True)
 class EmptyingRules:
-    """Which machines may be emptied."""
+    """Decides which machines may be emptied."""
 
     is_settled: Callable[[Placement], bool]
     """Whether a replica has run for long enough to be moved."""
     allow_finite_tasks: bool
-    """Also machines where array tasks still run; they take none while they are emptied."""
+    """Whether machines that run array tasks may be emptied; they get no new ones meanwhile."""
     skipped: Collection[str] = ()
-    """Names of machines that could not be emptied a short while ago."""
+    """Names of machines that could not be emptied in a recent attempt."""
     min_hourly_price: float = 0.0
-    """From this price on the termination of a machine is worth the moves of its replicas."""
+    """The lowest price of a machine whose termination justifies moving its replicas."""
 
 
 @dataclass(frozen=True)
 class EmptyingChoice:
-    """The machine to empty, if any, and the names of those that can't be emptied."""
+    """The machine to empty, if any, and the names of machines that can't be emptied."""
 
     machine: Machine | None
     rejected: Sequence[str] = ()
 
 
 class _TentativeMoves:
-    """Reserves capacity for the replicas of machines, until that is undone."""
+    """Reserves capacity for the replicas of machines, until the reservations are undone."""
 
     def __init__(self, index: MachineIndex, search: TargetSearch) -> None:
         self._index = index
@@ -66,11 +66,11 @@
         self._reserved: list[tuple[Machine, wire.Spec]] = []
 
     def __len__(self) -> int:
-        """How many replicas have a reservation."""
+        """Returns how many replicas have a reservation."""
         return len(self._reserved)
 
     def reserve_targets(self, machine: Machine) -> bool:
-        """Reserves capacity for each replica of the machine; False once one finds none."""
+        """Reserves capacity for each replica of the machine; returns False if one finds none."""
         for placed in sorted(list_replicas(machine), key=lambda placed: -placed.job.spec.cores):
             spec = placed.job.spec
             found = find_target(placed, machine, self._index, self._search)
@@ -82,14 +82,14 @@
         return True
 
     def undo_to(self, count: int) -> None:
-        """Takes back all reservations but the first `count`."""
+        """Undoes all reservations but the first `count`."""
         while len(self._reserved) > count:
             machine, spec = self._reserved.pop()
             machine.reserve(spec, -1)
             self._index.update(machine)
 
     def undo_all(self) -> None:
-        """Takes back all reservations; the index is of no use after that."""
+        """Undoes all reservations without an update of the index, which must be discarded then."""
         for machine, spec in self._reserved:
             machine.reserve(spec, -1)
 
@@ -102,10 +102,10 @@
     rules: EmptyingRules,
     emptying: Collection[Machine] = (),
 ) -> EmptyingChoice:
-    """Chooses the machine whose termination saves most for each replica moved.
+    """Chooses the machine whose termination saves the most per moved replica.
 
     All its replicas must fit on other used machines, or on idle ones that cost less than half.
-    The replicas of machines that are already being emptied find their capacity first.
+    Capacity for the replicas of machines that are already being emptied is reserved first.
     """
     candidates = _rank_candidates(machines, machine_types, rules)
     if not candidates:
@@ -122,7 +122,7 @@
 def _rank_candidates(
     machines: Iterable[Machine], machine_types: dict[str, wire.MachineType], rules: EmptyingRules
 ) -> list[Machine]:
-    """The machines that the rules allow to be emptied, those with the largest saving first."""
+    """Returns the machines that the rules allow to be emptied, largest saving first."""
     savings: list[tuple[float, Machine]] = []
     for machine in machines:
         price = hourly_price(machine, machine_types)
@@ -155,7 +155,7 @@
 
 @contextmanager
 def without_best_effort(machines: Iterable[Machine]) -> Iterator[None]:
-    """Counts the capacity of best-effort tasks as free: replicas preempt them."""
+    """Counts the capacity of best-effort tasks as free, since replicas preempt them."""
     freed = [
         (machine, placed.job.spec)
         for machine in machines
@@ -174,7 +174,7 @@
 def find_target(
     placed: Placement, machine: Machine, index: MachineIndex, search: TargetSearch
 ) -> Machine | None:
-    """The machine to which a replica of `machine` can move now."""
+    """Returns the machine to which a replica of `machine` can move now; None: there is none."""
     job = placed.job
     return choose_machine(
         job.spec,
@@ -190,10 +190,10 @@
 def can_move(
     source: Machine, target: Machine, spec: wire.Spec, machine_types: dict[str, wire.MachineType]
 ) -> bool:
-    """Whether a replica may move from the one machine to the other.
+    """Whether a replica may move from the source to the target machine.
 
-    To a used machine, or an idle one that costs less than half; to one that holds its image, or off
-    GPUs that it doesn't need to a machine without them.
+    The target must be in use, or cost less than half as much as the source. It must also have the
+    replica's image, unless the replica leaves GPUs that it doesn't need for a machine without GPUs.
     """
     if target is source or not (
         target.placements
@@ -209,13 +209,13 @@
 
 
 def list_replicas(machine: Machine) -> list[Placement]:
-    """The tasks that must move; tasks of arrays are left to end."""
+    """Returns the tasks that must move; array tasks stay until they finish."""
     return [
         placed for placed in machine.placements.values() if placed.job.spec.job_kind == wire.SERVICE
     ]
 
 
 def hourly_price(machine: Machine, machine_types: dict[str, wire.MachineType]) -> float:
-    """What the machine costs an hour."""
+    """Returns the hourly price of the machine."""
     machine_type = machine_types[machine.machine_type]
     return machine_type.hourly_spot_price if machine.spot else machine_type.hourly_price
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -1,4 +1,4 @@
-"""Machines as the leader knows them."""
+"""The leader's view of the fleet's machines."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
     from ..ledger.placement import Placement
 
 UNRESPONSIVE_AFTER_FAILURES = 2
-"""Commands in a row without an answer."""
+"""Consecutive commands without a reply after which a machine counts as unresponsive."""
 NEVER = float("-inf")
-"""As the time of something that has not happened yet."""
+"""The time, in seconds, of an event that has not happened yet."""
 
 
 class Pool(NamedTuple):
@@ -27,7 +27,7 @@
 
 @dataclass(eq=False, repr=False, slots=True)
 class Machine:
-    """A machine that the leader knows: what is proven about it and what is believed."""
+    """The state of a machine as the leader knows it, both confirmed and assumed."""
 
     name: str
     machine_type: str
@@ -36,7 +36,7 @@
     spot: bool
     now: InitVar[float]
     changed_machines: dict[Machine, None] = field(default_factory=dict)
-    """Where the machine enters itself when its capacity, images or usability change."""
+    """The machines whose capacity, images or usability changed; each adds itself to it."""
 
     address: str = ""
     shard_owner: str | None = None
@@ -47,34 +47,34 @@
     # Heartbeats
 
     is_reconciled: bool = False
-    """It has reported under the present fencing token."""
+    """Whether it has reported under the current fencing token."""
     incarnation: int = 0
     sequence_number: int = 0
     newest_foreign_heartbeat: tuple[int, int] = (0, 0)
-    """Incarnation and sequence number of its newest heartbeat under another token."""
+    """Incarnation and sequence number of its newest heartbeat with another fencing token."""
     last_heartbeat_at: float = field(init=False)
     converged_tasks: list[wire.TaskStatus] | None = None
-    """The tasks that it last reported, if the same report once more would change nothing."""
+    """The tasks of its last report, if the same report again would change nothing."""
 
     # Probes and commands
 
     open_probes: int = 0
-    """Probes under way."""
+    """The number of probes that await a reply."""
     failed_probes: int = 0
     failed_commands: int = 0
     empty_command_at: float = NEVER
-    """When it was last sent a command of which only the answer is wanted."""
+    """When it was last sent an empty command, which only tests whether it replies."""
 
     # Whether it takes new tasks
 
     preempted_by_cloud_at: float | None = None
     is_cordoned: bool = False
     is_slow: bool = False
-    """It runs tasks slower than others: batch tasks go elsewhere."""
+    """Whether it runs tasks slower than others; batch tasks are placed elsewhere."""
     failed_jobs: set[str] = field(default_factory=set)
-    """Jobs whose tasks failed here since one last succeeded; not those that fail everywhere."""
+    """Jobs whose tasks failed here since the last success, without those that fail everywhere."""
     quarantined_until: float | None = None
-    """How long it is cordoned for such failures."""
+    """Until when it is cordoned because of such failures."""
     quarantine_count: int = 0
     is_terminating: bool = False
     termination_tried_at: float = NEVER
@@ -82,56 +82,56 @@
     # Tasks and resources
 
     images: OrderedDict[str, float] = field(default_factory=OrderedDict)
-    """Sizes of the images that its cache should hold, the least recently used first."""
+    """Sizes in GB of the images assumed to be in its cache, least recently used first."""
     placements: dict[tuple[int, int], Placement] = field(default_factory=dict)
     finite_placements: dict[tuple[int, int], Placement] = field(default_factory=dict)
-    """Those of them that run to an end by themselves."""
+    """The placements whose tasks finish by themselves: all but replicas of services."""
     non_best_effort_count: int = 0
-    """Placements other than best-effort ones: the machine is kept for them."""
+    """The number of placements that are not best-effort; the machine is kept for them."""
     service_load: float = 0.0
-    """How much services take here, as a number that only serves to compare machines."""
+    """Weighted cores and GPUs that services use here; serves only to compare machines."""
     cores: float = 0.0
-    """Reserved, as are `gpus` and `memory_gb`."""
+    """Reserved cores; `gpus` and `memory_gb` are reserved amounts, too."""
     gpus: float = 0.0
     memory_gb: float = 0.0
     idle_since: float = field(init=False)
     unneeded_since: float = field(init=False)
-    """Since when it has no placements but best-effort ones."""
+    """Since when it has had only best-effort placements, or none."""
 
     def __post_init__(self, now: float) -> None:
-        """All that is counted from the moment at which the leader learnt of the machine."""
+        """Starts all intervals at the time at which the leader learned of the machine."""
         self.provisioned_at = now
         self.last_heartbeat_at = now
         self.idle_since = now
         self.unneeded_since = now
 
     def mark_changed(self) -> None:
-        """Capacity, images or usability changed: schedulers evaluate the machine again."""
+        """Records a change of capacity, images or usability, so that the index is updated."""
         self.changed_machines[self] = None
 
     @property
     def pool(self) -> Pool:
-        """The pool that it was provisioned from."""
+        """The pool from which it was provisioned."""
         return Pool(self.machine_type, self.zone, self.spot)
 
     @property
     def is_unresponsive(self) -> bool:
-        """Commands get no answer: it may send heartbeats, but nothing can be launched there."""
+        """Whether commands get no reply: nothing can be launched, even if it sends heartbeats."""
         return self.failed_commands >= UNRESPONSIVE_AFTER_FAILURES
 
     def is_newer(self, incarnation: int, sequence_number: int) -> bool:
-        """Whether a heartbeat with these numbers is newer than the last one that counted."""
+        """Whether a heartbeat with these numbers is newer than the last accepted one."""
         return (incarnation, sequence_number) > (self.incarnation, self.sequence_number)
 
     def reserve(self, spec: wire.Spec, count: int) -> None:
-        """Reserves the resources of `count` tasks; releases them where it is negative."""
+        """Reserves the resources of `count` tasks; a negative count releases them."""
         self.cores += spec.cores * count
         self.gpus += spec.gpus * count
         self.memory_gb += spec.memory_gb * count
         self.mark_changed()
 
     def add_placement(self, placement: Placement) -> None:
-        """Reserves what the placement takes, once."""
+        """Adds the placement and reserves its resources, unless it is there already."""
         key = (placement.job.number, placement.task)
         if key not in self.placements:
             self.reserve(placement.job.spec, 1)
@@ -143,7 +143,7 @@
         self.converged_tasks = None
 
     def remove_placement(self, placement: Placement, now: float) -> None:
-        """Releases what the placement took: its attempt is over."""
+        """Removes the placement, whose attempt has finished, and releases its resources."""
         self.converged_tasks = None
         key = (placement.job.number, placement.task)
         self.finite_placements.pop(key, None)
@@ -156,7 +156,7 @@
                 self.unneeded_since = now
 
     def record_image(self, image: str, size_gb: float, cache_gb: float) -> None:
-        """Counts the image as the most recently used; forgets those that the cache evicted."""
+        """Records the image as most recently used; removes those that the cache must evict."""
         if image not in self.images:
             self.mark_changed()
         self.images[image] = size_gb
@@ -166,7 +166,7 @@
             total_gb -= self.images.popitem(last=False)[1]
 
     def images_being_fetched(self) -> set[str]:
-        """The images of tasks that have not begun to run."""
+        """Returns the images of tasks that have not started to run."""
         return {
             placement.job.spec.image
             for placement in self.placements.values()
@@ -174,11 +174,11 @@
         }
 
     def forget_images(self) -> None:
-        """Its agent began anew: what its cache holds is unknown."""
+        """Clears the images after a restart of the agent: its cache content is unknown."""
         self.images.clear()
         self.mark_changed()
 
 
 def _service_weight(spec: wire.Spec) -> float:
-    """How much a task adds to `Machine.pinned`."""
+    """Returns how much a task adds to `Machine.service_load`; a GPU counts as four cores."""
     return spec.cores + 4 * spec.gpus if spec.job_kind == wire.SERVICE else 0.0
--- a/flaxtally/planning/packing.py
+++ b/flaxtally/planning/packing.py
@@ -1,6 +1,6 @@
-"""How much of a demand the capacity that will be there can hold. Pure.
+"""Bin packing of forecast demand into expected free capacity. Performs no I/O.
 
-Machines are bins, tasks of one shape take slots in them. Begin with `pack_demand`.
+Machines are bins, and tasks of one shape take slots in them. Start with `pack_demand`.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     from ..protocol.shape import Shape
 
 NO_LIMIT = 1_000_000
-"""More tasks than any demand has."""
+"""A number of tasks that is larger than any demand."""
 
 
 class Bin:
-    """A machine's free capacity at one step of the packing."""
+    """The free capacity of a machine at one step of the forecast."""
 
     __slots__ = (
         "cores",
@@ -48,7 +48,7 @@
         spot: bool,
         has_regular_tasks: bool = False,
     ) -> None:
-        """`has_regular_tasks`: more than best-effort work keeps the machine."""
+        """`has_regular_tasks`: the machine runs tasks other than best-effort ones."""
         self.machine_type = machine_type
         self.zone = zone
         self.spot = spot
@@ -60,7 +60,7 @@
 
     @classmethod
     def empty(cls, machine_type: wire.MachineType, zone: str, *, spot: bool) -> Bin:
-        """A machine with nothing on it."""
+        """Returns the bin of a machine without tasks."""
         return cls(
             machine_type,
             zone,
@@ -71,7 +71,7 @@
         )
 
     def copy(self) -> Bin:
-        """The same capacity, to be used up by itself."""
+        """Returns an independent copy."""
         return Bin(
             self.machine_type,
             self.zone,
@@ -86,22 +86,22 @@
 
 @dataclass
 class Demand:
-    """Tasks of one shape that need capacity at a time of the horizon."""
+    """Tasks of one shape that need capacity at one step of the forecast."""
 
     shape: Shape
     count: float
     needed_until_s: float
     machines_by_zone: dict[str, int] = field(default_factory=dict)
-    """Machines that the demand may use, those to be provisioned included."""
+    """Counts of the machines that the demand may use, including those to be provisioned."""
     max_tasks_by_zone: dict[str, int] | None = None
-    """For jobs that spread: how many more of their tasks each zone may take. None: no limit."""
+    """For spread jobs, how many more tasks each zone may take; None: no limit."""
     represents_job_class: bool = False
-    """Whether what is expected to arrive of the job class counts for this shape."""
+    """Whether the expected arrivals of the job class are counted for this shape."""
     expensive_types: ExpensiveTypes = NO_EXPENSIVE_TYPES
-    """Types that are neither provisioned nor kept for best-effort work."""
+    """Machine types that are neither provisioned nor kept for best-effort jobs."""
 
     def can_use(self, free_bin: Bin) -> bool:
-        """Whether the capacity counts for this demand."""
+        """Whether the demand may use the bin."""
         machine_type = free_bin.machine_type
         return may_use_machine_type(self.shape, machine_type, free_bin.zone, free_bin.spot) and (
             free_bin.has_regular_tasks
@@ -109,24 +109,24 @@
         )
 
     def max_tasks_in(self, zone: str) -> int:
-        """How many more tasks the zone may take."""
+        """Returns how many more tasks the zone may take."""
         return NO_LIMIT if self.max_tasks_by_zone is None else self.max_tasks_by_zone.get(zone, 0)
 
     def add_tasks(self, count: float, run_s: float) -> None:
-        """Adds tasks; the demand is needed until the mean of all their run times."""
+        """Adds tasks; `needed_until_s` becomes the mean run time of all tasks."""
         total = self.count + count
         if total:
             self.needed_until_s = (self.needed_until_s * self.count + run_s * count) / total
         self.count = total
 
     def record_packed(self, zone: str, count: int) -> None:
-        """Counts tasks that were packed in the zone against its limit."""
+        """Counts tasks that were packed into the zone against its limit."""
         if self.max_tasks_by_zone is not None:
             self.max_tasks_by_zone[zone] = self.max_tasks_in(zone) - count
 
 
 class _BinKey(NamedTuple):
-    """What decides whether a demand may use a bin."""
+    """The properties that decide whether a demand may use a bin."""
 
     machine_type: str
     zone: str
@@ -135,23 +135,23 @@
 
 
 class FreeCapacity:
-    """The bins of one step, by pool, in the order in which they were added."""
+    """The bins of one forecast step, by pool, in the order in which they were added."""
 
     def __init__(self, bins: Iterable[Bin] = ()) -> None:
-        """`bins` are not copied: packing uses them up."""
+        """`bins` are not copied; packing uses up their capacity."""
         self._bins: dict[_BinKey, list[Bin]] = {}
         for free_bin in bins:
             self.add_bin(free_bin)
 
     def add_bin(self, free_bin: Bin) -> None:
-        """Adds one more machine's capacity."""
+        """Adds the free capacity of one more machine."""
         key = _BinKey(
             free_bin.machine_type.name, free_bin.zone, free_bin.spot, free_bin.has_regular_tasks
         )
         self._bins.setdefault(key, []).append(free_bin)
 
     def copy(self, without: Collection[str] = ()) -> FreeCapacity:
-        """The same capacity, to be used up by itself, less that of the machines named."""
+        """Returns an independent copy, without the bins of the machines named in `without`."""
         copied = FreeCapacity()
         copied._bins = {
             key: [free_bin.copy() for free_bin in bins if free_bin.name not in without]
@@ -160,7 +160,7 @@
         return copied
 
     def drop_full_bins(self, demands: Iterable[Demand], gpu_reservations: GpuReservations) -> None:
-        """Drops the bins that have no slot for any demand: packing passes over them."""
+        """Drops the bins without a slot for any demand, so that packing does not examine them."""
         demands = list(demands)
         for key, bins in self._bins.items():
             shapes = [demand.shape for demand in demands if bins and demand.can_use(bins[0])]
@@ -179,9 +179,10 @@
             ]
 
     def bins_for(self, demand: Demand) -> list[list[Bin]]:
-        """The bins that count for the demand, by pool, those to be used first at the front.
+        """Returns the bins that the demand may use, by pool, in the order of use.
 
-        Spot machines first for what may use them, plain ones first for what needs no GPU.
+        Spot machines come first for shapes that may use them, machines without GPUs for shapes that
+        need none.
         """
         shape = demand.shape
         pools = [bins for bins in self._bins.values() if bins and demand.can_use(bins[0])]
@@ -195,7 +196,7 @@
 
 
 class Size(Protocol):
-    """What a task takes of its machine."""
+    """The resources that a task takes."""
 
     @property
     def cores(self) -> float:
@@ -209,7 +210,7 @@
 
     @property
     def memory_gb(self) -> float:
-        """Memory."""
+        """Memory in GB."""
         ...
 
 
@@ -220,7 +221,7 @@
 
 
 def _smallest_size(shapes: Iterable[Shape]) -> _Size | None:
-    """The least that any of the shapes takes, by resource; None: there are none."""
+    """Returns the minimum over the shapes of each resource; None: there are no shapes."""
     sizes = [(shape.cores, shape.gpus, shape.memory_gb) for shape in shapes]
     if not sizes:
         return None
@@ -229,7 +230,7 @@
 
 
 def count_slots(size: Size, free_bin: Bin, gpu_reservations: GpuReservations) -> int:
-    """How many more tasks of a size the bin takes."""
+    """Returns how many more tasks of a size fit into the bin."""
     cores = free_bin.cores
     memory_gb = free_bin.memory_gb
     machine_type = free_bin.machine_type
@@ -249,7 +250,7 @@
 
 
 def take_slots(size: Size, free_bin: Bin, count: int) -> None:
-    """Uses up the capacity of that many tasks."""
+    """Takes the capacity of `count` tasks out of the bin."""
     free_bin.cores -= size.cores * count
     free_bin.gpus -= size.gpus * count
     free_bin.memory_gb -= size.memory_gb * count
@@ -258,7 +259,7 @@
 def pack_demand(
     demand: Demand, free_capacity: FreeCapacity, gpu_reservations: GpuReservations
 ) -> int:
-    """Packs the demand into the capacity, which it uses up; gives how many tasks are left over."""
+    """Packs the demand into the capacity, which it uses up; returns how many tasks didn't fit."""
     unplaced = int(demand.count)
     if unplaced <= 0:
         return unplaced
--- a/flaxtally/planning/provisioning.py
+++ b/flaxtally/planning/provisioning.py
@@ -1,11 +1,14 @@
-"""Which machines to provision for the gaps of the forecast: greedy cost-per-work bin packing.
-
-Pure. For each step of the horizon the demand is packed into the capacity that will be there by then
-(machines up, and machines requested, until twice their boot time has passed). Packing into the
-machines themselves, not into their sum, is the exception that DESIGN's "room in pieces" asks for.
-What finds no capacity at some step is a gap; from its first step to the last one of its run each
-type is scored by (launch overhead + (e - t) x price) / work served, and the cheapest joins until no
-gap remains.
+"""Chooses the machines to provision for the gaps of the forecast: greedy bin packing by price.
+
+Performs no I/O. For each step of the forecast, the demand is packed into the capacity that will
+exist by then: running machines, and requested machines until twice their boot time has passed. The
+demand is packed into individual machines and not into the sum of their capacity, since free
+capacity that is spread over several machines can't hold a large task (see "room in pieces" in
+DESIGN).
+
+Demand without capacity at a step is a gap. For a gap that is needed from time t until e, each pool
+is scored by (launch overhead + (e - t) x price) / work served, and machines of the cheapest pool
+are added until no gap remains.
 """
 
 from __future__ import annotations
@@ -24,14 +27,14 @@
     from .placement import GpuReservations
 
 MAX_URGENCY_PREMIUM = 2.0
-"""How many times the price of the cheapest pool one may cost that boots in time."""
+"""The price limit of a pool that boots in time, as a multiple of the cheapest pool's price."""
 SIMILAR_SIZE_RATIO = 1.25
-"""Demands whose cores differ by no more than this factor may count as one."""
+"""The factor by which the cores of demands may differ that are merged into one."""
 
 
 @dataclass
 class ProvisionDecision:
-    """One machine to provision, and why."""
+    """A machine to provision, and the gap that it fills."""
 
     pool: Pool
     job_class: str
@@ -42,7 +45,7 @@
 
 @dataclass
 class ForecastStep:
-    """The demand at a step of the horizon, and the capacity that may hold some of it."""
+    """The demand at a step of the forecast, and the free capacity expected by then."""
 
     starts_in_s: float
     demands: list[Demand]
@@ -50,13 +53,13 @@
 
 
 def merge_demands(demands: Iterable[Demand]) -> list[Demand]:
-    """Merges demands of nearly the same size; those given are used up.
+    """Merges demands of nearly the same size; modifies those given.
 
-    Those that differ by no more than `SIMILAR_SIZE_RATIO` in cores, and in nothing else, count as
-    one of the largest size.
+    Demands that differ only in cores, and by no more than `SIMILAR_SIZE_RATIO`, become one demand
+    of the largest size.
 
-    Jobs of a class vary; a plan that packs each of their sizes by itself grows with sizes times
-    machines.
+    The sizes of a class's jobs vary; packing each size separately would take time in proportion to
+    sizes times machines.
     """
     merged: dict[Hashable, Demand] = {}
     for demand in demands:
@@ -90,7 +93,7 @@
 
 
 class ScoredPool(NamedTuple):
-    """A pool, and its price per unit of work."""
+    """A pool and its price per unit of work."""
 
     score: float
     pool: Pool
@@ -98,7 +101,7 @@
 
 @dataclass
 class Provisioner:
-    """Fills the gaps of a forecast with machines of the pools that can be had."""
+    """Fills the gaps of a forecast with machines of the available pools."""
 
     machine_types: dict[str, wire.MachineType]
     pools: list[Pool]
@@ -106,10 +109,11 @@
     spot_price_factor: float
 
     def plan(self, steps: list[ForecastStep], max_machines: int) -> list[ProvisionDecision]:
-        """Decides what to provision now.
+        """Returns the machines to provision now.
 
-        `steps` in order of time are used up; what is provisioned for one step is capacity at the
-        later ones. Before the last step, only types that boot in time serve a gap.
+        `steps` are in order of time, and are modified; a machine that is provisioned for one step
+        counts as capacity at the later ones. Before the last step, only machine types that boot in
+        time may fill a gap.
         """
         decisions: list[ProvisionDecision] = []
         for number, step in enumerate(steps, 1):
@@ -129,7 +133,7 @@
         decisions: list[ProvisionDecision],
         max_machines: int,
     ) -> None:
-        """Adds machines to `decisions` until the demand has capacity, or no pool serves it."""
+        """Adds machines to `decisions` until the demand fits, or no pool can serve it."""
         unplaced = pack_demand(demand, step.free_capacity, self.gpu_reservations)
         while unplaced > 0 and len(decisions) < max_machines:
             found = self.find_cheapest_pool(demand, unplaced, step.starts_in_s, max_boot_s)
@@ -156,11 +160,12 @@
     def find_cheapest_pool(
         self, demand: Demand, count: int, starts_in_s: float, max_boot_s: float
     ) -> ScoredPool | None:
-        """The pool with the lowest price per unit of work for this gap.
+        """Returns the pool with the lowest price per unit of work for this gap.
 
-        Only types that boot in time count. Among equal ones, the zone that the shape's machines
-        use least. None also if being there in time costs `MAX_URGENCY_PREMIUM` times as much as
-        the cheapest type: a later step's gap will take that one.
+        Only machine types that boot in time are eligible. Among equal prices, the pool whose zone
+        has the fewest machines of the demand is chosen. Returns None also if the price is at least
+        `MAX_URGENCY_PREMIUM` times that of the cheapest pool, which then fills the gap of a later
+        step.
         """
         best: tuple[float, int, Pool] | None = None
         lowest = float("inf")
@@ -191,7 +196,7 @@
         return (price * machine_type.boot_s / 3600 + hours * price) / (served * hours)
 
     def _count_served(self, demand: Demand, count: int, new_bin: Bin) -> int:
-        """How many of `count` tasks the new machine takes."""
+        """Returns how many of `count` tasks the new machine can take."""
         slots = count_slots(demand.shape, new_bin, self.gpu_reservations)
         return min(count, slots, demand.max_tasks_in(new_bin.zone))
 
