--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -78,7 +78,7 @@
         return self._policies.current.equivalence_key(job)
 
     def is_infeasible(self, key: Hashable, spec: wire.Spec) -> bool:
-        """Whether a job with that key that needs no more resources recently found no victim."""
+        """Whether a job with this key that is no larger than `spec` recently found no victim."""
         return self._infeasible.covers(key, spec)
 
     def overdue_after_s(self, job: Job) -> float:
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -1,4 +1,4 @@
-"""Teams without a guarantee and their best-effort work, very large arrays too."""
+"""Tests of best-effort jobs of teams without a quota, including very large arrays."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
     from flaxtally.planning.fleet import Machine
     from flaxtally.protocol import wire
 
-GUEST = Team("guests", 0.0, 0.0, 0.0, 0.0)
+BEST_EFFORT_TEAM = Team("guests", 0.0, 0.0, 0.0, 0.0)
 
 
-def guest(ref: str, tasks: int, **changes: Any) -> wire.Spec:
-    """Best-effort work of a team without a guarantee: cores alone."""
+def best_effort_job(ref: str, tasks: int, **changes: Any) -> wire.Spec:
+    """Returns a best-effort job, without GPUs, of a team without a quota."""
     base = {
         "team": "guests",
         "rank": "idle",
@@ -35,12 +35,12 @@
     return msgspec.structs.replace(batch(ref, tasks), **(base | changes))
 
 
-def test_a_team_without_a_guarantee_is_beyond_it_with_its_first_task() -> None:
-    # Found: "0 means none" was read as "no bound", so guests' jobs went before those of teams that
-    # reach beyond their guarantee, and stopped their tasks.
-    world = SimulatedCluster(guests=(GUEST,), team=Team("crew", 10.0, 200.0, 4.0, 64.0))
+def test_team_without_quota_is_over_quota_with_its_first_task() -> None:
+    # A quota of 0 was taken for an unlimited one, so that jobs of teams without a quota were placed
+    # before those of teams over their quota, and preempted their tasks.
+    world = SimulatedCluster(guests=(BEST_EFFORT_TEAM,), team=Team("crew", 10.0, 200.0, 4.0, 64.0))
     world.submit(batch("j-000001", 4), run_time=30.0)
-    world.submit(guest("j-000002", 4, rank="standard"), run_time=30.0)
+    world.submit(best_effort_job("j-000002", 4, rank="standard"), run_time=30.0)
     world.submit(spec("j-000003", team="strangers"))
     world.run(15)
     leader = world.nodes[leader_of(world)].leader
@@ -51,49 +51,60 @@
     ends_well(world)
 
 
-def test_guests_run_on_what_is_left_and_on_cheap_machines() -> None:
-    # Found on the days with guests: when the cheap pools were empty the plan rented GPU machines
-    # for guests' tasks, and kept those whose GPUs nobody used any more for hundreds of seconds.
+def test_best_effort_tasks_use_free_capacity_and_cheap_machines() -> None:
+    # When the cheap pools were exhausted, the plan provisioned GPU machines for best-effort tasks,
+    # and kept GPU machines whose GPUs were unused for hundreds of seconds.
     world = SimulatedCluster(
-        guests=(GUEST,), capacity=2, team=Team("crew", 100.0, 200.0, 32.0, 64.0)
+        guests=(BEST_EFFORT_TEAM,), capacity=2, team=Team("crew", 100.0, 200.0, 32.0, 64.0)
     )
     for number in range(4):
         world.submit(batch(f"j-{100 + number:06d}", 8), run_time=45.0, node=number)
     assert world.until(lambda: len(world.running) == 32, 60), world.trace[-20:]
-    dear = {name for name, worker in world.workers.items() if worker.machine.machine_type == "g8"}
+    gpu_machines = {
+        name for name, worker in world.workers.items() if worker.machine.machine_type == "g8"
+    }
     for number in range(3):
-        job = guest(f"j-{200 + number:06d}", 80, checkpoint_interval_s=5.0, checkpoint_save_s=0.5)
+        job = best_effort_job(
+            f"j-{200 + number:06d}", 80, checkpoint_interval_s=5.0, checkpoint_save_s=0.5
+        )
         world.submit(job, run_time=30.0, node=number)
     world.run(30)
-    there = {machine for task, (machine, _) in world.running.items() if task > "j-000200"}
-    assert there & dear, "what GPU tasks leave is used"
-    assert there - dear, "cheap machines are rented"
+    used_machines = {machine for task, (machine, _) in world.running.items() if task > "j-000200"}
+    assert used_machines & gpu_machines, (
+        "best-effort tasks must use the free capacity of GPU machines"
+    )
+    assert used_machines - gpu_machines, "cheap machines must be provisioned for best-effort tasks"
     world.run(110)
-    left = {name for name, worker in world.workers.items() if worker.machine.machine_type == "g8"}
-    assert not left, world.trace[-30:]
+    remaining_gpu_machines = {
+        name for name, worker in world.workers.items() if worker.machine.machine_type == "g8"
+    }
+    assert not remaining_gpu_machines, world.trace[-30:]
     assert any(worker.machine.machine_type == "c16" for worker in world.workers.values())
     ends_well(world, 300)
     assert all(len(world.rules.jobs[f"j-{200 + number:06d}"].done) == 80 for number in range(3))
 
 
-def test_replicas_leave_dear_machines_for_cheap_ones_full_of_guests() -> None:
-    # Found in an incident: small replicas that stood on GPU machines kept all of these for the rest
-    # of the day, since guests' tasks filled the cheap machines that they would have moved to.
+def test_replicas_move_from_gpu_machines_to_cheap_ones_full_of_best_effort_tasks() -> None:
+    # Small replicas kept GPU machines in use for the rest of an incident, since best-effort tasks
+    # filled the cheap machines to which the replicas would have moved.
     world = SimulatedCluster(
-        guests=(GUEST,), capacity=1, team=Team("crew", 100.0, 200.0, 32.0, 64.0)
+        guests=(BEST_EFFORT_TEAM,), capacity=1, team=Team("crew", 100.0, 200.0, 32.0, 64.0)
     )
     world.submit(batch("j-000100", 32), run_time=40.0)
     assert world.until(lambda: world.count("j-000100") >= 16, 60), world.trace[-20:]
     world.submit(
-        guest("j-000200", 100, checkpoint_interval_s=5.0, checkpoint_save_s=0.5), run_time=400.0
+        best_effort_job("j-000200", 100, checkpoint_interval_s=5.0, checkpoint_save_s=0.5),
+        run_time=400.0,
     )
     assert world.until(lambda: world.count("j-000200") >= 16, 60), world.trace[-20:]
     for number in range(3):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
     assert world.until(lambda: all(world.count(f"j-{n:06d}") == 2 for n in range(3)), 15)
     types = {name: worker.machine.machine_type for name, worker in world.workers.items()}
-    held = [place[0] for task, place in world.running.items() if task < "j-000100"]
-    assert any(types[name] == "g8" for name in held), "small replicas stand on GPU machines"
+    replica_machines = [placed[0] for task, placed in world.running.items() if task < "j-000100"]
+    assert any(types[name] == "g8" for name in replica_machines), (
+        "some replicas must start on GPU machines"
+    )
     world.run(190)
     assert not any(worker.machine.machine_type == "g8" for worker in world.workers.values())
     assert all(world.count(f"j-{number:06d}") == 2 for number in range(3))
@@ -102,17 +113,20 @@
     ends_well(world, 40)
 
 
-def test_a_guests_archive_with_a_due_time_goes_before_a_queue_that_nobody_waits_for() -> None:
-    # Found by a hunt: 25,000 short tasks with an aim stood behind 2,670 long ones without any that
-    # were older, and kept going first long after they had begun.
-    aims = (Objective("finished", "archive", 160.0, 0.9),)
-    world = SimulatedCluster(guests=(GUEST,), capacity=1, objectives=aims)
+def test_best_effort_job_with_a_due_time_runs_before_older_ones_without() -> None:
+    # 25,000 short tasks with an objective waited behind 2,670 older long ones without any, which
+    # stayed ahead of them long after the long job had started.
+    objectives = (Objective("finished", "archive", 160.0, 0.9),)
+    world = SimulatedCluster(guests=(BEST_EFFORT_TEAM,), capacity=1, objectives=objectives)
     world.submit(
-        guest("j-000200", 260, checkpoint_interval_s=5.0, checkpoint_save_s=0.5), run_time=40.0
+        best_effort_job("j-000200", 260, checkpoint_interval_s=5.0, checkpoint_save_s=0.5),
+        run_time=40.0,
     )
     world.run(60)
     assert world.count("j-000200") > 8
-    world.submit(guest("j-000300", 60, job_class="archive", estimated_run_s=4.0), run_time=4.0)
+    world.submit(
+        best_effort_job("j-000300", 60, job_class="archive", estimated_run_s=4.0), run_time=4.0
+    )
     done = world.rules.jobs["j-000300"].done
     assert world.until(lambda: len(done) == 60, 160), (len(done), world.count("j-000200"))
     assert len(world.rules.jobs["j-000200"].done) < 260
@@ -120,11 +134,16 @@
     ends_well(world, 40)
 
 
-def test_guaranteed_work_takes_the_room_of_guests_in_time() -> None:
-    # Also for standard work of a team beyond its guarantee: a lower rank always gives way.
-    world = SimulatedCluster(guests=(GUEST,), capacity=1, team=Team("crew", 4.0, 200.0, 1.0, 64.0))
+def test_jobs_with_quota_preempt_best_effort_tasks_in_time() -> None:
+    # Best-effort tasks fill the fleet; jobs of higher rank must still be placed in time, also those
+    # of standard rank whose team is over its quota.
+    world = SimulatedCluster(
+        guests=(BEST_EFFORT_TEAM,), capacity=1, team=Team("crew", 4.0, 200.0, 1.0, 64.0)
+    )
     world.submit(
-        guest("j-000200", 60, checkpoint_interval_s=5.0, checkpoint_save_s=0.5, cores=4.0),
+        best_effort_job(
+            "j-000200", 60, checkpoint_interval_s=5.0, checkpoint_save_s=0.5, cores=4.0
+        ),
         run_time=60.0,
     )
     world.run(45)
@@ -137,25 +156,28 @@
 
 
 @pytest.mark.parametrize("crash", [False, True])
-def test_one_very_large_array_delays_nobody(crash: bool, monkeypatch: pytest.MonkeyPatch) -> None:
-    # 6,000 tasks of some seconds on an idle fleet: a pass places a bounded number of them, commits
-    # stay within the state service's limits, others go on, and cancelling it halfway ends it all.
+def test_very_large_array_does_not_delay_other_jobs(
+    crash: bool, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Guards against passes that grow with a job: of 6,000 short tasks on an idle fleet, a pass must
+    # place a bounded number, commits must stay within the limits of the state service, other jobs
+    # must run, and cancelling the array halfway must stop all its tasks.
     placed: Counter[float] = Counter()
-    place = Scheduler.place_task
+    place_task = Scheduler.place_task
 
-    def counted(scheduler: Scheduler, job: Job, machine: Machine) -> None:
+    def count_placement(scheduler: Scheduler, job: Job, machine: Machine) -> None:
         placed[scheduler.runtime.now()] += 1
-        place(scheduler, job, machine)
+        place_task(scheduler, job, machine)
 
-    monkeypatch.setattr(Scheduler, "place_task", counted)
-    world = SimulatedCluster(guests=(GUEST,), capacity=3)
+    monkeypatch.setattr(Scheduler, "place_task", count_placement)
+    world = SimulatedCluster(guests=(BEST_EFFORT_TEAM,), capacity=3)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
-    spare = [world.cloud.add("c16", zone, False, boot=1.0) for zone in "ab" * 6]
-    assert world.until(lambda: all(name in world.workers for name in spare), 5)
+    spare_machines = [world.cloud.add("c16", zone, False, boot=1.0) for zone in "ab" * 6]
+    assert world.until(lambda: all(name in world.workers for name in spare_machines), 5)
     world.run(3)
-    big = guest("j-000200", 6000, cores=0.25, memory_gb=0.5, estimated_run_s=4.0)
-    world.submit(big, run_time=4.0)
+    large_array = best_effort_job("j-000200", 6000, cores=0.25, memory_gb=0.5, estimated_run_s=4.0)
+    world.submit(large_array, run_time=4.0)
     assert world.until(lambda: world.count("j-000200") > 100, 60)
     if crash:
         world.crash(leader_of(world), back_after=3.0)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -1,4 +1,8 @@
-"""Parts that must not grow with the fleet: searches, packing, mail, the cloud's list."""
+"""Tests that costs and sizes stay bounded in large fleets.
+
+Covers the machine index, packing, resource shapes, relay batches, machine lists of the cloud,
+settings, open files, worker reports, connections and finished jobs.
+"""
 
 from __future__ import annotations
 
@@ -42,10 +46,10 @@
     from collections.abc import Callable
     from pathlib import Path
 
-KINDS = {kind.name: kind for kind in TYPES}
-SAMPLE = 24
-LONG = 60_000
-"""Bytes: nearly the longest body."""
+MACHINE_TYPES = {machine_type.name: machine_type for machine_type in TYPES}
+SAMPLE_SIZE = 24
+LONG_BODY_BYTES = 60_000
+"""Nearly the size of the longest body."""
 
 
 # The index
@@ -66,28 +70,34 @@
 )
 
 
-def make(number: int, drawn: tuple) -> Machine:  # type: ignore[type-arg]
-    kind, zone, spot, cores, gpus, memory_gb, slow, image = drawn
-    machine = Machine(f"n-{number}", kind, zone, spot=spot, now=0.0)
+def make_machine(number: int, drawn: tuple) -> Machine:  # type: ignore[type-arg]
+    machine_type, zone, spot, cores, gpus, memory_gb, slow, image = drawn
+    machine = Machine(f"n-{number}", machine_type, zone, spot=spot, now=0.0)
     machine.cores, machine.memory_gb, machine.is_slow = cores, memory_gb * 4, slow
-    machine.gpus = float(gpus) if kind == "g8" else 0.0
+    machine.gpus = float(gpus) if machine_type == "g8" else 0.0
     if image:
         machine.record_image(image, 1.0, 40.0)
     return machine
 
 
-def fits(
-    machine: Machine, job: wire.Spec, needs: GpuReservations | None, shut: frozenset[str]
+def can_hold_task(
+    machine: Machine,
+    job: wire.Spec,
+    gpu_reservations: GpuReservations | None,
+    excluded_zones: frozenset[str],
 ) -> bool:
-    """What the index must find, machine by machine."""
-    kind = KINDS[machine.machine_type]
-    left = free_resources(machine, kind)
+    """Whether a search of the index may return the machine, checked without the index."""
+    machine_type = MACHINE_TYPES[machine.machine_type]
+    free = free_resources(machine, machine_type)
     return (
-        machine.zone not in shut
-        and may_use_machine_type(job, kind, machine.zone, machine.spot)
-        and left.holds(job)
-        and (job.job_kind == wire.SERVICE or needs is None or not machine.is_slow)
-        and (needs is None or leaves_gpus_usable(job, left, kind, needs))
+        machine.zone not in excluded_zones
+        and may_use_machine_type(job, machine_type, machine.zone, machine.spot)
+        and free.holds(job)
+        and (job.job_kind == wire.SERVICE or gpu_reservations is None or not machine.is_slow)
+        and (
+            gpu_reservations is None
+            or leaves_gpus_usable(job, free, machine_type, gpu_reservations)
+        )
     )
 
 
@@ -102,22 +112,24 @@
     st.booleans(),
     st.sampled_from((frozenset(), frozenset("a"), frozenset("ab"))),
 )
-def test_the_index_finds_a_machine_just_when_there_is_one(
+def test_index_search_finds_exactly_the_machines_that_fit(
     before: list[tuple],  # type: ignore[type-arg]
     after: list[tuple],  # type: ignore[type-arg]
     gpus: int,
-    kept: float,
+    reserved_cores: float,
     cores: float,
     spot: bool,
     service: bool,
-    shut: frozenset[str],
+    excluded_zones: frozenset[str],
 ) -> None:
+    # Guards against an index that misses machines, or returns ones that do not fit, after machines
+    # were changed, added and removed.
     rng = random.Random(1)
-    index = MachineIndex(KINDS, rng)
-    known = [make(number, drawn) for number, drawn in enumerate(before)]
+    index = MachineIndex(MACHINE_TYPES, rng)
+    known = [make_machine(number, drawn) for number, drawn in enumerate(before)]
     for machine in known:
         index.update(machine)
-    # What is known of them changes, some go, some are new.
+    # Changes some machines and adds others; some are removed below.
     for number, drawn in enumerate(after):
         if number < len(known):
             _, _, _, used, taken, memory_gb, slow, image = drawn
@@ -127,35 +139,39 @@
             if image:
                 machine.record_image(image, 1.0, 1.0)
         else:
-            known.append(make(number, drawn))
+            known.append(make_machine(number, drawn))
         index.update(known[number])
     for machine in known[::5]:
         index.remove(machine)
     known = [machine for number, machine in enumerate(known) if number % 5]
-    kind, rank = (wire.SERVICE, "critical") if service else (wire.ARRAY, "standard")
+    job_kind, rank = (wire.SERVICE, "critical") if service else (wire.ARRAY, "standard")
     job = spec(
         "j-000001",
         cores=cores,
         gpus=float(gpus),
         memory_gb=8.0,
-        job_kind=kind,
+        job_kind=job_kind,
         rank=rank,
         spot=spot,
     )
-    for needs in (None, GpuReservations(kept, 4.0)):
-        found = index.sample_fitting(job, shut, needs, SAMPLE)
-        right = [machine for machine in known if fits(machine, job, needs, shut)]
-        assert set(found) <= set(right)
+    for gpu_reservations in (None, GpuReservations(reserved_cores, 4.0)):
+        found = index.sample_fitting(job, excluded_zones, gpu_reservations, SAMPLE_SIZE)
+        expected = [
+            machine
+            for machine in known
+            if can_hold_task(machine, job, gpu_reservations, excluded_zones)
+        ]
+        assert set(found) <= set(expected)
         assert len(found) == len(set(found))
-        assert bool(found) == bool(right)
-        holding = [machine for machine in right if "img-1" in machine.images]
-        if holding:
-            assert set(found) <= set(holding)
+        assert bool(found) == bool(expected)
+        with_image = [machine for machine in expected if "img-1" in machine.images]
+        if with_image:
+            assert set(found) <= set(with_image)
 
 
-def test_a_search_in_a_full_fleet_of_thousands_looks_at_the_few_with_room() -> None:
-    # A pass looked at every machine for each shape that waited.
-    index = MachineIndex(KINDS, random.Random(1))
+def test_search_in_a_full_fleet_examines_only_machines_with_free_capacity() -> None:
+    # A pass examined every machine of the fleet for each pending shape.
+    index = MachineIndex(MACHINE_TYPES, random.Random(1))
     fleet = [
         Machine(f"n-{number}", "c16", "ab"[number % 2], spot=False, now=0.0)
         for number in range(4000)
@@ -165,35 +181,43 @@
         machine.record_image("img-1", 1.0, 40.0)
         index.update(machine)
     job = spec("j-000001", cores=5.0)
-    found = index.sample_fitting(job, (), GpuReservations(), SAMPLE)
+    found = index.sample_fitting(job, (), GpuReservations(), SAMPLE_SIZE)
     assert {machine.name for machine in found} == {
         f"n-{number}" for number in (7, 1007, 2007, 3007)
     }
     assert index.examined_count == 4
-    assert index.sample_fitting(spec("j-000002", cores=7.0), (), GpuReservations(), SAMPLE) == []
+    assert (
+        index.sample_fitting(spec("j-000002", cores=7.0), (), GpuReservations(), SAMPLE_SIZE) == []
+    )
     assert index.examined_count == 4
-    # An empty one: a sample, whatever the size.
+    # In an empty fleet, a search examines a sample only, whatever the size of the fleet.
     for machine in fleet:
         machine.cores = 0.0
         index.update(machine)
     index.examined_count = 0
-    assert len(index.sample_fitting(job, (), GpuReservations(), SAMPLE)) == SAMPLE
-    assert index.examined_count <= SAMPLE_WIDENING_FACTOR * SAMPLE
+    assert len(index.sample_fitting(job, (), GpuReservations(), SAMPLE_SIZE)) == SAMPLE_SIZE
+    assert index.examined_count <= SAMPLE_WIDENING_FACTOR * SAMPLE_SIZE
 
 
-def test_what_falls_silent_without_an_event_is_not_found() -> None:
-    silent: set[Machine] = set()
-    index = MachineIndex(KINDS, random.Random(1), lambda machine: machine not in silent)
-    one, two = (Machine(f"n-{number}", "c16", "a", spot=False, now=0.0) for number in range(2))
-    index.update(one)
-    index.update(two)
-    silent.add(one)
-    assert index.sample_fitting(spec("j-000001"), (), GpuReservations(), SAMPLE) == [two]
-    assert list(index.iterate_allowed(spec("j-000001"), ())) == [(two, KINDS["c16"])]
-    assert not index.update(one)
-    assert one not in index
-    silent.clear()
-    assert index.update(one)
+def test_search_skips_machines_that_become_unusable_without_an_update() -> None:
+    # A machine that stops sending heartbeats causes no update of the index; its entry must not lead
+    # to a placement there.
+    unusable: set[Machine] = set()
+    index = MachineIndex(MACHINE_TYPES, random.Random(1), lambda machine: machine not in unusable)
+    unresponsive, responsive = (
+        Machine(f"n-{number}", "c16", "a", spot=False, now=0.0) for number in range(2)
+    )
+    index.update(unresponsive)
+    index.update(responsive)
+    unusable.add(unresponsive)
+    assert index.sample_fitting(spec("j-000001"), (), GpuReservations(), SAMPLE_SIZE) == [
+        responsive
+    ]
+    assert list(index.iterate_allowed(spec("j-000001"), ())) == [(responsive, MACHINE_TYPES["c16"])]
+    assert not index.update(unresponsive)
+    assert unresponsive not in index
+    unusable.clear()
+    assert index.update(unresponsive)
 
 
 # Packing
@@ -205,16 +229,24 @@
 
 @settings(max_examples=100, deadline=None)
 @given(st.lists(shapes, min_size=1, max_size=5), machines)
-def test_full_rooms_that_are_left_out_hold_nothing(
+def test_packing_result_is_the_same_without_full_bins(
     drawn: list[tuple[float, float, int]],
     drawn_machines: list[tuple],  # type: ignore[type-arg]
 ) -> None:
-    needs = GpuReservations(2.0, 8.0)
+    # Dropping full bins saves time in large fleets; it must not change how many tasks are unplaced.
+    gpu_reservations = GpuReservations(2.0, 8.0)
 
     def bins() -> list[Bin]:
         return [
-            Bin(KINDS[kind], zone, 16.0 - cores, float(8 - gpus), 64.0 - 4 * memory_gb, spot=spot)
-            for kind, zone, spot, cores, gpus, memory_gb, _, _ in drawn_machines
+            Bin(
+                MACHINE_TYPES[machine_type],
+                zone,
+                16.0 - cores,
+                float(8 - gpus),
+                64.0 - 4 * memory_gb,
+                spot=spot,
+            )
+            for machine_type, zone, spot, cores, gpus, memory_gb, _, _ in drawn_machines
         ]
 
     def demands() -> list[Demand]:
@@ -227,32 +259,36 @@
             for size, (_, _, count) in zip(sizes, drawn, strict=True)
         ]
 
-    whole, less = FreeCapacity(bins()), FreeCapacity(bins())
-    less.drop_full_bins(demands(), needs)
-    left = [pack_demand(demand, whole, needs) for demand in demands()]
-    assert [pack_demand(demand, less.copy(), needs) for demand in demands()[:1]] == left[:1]
-    assert [pack_demand(demand, less, needs) for demand in demands()] == left
+    all_bins, without_full_bins = FreeCapacity(bins()), FreeCapacity(bins())
+    without_full_bins.drop_full_bins(demands(), gpu_reservations)
+    unplaced = [pack_demand(demand, all_bins, gpu_reservations) for demand in demands()]
+    assert [
+        pack_demand(demand, without_full_bins.copy(), gpu_reservations) for demand in demands()[:1]
+    ] == unplaced[:1]
+    assert [
+        pack_demand(demand, without_full_bins, gpu_reservations) for demand in demands()
+    ] == unplaced
 
 
-def with_ram(memory_gb: float) -> wire.Spec:
+def batch_with_memory(memory_gb: float) -> wire.Spec:
     return msgspec.structs.replace(batch("j-000001", 1), memory_gb=memory_gb)
 
 
-def test_shapes_that_vary_freely_are_kept_in_bounds() -> None:
-    # Where sizes vary, every job had a shape of its own, for ever, and each new one had all of them
-    # looked at.
+def test_number_of_known_shapes_is_bounded() -> None:
+    # With varying task sizes, each job added a shape that was kept indefinitely, and each new shape
+    # was compared with all of them.
     known = ResourceShapes()
     for number in range(4 * MAX_SHAPES):
-        job = with_ram(16.0 + number / 100)
+        job = batch_with_memory(16.0 + number / 100)
         known.record_shape(Shape.of(job), job)
-    gate = spec("j-900000", gpus=2.0, cores=8.0, memory_gb=4.0)
-    known.record_shape(Shape.of(gate), gate)
+    service = spec("j-900000", gpus=2.0, cores=8.0, memory_gb=4.0)
+    known.record_shape(Shape.of(service), service)
     assert len(known._job_classes["batch"]) == MAX_SHAPES
-    last = with_ram(16.0 + (4 * MAX_SHAPES - 1) / 100)
+    last = batch_with_memory(16.0 + (4 * MAX_SHAPES - 1) / 100)
     assert known.is_typical(Shape.of(last))
     assert not known.is_typical(Shape.of(batch("j-000001", 1)))
     assert [shape.job_class for shape, _ in known.typical_shapes()] == ["batch", "gate"]
-    # Of the class that takes most on average, as of the shapes that are kept.
+    # Reservations are those of the class with the highest mean, over the shapes that are kept.
     assert known.gpu_reservations.cores == 4.0
     mean = sum(16.0 + number / 100 for number in range(3 * MAX_SHAPES, 4 * MAX_SHAPES))
     assert abs(known.gpu_reservations.memory_gb - mean / MAX_SHAPES) < 1e-6
@@ -260,21 +296,26 @@
 
 @pytest.mark.real_processes
 @given(st.lists(st.tuples(st.sampled_from("xy"), st.integers(1, 9), st.floats(0, 50)), max_size=30))
-def test_the_sums_of_recent_arrivals_are_those_of_the_window(
-    came: list[tuple[str, int, float]],
+def test_arrival_sums_equal_those_of_the_window(
+    job_arrivals: list[tuple[str, int, float]],
 ) -> None:
+    # The running sums must not drift from the jobs of the window as old ones are dropped.
     arrivals, jobs = ArrivalStatistics(10.0, 1.0), []
-    for number, (job_class, tasks, mean_run_s) in enumerate(came):
-        arrivals.record_arrival(job_class, tasks, mean_run_s, float(number))
-        jobs.append((float(number), job_class, tasks, mean_run_s))
+    for number, (job_class, tasks, run_s) in enumerate(job_arrivals):
+        arrivals.record_arrival(job_class, tasks, run_s, float(number))
+        jobs.append((float(number), job_class, tasks, run_s))
         now = number + 0.5
-        recent = [(n, s) for at, of, n, s in jobs if of == job_class and at >= now - 10.0]
+        recent = [
+            (n, s)
+            for arrived_at, of_class, n, s in jobs
+            if of_class == job_class and arrived_at >= now - 10.0
+        ]
         mean = sum(n * s for n, s in recent) / max(1, sum(n for n, _ in recent))
         assert abs(arrivals.mean_run_s(job_class, now) - mean) < 1e-6
         assert arrivals.max_tasks_per_job(job_class, now) == max(n for n, _ in recent)
 
 
-# Mail
+# Relay batches
 
 
 def report(number: int) -> dict[str, object]:
@@ -282,87 +323,92 @@
     return {"k": "rep", "t": 1, "m": f"n-{number:06d}", "b": body}
 
 
-def test_what_does_not_fit_into_a_batch_waits_and_each_machine_gets_its_turn() -> None:
-    # The oldest frames of what did not fit were dropped: of 2,000 machines of a cut-off zone most
-    # were never heard, and orders were lost with the reports.
-    most = 7000
+def test_frames_that_exceed_a_batch_are_sent_in_later_ones_in_order() -> None:
+    # The oldest frames that did not fit into a batch were dropped: reports of most of the 2,000
+    # machines of a partitioned zone never arrived, and commands were lost with them.
+    max_bytes = 7000
     frames = [report(number) for number in range(2000)]
-    heard: list[str] = []
+    delivered: list[str] = []
     batches = 0
     while frames:
-        text, count = encode_batch(frames, most, 1.0)
+        text, count = encode_batch(frames, max_bytes, 1.0)
         assert count > 0
-        assert len(text) <= most
+        assert len(text) <= max_bytes
         at, found = decode_batch(text)
         assert at == 1.0
         assert found == frames[:count]
-        heard += [str(frame["m"]) for frame in found]
+        delivered += [str(frame["m"]) for frame in found]
         frames = frames[count:]
         batches += 1
-    assert heard == [f"n-{number:06d}" for number in range(2000)]
+    assert delivered == [f"n-{number:06d}" for number in range(2000)]
     assert batches < 40
 
 
-def test_a_batch_can_be_read_whatever_its_frames_hold() -> None:
-    # Long frames of one letter are short when compressed; the reader takes no more than so much.
-    frames = [{"k": "rep", "m": f"n-{number}", "b": b"x" * LONG} for number in range(100)]
+def test_batch_stays_within_the_size_that_can_be_decoded() -> None:
+    # Long frames of one repeated byte compress well, but the decoder limits the inflated size.
+    frames = [
+        {"k": "rep", "m": f"n-{number}", "b": b"x" * LONG_BODY_BYTES} for number in range(100)
+    ]
     text, count = encode_batch(frames, 7000, 1.0)
-    assert 0 < count <= MAX_INFLATED_BYTES // LONG
+    assert 0 < count <= MAX_INFLATED_BYTES // LONG_BODY_BYTES
     assert decode_batch(text) == (1.0, frames[:count])
 
 
-def test_a_frame_that_fits_no_batch_is_told_and_holds_up_no_other() -> None:
+def test_frame_larger_than_a_batch_does_not_block_others() -> None:
+    # A frame that fits into no batch must be dropped, or frames queued behind it are never sent.
     noise = random.Random(1).randbytes(9000)
     assert encode_batch([{"k": "ord", "o": noise}], 7000, 1.0)[1] == 0
     world = SimulatedCluster()
     assert world.until(lambda: world.leader() is not None, 10)
-    one = world.nodes["hearth-0"].peers.relay
-    assert one is not None
-    one.enqueue("hearth-1", {"k": "ord", "o": noise})
-    one.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"new"})
-    one.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"newer"})
-    one.enqueue("hearth-1", {"k": "hb"})
-    relay = one._relays["hearth-1"]
+    sender = world.nodes["hearth-0"].peers.relay
+    assert sender is not None
+    sender.enqueue("hearth-1", {"k": "ord", "o": noise})
+    sender.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"new"})
+    sender.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"newer"})
+    sender.enqueue("hearth-1", {"k": "hb"})
+    relay = sender._relays["hearth-1"]
     assert [frame["k"] for frame in relay.queue.list_by_urgency()] == ["hb", "ord", "rep"]
     relay.written_version = 0
-    one._write("hearth-1", relay)
+    sender._write("hearth-1", relay)
     assert [frame.get("b") for frame in relay.queue.list_by_urgency()] == [b"newer"]
-    one.enqueue("hearth-1", {"k": "ask", "i": 1})
+    sender.enqueue("hearth-1", {"k": "ask", "i": 1})
     relay.queue.drop_queued_before(world.sim.time + 1.0)
     assert [frame["k"] for frame in relay.queue.list_by_urgency()] == ["rep"]
     relay.queue.clear()
     assert not relay.queue.has_frames
 
 
-# The cloud's list
+# Machine lists of the cloud
 
 
-def test_one_list_of_the_cloud_at_a_time_and_half_the_calls_for_others() -> None:
-    # At 6,000 machines a list is twelve calls, and took longer than the step between two: lists
-    # were asked for faster than they came.
+def test_machine_lists_of_the_cloud_do_not_overlap_and_leave_it_half_the_time() -> None:
+    # With 6,000 machines, a list takes twelve calls and longer than the interval between two lists,
+    # so that lists were requested faster than they completed. The next one must start only after as
+    # much time as the last one took, so that other calls get half of the rate.
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     reconciler = world.nodes[world.leader() or ""].leader.duties.reconciler
-    asked: list[tuple[float, Callable[[object], None]]] = []
-    reconciler.cloud.list_machines = lambda on_done: asked.append((world.sim.time, on_done))
+    list_calls: list[tuple[float, Callable[[object], None]]] = []
+    reconciler.cloud.list_machines = lambda on_done: list_calls.append((world.sim.time, on_done))
     world.run(30.0)
-    assert len(asked) == 1
-    began, done = asked[0]
-    took = world.sim.time - began
+    assert len(list_calls) == 1
+    called_at, done = list_calls[0]
+    duration_s = world.sim.time - called_at
     done(None)
-    ended = world.sim.time
-    world.run(took - 1.0)
-    assert len(asked) == 1
+    finished_at = world.sim.time
+    world.run(duration_s - 1.0)
+    assert len(list_calls) == 1
     world.run(8.0)
-    assert len(asked) == 2
-    assert asked[1][0] >= ended + took
+    assert len(list_calls) == 2
+    assert list_calls[1][0] >= finished_at + duration_s
 
 
 # Settings
 
 
-def test_a_settings_file_of_the_largest_deployment_is_sound(tmp_path: Path) -> None:
+def test_settings_file_of_the_largest_deployment_is_valid(tmp_path: Path) -> None:
+    # Guards against limits of the settings parser that the largest deployment exceeds.
     world = SimulatedCluster(nodes=tuple(f"hearth-{number}" for number in range(27)))
     settings_of_one = world.settings_of("hearth-0")
     teams = {f"t-{n}": Team(f"t-{n}", 10.0, 20.0, 1.0, 2.0) for n in range(750)}
@@ -388,21 +434,24 @@
     return str(path)
 
 
-def test_more_sockets_than_the_process_may_open_are_one_line_and_exit_code_2(
+def test_check_reports_more_sockets_than_open_files_allow_in_one_line(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    # A socket limit above the limit of open files must fail the check, not the controller later.
     monkeypatch.setattr(open_files.resource, "getrlimit", lambda _: (256, 1024))
     assert main(["check", "--config", write_settings(tmp_path, 1025)]) == 2
-    said = capsys.readouterr()
-    assert said.out == ""
-    assert "params.limits.max_sockets: 1025 sockets need 1057 open files" in said.err
-    assert len(said.err.splitlines()) == 1
+    output = capsys.readouterr()
+    assert output.out == ""
+    assert "params.limits.max_sockets: 1025 sockets need 1057 open files" in output.err
+    assert len(output.err.splitlines()) == 1
     assert main(["check", "--config", write_settings(tmp_path, 900)]) == 0
 
 
-def test_a_controller_takes_what_files_it_may_and_does_with_fewer(
+def test_controller_limits_its_sockets_to_the_open_files_it_may_have(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    # A controller must raise its soft limit of open files as far as it may, and use fewer sockets
+    # if that is not enough.
     limits = [256, 1024]
     monkeypatch.setattr(open_files.resource, "getrlimit", lambda _: tuple(limits))
     monkeypatch.setattr(
@@ -429,24 +478,28 @@
 # Reports
 
 
-def test_a_report_like_the_last_one_is_compared_only_while_something_is_open(
+def test_unchanged_report_is_reconciled_only_while_a_command_is_open(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    # Reconciling each unchanged report costs time in proportion to the fleet; skipping one while a
+    # stop command is open would lose the stop.
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
     world.run(5.0)
     compared: list[str] = []
-    compare = Reconciler.reconcile
+    reconcile = Reconciler.reconcile
 
-    def counted(reconciler: Reconciler, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
+    def record_reconcile(
+        reconciler: Reconciler, machine: Machine, tasks: list[wire.TaskStatus]
+    ) -> None:
         compared.append(machine.name)
-        compare(reconciler, machine, tasks)
+        reconcile(reconciler, machine, tasks)
 
-    monkeypatch.setattr(Reconciler, "reconcile", counted)
+    monkeypatch.setattr(Reconciler, "reconcile", record_reconcile)
     world.run(10.0)
     assert compared == []
-    # Its order to stop is lost: the reports go on as before, and the stop must be sent again.
+    # The stop command is lost: the reports stay the same, and the command must be sent again.
     machine = world.machine_of("j-000001/0")
     world.machine_trouble("deaf", [machine], 4.0)
     world.cancel("j-000001")
@@ -458,8 +511,8 @@
     assert "j-000001/0" not in world.running
 
 
-def test_connections_to_workers_are_counted_as_they_come_and_go() -> None:
-    # Their number was summed over all clients for each call to a machine that had none.
+def test_open_connection_count_follows_connects_and_disconnects() -> None:
+    # The connections of all clients were counted for each call to a machine without one.
     sim = Simulation(1)
 
     def reply(request: Request) -> None:
@@ -467,30 +520,30 @@
 
     for number in range(5):
         Server(sim.host(f"10.1.0.{number}"), (f"10.1.0.{number}", 9000), reply, 10, 300.0, 0.2)
-    host, told = sim.host("10.0.0.1"), []
-    opened = OpenConnections()
-    clients = [Client(host, (f"10.1.0.{number}", 9000), 2, opened) for number in range(6)]
+    host, statuses = sim.host("10.0.0.1"), []
+    connections = OpenConnections()
+    clients = [Client(host, (f"10.1.0.{number}", 9000), 2, connections) for number in range(6)]
 
-    def standing() -> int:
+    def count_open_streams() -> int:
         return sum(stream.opened and not stream.dead for stream in host.streams)
 
     for client in clients:
         for _ in range(3):
-            client.request("GET", "/x", None, 2.0, lambda reply: told.append(reply.status))
-    assert opened.count == 12
+            client.request("GET", "/x", None, 2.0, lambda reply: statuses.append(reply.status))
+    assert connections.count == 12
     while sim.next_time() < 5.0:
         sim.step()
-    # Nobody listens at the last address.
-    assert sorted(told) == [0] * 3 + [200] * 15
-    assert opened.count == standing() == 10
+    # There is no server at the last address.
+    assert sorted(statuses) == [0] * 3 + [200] * 15
+    assert connections.count == count_open_streams() == 10
     sim.crash("10.1.0.0")
     clients[1].close()
     while sim.next_time() < 6.0:
         sim.step()
-    assert opened.count == standing() == 6
+    assert connections.count == count_open_streams() == 6
 
 
-# Jobs that are over
+# Finished jobs
 
 
 ids = st.from_regex(r"j-[0-9]{1,18}", fullmatch=True)
@@ -503,12 +556,13 @@
     st.integers(1, 7),
     st.integers(1, 40),
 )
-def test_final_states_are_those_of_a_plain_dict(
-    known: dict[str, str], others: list[str], recent: int, most: int
+def test_terminal_jobs_match_a_plain_dict(
+    known: dict[str, str], others: list[str], max_recent: int, max_merged_block: int
 ) -> None:
+    # The compact store merges blocks of job ids; no state may be lost or changed by that.
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(terminal_jobs, "_MAX_RECENT", recent)
-        patch.setattr(terminal_jobs, "_MAX_MERGED_BLOCK", most)
+        patch.setattr(terminal_jobs, "_MAX_RECENT", max_recent)
+        patch.setattr(terminal_jobs, "_MAX_MERGED_BLOCK", max_merged_block)
         states = terminal_jobs.TerminalJobs()
         for ref, state in known.items():
             states.add(ref, state)
@@ -526,8 +580,8 @@
     "text",
     ["", "j-", "j-1_2", "j- 12", "j-+12", "x-12", "j-12 ", "j-\u0661\u0662", "j-" + "1" * 19],
 )
-def test_what_is_no_id_has_no_final_state(text: str) -> None:
-    # Users ask for anything; a text that reads as the same number is not the same id.
+def test_text_that_is_no_job_id_has_no_final_state(text: str) -> None:
+    # Users may request any text; one that parses as the same number is not the same id.
     states = terminal_jobs.TerminalJobs()
     states.add("j-12", wire.DONE)
     assert states.get("j-12") == wire.DONE
@@ -537,9 +591,9 @@
         states.add(text, wire.DONE)
 
 
-def test_a_hundred_thousand_final_jobs_take_a_few_bytes_each() -> None:
-    # A text and an entry for each took 99 bytes for ever: a day of 4,000 machines filled a
-    # controller.
+def test_terminal_jobs_take_less_than_25_bytes_each() -> None:
+    # A string and a dict entry per finished job took 99 bytes indefinitely, so that a day's jobs of
+    # 4,000 machines filled the memory of a controller.
     tracemalloc.start()
     states, page = terminal_jobs.TerminalJobs(), terminal_jobs.TerminalJobPage()
     for number in range(100_000):
@@ -555,7 +609,8 @@
     assert used < 25 * 100_000, used
 
 
-def test_any_text_may_be_asked_for() -> None:
+def test_request_for_an_unknown_job_id_returns_404() -> None:
+    # A text that is no id, or resembles the id of a finished job, must not raise or match.
     world = SimulatedCluster()
     world.submit(batch("j-000001", 1), run_time=1.0)
     world.run(40.0)
