--- a/flaxtally/leader/scheduling/schedulable_machines.py
+++ b/flaxtally/leader/scheduling/schedulable_machines.py
@@ -24,7 +24,7 @@
         self.index = self._new_index(by_image=True)
         self._indexed_sizes: Hashable = None
         """The sizes of the machine types for which the index was built."""
-        self._grown: dict[str, Machine] = {}
+        self._gained_capacity: dict[str, Machine] = {}
         """Machines with more free capacity than in the last pass, by name."""
 
     def _new_index(self, *, by_image: bool) -> MachineIndex:
@@ -39,7 +39,7 @@
         while changed:
             machine, _ = changed.popitem()
             if self.index.update(machine):
-                self._grown[machine.name] = machine
+                self._gained_capacity[machine.name] = machine
         return was_rebuilt
 
     def _apply_machine_types(self) -> bool:
@@ -57,20 +57,20 @@
         self.index.machine_types = machine_types
         return must_rebuild
 
-    def mark_grown(self, names: Iterable[str]) -> None:
+    def mark_capacity_gained(self, names: Iterable[str]) -> None:
         """Adds the named machines to those that gained capacity."""
         for name in names:
             machine = self.fleet.machines.get(name)
             if machine is not None:
-                self._grown[name] = machine
+                self._gained_capacity[name] = machine
 
-    def take_grown(self) -> MachineIndex:
+    def take_machines_with_gained_capacity(self) -> MachineIndex:
         """Returns an index of the machines that gained capacity since the last call."""
-        grown = self._new_index(by_image=False)
-        for machine in self._grown.values():
-            grown.update(machine)
-        self._grown = {}
-        return grown
+        with_gained_capacity = self._new_index(by_image=False)
+        for machine in self._gained_capacity.values():
+            with_gained_capacity.update(machine)
+        self._gained_capacity = {}
+        return with_gained_capacity
 
     def refresh(self) -> None:
         """Marks machines as changed whose schedulability changed through passing time alone."""
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -103,20 +103,26 @@
         freed_machines = self.preemption.begin_pass() | released()
         if self._machines.apply_changes():
             self._infeasible = placement.InfeasibleRequests()
-        self._machines.mark_grown(freed_machines)
+        self._machines.mark_capacity_gained(freed_machines)
         if self.jobs.gpu_reservations != self._gpu_reservations:
             # They decide which capacity other tasks may use, so all requests must search all
             # machines again.
             self._gpu_reservations = self.jobs.gpu_reservations
             self._infeasible = placement.InfeasibleRequests()
         index = self._machines.index
-        grown = self._machines.take_grown()
+        with_gained_capacity = self._machines.take_machines_with_gained_capacity()
         examined_before = index.examined_count
         scheduling_pass = SchedulingPass(
-            self, index=index, grown=grown, infeasible=self._infeasible, now=now
+            self,
+            index=index,
+            with_gained_capacity=with_gained_capacity,
+            infeasible=self._infeasible,
+            now=now,
         )
         self._infeasible = scheduling_pass.run(queue)
-        self.examined_count += index.examined_count - examined_before + grown.examined_count
+        self.examined_count += (
+            index.examined_count - examined_before + with_gained_capacity.examined_count
+        )
         return scheduling_pass.is_full
 
     def _request_pass_later(self) -> None:
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -85,14 +85,14 @@
         scheduler: TaskPlacer,
         *,
         index: MachineIndex,
-        grown: MachineIndex,
+        with_gained_capacity: MachineIndex,
         infeasible: placement.InfeasibleRequests,
         now: float,
     ) -> None:
         """Prepares a pass over the machines of `index`.
 
-        `infeasible`: requests that found no capacity in earlier passes. They search only `grown`,
-        the machines with more free capacity than in the last pass.
+        `infeasible`: requests that found no capacity in earlier passes. They search only
+        `with_gained_capacity`, the machines with more free capacity than in the last pass.
         """
         self._scheduler = scheduler
         self._jobs = scheduler.jobs
@@ -100,8 +100,8 @@
         self._policy = scheduler.policy
         self._term = scheduler.term
         self._index = index
-        self._grown = grown
-        self._has_grown = len(grown) > 0
+        self._with_gained_capacity = with_gained_capacity
+        self._has_gained_capacity = len(with_gained_capacity) > 0
         self._now = now
         self._infeasible_before = infeasible
         self._infeasible = placement.InfeasibleRequests()
@@ -134,7 +134,7 @@
                 infeasible_keys.add((equivalence_class, self._jobs.excluded_zones(job)))
         # Requests that did not search in this pass have not examined the machines that gained
         # capacity.
-        return self._infeasible if self._has_grown else self._infeasible_before
+        return self._infeasible if self._has_gained_capacity else self._infeasible_before
 
     def _place_job(self, job: Job) -> bool:
         """Places the job's pending tasks; False: one, or an equivalent one, finds no capacity.
@@ -227,7 +227,7 @@
         machine = choose_machine(
             spec,
             request.job.number,
-            self._grown if was_infeasible else self._index,
+            self._with_gained_capacity if was_infeasible else self._index,
             self._gpu_reservations_for(request),
             self._policy.sample,
             request.excluded_zones,
@@ -235,7 +235,7 @@
         )
         if machine is None:
             self._infeasible.add(request.key, spec)
-            if not (was_infeasible or self._has_grown):
+            if not (was_infeasible or self._has_gained_capacity):
                 self._infeasible_before.add(request.key, spec)
         return machine
 
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -13,6 +13,9 @@
     from .fleet import Machine
     from .machine_index import MachineIndex
 
+_FETCH_TIME_LIMITS_S = (0.25, 0.75, 2.5, 8.0, 25.0)
+"""The upper limits of all grades of fetch times but the last."""
+
 
 def estimate_fetch_s(spec: wire.Spec, machine: Machine, machine_type: wire.MachineType) -> float:
     """Estimates how long the image fetch takes; concurrent fetches share the bandwidth."""
@@ -28,10 +31,10 @@
 
 def _fetch_time_grade(seconds: float) -> int:
     """Returns a coarse grade of a fetch time; differences within a grade are ignored."""
-    for grade, limit in enumerate((0.25, 0.75, 2.5, 8.0, 25.0)):
+    for grade, limit in enumerate(_FETCH_TIME_LIMITS_S):
         if seconds <= limit:
             return grade
-    return 5
+    return len(_FETCH_TIME_LIMITS_S)
 
 
 def choose_machine(
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -15,6 +15,8 @@
 """Consecutive commands without a reply after which a machine counts as unresponsive."""
 NEVER = float("-inf")
 """The time, in seconds, of an event that has not happened yet."""
+_CORES_PER_GPU_WEIGHT = 4
+"""The number of cores that a GPU counts for in `Machine.service_load`."""
 
 
 class Pool(NamedTuple):
@@ -180,5 +182,5 @@
 
 
 def _service_weight(spec: wire.Spec) -> float:
-    """Returns how much a task adds to `Machine.service_load`; a GPU counts as four cores."""
-    return spec.cores + 4 * spec.gpus if spec.job_kind == wire.SERVICE else 0.0
+    """Returns how much a task adds to `Machine.service_load`."""
+    return spec.cores + _CORES_PER_GPU_WEIGHT * spec.gpus if spec.job_kind == wire.SERVICE else 0.0
--- a/flaxtally/planning/forecast.py
+++ b/flaxtally/planning/forecast.py
@@ -5,6 +5,11 @@
 import math
 from collections import deque
 
+_MIN_BUCKETS = 4
+"""Complete buckets without which no arrival rate is estimated."""
+_DROPPED_BUCKET_FRACTION = 0.1
+"""The fraction of buckets, the busiest ones, that the mean arrival rate leaves out."""
+
 
 class _RecentJobs:
     """The recent jobs of one job class; keeps running sums, since plans query them often."""
@@ -50,6 +55,7 @@
     """
 
     def __init__(self, window_s: float, step_s: float) -> None:
+        """Starts without arrivals."""
         self._window_s, self._step_s = window_s, step_s
         self._buckets: deque[tuple[int, dict[str, float]]] = deque()
         self._first_arrival_at: float | None = None
@@ -70,6 +76,7 @@
         return self._recent(job_class, now).mean_run_s
 
     def record_arrival(self, job_class: str, tasks: int, run_s: float, now: float) -> None:
+        """Records a job of the class that arrived now; `run_s`: estimated run time of a task."""
         if self._first_arrival_at is None:
             self._first_arrival_at = now
         self._recent(job_class, now).record_arrival(now, tasks, run_s)
@@ -87,8 +94,8 @@
         while self._buckets and self._buckets[0][0] <= oldest:
             self._buckets.popleft()
         bucket_count = int(min(self._window_s, now - self._first_arrival_at) / self._step_s)
-        if bucket_count < 4:
+        if bucket_count < _MIN_BUCKETS:
             return 0.0
         counts = sorted((counts.get(job_class, 0.0) for _, counts in self._buckets), reverse=True)
-        dropped = math.ceil(bucket_count * 0.1)
+        dropped = math.ceil(bucket_count * _DROPPED_BUCKET_FRACTION)
         return sum(counts[dropped:]) / (max(1, bucket_count - dropped) * self._step_s)
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -450,6 +450,7 @@
         gpu_reservations: GpuReservations | None,
         is_available: Callable[[Machine], bool] | None,
     ) -> None:
+        """Prepares the check; without `gpu_reservations`, slow machines are allowed, too."""
         self.spec, self._gpu_reservations, self._is_available = spec, gpu_reservations, is_available
         self._cores, self._gpus, self._memory_gb = (
             spec.cores - RESOURCE_TOLERANCE,
@@ -459,6 +460,7 @@
         self._allows_slow_machines = spec.job_kind == wire.SERVICE or gpu_reservations is None
 
     def __call__(self, machine: Machine, machine_type: wire.MachineType) -> bool:
+        """Whether the machine can hold one more task."""
         spec, gpu_reservations = self.spec, self._gpu_reservations
         return (
             machine.cores + self._cores <= machine_type.cores
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -26,6 +26,7 @@
     memory_gb: float
 
     def holds(self, spec: wire.Spec) -> bool:
+        """Whether a task of the job fits."""
         return (
             spec.cores <= self.cores + RESOURCE_TOLERANCE
             and spec.gpus <= self.gpus + RESOURCE_TOLERANCE
@@ -125,9 +126,11 @@
     """
 
     def __init__(self) -> None:
+        """Starts without requests."""
         self._sizes: dict[Hashable, list[tuple[float, float, float]]] = {}
 
     def covers(self, key: Hashable, spec: wire.Spec) -> bool:
+        """Whether a request with this key that is no larger than `spec` was infeasible."""
         sizes = self._sizes.get(key)
         if sizes is None:
             return False
@@ -138,6 +141,7 @@
         )
 
     def add(self, key: Hashable, spec: wire.Spec) -> None:
+        """Adds an infeasible request, in place of the larger ones with this key."""
         size = spec.cores, spec.gpus, spec.memory_gb
         sizes = self._sizes.get(key, [])
         kept = [
