--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -74,7 +74,7 @@
     ) -> None:
         """`batch_delay_s`: for so long frames are gathered, to be sent together.
 
-        Without `listen`, other links (that `accept_for` these) accept the peers' connections.
+        Without `listen`, other links (that `accept_connections_for` these) accept the peers' connections.
         `relay`: the way for frames to a peer whose link is silent.
         """
         super().__init__(runtime)
@@ -90,7 +90,7 @@
         if listen is not None:
             runtime.listen(listen, self._accept)
 
-    def accept_for(self, links: PeerLinks) -> None:
+    def accept_connections_for(self, links: PeerLinks) -> None:
         """Peers of other links may speak on connections that are accepted here."""
         self._siblings.append(links)
 
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from flaxtally.api.sharding import shard_owner
+from flaxtally.api.sharding import find_shard_owner
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.choice import choose_machine
 from flaxtally.planning.consolidation import EmptyingRules, TargetSearch, choose_machine_to_empty
@@ -207,13 +207,16 @@
     # is lost, or that ignores the zone of the machine.
     names = [f"n-{number:06d}" for number in range(300)]
     zones = {"h0": "a", "h1": "b", "h2": "b"}
-    with_three = {name: shard_owner(name, "c", ["h0", "h1", "h2"], zones) for name in names}
-    with_two = {name: shard_owner(name, "c", ["h0", "h1"], zones) for name in names}
+    with_three = {name: find_shard_owner(name, "c", ["h0", "h1", "h2"], zones) for name in names}
+    with_two = {name: find_shard_owner(name, "c", ["h0", "h1"], zones) for name in names}
     assert all(60 < list(with_three.values()).count(node) < 140 for node in ("h0", "h1", "h2"))
     assert all(with_two[name] == with_three[name] for name in names if with_three[name] != "h2")
-    assert shard_owner("n-1", "a", [], zones) is None
-    assert {shard_owner(name, "b", ["h0", "h1", "h2"], zones) for name in names} == {"h1", "h2"}
-    assert {shard_owner(name, "a", ["h1", "h2"], zones) for name in names} == {"h1", "h2"}
+    assert find_shard_owner("n-1", "a", [], zones) is None
+    assert {find_shard_owner(name, "b", ["h0", "h1", "h2"], zones) for name in names} == {
+        "h1",
+        "h2",
+    }
+    assert {find_shard_owner(name, "a", ["h1", "h2"], zones) for name in names} == {"h1", "h2"}
 
 
 def test_choice_of_a_machine_to_empty_counts_capacity_for_those_being_emptied() -> None:
