--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -72,10 +72,12 @@
         listen: Address | None = None,
         relay: StoreRelay | None = None,
     ) -> None:
-        """`batch_delay_s`: for so long frames are gathered, to be sent together.
+        """Start listening for the peers' connections, if there is a `listen` address.
 
-        Without `listen`, other links (that `accept_for` these) accept the peers' connections.
-        `relay`: the way for frames to a peer whose link is silent.
+        `batch_delay_s`: how long frames are gathered before they are sent together.
+        Without `listen`, the peers connect to other `PeerLinks`, on which
+        `accept_for` was called with these.
+        `relay`: carries frames to a peer whose direct link is down.
         """
         super().__init__(runtime)
         self._node = liveness.node
