--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -103,7 +103,7 @@
             leader is not None
             and not self._election.is_leader
             and self._peers.is_silent(leader)
-            and self._members.newest_format_of(leader) >= formats.GANGS
+            and self._members.get_newest_format(leader) >= formats.GANGS
         )
 
     def _send_liveness(self) -> None:
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -106,7 +106,7 @@
         if self._election.is_leader:
             return True
         leader = self._election.leader
-        return leader is not None and self._formats.newest_format_of(leader) >= formats.GANGS
+        return leader is not None and self._formats.get_newest_format(leader) >= formats.GANGS
 
     def _answer_malformed_submission(self, request: Request, error: str) -> None:
         """A known job's submission is answered with its state, whatever its body has become."""
--- a/flaxtally/api/shard_redirects.py
+++ b/flaxtally/api/shard_redirects.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .sharding import shard_owner, zones_of_controllers
+from .sharding import find_shard_owner, zones_of_controllers
 
 if TYPE_CHECKING:
     from ..cluster.leader_election import LeaderElection
@@ -67,7 +67,9 @@
             self._owners = {}
             self._owners_members = list(members)
         if machine not in self._owners:
-            self._owners[machine] = shard_owner(machine, zone, members, self._zone_by_controller)
+            self._owners[machine] = find_shard_owner(
+                machine, zone, members, self._zone_by_controller
+            )
         return self._owners[machine]
 
 
--- a/flaxtally/api/sharding.py
+++ b/flaxtally/api/sharding.py
@@ -11,12 +11,12 @@
 WEIGHT_BYTES = 8
 
 
-def rendezvous_weight(key: str, name: str) -> bytes:
+def compute_rendezvous_weight(key: str, name: str) -> bytes:
     """Orders names for a key, evenly and the same in every process (rendezvous hashing)."""
     return hashlib.blake2b(f"{key} {name}".encode(), digest_size=WEIGHT_BYTES).digest()
 
 
-def shard_owner(
+def find_shard_owner(
     machine: str, zone: str, controllers: list[str], zone_by_controller: dict[str, str]
 ) -> str | None:
     """The controller whose shard the machine belongs to; None if there are no controllers.
@@ -27,7 +27,9 @@
     """
     in_zone = [name for name in controllers if zone_by_controller.get(name) == zone]
     return max(
-        in_zone or controllers, key=lambda name: rendezvous_weight(machine, name), default=None
+        in_zone or controllers,
+        key=lambda name: compute_rendezvous_weight(machine, name),
+        default=None,
     )
 
 
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from ..api.sharding import rendezvous_weight
+from ..api.sharding import compute_rendezvous_weight
 from ..protocol import wire
 from ..runtime.actor import Actor
 from .directory import Directory, Entry, Found
@@ -122,7 +122,7 @@
 
 def draw(ref: str, cells: list[Cell]) -> list[Cell]:
     """The cells in an order that the job's id alone decides (rendezvous hashing)."""
-    return sorted(cells, key=lambda cell: rendezvous_weight(ref, cell.name))
+    return sorted(cells, key=lambda cell: compute_rendezvous_weight(ref, cell.name))
 
 
 class Gateway(Actor):
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from ..api.heartbeat_endpoint import CellRedirect
-from ..api.sharding import shard_owner
+from ..api.sharding import find_shard_owner
 from ..clients.key_value_store import KeyValueStore
 from ..cluster.leader_key import LEADER_KEY
 from ..cluster.peer_links import LinkListener, PeerLinks
@@ -153,7 +153,7 @@
             LinkListener(on_frame=lambda sender, frame: self.gateway.receive(sender, frame)),
             batch_delay_s=self._policy.gather,
         )
-        peers.accept_for(self.links)
+        peers.accept_connections_for(self.links)
         self.gateway = Gateway(
             self.runtime,
             self._policy,
@@ -203,7 +203,7 @@
         if home is None or home.name == self._setup.cell.name:
             return None
         known = self.gateway.cells.able(home) or list(home.controllers)
-        return CellRedirect(shard_owner(heartbeat.machine, heartbeat.zone, known, {}))
+        return CellRedirect(find_shard_owner(heartbeat.machine, heartbeat.zone, known, {}))
 
     def _state(self) -> CellState:
         election, leader = self._election, self._leader
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -66,7 +66,7 @@
     def on_relayed_heartbeat(self, peer: str, stated: Any) -> None:
         """A peer's heartbeat that came through the key-value store."""
         stated_range = formats.parse_range(stated)
-        if stated_range.newest > self.newest_format_of(peer):
+        if stated_range.newest > self.get_newest_format(peer):
             self._record_range(peer, stated_range)
 
     def _record_range(self, peer: str, stated_range: FormatRange) -> None:
@@ -75,7 +75,7 @@
             log.info("event=member_format peer=%s newest=%d", peer, stated_range.newest)
             self._store_evidence()
 
-    def newest_format_of(self, peer: str) -> int:
+    def get_newest_format(self, peer: str) -> int:
         """The newest format that the peer is known to read."""
         stated_range = self._stated_ranges.get(peer)
         if stated_range is not None:
@@ -85,22 +85,22 @@
     @property
     def common_format(self) -> int:
         """The newest format that all configured controllers are known to read."""
-        return min([formats.OWN.newest, *(self.newest_format_of(peer) for peer in self._peers)])
+        return min([formats.OWN.newest, *(self.get_newest_format(peer) for peer in self._peers)])
 
     # The formats key
 
-    def begin(self, leader_key_version: int) -> None:
+    def begin_term(self, leader_key_version: int) -> None:
         """This controller leads, under that version of the leader key."""
         self._leader_key_version = leader_key_version
         self._key_version = None
         self._store_evidence()
 
-    def end(self) -> None:
+    def end_term(self) -> None:
         """This controller leads no more."""
         self._leader_key_version = None
 
     def _known_formats(self) -> dict[str, int]:
-        newest_formats = {peer: self.newest_format_of(peer) for peer in self._peers}
+        newest_formats = {peer: self.get_newest_format(peer) for peer in self._peers}
         return {peer: newest for peer, newest in newest_formats.items() if newest > formats.FIRST}
 
     def _store_evidence(self) -> None:
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -76,7 +76,7 @@
 
         `batch_delay_s`: how long frames are gathered before they are sent together.
         Without `listen`, the peers connect to other `PeerLinks`, on which
-        `accept_for` was called with these.
+        `accept_connections_for` was called with these.
         `relay`: carries frames to a peer whose direct link is down.
         """
         super().__init__(runtime)
@@ -92,7 +92,7 @@
         if listen is not None:
             runtime.listen(listen, self._accept)
 
-    def accept_for(self, links: PeerLinks) -> None:
+    def accept_connections_for(self, links: PeerLinks) -> None:
         """Peers of other links may speak on connections that are accepted here."""
         self._siblings.append(links)
 
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -78,7 +78,7 @@
         self.duties = self._create_duties(number, self.term.machine_types)
         self._context.cloud.forget()
         self._context.limits.end_term()
-        self._formats.begin(version)
+        self._formats.begin_term(version)
         self._context.ledger.replay(version, self._on_replayed)
 
     def end_term(self) -> None:
@@ -87,7 +87,7 @@
             return
         self.term.active = False
         self._context.limits.end_term()
-        self._formats.end()
+        self._formats.end_term()
         self._context.ledger.close()
         self._context.cloud.forget()
         self.duties = self._create_duties(NO_TERM, self.term.machine_types)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -215,24 +215,24 @@
 def test_only_the_newest_connection_of_a_peer_speaks_for_it() -> None:
     known = member_formats()
     known.on_hello("hearth-1", 5, [1, 2])
-    assert known.newest_format_of("hearth-1") == 2
+    assert known.get_newest_format("hearth-1") == 2
     # Its earlier life, before the upgrade: held back by the network, delivered late.
     known.on_hello("hearth-1", 3, None)
-    assert known.newest_format_of("hearth-1") == 2
+    assert known.get_newest_format("hearth-1") == 2
     # It was rolled back.
     known.on_hello("hearth-1", 6, None)
-    assert known.newest_format_of("hearth-1") == 1
+    assert known.get_newest_format("hearth-1") == 1
     known.on_hello("hearth-1", 5, [1, 2])
-    assert known.newest_format_of("hearth-1") == 1
+    assert known.get_newest_format("hearth-1") == 1
 
 
 def test_mail_raises_what_is_known_and_never_lowers_it() -> None:
     known = member_formats()
     known.on_relayed_heartbeat("hearth-1", None)
-    assert known.newest_format_of("hearth-1") == 1
+    assert known.get_newest_format("hearth-1") == 1
     known.on_relayed_heartbeat("hearth-1", [1, 2])
     known.on_relayed_heartbeat("hearth-1", None)
-    assert known.newest_format_of("hearth-1") == 2
+    assert known.get_newest_format("hearth-1") == 2
 
 
 def test_what_all_read_is_what_every_configured_member_reads() -> None:
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -18,7 +18,7 @@
 
 import msgspec
 
-from flaxtally.api.sharding import shard_owner
+from flaxtally.api.sharding import find_shard_owner
 from flaxtally.cells.directory import Directory, Entry
 from flaxtally.cells.map import Cell, CellIndex, CellMap
 from flaxtally.cells.shares import Amount, TeamShares, equal_shares
@@ -125,7 +125,7 @@
 
     def act() -> None:
         for name in machines:
-            shard_owner(name, "zone-1", names, {})
+            find_shard_owner(name, "zone-1", names, {})
 
     return act
 
