--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -17,7 +17,7 @@
 from ..protocol.workers import encode_batch, fencing_token_of
 from ..runtime.actor import Actor
 from .command_deduplicator import CommandDeduplicator
-from .sharding import zones_of_controllers
+from .sharding import map_controllers_to_zones
 
 if TYPE_CHECKING:
     from ..clients.workers import Workers
@@ -42,7 +42,7 @@
 """Of the time-out of a call to a worker, until the controller that was asked must have answered."""
 
 
-class _RelayedCommand(NamedTuple):
+class _PendingCommand(NamedTuple):
     """A batch of commands that another controller was asked to send."""
 
     controller: str
@@ -66,14 +66,14 @@
         """`workers`: the client by which this controller calls workers itself."""
         super().__init__(runtime)
         self._node = settings.node
-        self._zone_by_controller = zones_of_controllers(settings)
+        self._zone_by_controller = map_controllers_to_zones(settings)
         self._reply_timeout_s = policy.order_call * RELAY_TIMEOUT_FACTOR
         self._election = election
         self._peers = peers
         self._workers = workers
         self._heartbeats = heartbeats
         self._numbers = itertools.count(election.incarnation)
-        self._relayed: dict[int, _RelayedCommand] = {}
+        self._pending: dict[int, _PendingCommand] = {}
         """By number."""
         self._deduplicators: dict[str, CommandDeduplicator] = {}
         """By leader, for the present term: within it a leader has one life, and numbers rise."""
@@ -102,7 +102,7 @@
         encoded = encode_batch(batch) if batch is not None else None
         number = next(self._numbers)
         timer = self.later(self._reply_timeout_s, self._on_reply_timeout, number)
-        self._relayed[number] = _RelayedCommand(server, on_reply, timer)
+        self._pending[number] = _PendingCommand(server, on_reply, timer)
         command = RelayedCommand(number=number, machine=machine, address=address, commands=encoded)
         self._peers.send(server, to_frame(command))
 
@@ -121,17 +121,17 @@
 
     def handle_result(self, sender: str, result: RelayedCommandResult) -> None:
         """The answer of a controller that was asked to send commands."""
-        relayed = self._relayed.get(result.number)
-        if relayed is None or relayed.controller != sender:
+        pending = self._pending.get(result.number)
+        if pending is None or pending.controller != sender:
             return
-        del self._relayed[result.number]
-        relayed.timer.cancel()
-        relayed.on_reply(result.status, result.body)
+        del self._pending[result.number]
+        pending.timer.cancel()
+        pending.on_reply(result.status, result.body)
 
     def _on_reply_timeout(self, number: int) -> None:
-        relayed = self._relayed.pop(number, None)
-        if relayed is not None:
-            relayed.on_reply(NO_REPLY, b"")
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            pending.on_reply(NO_REPLY, b"")
 
     # At the controller that is asked
 
@@ -140,7 +140,7 @@
 
         Late ones are harmless: they name the fencing token and the worker's incarnation.
         """
-        if command.commands is not None and not self._is_due(
+        if command.commands is not None and not self._should_execute(
             sender, command.commands, command.number
         ):
             return
@@ -156,7 +156,7 @@
 
         self._call_worker(command.address, command.commands, on_reply)
 
-    def _is_due(self, sender: str, encoded: EncodedBatch, number: int) -> bool:
+    def _should_execute(self, sender: str, encoded: EncodedBatch, number: int) -> bool:
         """Whether the commands are of the present term and come for the first time."""
         term = self._election.term
         if fencing_token_of(encoded) != term:
--- a/flaxtally/api/expiry.py
+++ b/flaxtally/api/expiry.py
@@ -11,7 +11,7 @@
 
     from ..runtime.loop import Runtime
 
-KEPT_LEASES = 4
+RETENTION_LEASES = 4
 """Entries are kept for so many leases: longer than any of them is looked at."""
 
 
@@ -33,6 +33,6 @@
         self.every(lease_s, self._expire)
 
     def _expire(self) -> None:
-        before = self.runtime.now() - KEPT_LEASES * self._lease_s
+        before = self.runtime.now() - RETENTION_LEASES * self._lease_s
         for table in self._tables:
             table.expire(before)
--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -87,7 +87,7 @@
             log.warning("malformed heartbeat of a worker: %s", error)
             request.reply(BAD_REQUEST, {"error": "not a report"})
             return
-        refusal = self._refuse(heartbeat)
+        refusal = self._decide_refusal(heartbeat)
         if refusal is not None:
             request.reply(refusal.status, refusal.body)
             return
@@ -99,7 +99,7 @@
         elif election.leader is not None:
             self._forwarding.forward(heartbeat, request.body)
 
-    def _refuse(self, heartbeat: wire.Heartbeat) -> _Reply | None:
+    def _decide_refusal(self, heartbeat: wire.Heartbeat) -> _Reply | None:
         """The reply to a heartbeat that is not passed to the leader; None if it is to be."""
         cell_redirect = self._cells.redirect_to_cell(heartbeat) if self._cells is not None else None
         if cell_redirect is not None:
@@ -116,14 +116,14 @@
             return _Reply(MISDIRECTED, wire.Redirect(None))
         if election.term == 0 or election.seconds_since_leader_contact > self._unattended_s:
             return _Reply(UNAVAILABLE, None)
-        owner = self._redirects.owner_to_redirect_to(heartbeat, now)
+        owner = self._redirects.find_redirect_target(heartbeat, now)
         if owner is not None:
             return _Reply(MISDIRECTED, wire.Redirect(owner))
         return None
 
     def handle_forwarded_heartbeat(self, sender: str, message: ForwardedHeartbeat) -> None:
         """A heartbeat that another controller accepted."""
-        if not self._leads_term(message.term):
+        if not self._is_leading_term(message.term):
             return
         try:
             heartbeat = decode_report(message.heartbeat)
@@ -135,8 +135,8 @@
 
     def handle_liveness(self, sender: str, message: MachinesAlive) -> None:
         """The machines that reported to another controller lately: alive, and no more is known."""
-        if self._leads_term(message.term):
+        if self._is_leading_term(message.term):
             self._leader.handle_liveness(sender, message.machines)
 
-    def _leads_term(self, term: int) -> bool:
+    def _is_leading_term(self, term: int) -> bool:
         return self._election.is_leader and term == self._election.term
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -29,11 +29,11 @@
     from ..settings import Settings
 
 DIGEST_BYTES = 8
-BYTES_PER_NAME = 16
+VALUE_BYTES_PER_NAME = 16
 """Of a value for each name of a list: names compress to a third of that."""
 
 
-def digest_of(heartbeat: wire.Heartbeat) -> bytes:
+def compute_digest(heartbeat: wire.Heartbeat) -> bytes:
     """Equal for heartbeats that differ in nothing but their sequence number."""
     content = msgspec.msgpack.encode(msgspec.structs.replace(heartbeat, sequence_number=0))
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
@@ -58,16 +58,16 @@
         policy: Policy,
         election: LeaderElection,
         peers: PeerLinks,
-        members: FormatNegotiation,
+        member_formats: FormatNegotiation,
     ) -> None:
-        """`members`: tells whether the leader's program knows lists of live machines."""
+        """`member_formats`: tells whether the leader's program knows lists of live machines."""
         super().__init__(runtime)
         self._election = election
         self._peers = peers
-        self._members = members
+        self._member_formats = member_formats
         self._max_age_s = settings.lease_s / 2
         """After this time an unchanged heartbeat goes whole again."""
-        self._max_names = settings.state_limits.value_bytes // BYTES_PER_NAME
+        self._max_names = settings.state_limits.value_bytes // VALUE_BYTES_PER_NAME
         """In one list, which shares a value of the state service with other frames."""
         self._forwarded: dict[str, _ForwardedHeartbeat] = {}
         self._unlisted: dict[str, None] = {}
@@ -78,17 +78,17 @@
         """Forwards a heartbeat, whose bytes are `body`, to the leader that is followed."""
         if not self._uses_store_relay():
             self._forwarded.pop(heartbeat.machine, None)
-            self._send_whole(heartbeat, body)
+            self._send_heartbeat(heartbeat, body)
             return
         self._unlisted[heartbeat.machine] = None
         now = self.runtime.now()
         term = self._election.term
-        digest = digest_of(heartbeat)
+        digest = compute_digest(heartbeat)
         last = self._forwarded.get(heartbeat.machine)
         is_unchanged = last is not None and last.term == term and last.digest == digest
         if last is None or not is_unchanged or now - last.sent_at > self._max_age_s:
             self._forwarded[heartbeat.machine] = _ForwardedHeartbeat(term, digest, now)
-            self._send_whole(heartbeat, body)
+            self._send_heartbeat(heartbeat, body)
 
     def expire(self, before: float) -> None:
         """Drops what was forwarded before that time."""
@@ -102,8 +102,8 @@
         return (
             leader is not None
             and not self._election.is_leader
-            and self._peers.is_silent(leader)
-            and self._members.get_newest_format(leader) >= formats.GANGS
+            and self._peers.is_link_down(leader)
+            and self._member_formats.get_newest_format(leader) >= formats.GANGS
         )
 
     def _send_liveness(self) -> None:
@@ -118,7 +118,7 @@
             message = MachinesAlive(term=self._election.term, machines=sorted(names))
             self._peers.send(leader, to_frame(message))
 
-    def _send_whole(self, heartbeat: wire.Heartbeat, body: bytes) -> None:
+    def _send_heartbeat(self, heartbeat: wire.Heartbeat, body: bytes) -> None:
         message = ForwardedHeartbeat(
             term=self._election.term, machine=heartbeat.machine, heartbeat=body
         )
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -52,11 +52,11 @@
         if path == wire.BEAT:
             self._require_method("POST", request, self._heartbeats.handle_heartbeat)
         elif path == wire.UP:
-            self._require_method("GET", request, self._answer_availability)
+            self._require_method("GET", request, self._reply_with_availability)
         elif path == wire.WORK:
             self._require_method("POST", request, self._submit)
         elif path == wire.LOANS:
-            self._require_method("GET", request, self._answer_loans)
+            self._require_method("GET", request, self._reply_with_loans)
         elif path.startswith(JOB_PREFIX):
             self._handle_job_request(request, path[len(JOB_PREFIX) :])
         else:
@@ -79,13 +79,13 @@
             request.reply(METHOD_NOT_ALLOWED, {"error": f"only {method}"})
 
     def _route_to_job(self, kind: RequestKind, ref: str) -> Callable[[Request], None]:
-        return lambda request: self._route(kind, ref, _reply_to(request))
+        return lambda request: self._route(kind, ref, _make_reply_callback(request))
 
-    def _answer_availability(self, request: Request) -> None:
+    def _reply_with_availability(self, request: Request) -> None:
         request.reply(OK if self._election.is_available else UNAVAILABLE)
 
-    def _answer_loans(self, request: Request) -> None:
-        self._requests.forward_to_leader(RequestKind.LOANS, "", _reply_to(request))
+    def _reply_with_loans(self, request: Request) -> None:
+        self._requests.forward_to_leader(RequestKind.LOANS, "", _make_reply_callback(request))
 
     # Submissions
 
@@ -93,39 +93,39 @@
         try:
             spec = wire.parse_submission(request.body)
         except wire.InvalidSubmissionError as error:
-            self._answer_malformed_submission(request, str(error))
+            self._handle_malformed_submission(request, str(error))
             return
-        on_reply = _reply_to(request)
-        if spec.job_kind == wire.GANG and not self._does_leader_know_gangs():
+        on_reply = _make_reply_callback(request)
+        if spec.job_kind == wire.GANG and not self._can_leader_place_gangs():
             on_reply(UNAVAILABLE, None)
             return
         self._route(RequestKind.SUBMIT, request.body, on_reply)
 
-    def _does_leader_know_gangs(self) -> bool:
+    def _can_leader_place_gangs(self) -> bool:
         """A leader of an older version would place a gang task by task."""
         if self._election.is_leader:
             return True
         leader = self._election.leader
         return leader is not None and self._formats.get_newest_format(leader) >= formats.GANGS
 
-    def _answer_malformed_submission(self, request: Request, error: str) -> None:
+    def _handle_malformed_submission(self, request: Request, error: str) -> None:
         """A known job's submission is answered with its state, whatever its body has become."""
-        ref = _ref_in(request.body)
+        ref = _extract_job_id(request.body)
         if ref is None:
             request.reply(BAD_REQUEST, {"error": error})
             return
-        answer_user = _reply_to(request)
+        reply_to_user = _make_reply_callback(request)
 
         def on_reply(status: int, state: Any) -> None:
             if status == NOT_FOUND:
                 request.reply(BAD_REQUEST, {"error": error})
             else:
-                answer_user(status, state)
+                reply_to_user(status, state)
 
         self._route(RequestKind.POLL, ref, on_reply)
 
 
-def _reply_to(request: Request) -> OnReply:
+def _make_reply_callback(request: Request) -> OnReply:
     """A callback that answers the user's request."""
 
     def on_reply(status: int, body: Any) -> None:
@@ -137,7 +137,7 @@
     return on_reply
 
 
-def _ref_in(submission: bytes) -> str | None:
+def _extract_job_id(submission: bytes) -> str | None:
     """The job's id in a submission that is otherwise malformed."""
     try:
         body = msgspec.msgpack.decode(submission)
--- a/flaxtally/api/leader_requests.py
+++ b/flaxtally/api/leader_requests.py
@@ -124,10 +124,8 @@
         """Sends requests that went to a leader of an earlier term to the present one."""
         served_term = self._election.served_term
         if served_term:
-            overtaken = [
-                request for request in self._pending.values() if request.term < served_term
-            ]
-            for request in overtaken:
+            outdated = [request for request in self._pending.values() if request.term < served_term]
+            for request in outdated:
                 self._send(request)
 
     def _on_timeout(self, request: _PendingRequest) -> None:
--- a/flaxtally/api/recent_heartbeats.py
+++ b/flaxtally/api/recent_heartbeats.py
@@ -30,7 +30,7 @@
             now = self._runtime.now()
             self._received[heartbeat.machine] = _ReceivedHeartbeat(now, heartbeat)
 
-    def newest_of(self, machine: str) -> wire.Heartbeat | None:
+    def get_newest(self, machine: str) -> wire.Heartbeat | None:
         """The newest heartbeat of the machine that is still kept."""
         known = self._received.get(machine)
         return known.heartbeat if known is not None else None
--- a/flaxtally/api/shard_redirects.py
+++ b/flaxtally/api/shard_redirects.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from .sharding import find_shard_owner, zones_of_controllers
+from .sharding import find_shard_owner, map_controllers_to_zones
 
 if TYPE_CHECKING:
     from ..cluster.leader_election import LeaderElection
@@ -12,7 +12,7 @@
     from ..protocol import wire
     from ..settings import Settings
 
-BOUNCE_LEASES = 3
+FAILED_REDIRECT_LEASES = 3
 """A machine that came back from a redirect is answered here for so many leases."""
 NEVER = float("-inf")
 
@@ -26,29 +26,29 @@
         self._lease_s = settings.lease_s
         self._election = election
         self._peers = peers
-        self._zone_by_controller = zones_of_controllers(settings)
-        self._owners: dict[str, str | None] = {}
-        """By machine, for the live members in `_owners_members`."""
-        self._owners_members: list[str] = []
+        self._zone_by_controller = map_controllers_to_zones(settings)
+        self._owner_cache: dict[str, str | None] = {}
+        """By machine, for the live members in `_owner_cache_members`."""
+        self._owner_cache_members: list[str] = []
         self._redirected_at: dict[str, float] = {}
-        self._bounced_at: dict[str, float] = {}
+        self._returned_at: dict[str, float] = {}
         """When a machine last reported here although it had just been redirected."""
         self._reported_at: dict[str, float] = {}
         """When a machine of another controller's shard last reported here."""
 
-    def owner_to_redirect_to(self, heartbeat: wire.Heartbeat, now: float) -> str | None:
+    def find_redirect_target(self, heartbeat: wire.Heartbeat, now: float) -> str | None:
         """The controller that the machine is to report to instead; None: it is answered here."""
         machine = heartbeat.machine
-        owner = self._owner_of(machine, heartbeat.zone)
+        owner = self._find_owner(machine, heartbeat.zone)
         if owner is None or owner == self._node or not self._peers.is_directly_reachable(owner):
             return None
         if now - self._redirected_at.get(machine, NEVER) < self._lease_s:
             # Redirected and back again: evidently it can't reach its owner.
-            self._bounced_at[machine] = now
-        reported_lately = now - self._reported_at.get(machine, NEVER) < self._lease_s / 2
+            self._returned_at[machine] = now
+        has_reported_recently = now - self._reported_at.get(machine, NEVER) < self._lease_s / 2
         self._reported_at[machine] = now
-        bounce_age_s = now - self._bounced_at.get(machine, NEVER)
-        if not reported_lately or bounce_age_s <= BOUNCE_LEASES * self._lease_s:
+        return_age_s = now - self._returned_at.get(machine, NEVER)
+        if not has_reported_recently or return_age_s <= FAILED_REDIRECT_LEASES * self._lease_s:
             # Never at its first heartbeat here: it may come from an owner that does not answer it
             # (cut off from workers alone, or standing still), and that took half of its lease.
             return None
@@ -57,21 +57,21 @@
 
     def expire(self, before: float) -> None:
         """Drops what happened before that time."""
-        self._redirected_at = _newer_than(before, self._redirected_at)
-        self._bounced_at = _newer_than(before, self._bounced_at)
-        self._reported_at = _newer_than(before, self._reported_at)
+        self._redirected_at = _drop_older_than(before, self._redirected_at)
+        self._returned_at = _drop_older_than(before, self._returned_at)
+        self._reported_at = _drop_older_than(before, self._reported_at)
 
-    def _owner_of(self, machine: str, zone: str) -> str | None:
+    def _find_owner(self, machine: str, zone: str) -> str | None:
         members = self._election.live_members
-        if members != self._owners_members:
-            self._owners = {}
-            self._owners_members = list(members)
-        if machine not in self._owners:
-            self._owners[machine] = find_shard_owner(
+        if members != self._owner_cache_members:
+            self._owner_cache = {}
+            self._owner_cache_members = list(members)
+        if machine not in self._owner_cache:
+            self._owner_cache[machine] = find_shard_owner(
                 machine, zone, members, self._zone_by_controller
             )
-        return self._owners[machine]
+        return self._owner_cache[machine]
 
 
-def _newer_than(before: float, times: dict[str, float]) -> dict[str, float]:
+def _drop_older_than(before: float, times: dict[str, float]) -> dict[str, float]:
     return {machine: at for machine, at in times.items() if at > before}
--- a/flaxtally/api/sharding.py
+++ b/flaxtally/api/sharding.py
@@ -33,7 +33,7 @@
     )
 
 
-def zones_of_controllers(settings: Settings) -> dict[str, str]:
+def map_controllers_to_zones(settings: Settings) -> dict[str, str]:
     """The zone of each controller, this one included."""
     zones = {settings.node: settings.zone}
     zones.update({name: zone for name, (zone, _) in settings.peers.items()})
--- a/flaxtally/cluster/candidacy.py
+++ b/flaxtally/cluster/candidacy.py
@@ -1,4 +1,4 @@
-"""A controller's candidacy: when it campaigns, and the campaign for the leader key itself."""
+"""Decides when this controller campaigns for leadership, and writes the leader key."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..runtime.actor import Actor
-from .candidacy_rules import CandidacyAction, LostLeader, decide_candidacy
+from .candidacy_rules import CandidacyAction, UnreachableLeader, decide_candidacy
 from .election_state import ElectionState, TransitionReason
 from .leader_key import LEADER_KEY, LeaderKeyReader, LeaderRecord
 from .leader_lease import LEADER_LEASE_PREFIX, is_leader_lease_held
@@ -23,17 +23,17 @@
     from .leader_observation import LeaderObservation
     from .peer_links import PeerLinks
 
-STORE_CONTACT_PROBES = 2.2
-"""The key-value store counts as reachable for so many probe periods after its last answer."""
+STORE_CONTACT_PROBE_PERIODS = 2.2
+"""Probe periods after its last reply during which the key-value store counts as reachable."""
 
 
 @dataclass(frozen=True)
 class ElectionContext:
-    """What the parts of the election share."""
+    """The collaborators and settings that the components of the election share."""
 
     node: str
     incarnation_id: str
-    """Of this process; a restarted controller has another."""
+    """Identifies this process; a restarted controller has another one."""
     policy: Policy
     store: KeyValueStore
     peers: PeerLinks
@@ -43,12 +43,12 @@
     leader_key: LeaderKeyReader
 
     def is_store_reachable(self, now: float) -> bool:
-        """Whether the key-value store answered lately."""
-        return now - self.store.last_contact_at < STORE_CONTACT_PROBES * self.policy.probe
+        """Whether the key-value store replied within the last probe periods."""
+        return now - self.store.last_contact_at < STORE_CONTACT_PROBE_PERIODS * self.policy.probe
 
 
 class Candidacy(Actor):
-    """Owns the campaigns of this controller, one at a time."""
+    """Runs the campaigns of this controller, one at a time."""
 
     def __init__(
         self,
@@ -57,9 +57,9 @@
         on_won: Callable[[int, int], None],
         refresh_leader_key: Callable[[], None],
     ) -> None:
-        """`on_won` gets the term that was won, and the leader key's version.
+        """`on_won` gets the term that was won and the leader key's version.
 
-        `refresh_leader_key` has the key read anew.
+        `refresh_leader_key` starts another read of the key.
         """
         super().__init__(runtime)
         self._node = context.node
@@ -76,25 +76,27 @@
         self._refresh_leader_key = refresh_leader_key
         self._started_at = runtime.now()
         self._is_campaign_pending = False
-        """A campaign's delay runs, or its write is not answered yet."""
+        """A campaign waits for its delay to end, or for the reply to its write."""
         self._is_checking_lease = False
         self._attempt = 0
-        """Numbers the attempts at a takeover: one that a pause fell into is judged anew."""
+        """Number of the current takeover attempt. A process pause raises it, so that callbacks of
+        attempts from before the pause are recognized as outdated.
+        """
         self._is_ineligible = False
-        """The ledger is of a format that this program does not read: it must not lead."""
+        """The ledger has a format that this program can't read: it must not lead."""
 
     def on_pause(self) -> None:
-        """The process stood still: pending attempts are outdated, and so is the leader key."""
+        """Invalidates pending attempts and the leader key as last read, after a process pause."""
         self._attempt += 1
         self._leader_key.mark_outdated()
         self._end_campaign(TransitionReason.PROCESS_PAUSED)
 
-    def forbid(self) -> None:
-        """This controller never campaigns again."""
+    def disable(self) -> None:
+        """Prevents all further campaigns of this controller."""
         self._is_ineligible = True
 
     def evaluate(self) -> None:
-        """Campaigns when the leader is lost, and no peer that we hear can still see it."""
+        """Campaigns if neither this controller nor a peer that it reaches can see a leader."""
         if (
             self._state.is_leader
             or self._is_campaign_pending
@@ -110,17 +112,17 @@
             self._schedule_campaign(delay_s, TransitionReason.NO_LEADER_YET)
         elif self._leader_key.names_earlier_incarnation:
             self._schedule_campaign(0.0, TransitionReason.OWN_EARLIER_INCARNATION)
-        elif self._is_leader_lost():
-            self._consider_succession()
+        elif self._is_leader_unreachable():
+            self._evaluate_takeover()
         else:
-            self._observation.lost_since = None
+            self._observation.unreachable_since = None
 
-    def _is_leader_lost(self) -> bool:
+    def _is_leader_unreachable(self) -> bool:
         running_s = self.runtime.now() - self._started_at
         return not self._observation.can_see_leader() and running_s > self._policy.peer_silence
 
-    def _consider_succession(self) -> None:
-        decision = decide_candidacy(self._assess_lost_leader(), self._policy)
+    def _evaluate_takeover(self) -> None:
+        decision = decide_candidacy(self._assess_unreachable_leader(), self._policy)
         if decision.action is CandidacyAction.WAIT:
             self.later(decision.retry_in_s, self.evaluate)
         elif decision.action is CandidacyAction.CAMPAIGN:
@@ -129,26 +131,26 @@
         else:
             self._check_lease()
 
-    def _assess_lost_leader(self) -> LostLeader:
+    def _assess_unreachable_leader(self) -> UnreachableLeader:
         peers, leader = self._peers, self._state.leader
         others = [
             peer
             for peer in peers.last_heard_at
             if peer != leader and peers.is_reachable(peer) and not peers.refuses_connections(peer)
         ]
-        return LostLeader(
-            lost_for_s=self._observation.measure_lost_s(self.runtime.now()),
+        return UnreachableLeader(
+            unreachable_for_s=self._observation.measure_unreachable_s(self.runtime.now()),
             rank=sorted([self._node, *others]).index(self._node),
             is_alone=not others,
             refuses_connections=leader is not None and peers.refuses_connections(leader),
             is_seen_by_peer=self._observation.is_seen_by_any(others),
         )
 
-    # The lease of a leader that is lost to us
+    # The lease of an unreachable leader
 
     def _check_lease(self) -> None:
-        # A leader that has just begun, on a slow processor, is replaying the ledger and may have no
-        # lease yet.
+        # On a slow processor, a new leader may still be replaying the ledger and not hold a lease
+        # yet.
         replaced_for_s = self.runtime.now() - self._observation.replaced_at
         if self._is_checking_lease or replaced_for_s <= self._policy.lease_patience:
             return
@@ -182,15 +184,16 @@
             {LEADER_KEY: self._leader_key.version},
             {LEADER_KEY: record.to_value()},
             [],
-            partial(self._on_campaign_answered, attempt, record.term),
+            partial(self._on_campaign_reply, attempt, record.term),
             first=True,
         )
 
-    def _on_campaign_answered(
+    def _on_campaign_reply(
         self, attempt: int, term: int, outcome: Outcome, key_version: int
     ) -> None:
         if attempt != self._attempt:
-            # Somebody may have taken over since. The key tells, also whether it names us.
+            # Another controller may have taken over since. The leader key shows who leads, and also
+            # whether this write succeeded.
             self._refresh_leader_key()
             return
         if outcome is Outcome.COMMITTED and term > self._state.term:
--- a/flaxtally/cluster/candidacy_rules.py
+++ b/flaxtally/cluster/candidacy_rules.py
@@ -1,7 +1,7 @@
-"""Whether a controller that can't see the leader should campaign now.
+"""Decides whether a controller that can't reach the leader should campaign now.
 
-A takeover that comes too early costs work, never safety: the leader key's version guards every
-write. So these rules are only about when it is worth it.
+A premature takeover costs work but never safety, because every write is guarded by the leader key's
+version. These rules therefore only weigh the cost of a takeover against that of waiting.
 """
 
 from __future__ import annotations
@@ -15,51 +15,52 @@
 
 
 class CandidacyAction(enum.Enum):
-    """What to do about a lost leader."""
+    """What to do about an unreachable leader."""
 
     WAIT = "wait"
     CAMPAIGN = "campaign"
     CHECK_LEASE = "check_lease"
-    """The leader's lease at the key-value store decides."""
+    """Read the leader's lease at the key-value store, and campaign if it has expired."""
 
 
 @dataclass(frozen=True)
 class CandidacyDecision:
-    """An action, and for `WAIT` when to evaluate again."""
+    """An action, and for `WAIT` the delay until the next evaluation."""
 
     action: CandidacyAction
     retry_in_s: float = 0.0
 
 
 @dataclass(frozen=True)
-class LostLeader:
-    """The situation of a controller that can't see the leader."""
+class UnreachableLeader:
+    """What a controller that can't reach the leader knows about it and about its peers."""
 
-    lost_for_s: float
+    unreachable_for_s: float
     rank: int
-    """Of this controller, by name, among those that could campaign."""
+    """Position of this controller, by name, among the controllers that could campaign; from 0."""
     is_alone: bool
-    """No other controller can be reached but, perhaps, the leader."""
+    """No controller other than, possibly, the leader can be reached."""
     refuses_connections: bool
-    """The leader's address refuses connections: its process is likely dead."""
+    """The leader's address refuses connections, so its process is probably dead."""
     is_seen_by_peer: bool
-    """A reachable peer can see the leader."""
+    """A reachable peer reports that it can reach the leader."""
 
 
-def decide_candidacy(leader: LostLeader, policy: Policy) -> CandidacyDecision:
-    """Staggers the candidates by rank, then campaigns, or has the leader's lease checked."""
+def decide_candidacy(leader: UnreachableLeader, policy: Policy) -> CandidacyDecision:
+    """Waits for a time that depends on the rank, then campaigns or checks the leader's lease."""
     stagger_s = policy.heartbeat * (0.25 + leader.rank)
-    if leader.lost_for_s < stagger_s:
+    if leader.unreachable_for_s < stagger_s:
         return CandidacyDecision(CandidacyAction.WAIT, stagger_s)
     if (
         leader.is_alone
         and leader.refuses_connections
-        and leader.lost_for_s < policy.refused_patience
+        and leader.unreachable_for_s < policy.refused_patience
     ):
-        # All others refuse connections: they died together, or a filter stands between us. In the
-        # second case the frames of a live leader will come through the store relay.
+        # All other controllers refuse connections: either they died together, or a packet filter
+        # rejects the connections. In the second case the frames of a live leader arrive through the
+        # store relay.
         return CandidacyDecision(CandidacyAction.WAIT, policy.heartbeat)
     if (leader.refuses_connections or not leader.is_alone) and not leader.is_seen_by_peer:
         return CandidacyDecision(CandidacyAction.CAMPAIGN)
-    # Alone, or the peers disagree.
+    # No peer can confirm that the leader is dead, or a peer still sees it.
     return CandidacyDecision(CandidacyAction.CHECK_LEASE)
--- a/flaxtally/cluster/election_state.py
+++ b/flaxtally/cluster/election_state.py
@@ -1,4 +1,4 @@
-"""The states of a controller in the election, and the reasons for its transitions.
+"""The states of a controller in the leader election, and the reasons for its transitions.
 
 FOLLOWER ──leader lost──> CANDIDATE ──leader key written──> LEADER
    ^                          │                                │
@@ -15,11 +15,11 @@
 
 
 class Role(enum.Enum):
-    """What a controller is in the present term."""
+    """The role of a controller in the current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
-    """It is about to write the leader key, or waits for the answer."""
+    """The controller is about to write the leader key, or waits for the reply."""
     LEADER = "leader"
 
 
@@ -29,16 +29,16 @@
     NO_LEADER_YET = "no_leader_yet"
     """The leader key does not exist."""
     OWN_EARLIER_INCARNATION = "own_earlier_incarnation"
-    """The leader key names this controller, whose process was restarted since."""
+    """The leader key names this controller, whose process has been restarted since."""
     LEADER_UNREACHABLE = "leader_unreachable"
-    """Neither this controller nor any peer that it hears can see the leader."""
+    """Neither this controller nor any peer that it can reach sees the leader."""
     LEADER_LEASE_EXPIRED = "leader_lease_expired"
     CAMPAIGN_WON = "campaign_won"
     CAMPAIGN_FOUND_WON = "campaign_found_won"
-    """The answer to the write was lost; the leader key names this incarnation."""
+    """The reply to the write was lost, but the leader key names this incarnation."""
     CAMPAIGN_LOST = "campaign_lost"
     CAMPAIGN_OUTDATED = "campaign_outdated"
-    """The leader key was read anew, or must be, before the campaign began."""
+    """The leader key changed, or may have changed, before the campaign wrote it."""
     NEWER_TERM_HEARD = "newer_term_heard"
     """A peer's heartbeat names a leader of a higher term."""
     NEWER_TERM_STORED = "newer_term_stored"
@@ -46,36 +46,36 @@
     GUARDED_WRITE_FAILED = "guarded_write_failed"
     """A write guarded by the leader key's version failed."""
     LEDGER_UNREADABLE = "ledger_unreadable"
-    """The ledger is of a format that this program does not read."""
+    """The ledger has a format that this program can't read."""
     PROCESS_PAUSED = "process_paused"
 
 
 class ElectionState:
-    """The state machine: this controller's role, and its belief about term and leader."""
+    """The state machine: this controller's role, and the term and leader that it knows of."""
 
     def __init__(self, node: str) -> None:
-        """A follower of nobody."""
+        """Starts as a follower without a known leader."""
         self._node = node
         self.role = Role.FOLLOWER
         self.term = 0
-        """The newest term that is known to have, or to have had, a leader; 0 for none."""
+        """The newest term known to have, or to have had, a leader; 0 if none is known."""
         self.leader: str | None = None
-        """Of the term; None: not known, or known to be replaced."""
+        """The leader of `term`; None if it is not known, or known to have been replaced."""
         self.is_ready = False
-        """This controller leads, and serves requests."""
+        """This controller leads and serves requests."""
         self.last_led_term = 0
-        """The last term that this incarnation has led. One that it gave up it never takes up again:
-        launches of it may still be on their way under the same fencing token, so a heartbeat that
-        lacks one would prove nothing.
+        """The last term that this incarnation has led. It never leads a term again after stepping
+        down from it: launches of that term may still be in transit under the same fencing token, so
+        a heartbeat that lacks such a task would not prove that it isn't running.
         """
 
     @property
     def is_leader(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller believes that it leads."""
         return self.role is Role.LEADER
 
     def follow(self, term: int, leader: str, reason: TransitionReason) -> None:
-        """Any state to follower, of the term's leader."""
+        """Changes any role to follower of the term's leader."""
         log.info(
             "event=following_leader node=%s term=%d leader=%s reason=%s",
             self._node,
@@ -89,19 +89,19 @@
         self.is_ready = False
 
     def become_candidate(self, reason: TransitionReason) -> None:
-        """Follower to candidate for the next term; other roles stay."""
+        """Changes a follower to a candidate for the next term; other roles stay."""
         if self.role is Role.FOLLOWER:
             self._log("event=candidacy_begun", self.term + 1, reason)
             self.role = Role.CANDIDATE
 
     def end_candidacy(self, reason: TransitionReason) -> None:
-        """Candidate to follower; other roles stay."""
+        """Changes a candidate to a follower; other roles stay."""
         if self.role is Role.CANDIDATE:
             self._log("event=candidacy_ended", self.term + 1, reason)
             self.role = Role.FOLLOWER
 
     def become_leader(self, term: int, reason: TransitionReason) -> None:
-        """Any state to leader; it serves requests only after `mark_ready`."""
+        """Changes any role to leader; it serves requests only after `mark_ready`."""
         self._log("event=leader_elected", term, reason)
         self.role = Role.LEADER
         self.term = term
@@ -110,11 +110,11 @@
         self.last_led_term = term
 
     def mark_ready(self) -> None:
-        """The leader serves requests from now on."""
+        """Records that the leader serves requests from now on."""
         self.is_ready = True
 
     def step_down(self, reason: TransitionReason) -> None:
-        """Leader to follower, of whom is not known."""
+        """Changes the leader to a follower without a known leader."""
         self._log("event=leader_stepped_down", self.term, reason)
         self.role = Role.FOLLOWER
         self.leader = None
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -1,12 +1,12 @@
-"""Negotiates the format: which ones the configured controllers read, and on what evidence.
+"""Negotiates the data format: tracks which formats each configured controller can read.
 
-A controller states its range in the first frame of each connection that it dials, and in the
-heartbeats that are relayed through the key-value store while no connection works. The newest
-connection speaks for its process: what an older one still delivers is a late copy and proves
-nothing. Relayed heartbeats can only raise what is known, since a batch may be some seconds old.
+A controller announces its range of formats in the first frame of each connection that it dials, and
+in the heartbeats that are relayed through the key-value store while no connection works. Only the
+newest connection of a peer counts: frames that an older one still delivers are late copies. Relayed
+heartbeats can only raise the known format, since a batch may be some seconds old.
 
-The leader stores what it knows of the others (`formats`, guarded by the leader key), so that a
-member that is down does not have to be heard again by the next leader.
+The leader stores the formats of its peers (key `formats`, guarded by the leader key), so that the
+next leader knows them also for members that are down.
 """
 
 from __future__ import annotations
@@ -32,40 +32,40 @@
 
 
 class FormatNegotiation(Actor):
-    """Owns the evidence on the formats of this controller's peers."""
+    """Tracks the formats that this controller's peers can read."""
 
     def __init__(
         self, runtime: Runtime, peers: Iterable[str], store: KeyValueStore, retry_s: float
     ) -> None:
-        """`retry_s`: between two tries to store the evidence."""
+        """`retry_s`: the delay between two attempts to store the known formats."""
         super().__init__(runtime)
         self._peers = sorted(peers)
         self._store = store
         self._retry_s = retry_s
         self._stated_ranges: dict[str, FormatRange] = {}
-        """What peers stated to this process."""
+        """The range that each peer announced to this process."""
         self._newest_connections: dict[str, int] = {}
-        """The newest connection of each peer, by the order in which they were accepted."""
+        """The number of each peer's newest connection; connections are numbered as accepted."""
         self._stored_formats: dict[str, int] = {}
-        """The newest format of each peer, as stored."""
+        """The newest format of each peer, as stored in the formats key."""
         self._key_version: int | None = None
-        """Of the formats key; None: it must be read before it can be written."""
+        """Version of the formats key; None if the key must be read before it can be written."""
         self._leader_key_version: int | None = None
-        """Of the leader key, while this controller leads."""
+        """Version of the leader key while this controller leads; None otherwise."""
         self._is_call_pending = False
 
-    # Evidence
+    # Announced formats
 
-    def on_hello(self, peer: str, connection: int, stated: Any) -> None:
-        """A peer's first frame on a connection; later connections have higher numbers."""
+    def on_hello(self, peer: str, connection: int, stated_formats: Any) -> None:
+        """Handles a peer's first frame on a connection; later connections have higher numbers."""
         if connection < self._newest_connections.get(peer, -1):
             return
         self._newest_connections[peer] = connection
-        self._record_range(peer, formats.parse_range(stated))
+        self._record_range(peer, formats.parse_range(stated_formats))
 
-    def on_relayed_heartbeat(self, peer: str, stated: Any) -> None:
-        """A peer's heartbeat that came through the key-value store."""
-        stated_range = formats.parse_range(stated)
+    def on_relayed_heartbeat(self, peer: str, stated_formats: Any) -> None:
+        """Handles a peer's heartbeat that was relayed through the key-value store."""
+        stated_range = formats.parse_range(stated_formats)
         if stated_range.newest > self.get_newest_format(peer):
             self._record_range(peer, stated_range)
 
@@ -76,7 +76,7 @@
             self._store_evidence()
 
     def get_newest_format(self, peer: str) -> int:
-        """The newest format that the peer is known to read."""
+        """Returns the newest format that the peer is known to read."""
         stated_range = self._stated_ranges.get(peer)
         if stated_range is not None:
             return stated_range.newest
@@ -90,13 +90,13 @@
     # The formats key
 
     def begin_term(self, leader_key_version: int) -> None:
-        """This controller leads, under that version of the leader key."""
+        """Starts storing the formats, guarded by that version of the leader key."""
         self._leader_key_version = leader_key_version
         self._key_version = None
         self._store_evidence()
 
     def end_term(self) -> None:
-        """This controller leads no more."""
+        """Stops storing the formats: this controller no longer leads."""
         self._leader_key_version = None
 
     def _known_formats(self) -> dict[str, int]:
@@ -104,7 +104,7 @@
         return {peer: newest for peer, newest in newest_formats.items() if newest > formats.FIRST}
 
     def _store_evidence(self) -> None:
-        """Stores what is known, if this controller leads and the key does not hold it yet."""
+        """Stores the known formats if this controller leads and they are not stored yet."""
         if self._leader_key_version is None or self._is_call_pending:
             return
         if self._key_version is None:
@@ -116,9 +116,9 @@
         self._is_call_pending = True
         self._store.get(FORMATS_KEY, partial(self._on_key_read, leader_key_version))
 
-    def _on_key_read(self, leader_key_version: int, is_known: bool, row: wire.Row | None) -> None:
+    def _on_key_read(self, leader_key_version: int, is_read: bool, row: wire.Row | None) -> None:
         self._is_call_pending = False
-        if not is_known:
+        if not is_read:
             self.later(self._retry_s, self._store_evidence)
             return
         if self._leader_key_version == leader_key_version:
@@ -149,7 +149,7 @@
 
 
 def _parse_stored_formats(value: Any) -> dict[str, int]:
-    """The newest formats that the key holds; what is no number is left out."""
+    """Returns the newest format by peer; entries that are not integers are left out."""
     newest = value.get("newest") if isinstance(value, dict) else None
     if not isinstance(newest, dict):
         log.error("event=formats_damaged value=%r", value)
--- a/flaxtally/cluster/frame_codec.py
+++ b/flaxtally/cluster/frame_codec.py
@@ -1,4 +1,4 @@
-"""Frames as bytes of a stream: cbor2 with a length before it."""
+"""Encodes frames for a byte stream: a length prefix, then the frame in CBOR."""
 
 from __future__ import annotations
 
@@ -11,43 +11,45 @@
     from .messages import Frame
 
 MAX_FRAME_BYTES = 1 << 20
-_LENGTH = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 
 
 class InvalidFrameError(ValueError):
-    """The bytes are no frame."""
+    """The bytes are not a valid frame."""
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """A frame as bytes, with its length before it."""
+    """Returns the frame as bytes, with a length prefix."""
     body = cbor2.dumps(frame)
-    return _LENGTH.pack(len(body)) + body
+    return _LENGTH_PREFIX.pack(len(body)) + body
 
 
 class FrameDecoder:
-    """Cuts a byte stream into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
-        """Begins with the stream's first byte."""
+        """Starts at the first byte of the stream."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """The frames that these bytes complete, or `InvalidFrameError`."""
+        """Returns the frames that these bytes complete, or raises `InvalidFrameError`."""
         self._buffer += data
         frames: list[Frame] = []
-        while len(self._buffer) >= _LENGTH.size:
-            body_end = _LENGTH.size + self._read_length()
+        while len(self._buffer) >= _LENGTH_PREFIX.size:
+            body_end = _LENGTH_PREFIX.size + self._read_length()
             if len(self._buffer) < body_end:
                 break
-            body = bytes(self._buffer[_LENGTH.size : body_end])
+            body = bytes(self._buffer[_LENGTH_PREFIX.size : body_end])
             frames.append(_decode_body(body))
             del self._buffer[:body_end]
         return frames
 
     def _read_length(self) -> int:
-        length: int = _LENGTH.unpack_from(self._buffer)[0]
+        length: int = _LENGTH_PREFIX.unpack_from(self._buffer)[0]
         if length > MAX_FRAME_BYTES:
-            raise InvalidFrameError(f"frame too long: {length} bytes")
+            raise InvalidFrameError(
+                f"frame too long: {length} bytes, the maximum is {MAX_FRAME_BYTES}"
+            )
         return length
 
 
@@ -57,5 +59,7 @@
     except (cbor2.CBORDecodeError, ValueError, TypeError) as error:
         raise InvalidFrameError(str(error)) from None
     if not isinstance(frame, dict) or not isinstance(frame.get("k"), str):
-        raise InvalidFrameError("not a frame: a map with a kind is expected")
+        raise InvalidFrameError(
+            "not a frame: expected a map with the frame's kind, a string, under the key 'k'"
+        )
     return frame
--- a/flaxtally/cluster/frame_router.py
+++ b/flaxtally/cluster/frame_router.py
@@ -1,4 +1,4 @@
-"""Hands each frame of a peer to the handler of its kind, as a typed message."""
+"""Passes each frame of a peer to the handler for its kind, as a typed message."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 log = logging.getLogger(__name__)
 
 MAX_UNKNOWN_KINDS = 64
-"""Of kinds that are logged and remembered: a peer may send any text as a kind."""
+"""Unknown kinds that are remembered, each logged once. A peer may send any string as a kind, so the
+set must be bounded.
+"""
 
 
 class FrameRouter:
-    """Owns the handlers of frames by kind."""
+    """Holds the handler of each kind of frame."""
 
     def __init__(self) -> None:
         """Starts without handlers."""
@@ -27,7 +29,7 @@
     def add_message_handler(
         self, message_type: type[AnyMessage], handle: Callable[[str, AnyMessage], None]
     ) -> None:
-        """Calls `handle` with the sender and the message for each frame of that type's kind."""
+        """Registers `handle`, which gets the sender and the message of each frame of this type."""
 
         def handle_frame(sender: str, frame: Frame) -> None:
             try:
@@ -40,11 +42,11 @@
         self._handlers[message_type.KIND] = handle_frame
 
     def add_frame_handler(self, kind: str, handle: Callable[[str, Frame], None]) -> None:
-        """Calls `handle` with the sender and the frame as it came, for each frame of the kind."""
+        """Registers `handle`, which gets the sender and the frame itself, for each of the kind."""
         self._handlers[kind] = handle
 
     def route(self, sender: str, frame: Frame) -> None:
-        """Hands over the frame; one of an unknown kind is logged once a kind and passed over."""
+        """Passes the frame to its handler; unknown kinds are logged once each and ignored."""
         kind = frame["k"]
         handle = self._handlers.get(kind)
         if handle is not None:
--- a/flaxtally/cluster/inbound_connection.py
+++ b/flaxtally/cluster/inbound_connection.py
@@ -1,4 +1,4 @@
-"""A connection that a peer dialled: this controller only reads it."""
+"""Reads a connection that a peer dialled; this controller sends nothing on it."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class FrameReceiver(Protocol):
-    """The links that a peer belongs to."""
+    """Receives the frames of an identified peer."""
 
     def handle_hello(self, hello: Hello, connection: int) -> None:
-        """The first frame of a connection; later connections have higher numbers."""
+        """Handles the first frame of a connection; later connections have higher numbers."""
 
     def handle_frame(self, sender: str, frame: Frame) -> None:
-        """Any later frame."""
+        """Handles any later frame."""
 
 
 class InboundConnection:
-    """Reads frames: first the peer's hello, then those for its links."""
+    """Reads the peer's hello, then passes all further frames to the peer's receiver."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         number: int,
         find_receiver: Callable[[str], FrameReceiver | None],
     ) -> None:
-        """`find_receiver` gives the links that a node's name belongs to."""
+        """`find_receiver` returns the receiver for a node's name, None for an unknown node."""
         self._stream = stream
         self._number = number
         self._find_receiver = find_receiver
         self._decoder = FrameDecoder()
         self._peer: str | None = None
-        """The name in the peer's hello."""
+        """The node name that the peer's hello gives; None before the hello."""
         self._receiver: FrameReceiver | None = None
         stream.on_data = self._on_data
 
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -1,10 +1,11 @@
 """Leader election among the controllers of a cell.
 
-The leader key holds term and node of the leader (`leader_key.py`). A campaign is a
-compare-and-swap guarded by the version that was read, with a term one higher; every transaction of
-the ledger is guarded by that version too, so the writes of a deposed leader fail whatever the
-timing. The states and the reasons for a transition stand in `election_state.py`, when a controller
-campaigns in `candidacy.py` and `candidacy_rules.py`, the leader's lease in `leader_lease.py`.
+The leader key holds the term and node of the leader (`leader_key.py`). A campaign is a
+compare-and-swap on that key that raises the term by one and is guarded by the key's version as last
+read. Every transaction of the ledger is guarded by that version too, so the writes of a deposed
+leader fail whatever the timing. `election_state.py` has the states and the reasons for transitions,
+`candidacy.py` and `candidacy_rules.py` decide when a controller campaigns, and `leader_lease.py`
+has the leader's lease.
 """
 
 from __future__ import annotations
@@ -38,21 +39,21 @@
 
 log = logging.getLogger(__name__)
 
-AVAILABLE_PROBES = 3
-"""A controller counts as available for so many probe periods after it last was."""
+AVAILABILITY_PROBE_PERIODS = 3
+"""Probe periods for which a controller still counts as available after it last was."""
 
 
 @dataclass(frozen=True)
 class LeadershipListener:
-    """Who is called when this controller begins or ceases to lead."""
+    """Callbacks for when this controller becomes the leader or stops leading."""
 
     on_elected: Callable[[int, int], None]
-    """Gets the term, and the leader key's version."""
+    """Gets the term and the leader key's version."""
     on_step_down: Callable[[], None]
 
 
 class LeaderElection(Actor):
-    """Owns this controller's part in the election: heartbeats, the leader key, its transitions."""
+    """This controller's part in the election: heartbeats, the leader key, role transitions."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         rng: random.Random,
         listener: LeadershipListener,
     ) -> None:
-        """Takes part from `start` on; until then it only listens to heartbeats."""
+        """Takes part from `start` on; until then it only processes received heartbeats."""
         super().__init__(runtime)
         self._node = node
         self._policy = policy
@@ -73,13 +74,13 @@
         self._listener = listener
         self._incarnation_id = f"{rng.getrandbits(64):016x}"
         self.incarnation = int(self._incarnation_id, 16) >> 2
-        """A number of this process alone: the numbers of its requests begin there, so that no
-        reply to an earlier incarnation is taken for one to this.
+        """A random number that identifies this process. Its requests are numbered from here on, so
+        that replies to requests of an earlier incarnation are not mistaken for replies to its own.
         """
         self.live_members: list[str] = []
-        """The membership view of the leader."""
+        """Names of the controllers that the leader can reach, itself included."""
         self._is_started = False
-        self._available_at = float("-inf")
+        self._last_available_at = float("-inf")
         self._state = ElectionState(node)
         self._observation = LeaderObservation(self._state, peers)
         self._leader_key = LeaderKeyReader(store, self._on_leader_key_read)
@@ -100,18 +101,18 @@
         )
 
     def start(self) -> None:
-        """Begins to send heartbeats and to read the leader key."""
+        """Starts sending heartbeats and reading the leader key periodically."""
         self._is_started = True
         self.every(self._policy.heartbeat, self._send_heartbeat)
         self.every(self._policy.probe, self._read_leader_key)
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still: the leader was not silent, pending campaigns are outdated."""
-        self._observation.on_pause(self.runtime.now(), lost_s)
+    def on_pause(self, pause_s: float) -> None:
+        """Adjusts to a process pause: excludes it from time-outs, drops pending campaigns."""
+        self._observation.on_pause(self.runtime.now(), pause_s)
         self._candidacy.on_pause()
         self._read_leader_key()
 
-    # What others ask
+    # Queries
 
     @property
     def role(self) -> Role:
@@ -120,7 +121,7 @@
 
     @property
     def is_leader(self) -> bool:
-        """Whether this controller leads, as far as it knows."""
+        """Whether this controller believes that it leads."""
         return self._state.role is Role.LEADER
 
     @property
@@ -135,20 +136,20 @@
 
     @property
     def leader(self) -> str | None:
-        """The leader of the term, if it is known."""
+        """The leader of `term`; None if it is not known."""
         return self._state.leader
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the key-value store answered lately."""
+        """Whether the key-value store replied within the last probe periods."""
         return self._context.is_store_reachable(self.runtime.now())
 
     @property
     def may_be_superseded(self) -> bool:
-        """Whether others may well lead by now.
+        """Whether another controller may have taken over unnoticed.
 
-        The key-value store doesn't answer, and some other controller is neither reachable nor dead.
-        (In an outage of the store the others are reachable, and nobody can take over.)
+        True if the key-value store does not reply and some other controller is neither reachable
+        nor dead. (In a mere outage of the store, the others are reachable and can't take over.)
         """
         peers = self._peers
         return not self.is_store_reachable and not all(
@@ -158,9 +159,9 @@
 
     @property
     def seconds_since_leader_contact(self) -> float:
-        """Seconds since the leader of our term was last heard.
+        """Seconds since the last heartbeat of the leader of this controller's term.
 
-        For the leader itself: by how long its contact with the store is overdue.
+        For the leader itself: seconds by which its contact with the store is overdue.
         """
         if self.is_leader:
             return max(0.0, self.runtime.now() - self._store.last_contact_at - self._policy.probe)
@@ -168,7 +169,7 @@
 
     @property
     def served_term(self) -> int:
-        """The term whose leader is ready for requests, as far as is known; 0 for none."""
+        """The term whose leader is known to serve requests; 0 if there is none."""
         if self.is_leader:
             is_ready = self.is_ready
         else:
@@ -177,9 +178,10 @@
 
     @property
     def is_available(self) -> bool:
-        """Whether this controller reaches, or is, a leader that can commit.
+        """Whether this controller is, or can reach, a leader that can commit.
 
-        Damped, since a controller that a load balancer marked down comes back slowly.
+        It stays true for some probe periods afterwards, because a load balancer is slow to take
+        back a controller that it has marked down.
         """
         now = self.runtime.now()
         if self.is_leader:
@@ -191,8 +193,8 @@
                 and self._observation.is_ready
             )
         if is_available:
-            self._available_at = now
-        return now - self._available_at < AVAILABLE_PROBES * self._policy.probe
+            self._last_available_at = now
+        return now - self._last_available_at < AVAILABILITY_PROBE_PERIODS * self._policy.probe
 
     # Heartbeats
 
@@ -217,7 +219,7 @@
         return sorted([self._node, *reachable])
 
     def on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        """A peer's heartbeat: follows a leader of a higher term, notes what is said of ours."""
+        """Handles a peer's heartbeat: records its content, follows a leader of a higher term."""
         term, leader = heartbeat.term, heartbeat.leader
         self._observation.on_peer_heartbeat(sender, heartbeat)
         if term > self.term and leader is not None:
@@ -227,9 +229,10 @@
             self.live_members = heartbeat.live_members
 
     def on_connection_refused(self) -> None:
-        """A peer's address refused a connection.
+        """Handles a refused connection to a peer's address.
 
-        If it is the leader's, peers that rely on our last heartbeat get a new one at once.
+        If it is the leader's address, a heartbeat is sent at once, to tell peers that this
+        controller no longer sees the leader.
         """
         leader = self.leader
         if self._is_started and leader is not None and self._peers.refuses_connections(leader):
@@ -253,18 +256,18 @@
         self._state.become_leader(term, reason)
         self._leader_key.mark_outdated()
         self._leader_key.names_earlier_incarnation = False
-        self._observation.lost_since = None
+        self._observation.unreachable_since = None
         self._lease.begin_term(term, key_version)
         self._send_heartbeat()
         self._listener.on_elected(term, key_version)
         self._lease.renew()
 
     def mark_ready(self) -> None:
-        """This controller leads, and serves requests from now on."""
+        """Records that this controller leads and serves requests from now on."""
         self._state.mark_ready()
 
     def step_down(self, reason: TransitionReason = TransitionReason.GUARDED_WRITE_FAILED) -> None:
-        """Ceases to lead: somebody else does. The leader key will say who."""
+        """Stops leading, and reads the leader key to find the new leader."""
         if self.is_leader:
             self._state.step_down(reason)
             self._lease.end_term()
@@ -272,9 +275,9 @@
             self._read_leader_key()
 
     def refuse_to_lead(self) -> None:
-        """Gives up leading for good: the ledger was raised to a format that others read."""
+        """Stops leading for good: the ledger has a format that only newer programs can read."""
         log.error("event=leadership_refused node=%s term=%d", self._node, self.term)
-        self._candidacy.forbid()
+        self._candidacy.disable()
         self.step_down(TransitionReason.LEDGER_UNREADABLE)
 
     # The leader key
@@ -311,7 +314,7 @@
     def _on_leader_record(self, record: LeaderRecord, key_version: int) -> None:
         is_own = record.incarnation_id == self._incarnation_id
         if is_own and record.term > self._state.last_led_term:
-            # Our own takeover was applied although its answer was lost.
+            # Our own takeover was committed, although the reply was lost.
             self._become_leader(record.term, key_version, TransitionReason.CAMPAIGN_FOUND_WON)
             return
         if record.term > self.term or self.leader is None:
--- a/flaxtally/cluster/leader_key.py
+++ b/flaxtally/cluster/leader_key.py
@@ -1,4 +1,4 @@
-"""The leader key of the key-value store: who leads, and under which term."""
+"""The leader key of the key-value store, which holds the current leader and its term."""
 
 from __future__ import annotations
 
@@ -25,51 +25,53 @@
     term: int
     node: str
     incarnation_id: Any
-    """Of the process that took over; a restarted controller has another."""
+    """Identifies the process that took over; a restarted controller has another one."""
 
     def to_value(self) -> dict[str, Any]:
-        """The record as it is stored."""
+        """Returns the record in its stored form."""
         return {"term": self.term, "node": self.node, "boot": self.incarnation_id}
 
 
 def parse_leader_record(value: Any) -> LeaderRecord:
-    """The record that a stored value holds, or `InvalidLeaderKeyError`."""
+    """Returns the record that a stored value holds, or raises `InvalidLeaderKeyError`."""
     if not isinstance(value, dict) or not isinstance(value.get("term"), int):
-        raise InvalidLeaderKeyError(f"not a leader record: {value!r}")
+        raise InvalidLeaderKeyError(
+            f"not a leader record: {value!r}, expected a map with an integer 'term'"
+        )
     return LeaderRecord(value["term"], str(value.get("node")), value.get("boot"))
 
 
 class LeaderKeyReader:
-    """Reads the leader key, and keeps the version that a campaign is guarded by."""
+    """Reads the leader key, and keeps its version as the guard of a campaign."""
 
     def __init__(self, store: KeyValueStore, on_read: Callable[[wire.Row | None], None]) -> None:
-        """`on_read` gets each row that was read, None where the key does not exist."""
+        """`on_read` gets the row after each successful read, None if the key does not exist."""
         self._store = store
         self._on_read = on_read
         self._is_reading = False
         self.version = 0
-        """Of the key as it was last read."""
+        """Version of the key as it was last read."""
         self.is_current = False
-        """The key was read, and nothing has shown since that it changed."""
+        """The key was read, and there has been no sign of a change since."""
         self.names_earlier_incarnation = False
-        """The key names this controller, as an earlier process of it wrote it."""
+        """The key names this controller, but was written by an earlier process of it."""
 
     def read(self) -> None:
-        """Reads the key, unless that is under way."""
+        """Reads the key, unless a read is pending."""
         if not self._is_reading:
             self._is_reading = True
-            self._store.get(LEADER_KEY, self._on_answer)
+            self._store.get(LEADER_KEY, self._on_reply)
 
-    def _on_answer(self, is_known: bool, row: wire.Row | None) -> None:
+    def _on_reply(self, is_read: bool, row: wire.Row | None) -> None:
         self._is_reading = False
-        if is_known:
+        if is_read:
             self._on_read(row)
 
     def mark_current(self, version: int) -> None:
-        """A campaign may be guarded by that version."""
+        """Allows a campaign guarded by that version."""
         self.version = version
         self.is_current = True
 
     def mark_outdated(self) -> None:
-        """The key has changed, or may have: no campaign before it is read anew."""
+        """Forbids campaigns until the key is read again, since it has or may have changed."""
         self.is_current = False
--- a/flaxtally/cluster/leader_lease.py
+++ b/flaxtally/cluster/leader_lease.py
@@ -1,7 +1,8 @@
 """The leader's lease at the key-value store.
 
-The backstop for controllers that can't hear the leader: while a key of its term exists under
-`LEADER_LEASE_PREFIX`, the leader is alive. The store deletes the key when the lease expires.
+It lets controllers that receive no heartbeats of the leader see whether it is alive: it is while a
+key of its term exists under `LEADER_LEASE_PREFIX`. The store deletes the key when the lease
+expires.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
 
 
 def is_leader_lease_held(term: int, rows: Iterable[wire.Row]) -> bool:
-    """Whether the rows under `LEADER_LEASE_PREFIX` show a live lease of the term's leader."""
+    """Whether the rows under `LEADER_LEASE_PREFIX` contain a lease of the term's leader."""
     return any(row.value == term for row in rows)
 
 
 class LeaderLease:
-    """Grants, records and renews the lease while this controller leads."""
+    """Obtains, records and renews the lease while this controller leads."""
 
     def __init__(self, store: KeyValueStore, ttl_s: float) -> None:
         """`ttl_s`: the time after its last renewal at which the lease expires."""
@@ -40,18 +41,18 @@
         self._granted_count = 0
 
     def begin_term(self, term: int, leader_key_version: int) -> None:
-        """This controller was elected; `renew` then gets the term a lease."""
+        """Records that this controller was elected; `renew` then obtains a lease."""
         self._term = term
         self._leader_key_version = leader_key_version
         self._lease_id = None
 
     def end_term(self) -> None:
-        """This controller leads no longer: the lease is left to expire."""
+        """Stops renewing the lease and lets it expire: this controller no longer leads."""
         self._term = None
         self._lease_id = None
 
     def renew(self) -> None:
-        """Renews the term's lease, or has one granted; does nothing while a call is pending."""
+        """Renews the term's lease, or requests one; does nothing while a call is pending."""
         if self._is_call_pending or self._term is None:
             return
         self._is_call_pending = True
--- a/flaxtally/cluster/leader_observation.py
+++ b/flaxtally/cluster/leader_observation.py
@@ -1,4 +1,4 @@
-"""What heartbeats say about the leader: when it was last heard, and who else can see it."""
+"""Tracks from heartbeats when the leader was last heard, and which peers can see it."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class LeaderObservation:
-    """Owns the evidence on the leader that a follower gathers."""
+    """What a follower knows about the leader."""
 
     def __init__(self, state: ElectionState, peers: PeerLinks) -> None:
-        """No leader was heard yet."""
+        """Starts without any heartbeat of a leader."""
         self._state = state
         self._peers = peers
         self.last_heartbeat_at = float("-inf")
         self.can_commit = False
-        """As of its last heartbeat, the leader reaches the key-value store."""
+        """According to its last heartbeat, the leader can reach the key-value store."""
         self.is_ready = False
-        """As of its last heartbeat, the leader serves requests."""
-        self.lost_since: float | None = None
-        """When this controller first found that it can't see the leader; None while it can."""
+        """According to its last heartbeat, the leader serves requests."""
+        self.unreachable_since: float | None = None
+        """When this controller first found the leader unreachable; None while it can see it."""
         self.replaced_at = float("-inf")
-        """When the leader that this controller followed, or itself, was found to be replaced."""
+        """When this controller last learned that the previous leader had been replaced."""
         self._can_peer_see_leader: dict[str, bool] = {}
 
     def can_see_leader(self) -> bool:
@@ -43,39 +43,39 @@
         )
 
     def on_leader_changed(self, now: float, *, is_replacement: bool) -> None:
-        """Another leader is followed from now on: it counts as just heard, and not yet ready.
+        """Starts to observe another leader, which counts as just heard and not yet ready.
 
-        `is_replacement`: there was a leader before.
+        `is_replacement`: whether there was a leader before.
         """
         if is_replacement:
             self.replaced_at = now
         self.last_heartbeat_at = now
         self.can_commit = True
         self.is_ready = False
-        self.lost_since = None
+        self.unreachable_since = None
 
     def on_leader_heartbeat(self, now: float, heartbeat: Heartbeat) -> None:
-        """The followed leader was heard."""
+        """Records a heartbeat of the followed leader."""
         self.last_heartbeat_at = now
         self.can_commit = heartbeat.can_commit
         self.is_ready = heartbeat.is_ready
 
     def on_peer_heartbeat(self, peer: str, heartbeat: Heartbeat) -> None:
-        """Notes whether a peer sees the leader of our term."""
+        """Records whether a peer sees the leader of this controller's term."""
         is_of_our_term = heartbeat.term == self._state.term
         self._can_peer_see_leader[peer] = heartbeat.can_see_leader and is_of_our_term
 
     def is_seen_by_any(self, peers: Iterable[str]) -> bool:
-        """Whether one of the peers last said that it can see the leader."""
+        """Whether the last heartbeat of any of the peers said that it can see the leader."""
         return any(self._can_peer_see_leader.get(peer, False) for peer in peers)
 
-    def measure_lost_s(self, now: float) -> float:
-        """Seconds since the leader was first found lost; counting begins with the first call."""
-        if self.lost_since is None:
-            self.lost_since = now
-        return now - self.lost_since
+    def measure_unreachable_s(self, now: float) -> float:
+        """Returns for how long the leader has been unreachable; the first call starts the count."""
+        if self.unreachable_since is None:
+            self.unreachable_since = now
+        return now - self.unreachable_since
 
-    def on_pause(self, now: float, lost_s: float) -> None:
-        """This process stood still for `lost_s`: the leader was not silent meanwhile."""
-        self.last_heartbeat_at = min(now, self.last_heartbeat_at + lost_s)
-        self.lost_since = None
+    def on_pause(self, now: float, pause_s: float) -> None:
+        """Excludes a pause of this process from the time without heartbeats of the leader."""
+        self.last_heartbeat_at = min(now, self.last_heartbeat_at + pause_s)
+        self.unreachable_since = None
--- a/flaxtally/cluster/messages.py
+++ b/flaxtally/cluster/messages.py
@@ -1,12 +1,12 @@
 """Typed messages between the controllers of one cell, and their form as frames.
 
-A frame is a map whose key `k` names its kind. Frames of other kinds pass through the same links:
-those between cells (`cells/messages.py`) and those of newer versions. The keys and their order are
-fixed, since controllers of several versions talk to each other; keys that this version does not
-know are passed over.
+A frame is a map whose key `k` names its kind. The links also carry frames of other kinds: those
+between cells (`cells/messages.py`) and those of newer versions. The keys and their order are fixed,
+since controllers of different versions communicate with each other; keys that this version does not
+know are ignored.
 
-The links add `hears` to frames that they broadcast: whether they hear the receiver. It belongs to
-the link, not to the message.
+The links add the key `hears` to the frames that they broadcast: whether the sender receives frames
+from the receiver. It belongs to the link, not to the message.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import msgspec
 
 Frame = dict[str, Any]
-"""A message as the links carry it: encoded by cbor2 as a map, in this order of keys."""
+"""A message as the links carry it: a map that is encoded in CBOR with its keys in this order."""
 
 HELLO_KIND = "hello"
 HEARTBEAT_KIND = "hb"
@@ -27,15 +27,15 @@
 JOB_REQUEST_KIND = "ask"
 JOB_RESPONSE_KIND = "ans"
 
-_BYTES_STAY = (bytes,)
+_UNCONVERTED_TYPES = (bytes,)
 
 
 class MalformedFrameError(ValueError):
-    """A frame of a known kind lacks a field, or a field has a wrong type."""
+    """A frame of a known kind lacks a field, or a field has the wrong type."""
 
 
 class Hello(msgspec.Struct, frozen=True, kw_only=True, tag_field="k", tag=HELLO_KIND):
-    """The first frame on a connection: who dialled it."""
+    """The first frame on a connection, which identifies the controller that dialled it."""
 
     KIND: ClassVar[str] = HELLO_KIND
 
@@ -57,19 +57,19 @@
         "live_members": "view",
     },
 ):
-    """What a controller believes of term, leader and membership."""
+    """The term, the leader and the membership that the sender knows of."""
 
     KIND: ClassVar[str] = HEARTBEAT_KIND
 
     term: int
     leader: str | None = None
     can_commit: bool = False
-    """The sender leads, and reaches the key-value store."""
+    """The sender leads and can reach the key-value store."""
     is_ready: bool = False
-    """The sender leads, and serves requests."""
+    """The sender leads and serves requests."""
     can_see_leader: bool = False
     live_members: list[str] = []
-    """The membership view of the leader; empty from others."""
+    """The controllers that the leader can reach; empty in the heartbeats of others."""
     formats: Any = None
     """The formats that the sender reads; `protocol.formats.parse_range` judges it."""
 
@@ -82,7 +82,7 @@
     tag=FORWARDED_HEARTBEAT_KIND,
     rename={"term": "t", "machine": "m", "heartbeat": "b"},
 ):
-    """A worker's heartbeat, passed on to the leader as it came."""
+    """A worker's heartbeat, forwarded unchanged to the leader."""
 
     KIND: ClassVar[str] = FORWARDED_HEARTBEAT_KIND
 
@@ -99,7 +99,7 @@
     tag=MACHINES_ALIVE_KIND,
     rename={"term": "t", "machines": "m"},
 ):
-    """The machines whose heartbeats came to the sender lately."""
+    """The machines whose heartbeats the sender received recently."""
 
     KIND: ClassVar[str] = MACHINES_ALIVE_KIND
 
@@ -115,7 +115,7 @@
     tag=RELAYED_COMMAND_KIND,
     rename={"number": "i", "machine": "m", "address": "a", "commands": "o"},
 ):
-    """The leader asks another controller to send commands to a worker."""
+    """A request of the leader that another controller send commands to a worker."""
 
     KIND: ClassVar[str] = RELAYED_COMMAND_KIND
 
@@ -123,9 +123,9 @@
     machine: str | None = None
     address: str
     commands: dict[str, Any] | None = None
-    """A batch of commands as the leader encoded it; None: query the worker's status.
+    """A batch of commands as the leader encoded it; None to query the worker's status.
 
-    It is relayed as it came, so fields that a newer leader adds reach the worker.
+    It is relayed unchanged, so that fields which a newer leader adds reach the worker.
     """
 
 
@@ -137,7 +137,7 @@
     tag=RELAYED_COMMAND_RESULT_KIND,
     rename={"number": "i", "status": "s", "body": "b", "machine": "m"},
 ):
-    """A worker's answer to relayed commands; status 0 if none came."""
+    """A worker's reply to relayed commands; status 0 if there was no reply."""
 
     KIND: ClassVar[str] = RELAYED_COMMAND_RESULT_KIND
 
@@ -145,7 +145,7 @@
     status: int
     body: bytes
     machine: str | msgspec.UnsetType | None = msgspec.UNSET
-    """The machine that answered; not sent where none did."""
+    """The machine that replied; not sent if there was no reply."""
 
 
 class JobRequest(
@@ -156,14 +156,14 @@
     tag=JOB_REQUEST_KIND,
     rename={"number": "i", "operation": "w", "subject": "s"},
 ):
-    """A user's request, passed on to the leader."""
+    """A user's request, forwarded to the leader."""
 
     KIND: ClassVar[str] = JOB_REQUEST_KIND
 
     number: int
     operation: str
     subject: Any = None
-    """A job's id (`str`) or a submission (`bytes`); anything else is answered with status 400."""
+    """A job's id (`str`) or a submission (`bytes`); the reply to anything else has status 400."""
 
 
 class JobResponse(
@@ -174,7 +174,7 @@
     tag=JOB_RESPONSE_KIND,
     rename={"number": "i", "status": "s", "body": "b"},
 ):
-    """The leader's answer to a `JobRequest`."""
+    """The leader's reply to a `JobRequest`."""
 
     KIND: ClassVar[str] = JOB_RESPONSE_KIND
 
@@ -198,14 +198,14 @@
 
 
 def to_frame(message: Message) -> Frame:
-    """The message as a frame; the kind comes first, then the fields in their order."""
-    frame: Frame = msgspec.to_builtins(message, builtin_types=_BYTES_STAY)
+    """Returns the message as a frame: its kind first, then the fields in their order."""
+    frame: Frame = msgspec.to_builtins(message, builtin_types=_UNCONVERTED_TYPES)
     return frame
 
 
 def from_frame(frame: Frame, message_type: type[AnyMessage]) -> AnyMessage:
-    """The message of a frame of that type's kind, or `MalformedFrameError`."""
+    """Returns the message of a frame of that type's kind, or raises `MalformedFrameError`."""
     try:
-        return msgspec.convert(frame, message_type, builtin_types=_BYTES_STAY)
+        return msgspec.convert(frame, message_type, builtin_types=_UNCONVERTED_TYPES)
     except msgspec.ValidationError as error:
         raise MalformedFrameError(f"{message_type.__name__} frame: {error}") from None
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -1,7 +1,7 @@
-"""Links between controllers: each dials each other, and sends only on connections that it dialled.
+"""Links between controllers: each dials all others, and sends only on connections that it dialled.
 
-A frame may be lost with its connection, or be held by the network and come minutes late: those who
-send and receive must be safe under both.
+A frame may be lost with its connection, or be delayed by the network for minutes. Senders and
+receivers must be safe in both cases.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 @dataclass(frozen=True)
 class LinkListener:
-    """Who is called for what happens on the links."""
+    """Callbacks for events on the links."""
 
     on_frame: Callable[[str, Frame], None]
     """Gets the sender and the frame."""
     on_hello: Callable[[str, int, Any], None] | None = None
-    """Gets the peer of a new connection, the connection's number in the order in which they were
-    accepted, and the formats that the peer states.
+    """Gets the peer of a new connection, the number of the connection (they are numbered as
+    accepted), and the formats that the peer announces.
     """
     on_refused: Callable[[], None] | None = None
-    """A peer's address refused a connection."""
+    """Called when a peer's address refused a connection."""
 
 
 class _Link:
@@ -49,17 +49,17 @@
         self.stream: Stream | None = None
         self.dialled_at = float("-inf")
         self.unsent = bytearray()
-        """Frames that wait to be sent together."""
+        """Encoded frames that wait to be sent together."""
 
     def flush(self) -> None:
-        """Sends what waits, if there is a connection; otherwise it is dropped."""
+        """Sends the waiting frames, or drops them if there is no connection."""
         if self.unsent and self.stream is not None:
             self.stream.send(bytes(self.unsent))
         self.unsent.clear()
 
 
 class PeerLinks(Actor):
-    """Owns the links to a set of peers."""
+    """The links to a set of peers."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         listen: Address | None = None,
         relay: StoreRelay | None = None,
     ) -> None:
-        """Start listening for the peers' connections, if there is a `listen` address.
+        """Starts listening for the peers' connections, if there is a `listen` address.
 
         `batch_delay_s`: how long frames are gathered before they are sent together.
         Without `listen`, the peers connect to other `PeerLinks`, on which
@@ -84,77 +84,78 @@
         self._liveness = liveness
         self._listener = listener
         self._batch_delay_s = batch_delay_s
-        self._silence_s = liveness.silence_s
+        self._link_timeout_s = liveness.link_timeout_s
         self._links = {name: _Link(address) for name, address in addresses.items()}
         self.relay = relay
-        self._siblings: list[PeerLinks] = []
+        self._other_links: list[PeerLinks] = []
         self._accepted_count = 0
         if listen is not None:
             runtime.listen(listen, self._accept)
 
     def accept_connections_for(self, links: PeerLinks) -> None:
-        """Peers of other links may speak on connections that are accepted here."""
-        self._siblings.append(links)
+        """Lets the peers of other `PeerLinks` use connections that are accepted here."""
+        self._other_links.append(links)
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still: peers were not silent meanwhile, nor are links stale for it."""
+    def on_pause(self, pause_s: float) -> None:
+        """Excludes a pause of this process from the age of links and the time without frames."""
         now = self.runtime.now()
-        self._liveness.on_pause(lost_s)
+        self._liveness.on_pause(pause_s)
         for link in self._links.values():
-            link.dialled_at = min(now, link.dialled_at + lost_s)
+            link.dialled_at = min(now, link.dialled_at + pause_s)
         if self.relay is not None:
-            self.relay.on_pause(lost_s)
+            self.relay.on_pause(pause_s)
 
     # Reachability
 
     @property
     def last_heard_at(self) -> dict[str, float]:
-        """By peer: when a frame of it last came over its link."""
+        """By peer: when a frame last arrived over the direct link."""
         return self._liveness.last_heard_at
 
     def is_directly_reachable(self, node: str) -> bool:
-        """Whether the node was lately heard over its link."""
+        """Whether a frame of the node arrived recently over the direct link."""
         return self._liveness.is_directly_reachable(node)
 
     def is_reachable(self, node: str) -> bool:
-        """Whether the node was lately heard at all, over its link or through the store relay."""
+        """Whether a frame of the node arrived recently, directly or through the store relay."""
         return self._liveness.is_directly_reachable(node) or (
             self.relay is not None and self.relay.is_reachable(node)
         )
 
-    def is_silent(self, node: str) -> bool:
-        """Whether one of the two directions of the link seems dead."""
-        return self._liveness.is_silent(node)
+    def is_link_down(self, node: str) -> bool:
+        """Whether the link seems to be dead in at least one direction."""
+        return self._liveness.is_link_down(node)
 
     def refuses_connections(self, node: str) -> bool:
-        """Whether the node's process is likely dead.
+        """Whether the node's process is probably dead.
 
-        Its address refused a connection after it was last heard, and no frame of it comes through
-        the store relay. A cut hangs instead; a filter refuses too, but then frames will be relayed.
+        True if its address refused a connection after its last frame, and no frame of it arrives
+        through the store relay. In a network partition connections hang instead. A packet filter
+        may also refuse them, but then a live node's frames arrive through the relay.
         """
-        if node not in self._links or not self._liveness.refused_last(node):
+        if node not in self._links or not self._liveness.has_refused_since_last_frame(node):
             return False
         return self.relay is None or not self.relay.is_reachable(node)
 
     # Sending
 
     def broadcast(self, frame: Frame) -> None:
-        """Sends to every peer, with a note on whether we hear it."""
+        """Sends the frame to every peer, adding whether this controller receives its frames."""
         for node in self._links:
             self.send(node, frame | {"hears": self.is_directly_reachable(node)})
 
     def send(self, node: str, frame: Frame) -> None:
-        """Sends if the link is up or can be dialled; no promise that it arrives."""
+        """Sends the frame if the link is up or can be dialled; delivery is not guaranteed."""
         link = self._links.get(node)
         if link is None:
             return
-        if self.relay is not None and self.is_silent(node):
+        if self.relay is not None and self.is_link_down(node):
             self.relay.enqueue(node, frame)
         self._ensure_connected(node, link)
         if link.stream is None:
             return
-        # Frames go a few at a time: hundreds of requests and heartbeats a second were as many sends
-        # and wake-ups.
+        # Frames are sent in batches: at hundreds of requests and heartbeats a second, single ones
+        # cost as many sends and wake-ups.
         if not link.unsent:
             self.later(self._batch_delay_s, link.flush)
         link.unsent += encode_frame(frame)
@@ -162,23 +163,26 @@
             link.flush()
 
     def _ensure_connected(self, node: str, link: _Link) -> None:
-        """Replaces a connection that seems dead, and dials if there is none, but not too often."""
+        """Replaces a stale connection; dials, at a limited rate, if there is none."""
         now = self.runtime.now()
         if link.stream is not None and self._is_stale(node, link):
-            # A cut may hold packets for minutes: what waits in the old connection is better lost.
-            # And the peer may have been restarted during a cut: then this connection leads nowhere,
-            # and nothing says so but the peer itself, whose own connection to us works.
+            # A network partition may hold packets back for minutes, and frames that wait in the old
+            # connection are better lost than delivered that late. If the peer was restarted during
+            # the partition, this connection is dead. The only sign of that is the peer's report,
+            # over its own working connection to this controller, that it receives no frames.
             link.stream.close()
             link.stream = None
-        if link.stream is None and now - link.dialled_at >= self._silence_s / 4:
+        if link.stream is None and now - link.dialled_at >= self._link_timeout_s / 4:
             self._dial(node, link)
 
     def _is_stale(self, node: str, link: _Link) -> bool:
-        patience_s = 2 * self._silence_s
-        if self.runtime.now() - link.dialled_at <= patience_s:
+        timeout_s = 2 * self._link_timeout_s
+        if self.runtime.now() - link.dialled_at <= timeout_s:
             return False
         liveness = self._liveness
-        return liveness.silent_for_s(node) > patience_s or liveness.is_unresponsive(node)
+        return liveness.seconds_since_last_frame(node) > timeout_s or liveness.is_not_receiving(
+            node
+        )
 
     def _dial(self, node: str, link: _Link) -> None:
         link.dialled_at = self.runtime.now()
@@ -189,8 +193,9 @@
 
     def _on_link_closed(self, node: str, link: _Link) -> None:
         link.stream = None
-        if self.runtime.now() - link.dialled_at >= self._silence_s / 4:
-            # Dialled again at once: the host of a dead process refuses at once, a cut hangs.
+        if self.runtime.now() - link.dialled_at >= self._link_timeout_s / 4:
+            # Dial again at once: if the process is dead its host refuses immediately, whereas in a
+            # network partition the connection hangs.
             self._dial(node, link)
             return
         self._liveness.on_refused(node)
@@ -204,22 +209,22 @@
         InboundConnection(stream, self._accepted_count, self._find_links_of)
 
     def _find_links_of(self, node: str) -> PeerLinks | None:
-        """The links, these or those accepted for, whose peer the node is."""
-        for links in (self, *self._siblings):
+        """Returns the `PeerLinks` that the node is a peer of; None for an unknown node."""
+        for links in (self, *self._other_links):
             if node in links._links:
                 return links
         return None
 
     def handle_hello(self, hello: Hello, connection: int) -> None:
-        """A peer's first frame on a connection that was accepted."""
+        """Handles a peer's first frame on an accepted connection."""
         if self._listener.on_hello is not None:
             self._listener.on_hello(hello.node, connection, hello.formats)
 
     def handle_frame(self, sender: str, frame: Frame) -> None:
-        """A later frame of a peer."""
+        """Handles a later frame of a peer."""
         self._liveness.on_frame(sender)
         if "hears" in frame:
-            self._liveness.on_hears(sender, is_hearing=frame["hears"] is not False)
+            self._liveness.on_receipt_report(sender, is_receiving=frame["hears"] is not False)
         try:
             self._listener.on_frame(sender, frame)
         except Exception:
--- a/flaxtally/cluster/peer_liveness.py
+++ b/flaxtally/cluster/peer_liveness.py
@@ -1,4 +1,4 @@
-"""Which peers are reachable, as their frames and connections show."""
+"""Tracks which peers are reachable, from their frames and connections."""
 
 from __future__ import annotations
 
@@ -11,60 +11,67 @@
 
 
 class PeerLiveness:
-    """Owns the evidence on each direct link: frames that came, connections that were refused."""
+    """State of each direct link: when a frame arrived and when a connection was refused."""
 
-    def __init__(self, runtime: Runtime, node: str, peers: Iterable[str], silence_s: float) -> None:
-        """`node`: this controller. `silence_s`: after so long without a frame a link is silent."""
+    def __init__(
+        self, runtime: Runtime, node: str, peers: Iterable[str], link_timeout_s: float
+    ) -> None:
+        """`node`: this controller's name.
+
+        `link_timeout_s`: the time without a frame after which a peer counts as unreachable.
+        """
         names = list(peers)
         self.node = node
-        self.silence_s = silence_s
+        self.link_timeout_s = link_timeout_s
         self._runtime = runtime
         self.last_heard_at: dict[str, float] = dict.fromkeys(names, float("-inf"))
-        """By peer: when a frame of it last came over its link."""
+        """By peer: when a frame last arrived over the direct link."""
         self._refused_at: dict[str, float] = dict.fromkeys(names, float("-inf"))
-        self._unresponsive: set[str] = set()
-        """Peers that say that they don't hear us."""
+        self._not_receiving: set[str] = set()
+        """Peers that report that they receive no frames from this controller."""
 
     def on_frame(self, peer: str) -> None:
-        """A frame of the peer came over its link."""
+        """Records that a frame of the peer arrived over the direct link."""
         self.last_heard_at[peer] = self._runtime.now()
 
-    def on_hears(self, peer: str, *, is_hearing: bool) -> None:
-        """The peer said whether it hears us."""
-        if is_hearing:
-            self._unresponsive.discard(peer)
+    def on_receipt_report(self, peer: str, *, is_receiving: bool) -> None:
+        """Records whether the peer reports that it receives this controller's frames."""
+        if is_receiving:
+            self._not_receiving.discard(peer)
         else:
-            self._unresponsive.add(peer)
+            self._not_receiving.add(peer)
 
     def on_refused(self, peer: str) -> None:
-        """The peer's address refused a connection."""
+        """Records that the peer's address refused a connection."""
         self._refused_at[peer] = self._runtime.now()
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still for `lost_s`: peers were not silent meanwhile."""
+    def on_pause(self, pause_s: float) -> None:
+        """Excludes a pause of this process from the time without frames of the peers."""
         now = self._runtime.now()
         for peer in self.last_heard_at:
-            self.last_heard_at[peer] = min(now, self.last_heard_at[peer] + lost_s)
-            self._refused_at[peer] = min(now, self._refused_at[peer] + lost_s)
+            self.last_heard_at[peer] = min(now, self.last_heard_at[peer] + pause_s)
+            self._refused_at[peer] = min(now, self._refused_at[peer] + pause_s)
 
-    def silent_for_s(self, peer: str) -> float:
-        """Seconds since the peer was heard over its link."""
+    def seconds_since_last_frame(self, peer: str) -> float:
+        """Returns the seconds since a frame of the peer arrived over the direct link."""
         return self._runtime.now() - self.last_heard_at.get(peer, float("-inf"))
 
     def is_directly_reachable(self, peer: str) -> bool:
-        """Whether the peer was lately heard over its link; this controller always is."""
-        return peer == self.node or self.silent_for_s(peer) < self.silence_s
+        """Whether a frame of the peer arrived recently; always true for this controller itself."""
+        return peer == self.node or self.seconds_since_last_frame(peer) < self.link_timeout_s
 
-    def is_unresponsive(self, peer: str) -> bool:
-        """Whether the peer says that it doesn't hear us."""
-        return peer in self._unresponsive
+    def is_not_receiving(self, peer: str) -> bool:
+        """Whether the peer reports that it receives no frames from this controller."""
+        return peer in self._not_receiving
 
-    def refused_last(self, peer: str) -> bool:
-        """Whether the peer's address refused a connection after the peer was last heard."""
+    def has_refused_since_last_frame(self, peer: str) -> bool:
+        """Whether the peer's address refused a connection after its last frame arrived."""
         return self._refused_at[peer] > self.last_heard_at[peer]
 
-    def is_silent(self, peer: str) -> bool:
-        """Whether one of the two directions of the link seems dead."""
+    def is_link_down(self, peer: str) -> bool:
+        """Whether the link seems to be dead in at least one direction."""
         if not self.is_directly_reachable(peer):
             return True
-        return peer in self._refused_at and (self.is_unresponsive(peer) or self.refused_last(peer))
+        return peer in self._refused_at and (
+            self.is_not_receiving(peer) or self.has_refused_since_last_frame(peer)
+        )
--- a/flaxtally/cluster/relay_queue.py
+++ b/flaxtally/cluster/relay_queue.py
@@ -1,4 +1,4 @@
-"""The frames that wait to be relayed to a peer."""
+"""The queue of frames that wait to be relayed to a peer."""
 
 from __future__ import annotations
 
@@ -18,52 +18,53 @@
 
 
 class _QueuedFrame(NamedTuple):
-    """A frame that waits, since when."""
+    """A waiting frame, and when it was queued."""
 
     frame: Frame
     queued_at: float
 
 
 class RelayQueue:
-    """Frames by urgency; of heartbeats and lists of machines the last one is enough."""
+    """Frames by urgency; only the newest heartbeat and list of live machines are kept."""
 
     def __init__(self) -> None:
-        """Begins empty."""
+        """Starts empty."""
         self._heartbeat: Frame | None = None
         self._machines_alive: Frame | None = None
         self._frames: deque[_QueuedFrame] = deque()
-        """Those of all other kinds, the oldest first."""
+        """Frames of all other kinds, oldest first."""
         self._machine_heartbeats: dict[Any, Frame] = {}
-        """The last one of each machine; the machine that waits for longest comes first."""
+        """The newest heartbeat of each machine; the machine that waits longest comes first."""
 
     @property
     def has_frames(self) -> bool:
-        """Whether anything waits."""
+        """Whether any frames are waiting."""
         return bool(
             self._heartbeat or self._machines_alive or self._frames or self._machine_heartbeats
         )
 
     def add(self, frame: Frame, now: float) -> None:
-        """Keeps the frame, in the place of an older one that it replaces."""
+        """Adds the frame; it takes the place of an older frame that it supersedes."""
         kind = frame["k"]
         if kind == HEARTBEAT_KIND:
             self._heartbeat = frame
         elif kind == FORWARDED_HEARTBEAT_KIND:
-            # In the place of its last one: with thousands of machines, each gets its turn.
+            # It takes over the position of the machine's previous heartbeat, so that each of
+            # thousands of machines gets its turn.
             self._machine_heartbeats[frame.get("m")] = frame
         elif kind == MACHINES_ALIVE_KIND:
             self._machines_alive = frame
         else:
             if kind == RELAYED_COMMAND_RESULT_KIND:
-                # It holds a newer heartbeat of the machine.
+                # The result contains a newer heartbeat of the machine.
                 self._machine_heartbeats.pop(frame.get("m"), None)
             self._frames.append(_QueuedFrame(frame, now))
 
     def list_by_urgency(self) -> list[Frame]:
-        """What waits.
+        """Returns the waiting frames, most urgent first.
 
-        Leadership first, then who is alive, then requests, commands and replies, then heartbeats
-        of machines.
+        The order is: the controller's heartbeat, the list of live machines, then requests, commands
+        and replies, then heartbeats of machines.
         """
         return [
             *([self._heartbeat] if self._heartbeat is not None else []),
@@ -73,7 +74,7 @@
         ]
 
     def remove_first(self, count: int) -> None:
-        """Drops so many of the most urgent frames: they are on their way."""
+        """Removes the `count` most urgent frames, which have been sent."""
         if count and self._heartbeat is not None:
             self._heartbeat = None
             count -= 1
@@ -87,12 +88,12 @@
             del self._machine_heartbeats[machine]
 
     def drop_queued_before(self, time: float) -> None:
-        """Drops frames that are too old to be of use; who sent them has given them up."""
+        """Drops frames that were queued before `time`; their senders have given up on them."""
         while self._frames and self._frames[0].queued_at < time:
             self._frames.popleft()
 
     def clear(self) -> None:
-        """Drops all: the link carries frames again."""
+        """Drops all frames."""
         self._heartbeat = None
         self._machines_alive = None
         self._frames.clear()
--- a/flaxtally/cluster/store_relay.py
+++ b/flaxtally/cluster/store_relay.py
@@ -1,10 +1,10 @@
-"""Relays frames between controllers through the key-value store, while their link is silent.
+"""Relays frames between controllers through the key-value store while their direct link is down.
 
-When two zones can't reach each other both still reach the key-value store. Each controller then
-writes what it has for a peer to a key of its own, a batch at a time, and reads the peer's key. It
-is slow (about a second) and may lose frames like the links do; those who send and receive are safe
-under both. It keeps the controllers of a cut-off zone in touch with their leader: the heartbeats of
-its workers arrive there, and commands reach them.
+Two zones that can't reach each other may both still reach the key-value store. Each controller then
+writes its frames for a peer, in batches, to a key of its own, and reads the peer's key. This is
+slow (about a second) and may lose frames like the links do; senders and receivers are safe in both
+cases. It keeps the controllers of a partitioned zone connected to their leader: the heartbeats of
+the zone's workers reach the leader, and its commands reach the workers.
 """
 
 from __future__ import annotations
@@ -30,42 +30,44 @@
 log = logging.getLogger(__name__)
 
 RELAY_KEY_PREFIX = "mail/"
-FRESH_PERIODS = 5
-"""For so many periods a peer whose batch was read counts as reachable."""
+MAX_AGE_PERIODS = 5
+"""Relay periods after which a batch or a waiting frame is too old to be used, and a peer whose last
+batch was read that long ago counts as unreachable.
+"""
 MAX_CLOCK_SKEW_S = 1.0
-"""By which the times of day of two controllers may differ, and more."""
+"""Upper bound for the difference between the wall clocks of two controllers."""
 
 
 @dataclass(frozen=True)
 class RelayLimits:
-    """How often batches are written, and of what size."""
+    """How often batches are written, and how large they may be."""
 
     period_s: float
     max_batch_chars: int
 
     @property
-    def fresh_s(self) -> float:
-        """For so long a batch, or a frame that waits for one, is of use."""
-        return FRESH_PERIODS * self.period_s
+    def max_age_s(self) -> float:
+        """The age up to which a batch, or a frame that waits for one, is still used."""
+        return MAX_AGE_PERIODS * self.period_s
 
 
 class _PeerRelay:
-    """The relay to one peer and from it."""
+    """State of the relay to and from one peer."""
 
     def __init__(self) -> None:
         self.queue = RelayQueue()
         self.is_writing = False
         self.written_at = float("-inf")
         self.written_version: int | None = None
-        """Of our key for the peer; None: it must be read before it can be written."""
+        """Version of our key for the peer; None if it must be read before it can be written."""
         self.is_reading = False
         self.read_version: int | None = None
-        """Of the peer's key for us; None: it was never read."""
+        """Version of the peer's key for us as last read; None if it was never read."""
         self.last_heard_at = float("-inf")
 
 
 class StoreRelay(Actor):
-    """Owns this controller's relay keys."""
+    """Writes this controller's relay keys, and reads those of its peers."""
 
     def __init__(
         self,
@@ -77,9 +79,9 @@
         may_relay_to: Callable[[str], bool],
         on_frame: Callable[[str, Frame], None],
     ) -> None:
-        """Relays to peers whose link is silent and that `may_relay_to` allows.
+        """Relays to peers whose direct link is down and that `may_relay_to` allows.
 
-        `on_frame` gets the sender and the frame of what comes.
+        `on_frame` gets the sender and the frame for each frame that is received.
         """
         super().__init__(runtime)
         self._node = liveness.node
@@ -92,27 +94,29 @@
         self.every(limits.period_s / 2, self._relay_frames)
 
     def is_reachable(self, peer: str) -> bool:
-        """Whether a batch of the peer was read lately."""
+        """Whether a new batch of the peer was read recently."""
         relay = self._relays.get(peer)
-        return relay is not None and self.runtime.now() - relay.last_heard_at < self._limits.fresh_s
+        return (
+            relay is not None and self.runtime.now() - relay.last_heard_at < self._limits.max_age_s
+        )
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still: peers were not silent meanwhile."""
+    def on_pause(self, pause_s: float) -> None:
+        """Excludes a pause of this process from the time without batches of the peers."""
         now = self.runtime.now()
         for relay in self._relays.values():
-            relay.last_heard_at = min(now, relay.last_heard_at + lost_s)
+            relay.last_heard_at = min(now, relay.last_heard_at + pause_s)
 
     def enqueue(self, peer: str, frame: Frame) -> None:
-        """Keeps the frame for a batch."""
+        """Queues the frame for one of the next batches."""
         self._relays[peer].queue.add(frame, self.runtime.now())
 
     def _relay_frames(self) -> None:
         for peer, relay in self._relays.items():
-            if not self._liveness.is_silent(peer) or not self._may_relay_to(peer):
+            if not self._liveness.is_link_down(peer) or not self._may_relay_to(peer):
                 relay.queue.clear()
                 continue
             self._read_batch(peer, relay)
-            relay.queue.drop_queued_before(self.runtime.now() - self._limits.fresh_s)
+            relay.queue.drop_queued_before(self.runtime.now() - self._limits.max_age_s)
             if self._is_batch_due(peer, relay):
                 self._write(peer, relay)
 
@@ -120,8 +124,8 @@
         if not relay.queue.has_frames or relay.is_writing:
             return False
         period_s = self._limits.period_s
-        pause_s = period_s if self.is_reachable(peer) else 2 * period_s
-        return self.runtime.now() - relay.written_at >= pause_s
+        interval_s = period_s if self.is_reachable(peer) else 2 * period_s
+        return self.runtime.now() - relay.written_at >= interval_s
 
     # Writing
 
@@ -134,9 +138,9 @@
             self._write_batch(key, relay, relay.written_version)
 
     @staticmethod
-    def _on_own_key_read(relay: _PeerRelay, is_known: bool, row: wire.Row | None) -> None:
+    def _on_own_key_read(relay: _PeerRelay, is_read: bool, row: wire.Row | None) -> None:
         relay.is_writing = False
-        if is_known:
+        if is_read:
             relay.written_version = row.version if row else 0
 
     def _write_batch(self, key: str, relay: _PeerRelay, version: int) -> None:
@@ -147,7 +151,10 @@
         )
 
     def _take_batch(self, queue: RelayQueue) -> str:
-        """The most urgent frames as text; they leave the queue, and so does one that fits none."""
+        """Removes the most urgent frames from the queue and returns them as a batch.
+
+        A frame that is too long for any batch is dropped.
+        """
         frames = queue.list_by_urgency()
         max_chars, now = self._limits.max_batch_chars, self.runtime.wall()
         batch, count = encode_batch(frames, max_chars, now)
@@ -171,16 +178,16 @@
             self._store.get(key, partial(self._on_batch_read, peer, relay))
 
     def _on_batch_read(
-        self, peer: str, relay: _PeerRelay, is_known: bool, row: wire.Row | None
+        self, peer: str, relay: _PeerRelay, is_read: bool, row: wire.Row | None
     ) -> None:
         relay.is_reading = False
         version = row.version if row else 0
-        if not is_known or relay.read_version == version:
+        if not is_read or relay.read_version == version:
             return
         is_first_read = relay.read_version is None
         relay.read_version = version
-        # What was there before the first read may be of long ago.
-        if not is_first_read and row is not None and self._liveness.is_silent(peer):
+        # A batch that was there before the first read may be very old.
+        if not is_first_read and row is not None and self._liveness.is_link_down(peer):
             self._receive_batch(peer, relay, row.value)
 
     def _receive_batch(self, peer: str, relay: _PeerRelay, text: str) -> None:
@@ -189,8 +196,9 @@
         except InvalidBatchError as error:
             log.warning("event=relay_batch_invalid peer=%s reason=%s", peer, error)
             return
-        if self.runtime.wall() - sent_at > self._limits.fresh_s + MAX_CLOCK_SKEW_S:
-            # Of an earlier silence, never read then: heartbeats and commands of long ago.
+        if self.runtime.wall() - sent_at > self._limits.max_age_s + MAX_CLOCK_SKEW_S:
+            # The batch is from an earlier outage of the link and was not read then: its heartbeats
+            # and commands are outdated.
             return
         relay.last_heard_at = self.runtime.now()
         for frame in frames:
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -55,7 +55,7 @@
 
 log = logging.getLogger(__name__)
 
-ACCEPTED_SHARE = 0.55
+ACCEPTED_SOCKETS_FRACTION = 0.55
 """Of the sockets, for users and workers; another share is for calls to workers, the rest for peers,
 state service and cloud.
 """
@@ -268,7 +268,7 @@
             runtime,
             settings.listen,
             self.job_api.handle_request,
-            int(settings.max_sockets * ACCEPTED_SHARE),
+            int(settings.max_sockets * ACCEPTED_SOCKETS_FRACTION),
             settings.lease_s * IDLE_CONNECTION_LEASES,
             policy.retry,
         )
@@ -315,12 +315,12 @@
             delay.callback,
         )
 
-    def _on_pause(self, lost_s: float) -> None:
+    def _on_pause(self, pause_s: float) -> None:
         """The process stood still: silence during that time is not held against the others."""
-        log.warning("event=process_pause node=%s lost=%.1f", self._settings.node, lost_s)
-        self._store.on_pause(lost_s)
-        self.peers.on_pause(lost_s)
-        self.election.on_pause(lost_s)
-        self.leader.on_pause(lost_s)
+        log.warning("event=process_pause node=%s lost=%.1f", self._settings.node, pause_s)
+        self._store.on_pause(pause_s)
+        self.peers.on_pause(pause_s)
+        self.election.on_pause(pause_s)
+        self.leader.on_pause(pause_s)
         if self.membership is not None:
-            self.membership.on_pause(lost_s)
+            self.membership.on_pause(pause_s)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -9,7 +9,7 @@
 from flaxtally.cluster.candidacy_rules import (
     CandidacyAction,
     CandidacyDecision,
-    LostLeader,
+    UnreachableLeader,
     decide_candidacy,
 )
 from flaxtally.cluster.election_state import ElectionState, Role, TransitionReason
@@ -25,15 +25,15 @@
 POLICY = default(SimulatedCluster().settings_of(NODES[0]))
 
 
-def lost(**changes: Any) -> LostLeader:
+def lost(**changes: Any) -> UnreachableLeader:
     fields: dict[str, Any] = {
-        "lost_for_s": POLICY.refused_patience + 60.0,
+        "unreachable_for_s": POLICY.refused_patience + 60.0,
         "rank": 0,
         "is_alone": False,
         "refuses_connections": False,
         "is_seen_by_peer": False,
     }
-    return LostLeader(**fields | changes)
+    return UnreachableLeader(**fields | changes)
 
 
 @pytest.mark.parametrize(
@@ -41,7 +41,7 @@
     [
         (lost(), CandidacyDecision(CandidacyAction.CAMPAIGN)),
         (
-            lost(lost_for_s=0.0, rank=2),
+            lost(unreachable_for_s=0.0, rank=2),
             CandidacyDecision(CandidacyAction.WAIT, POLICY.heartbeat * 2.25),
         ),
         (lost(is_seen_by_peer=True), CandidacyDecision(CandidacyAction.CHECK_LEASE)),
@@ -54,13 +54,15 @@
             lost(
                 is_alone=True,
                 refuses_connections=True,
-                lost_for_s=POLICY.refused_patience - 0.01,
+                unreachable_for_s=POLICY.refused_patience - 0.01,
             ),
             CandidacyDecision(CandidacyAction.WAIT, POLICY.heartbeat),
         ),
     ],
 )
-def test_when_a_lost_leader_is_replaced(leader: LostLeader, decision: CandidacyDecision) -> None:
+def test_when_a_lost_leader_is_replaced(
+    leader: UnreachableLeader, decision: CandidacyDecision
+) -> None:
     assert decide_candidacy(leader, POLICY) == decision
 
 
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -175,7 +175,7 @@
         wire.CommandBatch(1, 1, []),
         lambda status, _: told.append(status),
     )
-    number = next(iter(relay._relayed))
+    number = next(iter(relay._pending))
     relay.handle_result(node, RelayedCommandResult(number=1, status=200, body=b""))
     relay.handle_result("hearth-9", RelayedCommandResult(number=number, status=200, body=b""))
     assert told == []
@@ -243,10 +243,10 @@
     copy = world.workers[sorted(world.workers)[0]].report()
     world.run(3)
     recent = world.nodes[leader].recent_heartbeats
-    before_copy = recent.newest_of(copy.machine)
+    before_copy = recent.get_newest(copy.machine)
     world._deliver_copy(leader, copy)
     world.run(0.2)
-    after_copy = recent.newest_of(copy.machine)
+    after_copy = recent.get_newest(copy.machine)
     assert before_copy is not None
     assert after_copy is not None
     assert after_copy.sequence_number >= before_copy.sequence_number > copy.sequence_number
