--- a/flaxtally/api/command_deduplicator.py
+++ b/flaxtally/api/command_deduplicator.py
@@ -1,24 +1,24 @@
-"""Recognizes relayed commands that arrive twice."""
+"""Recognizes relayed commands that arrive more than once."""
 
 from __future__ import annotations
 
 
 class CommandDeduplicator:
-    """Tells commands that come a second time from those that come for the first.
+    """Distinguishes commands that arrive for the first time from duplicates.
 
-    While a link is taken for silent a frame goes both over it and through the state service, and
-    may arrive by both ways, the second time seconds or minutes late. A launch executed again after
-    its attempt was forgotten on the machine would start that attempt a second time.
+    While a link counts as down, each frame is sent both over it and through the key-value store. It
+    may arrive on both paths, the second time seconds or minutes later. A duplicate launch that is
+    executed after the machine has forgotten the attempt would start that attempt a second time.
     """
 
     def __init__(self, max_remembered: int) -> None:
-        """`max_remembered`: numbers that are remembered at least; older ones count as seen."""
+        """`max_remembered`: the minimum count of remembered numbers; older ones count as seen."""
         self._max_remembered = max_remembered
         self._seen: set[int] = set()
         self._newest_forgotten = -1
 
     def is_new(self, number: int) -> bool:
-        """Whether the number comes for the first time; it is remembered."""
+        """Whether the number arrives for the first time; remembers it."""
         if number <= self._newest_forgotten or number in self._seen:
             return False
         self._seen.add(number)
--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -1,7 +1,7 @@
-"""Carries the leader's commands to workers, through the controllers that answer their heartbeats.
+"""Relays the leader's commands to workers through the controllers that reply to their heartbeats.
 
-The leader's controller asks the owner of the machine's shard to send the commands; its answer
-brings the worker's reply back.
+The leader's controller asks the owner of the machine's shard to send the commands. The owner
+returns the worker's reply in its result.
 """
 
 from __future__ import annotations
@@ -31,19 +31,19 @@
     from .recent_heartbeats import RecentHeartbeats
 
 OnCommandReply = Callable[[int, bytes], None]
-"""Status and body of a worker's reply; status 0 when no reply came."""
+"""Gets the status and body of a worker's reply; the status is `NO_REPLY` if there was none."""
 NO_REPLY = 0
 MIN_REMEMBERED_COMMANDS = 4096
 REMEMBERED_COMMANDS_PER_SOCKET = 4
-"""Numbers of a leader's commands, against frames that come twice: by the machines that a controller
-may have to carry commands to.
+"""Command numbers to remember for the detection of duplicates, per socket. The sockets bound the
+number of machines that a controller may have to relay commands to.
 """
 RELAY_TIMEOUT_FACTOR = 1.25
-"""Of the time-out of a call to a worker, until the controller that was asked must have answered."""
+"""Time-out for the result of a relayed command, as a multiple of that for a call to a worker."""
 
 
 class _PendingCommand(NamedTuple):
-    """A batch of commands that another controller was asked to send."""
+    """A batch of commands that another controller was asked to send to a worker."""
 
     controller: str
     on_reply: OnCommandReply
@@ -51,7 +51,7 @@
 
 
 class CommandRelay(Actor, CommandTransport):
-    """Owns the commands on their way through other controllers, and the numbers of those seen."""
+    """Tracks commands relayed through other controllers, and the numbers of those received."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         workers: Workers,
         heartbeats: RecentHeartbeats,
     ) -> None:
-        """`workers`: the client by which this controller calls workers itself."""
+        """`workers`: the client for the workers that this controller calls directly."""
         super().__init__(runtime)
         self._node = settings.node
         self._zone_by_controller = map_controllers_to_zones(settings)
@@ -74,9 +74,11 @@
         self._heartbeats = heartbeats
         self._numbers = itertools.count(election.incarnation)
         self._pending: dict[int, _PendingCommand] = {}
-        """By number."""
+        """By the number of the command."""
         self._deduplicators: dict[str, CommandDeduplicator] = {}
-        """By leader, for the present term: within it a leader has one life, and numbers rise."""
+        """By leader, for the current term. Within a term, a leader is a single process whose
+        command numbers increase.
+        """
         self._deduplicators_term = 0
         self._max_remembered = max(
             MIN_REMEMBERED_COMMANDS, REMEMBERED_COMMANDS_PER_SOCKET * settings.max_sockets
@@ -92,9 +94,10 @@
         batch: wire.CommandBatch | None,
         on_reply: OnCommandReply,
     ) -> None:
-        """Sends commands to a machine's worker, or a status query where `batch` is None.
+        """Sends commands to a machine's worker, or a status query if `batch` is None.
 
-        Through the controller `server`, or directly if that is this one or can't be reached.
+        They are relayed through the controller `server`, or sent directly if that is None, is this
+        controller, or can't be reached.
         """
         if server is None or server == self._node or not self._peers.is_reachable(server):
             self._call_worker(address, batch, on_reply)
@@ -107,7 +110,7 @@
         self._peers.send(server, to_frame(command))
 
     def other_controllers(self, zone: str) -> list[str]:
-        """The other live controllers that can relay commands, those of the zone first."""
+        """Returns the other live controllers that can relay commands, those of the zone first."""
         live = [
             name
             for name in self._election.live_members
@@ -116,11 +119,11 @@
         return sorted(live, key=lambda name: self._zone_by_controller.get(name) != zone)
 
     def recent_heartbeats(self) -> list[wire.Heartbeat]:
-        """The last heartbeats that came to this controller, for a leader that has just begun."""
+        """Returns the latest heartbeats that this controller received, for a new leader."""
         return self._heartbeats.list_recent()
 
     def handle_result(self, sender: str, result: RelayedCommandResult) -> None:
-        """The answer of a controller that was asked to send commands."""
+        """Handles the result from a controller that was asked to send commands."""
         pending = self._pending.get(result.number)
         if pending is None or pending.controller != sender:
             return
@@ -133,12 +136,12 @@
         if pending is not None:
             pending.on_reply(NO_REPLY, b"")
 
-    # At the controller that is asked
+    # At the controller that relays
 
     def handle_command(self, sender: str, command: RelayedCommand) -> None:
-        """The leader asks this controller to send commands.
+        """Sends the leader's commands to a worker, and the worker's reply back to the leader.
 
-        Late ones are harmless: they name the fencing token and the worker's incarnation.
+        Late commands are harmless: they contain the fencing token and the worker's incarnation.
         """
         if command.commands is not None and not self._should_execute(
             sender, command.commands, command.number
@@ -157,7 +160,7 @@
         self._call_worker(command.address, command.commands, on_reply)
 
     def _should_execute(self, sender: str, encoded: EncodedBatch, number: int) -> bool:
-        """Whether the commands are of the present term and come for the first time."""
+        """Whether the commands are of the current term and arrive for the first time."""
         term = self._election.term
         if fencing_token_of(encoded) != term:
             return False
--- a/flaxtally/api/expiry.py
+++ b/flaxtally/api/expiry.py
@@ -1,4 +1,4 @@
-"""Drops entries on machines that have not reported for long."""
+"""Drops the entries of machines that have not reported for a long time."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
     from ..runtime.loop import Runtime
 
 RETENTION_LEASES = 4
-"""Entries are kept for so many leases: longer than any of them is looked at."""
+"""Leases for which entries are kept, which is longer than any of them is used."""
 
 
 class ExpiringTable(Protocol):
-    """A table by machine whose entries carry the time of their last use."""
+    """A table by machine whose entries hold the time of their last use."""
 
     def expire(self, before: float) -> None:
-        """Drops entries that were last used before that time."""
+        """Drops entries that were last used before the given time."""
 
 
 class ExpiryTimer(Actor):
-    """Expires old entries of the given tables once a lease."""
+    """Expires old entries of the given tables once per lease."""
 
     def __init__(self, runtime: Runtime, lease_s: float, tables: Sequence[ExpiringTable]) -> None:
-        """`lease_s`: the lease of a worker."""
+        """`lease_s`: the duration of a worker's lease."""
         super().__init__(runtime)
         self._lease_s = lease_s
         self._tables = tables
--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -1,4 +1,4 @@
-"""Answers the heartbeats of workers, and hands them to the leader."""
+"""Replies to the heartbeats of workers, and passes them to the leader."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 
 
 class CellRedirect(NamedTuple):
-    """The machine is of another cell: it is to report to the controller, if one is known."""
+    """The machine belongs to another cell; `controller` is one of that cell, None if unknown."""
 
     controller: str | None
 
 
 class CellLocator(Protocol):
-    """Knows which cell a machine belongs to, in a fleet that is divided into several."""
+    """Finds the cell that a machine belongs to, in a fleet that is divided into cells."""
 
     def redirect_to_cell(self, heartbeat: wire.Heartbeat) -> CellRedirect | None:
-        """Where a machine of another cell reports; None for a machine of this cell."""
+        """Returns where a machine of another cell reports; None for a machine of this cell."""
 
 
 class _Reply(NamedTuple):
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class HeartbeatTables:
-    """What a controller remembers of the machines that report to it."""
+    """The state that a controller keeps about the machines that report to it."""
 
     forwarding: HeartbeatForwarding
     recent: RecentHeartbeats
@@ -55,7 +55,7 @@
 
 
 class HeartbeatEndpoint:
-    """Takes heartbeats from workers, and those that other controllers forward to the leader."""
+    """Handles heartbeats from workers, and those that other controllers forward."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         tables: HeartbeatTables,
         cells: CellLocator | None,
     ) -> None:
-        """`node`: the name of this controller. `cells`: None in an undivided fleet."""
+        """`node`: the name of this controller. `cells`: None in a fleet without cells."""
         self._runtime = runtime
         self._node = node
         self._unattended_s = policy.unattended
@@ -80,11 +80,11 @@
         self._started_at = runtime.now()
 
     def handle_heartbeat(self, request: Request) -> None:
-        """Answers a worker's heartbeat, and passes it to the leader if it is accepted here."""
+        """Replies to a worker's heartbeat, and passes it to the leader if it is accepted."""
         try:
             heartbeat = decode_report(request.body)
         except msgspec.DecodeError as error:
-            log.warning("malformed heartbeat of a worker: %s", error)
+            log.warning("malformed heartbeat from a worker, rejected: %s", error)
             request.reply(BAD_REQUEST, {"error": "not a report"})
             return
         refusal = self._decide_refusal(heartbeat)
@@ -100,7 +100,7 @@
             self._forwarding.forward(heartbeat, request.body)
 
     def _decide_refusal(self, heartbeat: wire.Heartbeat) -> _Reply | None:
-        """The reply to a heartbeat that is not passed to the leader; None if it is to be."""
+        """Returns the reply to a heartbeat that is not accepted; None for one that is."""
         cell_redirect = self._cells.redirect_to_cell(heartbeat) if self._cells is not None else None
         if cell_redirect is not None:
             return _Reply(MISDIRECTED, wire.Redirect(cell_redirect.controller))
@@ -108,11 +108,12 @@
         token = heartbeat.fencing_token
         now = self._runtime.now()
         if election.term == 0 and token and now - self._started_at < self._unattended_s:
-            # Restarted where nothing else can be reached: the worker keeps its tasks, and gets no
-            # commands.
+            # This controller was restarted and can't reach any other service: the worker keeps its
+            # tasks, and gets no commands.
             return _Reply(OK, wire.HeartbeatReply(token))
         if token > election.term:
-            # A controller with a higher term commands the worker: this one is not entitled to act.
+            # The worker has commands of a newer term than this controller knows: this controller
+            # is not entitled to act.
             return _Reply(MISDIRECTED, wire.Redirect(None))
         if election.term == 0 or election.seconds_since_leader_contact > self._unattended_s:
             return _Reply(UNAVAILABLE, None)
@@ -122,19 +123,19 @@
         return None
 
     def handle_forwarded_heartbeat(self, sender: str, message: ForwardedHeartbeat) -> None:
-        """A heartbeat that another controller accepted."""
+        """Handles a heartbeat that another controller accepted and forwarded."""
         if not self._is_leading_term(message.term):
             return
         try:
             heartbeat = decode_report(message.heartbeat)
         except msgspec.DecodeError as error:
-            log.warning("malformed heartbeat forwarded by %s: %s", sender, error)
+            log.warning("malformed heartbeat forwarded by %s, ignored: %s", sender, error)
             return
         self._recent.record(heartbeat)
         self._leader.handle_heartbeat(sender, heartbeat)
 
     def handle_liveness(self, sender: str, message: MachinesAlive) -> None:
-        """The machines that reported to another controller lately: alive, and no more is known."""
+        """Handles a list of machines that reported recently elsewhere; it has no other data."""
         if self._is_leading_term(message.term):
             self._leader.handle_liveness(sender, message.machines)
 
--- a/flaxtally/api/heartbeat_forwarding.py
+++ b/flaxtally/api/heartbeat_forwarding.py
@@ -1,10 +1,10 @@
-"""Forwards heartbeats that workers sent to this controller to the leader.
+"""Forwards the heartbeats that workers send to this controller to the leader.
 
-While the link to the leader is silent frames go through the state service, whose values are small:
-whole heartbeats of all machines of a cut-off zone don't fit; with those alone most machines were
-silent to the leader, and it terminated them one by one. So each batch lists the machines that
-reported lately; a heartbeat goes whole only if it differs from the last one that was forwarded, and
-now and then, since frames through the state service may be lost.
+While the link to the leader is down, frames go through the key-value store, whose values are small.
+The full heartbeats of all machines of a partitioned zone don't fit: when only those were sent, the
+leader received nothing from most machines and terminated them one by one. Therefore each batch
+lists the machines that reported recently. A full heartbeat is sent only if it differs from the last
+one that was forwarded, and at intervals, since frames through the store may be lost.
 """
 
 from __future__ import annotations
@@ -30,18 +30,20 @@
 
 DIGEST_BYTES = 8
 VALUE_BYTES_PER_NAME = 16
-"""Of a value for each name of a list: names compress to a third of that."""
+"""Bytes of a store value that are allowed per machine name in a list; compressed names take a third
+of that.
+"""
 
 
 def compute_digest(heartbeat: wire.Heartbeat) -> bytes:
-    """Equal for heartbeats that differ in nothing but their sequence number."""
+    """Returns a digest that is equal for heartbeats that differ only in their sequence number."""
     content = msgspec.msgpack.encode(msgspec.structs.replace(heartbeat, sequence_number=0))
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
 @dataclass(frozen=True)
 class _ForwardedHeartbeat:
-    """The last whole heartbeat of a machine that was forwarded."""
+    """The last full heartbeat of a machine that was forwarded."""
 
     term: int
     digest: bytes
@@ -49,7 +51,7 @@
 
 
 class HeartbeatForwarding(Actor):
-    """Owns what was forwarded while the link to the leader is silent."""
+    """Forwards heartbeats, and tracks what was forwarded while the link to the leader is down."""
 
     def __init__(
         self,
@@ -60,22 +62,22 @@
         peers: PeerLinks,
         member_formats: FormatNegotiation,
     ) -> None:
-        """`member_formats`: tells whether the leader's program knows lists of live machines."""
+        """`member_formats`: shows whether the leader's program supports lists of live machines."""
         super().__init__(runtime)
         self._election = election
         self._peers = peers
         self._member_formats = member_formats
         self._max_age_s = settings.lease_s / 2
-        """After this time an unchanged heartbeat goes whole again."""
+        """Time after which an unchanged heartbeat is sent in full again."""
         self._max_names = settings.state_limits.value_bytes // VALUE_BYTES_PER_NAME
-        """In one list, which shares a value of the state service with other frames."""
+        """Maximum count of names in one list, which shares a store value with other frames."""
         self._forwarded: dict[str, _ForwardedHeartbeat] = {}
         self._unlisted: dict[str, None] = {}
-        """Machines that reported since they were last listed; those that wait longest first."""
+        """Machines that reported since they were last listed, the longest-waiting first."""
         self.every(policy.mail, self._send_liveness)
 
     def forward(self, heartbeat: wire.Heartbeat, body: bytes) -> None:
-        """Forwards a heartbeat, whose bytes are `body`, to the leader that is followed."""
+        """Forwards a heartbeat, whose encoded form is `body`, to the current leader."""
         if not self._uses_store_relay():
             self._forwarded.pop(heartbeat.machine, None)
             self._send_heartbeat(heartbeat, body)
@@ -91,13 +93,13 @@
             self._send_heartbeat(heartbeat, body)
 
     def expire(self, before: float) -> None:
-        """Drops what was forwarded before that time."""
+        """Drops records of heartbeats that were forwarded before the given time."""
         self._forwarded = {
             machine: last for machine, last in self._forwarded.items() if last.sent_at > before
         }
 
     def _uses_store_relay(self) -> bool:
-        """Whether the leader is reached through the state service alone, and knows the lists."""
+        """Whether the leader is reached only through the store relay, and supports the lists."""
         leader = self._election.leader
         return (
             leader is not None
--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -1,4 +1,4 @@
-"""The HTTP interface: any controller takes any request and forwards it to the leader."""
+"""The HTTP interface: any controller accepts any request and forwards it to the leader."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 RETRY_AFTER_S = 1
 JOB_PREFIX = wire.WORK + "/"
 RequestRouter = Callable[[str, str | bytes, OnReply], None]
-"""Passes a user's request (its kind and subject) to whoever can answer it."""
+"""Forwards a user's request, given by its kind and subject, to the leader that can reply to it."""
 
 
 class JobApi:
-    """Answers HTTP requests of users, probes and workers."""
+    """Handles HTTP requests of users, health probes and workers."""
 
     def __init__(
         self,
@@ -36,9 +36,9 @@
         requests: LeaderRequests,
         route: RequestRouter,
     ) -> None:
-        """`route`: the way of requests on jobs, which in a fleet of cells leads to the job's cell.
+        """`route`: forwards requests on jobs, in a fleet of cells to the job's cell.
 
-        `requests`: the way to the leader of this controller's own cell.
+        `requests`: forwards requests to the leader of this controller's own cell.
         """
         self._election = election
         self._formats = member_formats
@@ -47,7 +47,7 @@
         self._route = route
 
     def handle_request(self, request: Request) -> None:
-        """Answers a request, now or once the leader has answered it."""
+        """Replies to a request, at once or after the leader's reply."""
         path = request.path.partition("?")[0]
         if path == wire.BEAT:
             self._require_method("POST", request, self._heartbeats.handle_heartbeat)
@@ -102,14 +102,14 @@
         self._route(RequestKind.SUBMIT, request.body, on_reply)
 
     def _can_leader_place_gangs(self) -> bool:
-        """A leader of an older version would place a gang task by task."""
+        """Whether the leader knows gangs; an older version would place a gang task by task."""
         if self._election.is_leader:
             return True
         leader = self._election.leader
         return leader is not None and self._formats.get_newest_format(leader) >= formats.GANGS
 
     def _handle_malformed_submission(self, request: Request, error: str) -> None:
-        """A known job's submission is answered with its state, whatever its body has become."""
+        """Replies with the state of the job if it is known, however malformed; else with 400."""
         ref = _extract_job_id(request.body)
         if ref is None:
             request.reply(BAD_REQUEST, {"error": error})
@@ -126,7 +126,7 @@
 
 
 def _make_reply_callback(request: Request) -> OnReply:
-    """A callback that answers the user's request."""
+    """Returns a callback that replies to the user's request."""
 
     def on_reply(status: int, body: Any) -> None:
         if status in (TOO_MANY_REQUESTS, UNAVAILABLE):
@@ -138,7 +138,7 @@
 
 
 def _extract_job_id(submission: bytes) -> str | None:
-    """The job's id in a submission that is otherwise malformed."""
+    """Returns the job's id in an otherwise malformed submission; None if it has no valid id."""
     try:
         body = msgspec.msgpack.decode(submission)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
--- a/flaxtally/api/leader_requests.py
+++ b/flaxtally/api/leader_requests.py
@@ -1,7 +1,7 @@
-"""Forwards users' requests to the leader, and answers those that other controllers forward.
+"""Forwards users' requests to the leader, and replies to those that other controllers forward.
 
-A request counts as answered only by the leader that it was sent to; when that leader is replaced,
-the request is sent to its successor.
+A reply counts only if it is from the leader that the request was sent to. When that leader is
+replaced, the request is sent again, to its successor.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 log = logging.getLogger(__name__)
 
 OnReply = Callable[[int, Any], None]
-"""HTTP status and body of the answer to a user."""
+"""Gets the HTTP status and body of the reply to a user."""
 BAD_REQUEST, UNAVAILABLE = 400, 503
 
 
 class RequestKind(StrEnum):
-    """What users ask the leader, by the words of the wire."""
+    """Kinds of users' requests to the leader; the values are those of the wire protocol."""
 
     SUBMIT = "submit"
     POLL = "poll"
@@ -43,10 +43,10 @@
 
 @dataclass(slots=True, eq=False)
 class _PendingRequest:
-    """A request sent to the leader of a term, until it is answered or its time is over.
+    """A request sent to the leader of a term, until it is replied to or times out.
 
-    Each time it is sent it gets a new number: an answer counts only if it is the asked leader's to
-    that number.
+    It gets a new number each time it is sent. A reply counts only if it has the latest number and
+    comes from the leader that the request was sent to.
     """
 
     kind: str
@@ -60,7 +60,7 @@
 
 
 class LeaderRequests(Actor):
-    """Owns the requests under way between this controller and the leader."""
+    """Tracks the pending requests of this controller to the leader."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         leader: Leader,
         max_pending: int,
     ) -> None:
-        """`max_pending`: requests under way at a time."""
+        """`max_pending`: the maximum count of pending requests."""
         super().__init__(runtime)
         self._policy = policy
         self._election = election
@@ -80,13 +80,14 @@
         self._max_pending = max_pending
         self._numbers = itertools.count(election.incarnation)
         self._pending: dict[int, _PendingRequest] = {}
-        """By number."""
+        """By the number of the request."""
         self.every(policy.heartbeat / 2, self._resend_to_successor)
 
     def forward_to_leader(self, kind: str, subject: str | bytes, on_reply: OnReply) -> None:
-        """Forwards a request to the leader; answers 503 at once when that can't be.
+        """Forwards a request to the leader; replies 503 at once if that is not possible.
 
-        `kind` is a word of the wire: a newer leader may know some that this program does not.
+        `kind` is a string of the wire protocol: a newer leader may support kinds that this program
+        does not know.
         """
         if not self._can_forward():
             on_reply(UNAVAILABLE, None)
@@ -121,7 +122,7 @@
             self._peers.send(election.leader, to_frame(message))
 
     def _resend_to_successor(self) -> None:
-        """Sends requests that went to a leader of an earlier term to the present one."""
+        """Sends requests that went to the leader of an earlier term again, to the current one."""
         served_term = self._election.served_term
         if served_term:
             outdated = [request for request in self._pending.values() if request.term < served_term]
@@ -137,7 +138,8 @@
         if request is None:
             return
         if self.runtime.now() > request.deadline_at:
-            # After a pause of this process it may be older than what others were answered since.
+            # After a pause of this process, the reply may be older than replies that others have
+            # received since.
             status = UNAVAILABLE
             body = None
         elif (
@@ -145,7 +147,7 @@
             and request.term < self._election.term
             and request.timer is not None
         ):
-            # Its leader gave up leading; the successor is asked as soon as it is ready.
+            # That leader has stepped down; the request goes to its successor once that is ready.
             return
         del self._pending[number]
         if request.timer is not None:
@@ -153,7 +155,7 @@
         request.on_reply(status, body)
 
     def handle_response(self, sender: str, response: JobResponse) -> None:
-        """The leader's answer to a request that this controller forwarded."""
+        """Handles the leader's reply to a request that this controller forwarded."""
         request = self._pending.get(response.number)
         if request is not None and request.leader == sender:
             self._complete(response.number, response.status, response.body)
@@ -161,7 +163,7 @@
     # At the leader
 
     def handle_request(self, sender: str, request: JobRequest) -> None:
-        """Another controller forwards a user's request."""
+        """Handles a user's request that another controller forwarded."""
 
         def on_reply(status: int, body: Any) -> None:
             response = JobResponse(number=request.number, status=status, body=body)
@@ -183,7 +185,7 @@
             case RequestKind.LOANS, _:
                 self._leader.query_loans(on_reply)
             case _:
-                log.warning("unknown kind of request: %s", kind)
+                log.warning("unsupported request of kind %s, replying with status 400", kind)
                 on_reply(BAD_REQUEST, {"error": "not a question"})
 
     def _submit(self, submission: bytes, on_reply: OnReply) -> None:
--- a/flaxtally/api/shard_redirects.py
+++ b/flaxtally/api/shard_redirects.py
@@ -13,22 +13,22 @@
     from ..settings import Settings
 
 FAILED_REDIRECT_LEASES = 3
-"""A machine that came back from a redirect is answered here for so many leases."""
+"""Leases for which a machine that came back after a redirect is not redirected again."""
 NEVER = float("-inf")
 
 
 class ShardRedirects:
-    """Owns what is known of machines of other controllers' shards that report here."""
+    """Tracks the machines of other controllers' shards that report to this controller."""
 
     def __init__(self, settings: Settings, election: LeaderElection, peers: PeerLinks) -> None:
-        """The owner of a shard follows from the live members that the leader names."""
+        """Determines the owners of shards from the live members according to `election`."""
         self._node = settings.node
         self._lease_s = settings.lease_s
         self._election = election
         self._peers = peers
         self._zone_by_controller = map_controllers_to_zones(settings)
         self._owner_cache: dict[str, str | None] = {}
-        """By machine, for the live members in `_owner_cache_members`."""
+        """Owner of the shard by machine, valid for the live members in `_owner_cache_members`."""
         self._owner_cache_members: list[str] = []
         self._redirected_at: dict[str, float] = {}
         self._returned_at: dict[str, float] = {}
@@ -37,26 +37,27 @@
         """When a machine of another controller's shard last reported here."""
 
     def find_redirect_target(self, heartbeat: wire.Heartbeat, now: float) -> str | None:
-        """The controller that the machine is to report to instead; None: it is answered here."""
+        """Returns the controller that the machine should report to; None to accept it here."""
         machine = heartbeat.machine
         owner = self._find_owner(machine, heartbeat.zone)
         if owner is None or owner == self._node or not self._peers.is_directly_reachable(owner):
             return None
         if now - self._redirected_at.get(machine, NEVER) < self._lease_s:
-            # Redirected and back again: evidently it can't reach its owner.
+            # It came back after a redirect, so it probably can't reach its owner.
             self._returned_at[machine] = now
         has_reported_recently = now - self._reported_at.get(machine, NEVER) < self._lease_s / 2
         self._reported_at[machine] = now
         return_age_s = now - self._returned_at.get(machine, NEVER)
         if not has_reported_recently or return_age_s <= FAILED_REDIRECT_LEASES * self._lease_s:
-            # Never at its first heartbeat here: it may come from an owner that does not answer it
-            # (cut off from workers alone, or standing still), and that took half of its lease.
+            # Never redirect the first heartbeat: the machine may come from an owner that does not
+            # reply (it is partitioned from workers only, or its process is paused), and waiting for
+            # that reply took half of the machine's lease.
             return None
         self._redirected_at[machine] = now
         return owner
 
     def expire(self, before: float) -> None:
-        """Drops what happened before that time."""
+        """Drops records from before the given time."""
         self._redirected_at = _drop_older_than(before, self._redirected_at)
         self._returned_at = _drop_older_than(before, self._returned_at)
         self._reported_at = _drop_older_than(before, self._reported_at)
--- a/flaxtally/api/sharding.py
+++ b/flaxtally/api/sharding.py
@@ -1,4 +1,4 @@
-"""Which controller answers a machine's heartbeats: machines are sharded by rendezvous hashing."""
+"""Assigns machines to the controllers that handle their heartbeats, by rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 def compute_rendezvous_weight(key: str, name: str) -> bytes:
-    """Orders names for a key, evenly and the same in every process (rendezvous hashing)."""
+    """Returns a name's weight for a key: evenly distributed, and the same in every process."""
     return hashlib.blake2b(f"{key} {name}".encode(), digest_size=WEIGHT_BYTES).digest()
 
 
 def find_shard_owner(
     machine: str, zone: str, controllers: list[str], zone_by_controller: dict[str, str]
 ) -> str | None:
-    """The controller whose shard the machine belongs to; None if there are no controllers.
+    """Returns the controller whose shard the machine belongs to; None if there are no controllers.
 
-    Controllers of the machine's own zone are preferred: when zones can't reach each other, a worker
-    that must first try the controllers of other zones, at some seconds each, loses its lease on the
-    way.
+    Controllers of the machine's own zone are preferred. If zones can't reach each other, a worker
+    that first had to try the controllers of other zones, at some seconds each, would lose its lease
+    meanwhile.
     """
     in_zone = [name for name in controllers if zone_by_controller.get(name) == zone]
     return max(
@@ -34,7 +34,7 @@
 
 
 def map_controllers_to_zones(settings: Settings) -> dict[str, str]:
-    """The zone of each controller, this one included."""
+    """Returns the zone of each controller, this one included."""
     zones = {settings.node: settings.zone}
     zones.update({name: zone for name, (zone, _) in settings.peers.items()})
     return zones
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -1,4 +1,4 @@
-"""A controller: creates the actors and connects them with each other."""
+"""A controller: creates its actors and connects them with each other."""
 
 from __future__ import annotations
 
@@ -56,11 +56,11 @@
 log = logging.getLogger(__name__)
 
 ACCEPTED_SOCKETS_FRACTION = 0.55
-"""Of the sockets, for users and workers; another share is for calls to workers, the rest for peers,
-state service and cloud.
+"""Fraction of the sockets for connections from users and workers. Another fraction is for calls to
+workers, and the rest for peers, the key-value store and the cloud.
 """
 IDLE_CONNECTION_LEASES = 3
-"""A connection of a user or worker is closed when it was idle for so many leases."""
+"""Leases after which an idle connection of a user or worker is closed."""
 
 
 @dataclass(frozen=True)
@@ -68,13 +68,13 @@
     """What a controller is responsible for: the whole fleet, or one of its cells."""
 
     settings: Settings
-    """As the leader of the fleet or cell sees them."""
+    """The settings for the leader of the fleet or cell."""
     cloud: Cloud
     limits: TeamLimits
     key_prefix: str
-    """Before every key at the state service."""
+    """Prefix of every key in the key-value store."""
     membership: Membership | None
-    """None where the fleet is not divided."""
+    """None if the fleet is not divided into cells."""
 
 
 def _fleet_scope(runtime: Runtime, settings: Settings, policy: Policy) -> _Scope:
@@ -83,7 +83,8 @@
 
 
 def _cell_scope(runtime: Runtime, settings: Settings, policy: Policy, cells: CellSetup) -> _Scope:
-    # Imported here: a controller of an undivided fleet does without cells and their library.
+    # Imported here, so that a controller of an undivided fleet does not load the cells package and
+    # the library that it needs.
     from .cells.membership import Membership
 
     membership = Membership(runtime, settings, policy, cells)
@@ -103,9 +104,9 @@
         cells: CellSetup | None = None,
         lending: LendingFeature | None = None,
     ) -> None:
-        """`cells`: the controller is one of a fleet that is divided into several.
+        """`cells`: the setup of the controller's cell; None in an undivided fleet.
 
-        `lending`: loans between teams are recalled.
+        `lending`: the configuration by which loans between teams are reclaimed; None if off.
         """
         if cells is None:
             scope = _fleet_scope(runtime, settings, policy)
@@ -119,7 +120,7 @@
             runtime, scope.settings.state, policy.call, policy.first_call, scope.key_prefix
         )
         self._frame_router = FrameRouter()
-        # Each of these starts its timers as it is created: their order is part of a seeded run.
+        # Each of these starts its timers when it is created, so their order affects seeded runs.
         self._create_cluster(rng)
         self._create_heartbeat_tables()
         self._create_leader(scope, rng, lending)
@@ -130,7 +131,7 @@
     # Creating the actors
 
     def _create_cluster(self, rng: random.Random) -> None:
-        """Links to the other controllers, the election, and what goes with them."""
+        """Creates the links to the other controllers, the election, and what they need."""
         runtime, settings, policy = self._runtime, self._settings, self._policy
         self._workers = Workers(
             runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE)
@@ -148,7 +149,7 @@
         )
 
     def _link_peers(self) -> PeerLinks:
-        """The links to the other controllers, with the relay for those that are silent."""
+        """Creates the links to the other controllers, with the relay for links that are down."""
         runtime, settings, policy = self._runtime, self._settings, self._policy
         liveness = PeerLiveness(runtime, settings.node, settings.peers, policy.peer_silence)
         max_batch_chars = int(settings.state_limits.value_bytes * PAGE_SHARE)
@@ -175,7 +176,7 @@
         )
 
     def _create_heartbeat_tables(self) -> None:
-        """What this controller remembers of the machines that report to it."""
+        """Creates the state that this controller keeps about the machines that report to it."""
         runtime, settings = self._runtime, self._settings
         forwarding = HeartbeatForwarding(
             runtime, settings, self._policy, self.election, self.peers, self.formats
@@ -188,7 +189,7 @@
     def _create_leader(
         self, scope: _Scope, rng: random.Random, lending: LendingFeature | None
     ) -> None:
-        """The duties of the leader, which rest while another controller leads."""
+        """Creates the leader's components, which are inactive while another controller leads."""
         runtime, settings, policy = self._runtime, self._settings, self._policy
         self.command_relay = CommandRelay(
             runtime,
@@ -226,7 +227,7 @@
         )
 
     def _create_endpoints(self) -> None:
-        """What workers, users and other controllers call."""
+        """Creates the endpoints that workers, users and other controllers call."""
         runtime, settings, policy = self._runtime, self._settings, self._policy
         self.leader_requests = LeaderRequests(
             runtime, policy, self.election, self.peers, self.leader, settings.max_sockets
@@ -249,7 +250,7 @@
         )
 
     def _add_frame_handlers(self) -> None:
-        """Says who handles which messages of other controllers."""
+        """Registers the handlers for messages of other controllers."""
         router = self._frame_router
         endpoint = self.heartbeat_endpoint
         router.add_message_handler(Heartbeat, self.election.on_heartbeat)
@@ -291,9 +292,9 @@
     # Frames of other controllers
 
     def _may_relay_to(self, peer: str) -> bool:
-        """Whether frames for the peer may go through the state service.
+        """Whether frames for the peer may be relayed through the key-value store.
 
-        Only a leader and its followers write to each other: changes there are few.
+        Only a leader and its followers relay to each other, to limit the writes to the store.
         """
         election = self.election
         return election.is_store_reachable and (election.is_leader or election.leader == peer)
@@ -306,7 +307,7 @@
     # The process
 
     def _on_delay(self, delay: LoopDelay) -> None:
-        """For operators: this controller has more to do than its share of a processor allows."""
+        """Warns operators that this controller has too little processor time for its load."""
         log.warning(
             "event=loop_behind node=%s late=%.2f longest=%.2f callback=%s",
             self._settings.node,
@@ -316,7 +317,7 @@
         )
 
     def _on_pause(self, pause_s: float) -> None:
-        """The process stood still: silence during that time is not held against the others."""
+        """Excludes a pause of this process from the time-outs of all components."""
         log.warning("event=process_pause node=%s lost=%.1f", self._settings.node, pause_s)
         self._store.on_pause(pause_s)
         self.peers.on_pause(pause_s)
