--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,5 +1,7 @@
-"""Malformed input at many times the usual rate: it is turned away at once, costs the state service
-nothing, and neither ends a controller nor changes who leads.
+"""Malformed input at many times the usual rate.
+
+It must be rejected at once, cause no writes to the key-value store, and neither end a controller
+nor change the leader.
 """
 
 import struct
@@ -12,10 +14,10 @@
 from .scenarios import term
 from .simulated_cluster import SimulatedCluster, spec
 
-A_SECOND = 400
+REQUESTS_PER_S = 400
 
 
-def calm_world() -> SimulatedCluster:
+def create_idle_cluster() -> SimulatedCluster:
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     world.run(15.0)
@@ -23,8 +25,8 @@
     return world
 
 
-def changes(world: SimulatedCluster) -> int:
-    """Changes at the state service so far: revisions rise by one with each."""
+def count_store_changes(world: SimulatedCluster) -> int:
+    """Returns the number of changes to the key-value store; each raises the revision by one."""
     return max(stamp for _, stamp, _ in world.state.rows.values())
 
 
@@ -38,29 +40,30 @@
         (wire.BEAT, b"\x91" * 500, 400),
     ],
 )
-def test_malformed_requests_are_answered_at_once(path: str, body: object, expected: int) -> None:
-    world = calm_world()
-    before, led = changes(world), term(world)
-    answers: list[int] = []
+def test_malformed_requests_are_rejected_at_once(path: str, body: object, expected: int) -> None:
+    # Malformed requests that were forwarded or stored would load the leader and the store.
+    world = create_idle_cluster()
+    before, initial_term = count_store_changes(world), term(world)
+    replies: list[int] = []
     delays: list[float] = []
 
-    def ask(node: str) -> None:
-        asked_at = world.sim.time
+    def send_request(node: str) -> None:
+        sent_at = world.sim.time
 
-        def told(status: int, _: object) -> None:
-            answers.append(status)
-            delays.append(world.sim.time - asked_at)
+        def on_reply(status: int, _: object) -> None:
+            replies.append(status)
+            delays.append(world.sim.time - sent_at)
 
-        world.call(node, "POST", path, body, told)
+        world.call(node, "POST", path, body, on_reply)
 
-    for number in range(2 * A_SECOND):
-        world.after(number / A_SECOND, ask, world.names[number % len(world.names)])
+    for number in range(2 * REQUESTS_PER_S):
+        world.after(number / REQUESTS_PER_S, send_request, world.names[number % len(world.names)])
     world.run(4.0)
-    assert answers == [expected] * (2 * A_SECOND)
+    assert replies == [expected] * (2 * REQUESTS_PER_S)
     assert max(delays) < 0.5
-    assert term(world) == led
-    # The leader's own lease is all that is written meanwhile.
-    assert changes(world) - before <= 8
+    assert term(world) == initial_term
+    # Only the leader's own lease is written meanwhile.
+    assert count_store_changes(world) - before <= 8
     assert world.ask("j-000001")[1]["running"] == 2
 
 
@@ -75,9 +78,10 @@
         encode_frame({"k": "hello", "node": "hearth-1"}) + struct.pack(">I", 1) + b"\x00",
     ],
 )
-def test_nonsense_between_controllers_ends_just_its_connection(data: bytes) -> None:
-    world = calm_world()
-    led, closed = term(world), list[int]()
+def test_malformed_frames_close_only_their_connection(data: bytes) -> None:
+    # Frames from an unknown sender, or without a valid form, must not affect any other connection.
+    world = create_idle_cluster()
+    initial_term, closed = term(world), list[int]()
     for number in range(200):
 
         def dial(number: int = number) -> None:
@@ -88,5 +92,5 @@
         world.after(number * 0.01, dial)
     world.run(6.0)
     assert len(closed) == 200
-    assert term(world) == led
+    assert term(world) == initial_term
     assert world.ask("j-000001")[1]["running"] == 2
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -1,4 +1,4 @@
-"""The election's state machine and the rules for a candidacy, without a cluster around them."""
+"""Unit tests of the election's state machine, the candidacy rules and the leader key."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 POLICY = default(SimulatedCluster().settings_of(NODES[0]))
 
 
-def lost(**changes: Any) -> UnreachableLeader:
+def unreachable_leader(**changes: Any) -> UnreachableLeader:
     fields: dict[str, Any] = {
         "unreachable_for_s": POLICY.refused_patience + 60.0,
         "rank": 0,
@@ -39,19 +39,19 @@
 @pytest.mark.parametrize(
     ("leader", "decision"),
     [
-        (lost(), CandidacyDecision(CandidacyAction.CAMPAIGN)),
+        (unreachable_leader(), CandidacyDecision(CandidacyAction.CAMPAIGN)),
         (
-            lost(unreachable_for_s=0.0, rank=2),
+            unreachable_leader(unreachable_for_s=0.0, rank=2),
             CandidacyDecision(CandidacyAction.WAIT, POLICY.heartbeat * 2.25),
         ),
-        (lost(is_seen_by_peer=True), CandidacyDecision(CandidacyAction.CHECK_LEASE)),
-        (lost(is_alone=True), CandidacyDecision(CandidacyAction.CHECK_LEASE)),
+        (unreachable_leader(is_seen_by_peer=True), CandidacyDecision(CandidacyAction.CHECK_LEASE)),
+        (unreachable_leader(is_alone=True), CandidacyDecision(CandidacyAction.CHECK_LEASE)),
         (
-            lost(is_alone=True, refuses_connections=True),
+            unreachable_leader(is_alone=True, refuses_connections=True),
             CandidacyDecision(CandidacyAction.CAMPAIGN),
         ),
         (
-            lost(
+            unreachable_leader(
                 is_alone=True,
                 refuses_connections=True,
                 unreachable_for_s=POLICY.refused_patience - 0.01,
@@ -60,15 +60,18 @@
         ),
     ],
 )
-def test_when_a_lost_leader_is_replaced(
+def test_candidacy_decision_about_an_unreachable_leader(
     leader: UnreachableLeader, decision: CandidacyDecision
 ) -> None:
+    # A controller that campaigns too early replaces a live leader; one too late prolongs an outage.
     assert decide_candidacy(leader, POLICY) == decision
 
 
-def test_the_states_and_the_reasons_for_their_transitions(
+def test_election_state_transitions_log_their_reasons(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # A transition that is missing, or has the wrong reason in the log, would mislead operators and
+    # let a controller act in a role that it does not have.
     caplog.set_level("INFO")
     state = ElectionState("controller-0")
     assert (state.role, state.term, state.leader) == (Role.FOLLOWER, 0, None)
@@ -77,7 +80,7 @@
     state.become_leader(1, TransitionReason.CAMPAIGN_WON)
     state.mark_ready()
     assert (state.is_leader, state.leader, state.is_ready) == (True, "controller-0", True)
-    # A campaign that was pending meanwhile changes nothing about a leader.
+    # A campaign that is still pending does not change the role of a leader.
     state.become_candidate(TransitionReason.LEADER_UNREACHABLE)
     state.end_candidacy(TransitionReason.CAMPAIGN_LOST)
     assert state.is_leader
@@ -94,7 +97,9 @@
     ]
 
 
-def test_the_leader_key_keeps_its_stored_form() -> None:
+def test_leader_key_keeps_its_stored_form() -> None:
+    # Controllers of other versions must be able to read the leader key, and an invalid value must
+    # end in a typed error.
     value = {"term": 3, "node": "controller-1", "boot": "00ff"}
     assert parse_leader_record(value) == LeaderRecord(3, "controller-1", "00ff")
     assert LeaderRecord(3, "controller-1", "00ff").to_value() == value
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -1,5 +1,6 @@
-"""Who leads, and what a change of leader leaves in place. Each test names the failure that
-it guards against; `SimulatedCluster` checks the rules at every start and end of a task.
+"""Leader election and failover. Each test says which failure it guards against.
+
+`SimulatedCluster` checks its invariants at every start and end of a task.
 """
 
 from __future__ import annotations
@@ -12,8 +13,9 @@
 from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
 
-def test_quiet_start_serves_and_finishes() -> None:
-    # A fresh deployment must elect one leader, rent, place, and report an array done.
+def test_fresh_deployment_elects_one_leader_and_finishes_an_array() -> None:
+    # A fresh deployment must elect one leader, provision machines, place tasks, and report an array
+    # as done.
     world = serving()
     world.submit(batch("j-000100", 10), run_time=5.0)
     assert world.until(lambda: world.count("j-000100") > 0, 60)
@@ -27,25 +29,26 @@
     assert sum(node.election.is_leader for node in world.nodes.values()) == 1
 
 
-def test_leader_crash_keeps_every_task_in_place() -> None:
-    # A takeover must find placements in the ledger and leave running tasks alone.
+def test_leader_crash_leaves_running_tasks_in_place() -> None:
+    # A new leader must restore the placements from the ledger and leave running tasks alone.
     world = serving()
     before = dict(world.running)
-    old = world.leader()
-    assert old
-    world.crash(old, back_after=5.0)
-    assert world.until(lambda: world.leader() not in (None, old), 5), world.trace
+    old_leader = world.leader()
+    assert old_leader
+    world.crash(old_leader, back_after=5.0)
+    assert world.until(lambda: world.leader() not in (None, old_leader), 5), world.trace
     world.run(30)
     assert world.running == before
 
 
-def test_crash_between_commit_and_launch() -> None:
-    # A placement that is committed but never launched must be proven over, then placed again.
+def test_leader_crash_between_commit_and_launch_places_tasks_again() -> None:
+    # A task that was placed in the ledger but never launched must be proven not to run, and then be
+    # placed again.
     world = serving()
     leader = world.leader()
     assert leader
     node = world.nodes[leader]
-    node.leader.duties.commands._send_batch = lambda *_: None  # type: ignore[method-assign]  the orders never leave
+    node.leader.duties.commands._send_batch = lambda *_: None  # type: ignore[method-assign]  drops the commands
     world.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
     assert world.until(lambda: "j-000050" in world.accepted, 5)
     world.run(0.5)
@@ -62,8 +65,8 @@
     } == {2}
 
 
-def test_all_controllers_crash() -> None:
-    # An accepted job survives the loss of every process, and nothing runs twice after it.
+def test_crash_of_all_controllers_loses_no_accepted_job() -> None:
+    # An accepted job must survive a crash of all controllers, and no task may run twice after it.
     world = serving()
     world.submit(batch("j-000100", 8), run_time=20.0)
     assert world.until(lambda: world.count("j-000100") == 8, 60)
@@ -76,45 +79,49 @@
     assert all(world.count(f"j-{number:06d}") == 2 for number in range(4))
 
 
-def test_leader_cut_from_everyone_is_deposed() -> None:
-    # Two nodes that each think they lead: the cut one can commit nothing and answers no question.
+def test_partitioned_leader_is_deposed_and_replies_503() -> None:
+    # Two controllers that both believe they lead: the partitioned one can commit nothing, and must
+    # not answer requests.
     world = serving()
-    old = world.leader()
-    assert old
-    for other in [*(world.ip(name) for name in NODES if name != old), STATE[0]]:
-        world.sim.cut(world.ip(old), other)
-    assert world.until(lambda: world.leader() not in (None, old), 15), world.trace
-    answers: list[int] = []
-    world.call(old, "GET", f"{wire.WORK}/j-000000", None, lambda status, _: answers.append(status))
-    world.submit(spec("j-000060", tasks=2), node=(NODES.index(old) + 1) % 3)
+    old_leader = world.leader()
+    assert old_leader
+    for other in [*(world.ip(name) for name in NODES if name != old_leader), STATE[0]]:
+        world.sim.cut(world.ip(old_leader), other)
+    assert world.until(lambda: world.leader() not in (None, old_leader), 15), world.trace
+    replies: list[int] = []
+    world.call(
+        old_leader, "GET", f"{wire.WORK}/j-000000", None, lambda status, _: replies.append(status)
+    )
+    world.submit(spec("j-000060", tasks=2), node=(NODES.index(old_leader) + 1) % 3)
     assert world.until(lambda: world.count("j-000060") == 2, 30)
     world.run(2)
-    assert answers == [503]
-    for other in [*(world.ip(name) for name in NODES if name != old), STATE[0]]:
-        world.sim.heal(world.ip(old), other)
+    assert replies == [503]
+    for other in [*(world.ip(name) for name in NODES if name != old_leader), STATE[0]]:
+        world.sim.heal(world.ip(old_leader), other)
     world.run(20)
     assert sum(node.election.is_leader for node in world.nodes.values()) == 1
     assert all(world.count(f"j-{number:06d}") == 2 for number in range(4))
 
 
-def test_state_outage_is_ridden_out() -> None:
-    # Tasks run on, nothing is accepted or forgotten; 503 at once, never held back.
+def test_tasks_keep_running_during_an_outage_of_the_key_value_store() -> None:
+    # Tasks must keep running, and no job may be accepted or lost. Requests must get 503 at once,
+    # instead of waiting.
     world = serving()
     before = dict(world.running)
     world.state.down = True
     world.run(3)
-    answers: list[tuple[float, int]] = []
-    asked = world.sim.time
+    replies: list[tuple[float, int]] = []
+    sent_at = world.sim.time
     world.call(
         "hearth-0",
         "POST",
         wire.WORK,
         wire.submission(spec("j-000061")),
-        lambda status, _: answers.append((world.sim.time - asked, status)),
+        lambda status, _: replies.append((world.sim.time - sent_at, status)),
     )
     world.run(20)
-    assert answers[0][1] == 503
-    assert answers[0][0] < 2.0
+    assert replies[0][1] == 503
+    assert replies[0][0] < 2.0
     world.state.recover()
     world.run(15)
     assert world.running == before
@@ -122,28 +129,28 @@
 
 
 def test_late_transaction_of_a_deposed_leader_fails() -> None:
-    # A write held in the network while another took over must not be applied when it arrives.
+    # A write that the network delays until another controller has taken over must not be applied.
     world = serving()
-    old = world.leader()
-    assert old
-    world.sim.cut(world.ip(old), STATE[0])
-    world.submit(spec("j-000062", tasks=2), node=NODES.index(old))
-    assert world.until(lambda: world.leader() not in (None, old), 15)
+    old_leader = world.leader()
+    assert old_leader
+    world.sim.cut(world.ip(old_leader), STATE[0])
+    world.submit(spec("j-000062", tasks=2), node=NODES.index(old_leader))
+    assert world.until(lambda: world.leader() not in (None, old_leader), 15)
     world.run(5)
-    world.sim.heal(world.ip(old), STATE[0])
+    world.sim.heal(world.ip(old_leader), STATE[0])
     assert world.until(lambda: world.count("j-000062") == 2, 30), world.trace
     world.run(10)
-    terms = {row.value["term"] for row in [world_row(world, "lead")]}
+    terms = {row.value["term"] for row in [get_row(world, "lead")]}
     assert terms == {world.nodes[world.leader() or ""].election.term}
 
 
-def world_row(world: SimulatedCluster, key: str) -> wire.Row:
+def get_row(world: SimulatedCluster, key: str) -> wire.Row:
     value, version, _ = world.state.rows[key]
     return wire.Row(key, value, version)
 
 
-def test_a_deposed_leaders_commit_fails_on_the_leader_key() -> None:
-    # Also when the pages that it writes are as it knows them.
+def test_commit_of_a_deposed_leader_fails_on_the_leader_key() -> None:
+    # The commit must fail even if the pages that it writes still have the expected versions.
     world = serving()
     leader = world.nodes[world.leader() or ""]
     value, _, _ = world.state.rows[LEADER_KEY]
@@ -162,9 +169,9 @@
     assert {key: row for key, row in world.state.rows.items() if key.startswith("p/")} == pages
 
 
-def test_a_takeover_counts_each_placement_once() -> None:
-    # Found by the fleet's log: after a takeover every machine that reported lately seemed twice as
-    # full.
+def test_takeover_counts_each_placement_once() -> None:
+    # After a takeover, the placements on every machine that had reported recently were counted
+    # twice.
     world = serving()
     world.crash(world.leader() or "", back_after=5.0)
     world.run(15)
@@ -173,30 +180,32 @@
     assert used == sum(usage.cores for usage in leader.state.usage_by_team.values()) == 16.0
 
 
-def test_old_pages_are_cleaned_and_nothing_is_forgotten() -> None:
-    # Pages must not grow with the days; final states are kept for ever, through takeovers too.
+def test_old_pages_are_deleted_and_final_states_are_kept() -> None:
+    # The ledger's pages must not grow with time, and the final states of jobs must be kept
+    # indefinitely, also across takeovers.
     world = SimulatedCluster(value_bytes=1024)
     world.submit(spec("j-900000", tasks=2))
     for number in range(120):
         world.sim.at(number * 0.5, world.submit, batch(f"j-{number:06d}", 1), 1.0, number)
     world.sim.at(40.0, world.cancel, "j-000119")
     world.run(70)
-    held = dict(world.running)
-    written = max(int(key[2:]) for key in world.state.rows if key.startswith("p/"))
-    kept = sum(key.startswith("p/") for key in world.state.rows)
-    assert kept < written / 2
+    running_before = dict(world.running)
+    newest_page = max(int(key[2:]) for key in world.state.rows if key.startswith("p/"))
+    page_count = sum(key.startswith("p/") for key in world.state.rows)
+    assert page_count < newest_page / 2
     for name in NODES:
         world.crash(name, back_after=1.0)
     world.run(20)
-    assert {task: held[task] for task in held if task.startswith("j-9")} == world.running
+    assert {
+        task: running_before[task] for task in running_before if task.startswith("j-9")
+    } == world.running
     for number in range(0, 119, 7):
         assert world.ask(f"j-{number:06d}")[1]["stage"] == "done"
 
 
-def test_a_peer_that_began_anew_during_a_cut_hears_us_again() -> None:
-    # Found on a drawn day: the leader's old connection to a controller that had crashed beyond a
-    # cut led nowhere, while that controller's own reached the leader. Reports came, and every order
-    # was lost.
+def test_peer_that_restarts_during_a_partition_is_reconnected() -> None:
+    # A controller restarted during a network partition. The leader's old connection to it was dead,
+    # while its own connection to the leader worked: heartbeats arrived, but every command was lost.
     world = serving()
     leader = world.leader()
     assert leader
@@ -211,10 +220,10 @@
     assert world.nodes[other].peers.is_directly_reachable(leader)
 
 
-def test_leadership_is_steady_while_all_controllers_refuse_each_other() -> None:
-    # Found on a grown deployment: a packet filter between controllers looked like dead processes.
-    # Each took over from the last, 140 terms in 30 s, and nothing was accepted. The leader's mail
-    # tells that it lives.
+def test_leadership_is_stable_while_all_controllers_refuse_connections() -> None:
+    # A packet filter that refuses connections between controllers made them look like dead
+    # processes. They took over from each other, 140 terms in 30 s, and no job was accepted. The
+    # leader's frames through the store relay must show that it is alive.
     world = serving()
     terms = max(node.election.term for node in world.nodes.values())
     pairs = [(world.ip(one), world.ip(other)) for one in NODES for other in NODES if one < other]
@@ -230,7 +239,7 @@
     leader = world.leader()
     assert leader
     assert all(world.nodes[leader].peers.is_directly_reachable(name) for name in NODES)
-    # And when the two others do die together, the one that is left takes over within seconds.
+    # If both other controllers crash together, the remaining one still leads after some seconds.
     for name in NODES:
         if name != leader:
             world.crash(name)
@@ -238,11 +247,13 @@
     assert world.leader() == leader
 
 
-def test_the_last_controller_takes_over_soon_when_the_leader_and_another_die_at_once() -> None:
+def test_last_controller_takes_over_when_leader_and_another_crash_together() -> None:
+    # All peers of the last controller refuse connections, as they do behind a packet filter; it
+    # must not wait for long to find out that they are dead.
     world = serving()
     leader = world.leader() or ""
-    left = next(name for name in NODES if name != leader)
+    survivor = next(name for name in NODES if name != leader)
     for name in NODES:
-        if name != left:
+        if name != survivor:
             world.crash(name)
-    assert world.until(lambda: world.leader() == left, 4), world.trace[-5:]
+    assert world.until(lambda: world.leader() == survivor, 4), world.trace[-5:]
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Frames between controllers that come late or by two ways."""
+"""Frames between controllers that arrive late or on two paths."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
     from flaxtally.protocol import wire
 
 
-def test_an_order_that_comes_by_two_ways_is_carried_out_once(
+def test_command_that_arrives_on_two_paths_is_executed_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # While a link is taken for silent frames go over it and through the state service. A launch
-    # that came again after its attempt was forgotten on the machine started that anew.
+    # While a link counts as down, frames are sent over it and through the key-value store. A launch
+    # that arrived again after the machine had forgotten the attempt started the attempt again.
     launched: Counter[tuple[str, int]] = Counter()
     launch, send = Worker._launch, PeerLinks.send
 
-    def counted(worker: Worker, order: wire.Command) -> None:
-        launched[order.task, order.attempt] += 1
-        launch(worker, order)
+    def count_launch(worker: Worker, command: wire.Command) -> None:
+        launched[command.task, command.attempt] += 1
+        launch(worker, command)
 
-    def doubled(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
+    def send_twice(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
         send(peers, node, frame)
         if frame["k"] == "ord":
             peers.later(4.0, send, peers, node, frame)
 
-    monkeypatch.setattr(Worker, "_launch", counted)
-    monkeypatch.setattr(PeerLinks, "send", doubled)
+    monkeypatch.setattr(Worker, "_launch", count_launch)
+    monkeypatch.setattr(PeerLinks, "send", send_twice)
     world = SimulatedCluster()
     for number in range(8):
         world.submit(batch(f"j-{100 + number:06d}", 4), run_time=1.0, node=number)
@@ -48,45 +48,46 @@
     ends_well(world, 20)
 
 
-def test_a_batch_of_an_earlier_silence_is_not_taken_for_new(
+def test_relay_batch_of_an_earlier_link_outage_is_ignored(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Found on a day with two cuts between zones: the last batch of the first was read when the
-    # second began, 70 s later, and its launches were carried out again; a task ran twice.
+    # With two network partitions between zones, 70 s apart, the last relay batch of the first was
+    # read when the second began. Its launches were executed again, and a task ran twice.
     sent: dict[tuple[str, int], float] = {}
     ages: list[float] = []
     send, handle_command = PeerLinks.send, CommandRelay.handle_command
 
-    def noted(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
+    def record_send_time(peers: PeerLinks, node: str, frame: dict[str, Any]) -> None:
         if frame["k"] == "ord":
             sent.setdefault((peers._node, frame["i"]), peers.runtime.now())
         send(peers, node, frame)
 
-    def checked(relay: CommandRelay, sender: str, command: RelayedCommand) -> None:
+    def record_command_age(relay: CommandRelay, sender: str, command: RelayedCommand) -> None:
         ages.append(relay.runtime.now() - sent[sender, command.number])
         handle_command(relay, sender, command)
 
-    monkeypatch.setattr(PeerLinks, "send", noted)
-    monkeypatch.setattr(CommandRelay, "handle_command", checked)
+    monkeypatch.setattr(PeerLinks, "send", record_send_time)
+    monkeypatch.setattr(CommandRelay, "handle_command", record_command_age)
     world = SimulatedCluster(3)
-    for turn in range(3):
+    for round_number in range(3):
         for number in range(12):
-            ref = f"j-{100 * turn + number:06d}"
+            ref = f"j-{100 * round_number + number:06d}"
             world.after(number * 0.7, world.submit, batch(ref, 3), 2.0, number)
         world.run(4)
         heal = cut_controllers(world)
-        world.run(8.3 + 0.1 * turn)
+        world.run(8.3 + 0.1 * round_number)
         heal()
         world.run(25)
     assert len(ages) > 20
-    # The cut itself holds frames back for as long as it lasts.
+    # The partition itself delays frames for as long as it lasts.
     assert max(ages) < 9.0, sorted(ages)[-5:]
     ends_well(world, 40)
 
 
-def test_heartbeats_of_an_earlier_silence_delay_no_takeover() -> None:
-    # Found in an incident: takeovers came after 4 s in place of 1.4, since the lost leader's last
-    # batch of an earlier silence was read, and its heartbeats were taken for new.
+def test_heartbeats_of_an_earlier_link_outage_delay_no_takeover() -> None:
+    # Takeovers took 4 s instead of 1.4 s in an incident: the last relay batch that the failed
+    # leader had written in an earlier outage of the link was read, and its heartbeats counted as
+    # new.
     for seed in range(8):
         world = busy(seed, services=3, arrays=0)
         heal = cut_controllers(world)
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between controllers: the same bytes as the frames that they replaced."""
+"""The encoding of typed messages between controllers, and the handling of invalid frames."""
 
 from __future__ import annotations
 
@@ -98,19 +98,20 @@
 
 
 @pytest.mark.parametrize(("message", "frame"), MESSAGES_AND_FRAMES)
-def test_a_message_has_the_bytes_of_its_frame_and_comes_back(
-    message: Message, frame: Frame
-) -> None:
+def test_message_encodes_to_its_frame_and_decodes_back(message: Message, frame: Frame) -> None:
+    # Controllers of other versions could not read a message whose bytes had changed.
     assert encode_frame(messages.to_frame(message)) == encode_frame(frame)
     assert messages.from_frame(frame, type(message)) == message
     assert frame["k"] == message.KIND
 
 
-def test_every_kind_of_message_is_compared() -> None:
+def test_every_message_type_is_covered() -> None:
+    # A new type of message would otherwise not be compared by the test above.
     assert {type(message) for message, _ in MESSAGES_AND_FRAMES} == set(messages.Message.__args__)
 
 
-def test_unknown_fields_are_passed_over_and_missing_ones_may_have_defaults() -> None:
+def test_unknown_fields_are_ignored_and_missing_ones_get_defaults() -> None:
+    # Newer versions send fields that this one does not know, and older ones omit fields.
     heartbeat = messages.from_frame(
         {"k": "hb", "term": 1, "hears": True, "novelty": [1]}, messages.Heartbeat
     )
@@ -128,14 +129,19 @@
         ({"k": "alive", "t": 1, "m": "n-000001"}, messages.MachinesAlive),
     ],
 )
-def test_a_malformed_frame_is_one_typed_error(frame: Frame, message_type: type[Any]) -> None:
+def test_malformed_frame_raises_malformed_frame_error(
+    frame: Frame, message_type: type[Any]
+) -> None:
+    # Any other exception than the typed error would escape the router's handling of bad frames.
     with pytest.raises(messages.MalformedFrameError, match=message_type.__name__):
         messages.from_frame(frame, message_type)
 
 
-def test_the_router_logs_malformed_frames_and_unknown_kinds_once(
+def test_router_logs_malformed_frames_and_each_unknown_kind_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # A peer of a newer version sends frames of unknown kinds all the time; logging each of them, or
+    # remembering an unlimited number of kinds, would fill the log or the memory.
     received: list[tuple[str, object]] = []
     router = FrameRouter()
     router.add_message_handler(
@@ -163,14 +169,15 @@
     assert len(received) == 2
 
 
-def test_a_result_without_a_machine_is_not_one_of_no_machine() -> None:
-    found = messages.from_frame(
+def test_result_without_machine_differs_from_result_with_null_machine() -> None:
+    # Without a machine there was no reply; a null machine is another value and must not equal it.
+    result = messages.from_frame(
         {"k": "done", "i": 1, "s": 0, "b": b""}, messages.RelayedCommandResult
     )
-    assert found.machine is msgspec.UNSET
+    assert result.machine is msgspec.UNSET
     assert (
         messages.from_frame(
             {"k": "done", "i": 1, "s": 0, "b": b"", "m": None}, messages.RelayedCommandResult
         )
-        != found
+        != result
     )
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -1,4 +1,4 @@
-"""Two zones that can't reach each other, while values at the state service are small."""
+"""A network partition between two zones while the key-value store allows only small values."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from .simulated_cluster import ZONES, SimulatedCluster, spec
 
 
-def hosts_of(world: SimulatedCluster, zone: str) -> list[str]:
-    """Controllers and machines of the zone."""
+def list_hosts(world: SimulatedCluster, zone: str) -> list[str]:
+    """Returns the addresses of the zone's controllers and machines."""
     controllers = [
         world.ip(name) for number, name in enumerate(world.names) if ZONES[number % 2] == zone
     ]
@@ -20,8 +20,8 @@
     ]
 
 
-def longest_silence(world: SimulatedCluster) -> float:
-    """For how long the leader has not heard one of its machines, in seconds."""
+def get_max_heartbeat_age_s(world: SimulatedCluster) -> float:
+    """Returns for how many seconds the leader has got no heartbeat of a machine, at most."""
     leader = world.nodes[leader_of(world)].leader
     return max(
         world.sim.time - machine.last_heartbeat_at
@@ -30,17 +30,17 @@
     )
 
 
-def test_machines_beyond_a_cut_stay_in_touch_with_small_values() -> None:
-    # Found on a day of troubles at the lower limits: whole reports of busy machines filled the
-    # values, most machines of the far zone were silent, and the leader released them one by one.
+def test_machines_of_a_partitioned_zone_stay_connected_with_small_store_values() -> None:
+    # At the lowest limits of the store, the full heartbeats of busy machines filled its values. The
+    # leader got no heartbeats from most machines of the other zone, and terminated them one by one.
     world = SimulatedCluster(
         value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2400.0)
     )
     for number in range(100):
-        # Ids come in no order: they hardly compress.
+        # The ids are in no order, so that they hardly compress.
         ref = f"j-{number * 7919 * 104729 % 10**9:09d}"
         world.submit(spec(ref, tasks=10, cores=0.3, memory_gb=0.2), node=number)
-    # Two machines' worth of cores a job, so that many machines are up.
+    # Each job takes the cores of two machines, so that many machines are provisioned.
     for number in range(30):
         world.submit(spec(f"j-{200 + number:06d}", tasks=2, cores=12.0), node=number)
     world.run(70.0)
@@ -48,11 +48,11 @@
     machines = set(world.workers)
     assert len(machines) > 25
     before = dict(world.running)
-    near = hosts_of(world, "a")
-    for far in hosts_of(world, "b"):
+    near = list_hosts(world, "a")
+    for far in list_hosts(world, "b"):
         world.cut(far, near, 40.0)
     for number in range(200):
-        # Orders and their answers go the same way, before reports.
+        # Commands and their results go through the same store values, ahead of heartbeats.
         job = spec(
             f"j-{5000 + number:06d}",
             job_kind=wire.ARRAY,
@@ -63,12 +63,12 @@
         )
         world.after(number * 0.2, world.submit, job, 3.0, number)
     world.run(10.0)
-    oldest = 0.0
+    max_heartbeat_age_s = 0.0
     for _ in range(60):
         world.run(0.5)
-        oldest = max(oldest, longest_silence(world))
-    # Silent for longer a machine is probed and gets no work, and then it is released.
-    assert oldest < policy.default(world.settings_of("hearth-0")).machine_suspect
+        max_heartbeat_age_s = max(max_heartbeat_age_s, get_max_heartbeat_age_s(world))
+    # After a longer time without heartbeats a machine is probed, gets no tasks, and is terminated.
+    assert max_heartbeat_age_s < policy.default(world.settings_of("hearth-0")).machine_suspect
     assert {task for task in before if world.running.get(task) != before[task]} == set()
     assert not world.state.over_limit
     ends_well(world, 60.0)
