--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from flaxtally.api.sharding import shard_owner
+from flaxtally.api.sharding import find_shard_owner
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.choice import choose
 from flaxtally.planning.consolidation import EmptyingRules, TargetSearch, choose_machine_to_empty
@@ -139,13 +139,16 @@
 def test_hashing_moves_only_the_lost_controllers_machines() -> None:
     names = [f"n-{number:06d}" for number in range(300)]
     zones = {"h0": "a", "h1": "b", "h2": "b"}
-    three = {name: shard_owner(name, "c", ["h0", "h1", "h2"], zones) for name in names}
-    two = {name: shard_owner(name, "c", ["h0", "h1"], zones) for name in names}
+    three = {name: find_shard_owner(name, "c", ["h0", "h1", "h2"], zones) for name in names}
+    two = {name: find_shard_owner(name, "c", ["h0", "h1"], zones) for name in names}
     assert all(60 < list(three.values()).count(node) < 140 for node in ("h0", "h1", "h2"))
     assert all(two[name] == three[name] for name in names if three[name] != "h2")
-    assert shard_owner("n-1", "a", [], zones) is None
-    assert {shard_owner(name, "b", ["h0", "h1", "h2"], zones) for name in names} == {"h1", "h2"}
-    assert {shard_owner(name, "a", ["h1", "h2"], zones) for name in names} == {"h1", "h2"}
+    assert find_shard_owner("n-1", "a", [], zones) is None
+    assert {find_shard_owner(name, "b", ["h0", "h1", "h2"], zones) for name in names} == {
+        "h1",
+        "h2",
+    }
+    assert {find_shard_owner(name, "a", ["h1", "h2"], zones) for name in names} == {"h1", "h2"}
 
 
 def test_emptying_counts_the_room_that_machines_being_emptied_will_need() -> None:
