--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -109,7 +109,7 @@
         return leader is not None and self._formats.get_newest_format(leader) >= formats.GANGS
 
     def _handle_malformed_submission(self, request: Request, error: str) -> None:
-        """Replies with the state of the job if it is known, however malformed; else with 400."""
+        """Replies with the job's state if the job is known, otherwise with status 400."""
         ref = _extract_job_id(request.body)
         if ref is None:
             request.reply(BAD_REQUEST, {"error": error})
--- a/flaxtally/cluster/candidacy.py
+++ b/flaxtally/cluster/candidacy.py
@@ -43,7 +43,7 @@
     leader_key: LeaderKeyReader
 
     def is_store_reachable(self, now: float) -> bool:
-        """Whether the key-value store replied within the last probe periods."""
+        """Whether the key-value store replied recently."""
         return now - self.store.last_contact_at < STORE_CONTACT_PROBE_PERIODS * self.policy.probe
 
 
--- a/flaxtally/cluster/candidacy_rules.py
+++ b/flaxtally/cluster/candidacy_rules.py
@@ -47,7 +47,7 @@
 
 
 def decide_candidacy(leader: UnreachableLeader, policy: Policy) -> CandidacyDecision:
-    """Waits for a time that depends on the rank, then campaigns or checks the leader's lease."""
+    """Decides whether to wait (staggered by rank), to campaign, or to check the leader's lease."""
     stagger_s = policy.heartbeat * (0.25 + leader.rank)
     if leader.unreachable_for_s < stagger_s:
         return CandidacyDecision(CandidacyAction.WAIT, stagger_s)
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -141,7 +141,7 @@
 
     @property
     def is_store_reachable(self) -> bool:
-        """Whether the key-value store replied within the last probe periods."""
+        """Whether the key-value store replied recently."""
         return self._context.is_store_reachable(self.runtime.now())
 
     @property
