--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..clients.workers import decode_report
+from ..clients.workers import decode_heartbeat
 from ..protocol import wire
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
     def handle_heartbeat(self, request: Request) -> None:
         """Replies to a worker's heartbeat, and passes it to the leader if it is accepted."""
         try:
-            heartbeat = decode_report(request.body)
+            heartbeat = decode_heartbeat(request.body)
         except msgspec.DecodeError as error:
             log.warning("malformed heartbeat from a worker, rejected: %s", error)
             request.reply(BAD_REQUEST, {"error": "not a report"})
@@ -127,7 +127,7 @@
         if not self._is_leading_term(message.term):
             return
         try:
-            heartbeat = decode_report(message.heartbeat)
+            heartbeat = decode_heartbeat(message.heartbeat)
         except msgspec.DecodeError as error:
             log.warning("malformed heartbeat forwarded by %s, ignored: %s", sender, error)
             return
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...clients.cloud import MAX_TERMINATED
+from ...clients.cloud import MAX_MACHINES_PER_TERMINATE_CALL
 from ...protocol import wire
 from ..term import Term, TermActor
 
@@ -64,7 +64,7 @@
         if not names or self._is_termination_in_flight:
             return
         names = sorted(names, key=lambda name: self.fleet.machines[name].termination_tried_at)[
-            :MAX_TERMINATED
+            :MAX_MACHINES_PER_TERMINATE_CALL
         ]
         for name in names:
             self.fleet.machines[name].termination_tried_at = now
@@ -104,7 +104,7 @@
         self._is_listing_in_flight = True
         self.cloud.list_machines(partial(self._on_listed, now))
 
-    def _on_listed(self, requested_at: float, entries: list[wire.Listed] | None) -> None:
+    def _on_listed(self, requested_at: float, entries: list[wire.ListedMachine] | None) -> None:
         now = self.runtime.now()
         self._is_listing_in_flight = False
         # A long list takes many API calls: waiting as long as it took leaves half of the allowed
@@ -143,7 +143,7 @@
                     machine, "tasks placed by an earlier leader, no heartbeat, not listed"
                 )
 
-    def _get_or_add_machine(self, entry: wire.Listed, now: float) -> Machine:
+    def _get_or_add_machine(self, entry: wire.ListedMachine, now: float) -> Machine:
         machine = self.fleet.machines.get(entry.machine)
         if machine is None:
             log.info(
@@ -158,7 +158,7 @@
             machine.provisioned_at = now - entry.age_s
         return machine
 
-    def _update_machine(self, machine: Machine, entry: wire.Listed, now: float) -> None:
+    def _update_machine(self, machine: Machine, entry: wire.ListedMachine, now: float) -> None:
         """Updates a machine from its entry in the cloud's list."""
         if not machine.machine_type:
             machine.machine_type = entry.machine_type
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -170,7 +170,7 @@
                 job.spec.ref,
                 placed.attempt,
             )
-        elif not is_done and cause in (wire.CAUSE_PEERS, wire.CAUSE_ALONE):
+        elif not is_done and cause in (wire.CAUSE_PEER_LOST, wire.CAUSE_INCOMPLETE):
             # The other tasks of the attempt will exit too: waiting for them would only delay the
             # next attempt.
             attempt.is_broken = True
--- a/flaxtally/ledger/compaction.py
+++ b/flaxtally/ledger/compaction.py
@@ -108,7 +108,7 @@
         jobs = [job for job in self._state.jobs.values() if job.home_page == page]
         if any(_is_being_concluded(job) for job in jobs):
             return False
-        groups = snapshot.page_records(self._state, page, self._limits.page_bytes)
+        groups = snapshot.build_page_records(self._state, page, self._limits.page_bytes)
         if self._state.format < formats.GANGS and any(map(self._exceeds_page, groups)):
             # Read in part by an older controller, such a job would have tasks placed nowhere.
             return False
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -87,8 +87,8 @@
             self.runtime,
             self._store,
             leader_key_version,
-            self._timings.first_call_s,
-            self._timings.gather_s,
+            self._timings.first_call_timeout_s,
+            self._timings.batching_delay_s,
             self._on_leadership_lost,
         )
         self._replay: Replay | None = None
@@ -171,7 +171,7 @@
 
     def propose_catalog(self, types: list[Any]) -> None:
         """Keeps the cloud's machine types, if that can be written."""
-        records = snapshot.catalog_records(types, self._limits.page_bytes)
+        records = snapshot.build_catalog_records(types, self._limits.page_bytes)
         if len(records) == 1 or self.writes_batches:
             self.propose_batch(records)
 
--- a/flaxtally/protocol/wire.py
+++ b/flaxtally/protocol/wire.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from .cloud import ListedMachine as Listed
+from .cloud import ListedMachine as ListedMachine
 from .cloud import (
     MachineList,
     MachineType,
@@ -18,33 +18,33 @@
     JobStatus,
     Spec,
     Submission,
+    build_submission,
     parse_submission,
-    submission,
 )
-from .paths import COMMANDS as ORDERS
-from .paths import HEALTH as UP
-from .paths import HEARTBEAT as BEAT
-from .paths import JOBS as WORK
-from .paths import KEYS as STORE
-from .paths import LEASES as HOLDS
-from .paths import LOANS, list_keys_path, list_machines_path
-from .paths import MACHINE_TYPES as CATALOG
-from .paths import MACHINES as RENTALS
-from .paths import TERMINATE as RELEASE
-from .paths import TRANSACTIONS as TXN
-from .paths import WORKER_STATUS as STATUS
+from .paths import COMMANDS as COMMANDS
+from .paths import HEALTH as HEALTH
+from .paths import HEARTBEAT as HEARTBEAT
+from .paths import JOBS as JOBS
+from .paths import KEYS as KEYS
+from .paths import LEASES as LEASES
+from .paths import LOANS, build_key_list_path, build_machine_list_path
+from .paths import MACHINE_TYPES as MACHINE_TYPES
+from .paths import MACHINES as MACHINES
+from .paths import TERMINATE as TERMINATE
+from .paths import TRANSACTIONS as TRANSACTIONS
+from .paths import WORKER_STATUS as WORKER_STATUS
 from .store import Change, Lease, LeaseRequest, Revision, Row, Rows, Transaction, VersionCheck
 from .vocabulary import (
     ABORTED,
     ARRAY,
     BOOTING,
-    CAUSE_ALONE,
     CAUSE_DONE,
     CAUSE_ERROR,
     CAUSE_FULL,
     CAUSE_HALTED,
     CAUSE_IN_USE,
-    CAUSE_PEERS,
+    CAUSE_INCOMPLETE,
+    CAUSE_PEER_LOST,
     CAUSE_UNKNOWN,
     CAUSES,
     DONE,
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -13,7 +13,7 @@
 
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import InvalidRecordError
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.snapshot import build_page_records
 
 from .ledger_records import accepted, record, stored
 from .simulated_cluster import batch, spec
@@ -79,7 +79,9 @@
 
 def said_anew(book: ClusterState) -> list[list[Any]]:
     """The records by which the first page is cleaned."""
-    return [stored(each) for each in itertools.chain.from_iterable(page_records(book, 1, 2000))]
+    return [
+        stored(each) for each in itertools.chain.from_iterable(build_page_records(book, 1, 2000))
+    ]
 
 
 @pytest.mark.real_processes
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -18,12 +18,12 @@
 from flaxtally.ledger.batch import split_batch
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import decode_record, record_size
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.snapshot import build_page_records
 from flaxtally.protocol import formats, wire
 from flaxtally.protocol.formats import FormatRange, parse_range
 
 from . import production
-from .ledger_records import accepted, certain_records, record, stored
+from .ledger_records import accepted, complete_records, record, stored
 from .scenarios import change_leader
 from .simulated_cluster import NODES, SimulatedCluster, batch, gang, spec
 from .simulated_upgrade import LOWER, UpgradingCluster
@@ -82,7 +82,7 @@
     kinds = {frame["k"] for frames in mailed for frame in frames}
     assert "hb" in kinds
     heartbeats = [frame for frames in mailed for frame in frames if frame["k"] == "hb"]
-    assert {parse_range(frame.get("formats")) for frame in heartbeats} == {formats.UNSTATED}
+    assert {parse_range(frame.get("formats")) for frame in heartbeats} == {formats.UNANNOUNCED}
 
 
 def test_what_is_written_before_the_raise_means_the_same_to_production() -> None:
@@ -112,7 +112,7 @@
 
 def read_all(records: list[list[Any]]) -> list[list[Any]]:
     read = [decode_record(items) for items in records]
-    return [stored(certain) for certain in certain_records(read)]
+    return [stored(certain) for certain in complete_records(read)]
 
 
 def pieces(records: list[list[Any]], max_bytes: int) -> list[list[Any]]:
@@ -156,7 +156,7 @@
             book.apply(record("E", 1, task, 1 + task % 3, rng.random() < 0.5), 1)
     types = [{"label": f"type-{number}", "yards": ["a"] * 40} for number in range(30)]
     book.apply(record("K", types), 1)
-    groups = page_records(book, 1, PAGE_BYTES)
+    groups = build_page_records(book, 1, PAGE_BYTES)
     written = [piece for group in groups for piece in split_batch(group, PAGE_BYTES)]
     assert max(map(record_size, written)) <= PAGE_BYTES
     again = ClusterState()
@@ -174,7 +174,7 @@
     book.apply(record("E", 1, 1, 1, True), 1)
     assert book.jobs[1].is_done
     again = ClusterState()
-    for group in page_records(book, 1, PAGE_BYTES):
+    for group in build_page_records(book, 1, PAGE_BYTES):
         for written in group:
             again.replay(stored(written), 2)
     assert again.jobs[1].is_done
@@ -204,7 +204,7 @@
     "stated", [None, 2, "2", [2], [1, 2, 3], [2, 1], [0, 2], [1, "2"], [True, 2], {"newest": 2}]
 )
 def test_a_range_that_is_none_counts_as_the_first_format(stated: object) -> None:
-    assert parse_range(stated) == formats.UNSTATED
+    assert parse_range(stated) == formats.UNANNOUNCED
 
 
 def member_formats() -> FormatNegotiation:
@@ -240,11 +240,11 @@
     assert world.until(lambda: world.leader() is not None, 20.0)
     world.run(3.0)
     leader = world.nodes[world.leader() or ""]
-    assert leader.formats.common_format == formats.OWN.newest
+    assert leader.formats.common_format == formats.SUPPORTED.newest
     peer = next(name for name in NODES if name != world.leader())
     leader.formats.on_hello(peer, 10**6, None)
     assert leader.formats.common_format == formats.FIRST
-    assert FormatRange(1, 3) == formats.OWN
+    assert FormatRange(1, 3) == formats.SUPPORTED
 
 
 def test_the_evidence_costs_few_changes() -> None:
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -268,8 +268,8 @@
         world.call(
             NAMES[number % 7],
             "POST",
-            wire.WORK,
-            wire.submission(job),
+            wire.JOBS,
+            wire.build_submission(job),
             lambda status, _: replies.append((world.sim.time - submitted_at, status)),
         )
 
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -24,7 +24,7 @@
     world.call(
         NODES[leader],
         "POST",
-        f"{wire.WORK}/{ref}/cancel",
+        f"{wire.JOBS}/{ref}/cancel",
         None,
         lambda status, _: answers.append((world.sim.time - asked, status)),
     )
@@ -87,19 +87,19 @@
 
     def send(name: str, body: object) -> None:
         world.call(
-            "hearth-1", "POST", wire.WORK, body, lambda status, _: answers.__setitem__(name, status)
+            "hearth-1", "POST", wire.JOBS, body, lambda status, _: answers.__setitem__(name, status)
         )
         world.run(0.5)
 
-    good = wire.submission(spec("j-000070"))
+    good = wire.build_submission(spec("j-000070"))
     send("not a map", [1, 2])
     send("missing field", {"ref": "j-000071"})
-    send("no tasks", wire.submission(spec("j-000072", tasks=0)))
-    send("infinite", wire.submission(spec("j-000073", cores=float("inf"))))
-    send("bad id", wire.submission(spec("job-1")))
-    send("unknown team", wire.submission(spec("j-000074", team="nobody")))
-    send("too big for any", wire.submission(spec("j-000075", cores=1000.0)))
-    send("over the limit", wire.submission(spec("j-000076", tasks=101)))
+    send("no tasks", wire.build_submission(spec("j-000072", tasks=0)))
+    send("infinite", wire.build_submission(spec("j-000073", cores=float("inf"))))
+    send("bad id", wire.build_submission(spec("job-1")))
+    send("unknown team", wire.build_submission(spec("j-000074", team="nobody")))
+    send("too big for any", wire.build_submission(spec("j-000075", cores=1000.0)))
+    send("over the limit", wire.build_submission(spec("j-000076", tasks=101)))
     send("known, malformed", {"ref": "j-000000"})
     send("good", good)
     assert answers == {
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -90,7 +90,7 @@
     assert world.until(lambda: world.leader() not in (None, old_leader), 15), world.trace
     replies: list[int] = []
     world.call(
-        old_leader, "GET", f"{wire.WORK}/j-000000", None, lambda status, _: replies.append(status)
+        old_leader, "GET", f"{wire.JOBS}/j-000000", None, lambda status, _: replies.append(status)
     )
     world.submit(spec("j-000060", tasks=2), node=(NODES.index(old_leader) + 1) % 3)
     assert world.until(lambda: world.count("j-000060") == 2, 30)
@@ -115,8 +115,8 @@
     world.call(
         "hearth-0",
         "POST",
-        wire.WORK,
-        wire.submission(spec("j-000061")),
+        wire.JOBS,
+        wire.build_submission(spec("j-000061")),
         lambda status, _: replies.append((world.sim.time - sent_at, status)),
     )
     world.run(20)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -14,8 +14,8 @@
 from flaxtally.emulator.rules import Rules
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.ledger.cluster_state import ClusterState
-from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Reclaim
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.reclaims import BorrowedAttempt, LoanAccount, Reclaim
+from flaxtally.ledger.snapshot import build_page_records
 from flaxtally.lending.entitlement import Reclaimable
 from flaxtally.lending.page import LoansPage, format_page
 from flaxtally.protocol import wire
@@ -163,19 +163,21 @@
 
 def test_open_recalls_and_accounts_outlive_the_cleaning_of_their_pages() -> None:
     book = ClusterState()
-    recall = Reclaim(4, "crew", 1, "n-1", 10.0, 20.0, 1, (Borrowed(2, 0, 1), Borrowed(2, 1, 1)))
+    recall = Reclaim(
+        4, "crew", 1, "n-1", 10.0, 20.0, 1, (BorrowedAttempt(2, 0, 1), BorrowedAttempt(2, 1, 1))
+    )
     account = LoanAccount("crew", 5.0, 1.0, 2.0, 3.0, 4.0, 5, 6)
     book.apply(Reclaim(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).record(), 1)
     for written in (recall.record(), account.record(), record("X", 3)):
         book.apply(written, 1)
     again = ClusterState()
-    for group in page_records(book, 1, 4096):
+    for group in build_page_records(book, 1, 4096):
         for written in group:
             again.replay(stored(written), 2)
     assert again.loan_state.reclaims == {4: recall}
     assert again.loan_state.accounts == {"crew": account}
     assert again.loan_state.next_number == 5
-    assert page_records(again, 2, 4096) == page_records(book, 1, 4096)
+    assert build_page_records(again, 2, 4096) == build_page_records(book, 1, 4096)
 
 
 # What is refused
@@ -238,7 +240,7 @@
     teams = {team.name: team for team in (CREW, OTHERS)}
     rules = Rules(teams, TYPES, CANCEL_S)
     audit = LoanAudit(rules, teams, 10.0)
-    machine = wire.Listed("n-1", "g8", "a", False, "running", 1.0)
+    machine = wire.ListedMachine("n-1", "g8", "a", False, "running", 1.0)
     for job in (work("j-000100", 12, "others"), work("j-000200", 4)):
         rules.submits(job)
         rules.job(job.ref).accepted = True
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -105,7 +105,7 @@
             if job.told and world.sim.time - job.told_at < 0.6:
                 world.look_closely(ref)
             elif not job.told:
-                world.call(NODES[number % 3], "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
+                world.call(NODES[number % 3], "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None)
         assert world.sim.time < 200, world.trace[-30:]
     assert cancelled == 5
     ends_well(world, 20)
@@ -121,7 +121,7 @@
     ]
     statuses: dict[str, set[int]] = {}
 
-    def send(name: str, body: object, path: str = wire.WORK) -> None:
+    def send(name: str, body: object, path: str = wire.JOBS) -> None:
         node = world.rng.choice(NODES)
         world.call(
             node, "POST", path, body, lambda status, _: statuses.setdefault(name, set()).add(status)
@@ -129,16 +129,17 @@
 
     def send_invalid_requests(number: int) -> None:
         ref = f"j-{7000 + number:06d}"
-        send("fits no machine", wire.submission(spec(ref + "1", cores=1000.0)))
-        send("too many tasks", wire.submission(spec(ref + "2", tasks=101)))
+        send("fits no machine", wire.build_submission(spec(ref + "1", cores=1000.0)))
+        send("too many tasks", wire.build_submission(spec(ref + "2", tasks=101)))
         send("missing field", {"ref": ref + "3", "lane": "gate"})
         send(
-            "wrong type", {**msgspec.to_builtins(wire.submission(spec(ref + "4"))), "hands": "many"}
+            "wrong type",
+            {**msgspec.to_builtins(wire.build_submission(spec(ref + "4"))), "hands": "many"},
         )
-        send("known job", wire.submission(world.specs["j-000000"]))
+        send("known job", wire.build_submission(world.specs["j-000000"]))
         send("known job, malformed", {"ref": "j-000001"})
-        send("cancel finished job", None, f"{wire.WORK}/{finished_refs[0]}/cancel")
-        send("cancel unknown job", None, f"{wire.WORK}/{ref}5/cancel")
+        send("cancel finished job", None, f"{wire.JOBS}/{finished_refs[0]}/cancel")
+        send("cancel unknown job", None, f"{wire.JOBS}/{ref}5/cancel")
 
     for number in range(40):
         world.after(number * 0.7, send_invalid_requests, number)
@@ -162,7 +163,7 @@
     leader = leader_of(world)
     node = next(name for name in NODES if name != leader)
     world.slow_state(1.0, 10.0)
-    world.call(node, "GET", f"{wire.WORK}/j-000000", None, lambda *_: None)
+    world.call(node, "GET", f"{wire.JOBS}/j-000000", None, lambda *_: None)
     world.run(0.05)
     world.crash(node, back_after=0.1)
     assert world.until(
@@ -171,7 +172,7 @@
     replies: list[int] = []
     for ref in ("j-000001", "j-000100"):
         world.call(
-            node, "GET", f"{wire.WORK}/{ref}", None, lambda status, _: replies.append(status)
+            node, "GET", f"{wire.JOBS}/{ref}", None, lambda status, _: replies.append(status)
         )
     world.run(5)
     assert len(replies) == 2
@@ -249,7 +250,7 @@
             world.call(
                 leader,
                 "POST",
-                wire.BEAT,
+                wire.HEARTBEAT,
                 body,
                 lambda status, _, statuses=replies: statuses.append(status),
             )
