--- a/flaxtally/api/job_api.py
+++ b/flaxtally/api/job_api.py
@@ -20,7 +20,7 @@
 OK, BAD_REQUEST, NOT_FOUND, METHOD_NOT_ALLOWED = 200, 400, 404, 405
 TOO_MANY_REQUESTS, UNAVAILABLE = 429, 503
 RETRY_AFTER_S = 1
-JOB_PREFIX = wire.WORK + "/"
+JOB_PREFIX = wire.JOBS + "/"
 RequestRouter = Callable[[str, str | bytes, OnReply], None]
 """Passes a user's request (its kind and subject) to whoever can answer it."""
 
@@ -49,11 +49,11 @@
     def handle_request(self, request: Request) -> None:
         """Answers a request, now or once the leader has answered it."""
         path = request.path.partition("?")[0]
-        if path == wire.BEAT:
+        if path == wire.HEARTBEAT:
             self._require_method("POST", request, self._heartbeats.handle_heartbeat)
-        elif path == wire.UP:
+        elif path == wire.HEALTH:
             self._require_method("GET", request, self._answer_availability)
-        elif path == wire.WORK:
+        elif path == wire.JOBS:
             self._require_method("POST", request, self._submit)
         elif path == wire.LOANS:
             self._require_method("GET", request, self._answer_loans)
--- a/flaxtally/cli/request_commands.py
+++ b/flaxtally/cli/request_commands.py
@@ -36,21 +36,21 @@
     """Submits the job of a JSON file."""
     from ..protocol import wire
 
-    return _send(arguments, ControllerRequest("POST", wire.WORK, _read_job(arguments.job)))
+    return _send(arguments, ControllerRequest("POST", wire.JOBS, _read_job(arguments.job)))
 
 
 def show_status(arguments: argparse.Namespace) -> ExitCode:
     """Asks for a job's state."""
     from ..protocol import wire
 
-    return _send(arguments, ControllerRequest("GET", f"{wire.WORK}/{arguments.ref}"))
+    return _send(arguments, ControllerRequest("GET", f"{wire.JOBS}/{arguments.ref}"))
 
 
 def cancel(arguments: argparse.Namespace) -> ExitCode:
     """Cancels a job."""
     from ..protocol import wire
 
-    return _send(arguments, ControllerRequest("POST", f"{wire.WORK}/{arguments.ref}/cancel"))
+    return _send(arguments, ControllerRequest("POST", f"{wire.JOBS}/{arguments.ref}/cancel"))
 
 
 def show_loans(arguments: argparse.Namespace) -> ExitCode:
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -54,7 +54,7 @@
         self.until = float("inf")
         """Later events are left out: not all parts have told theirs when the run ends."""
 
-    def add_machine(self, machine: wire.Listed) -> None:
+    def add_machine(self, machine: wire.ListedMachine) -> None:
         self._machines[machine.machine] = machine
 
     def add(self, events: Iterable[Event]) -> None:
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -31,7 +31,7 @@
         loop: CountingLoop,
         plan: Plan,
         load: Load,
-        machine: wire.Listed,
+        machine: wire.ListedMachine,
         address: Address,
         watch: Callable[[str, str, str, int], None],
         took: Callable[[float], None],
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -174,7 +174,7 @@
 
     # Workers
 
-    def _start_worker(self, machine: wire.Listed) -> None:
+    def _start_worker(self, machine: wire.ListedMachine) -> None:
         host, _, port = str(machine.address).partition(":")
         worker = self._workers[machine.machine] = Worker(
             self._loop,
@@ -272,11 +272,11 @@
     def _submit(self, spec: wire.Spec) -> None:
         self._specs[spec.ref] = spec
         self._rules.submits(spec)
-        self._ask("submit", spec.ref, "POST", wire.WORK, wire.submission(spec))
+        self._ask("submit", spec.ref, "POST", wire.JOBS, wire.submission(spec))
 
     def _cancel(self, ref: str) -> None:
         self._rules.asks_to_cancel(ref)
-        self._ask("cancel", ref, "POST", f"{wire.WORK}/{ref}/cancel", None)
+        self._ask("cancel", ref, "POST", f"{wire.JOBS}/{ref}/cancel", None)
 
     def _ask(self, what: str, ref: str, method: str, path: str, body: Any) -> None:
         """Asks one controller after the other until one answers for good."""
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -36,7 +36,7 @@
 class _Lent:
     """Room on a machine that a team borrows."""
 
-    machine: wire.Listed
+    machine: wire.ListedMachine
     team: str
     cores: float = 0.0
     gpus: float = 0.0
@@ -138,7 +138,7 @@
         job = self._rules.job(ref)
         return owed.task not in self._rules.on and not job.asked_to_cancel
 
-    def look(self, now: float, machines: Collection[wire.Listed]) -> None:
+    def look(self, now: float, machines: Collection[wire.ListedMachine]) -> None:
         """At any moment: who lacks room that others borrow. `machines`: those that are up."""
         lacking = {spec.team for spec in self._lacking(machines)}
         for team in list(self._lacks_since):
@@ -151,7 +151,7 @@
             if before <= self.most_s < lacks:
                 self.breaches.append(f"{now:.2f} {team} is below its guarantee for {lacks:.1f} s")
 
-    def _lacking(self, machines: Collection[wire.Listed]) -> list[wire.Spec]:
+    def _lacking(self, machines: Collection[wire.ListedMachine]) -> list[wire.Spec]:
         """Jobs with a waiting task that is entitled to room which others borrow."""
         lent = self._lent(machines)
         found = []
@@ -164,7 +164,7 @@
                 found.append(spec)
         return found
 
-    def _lent(self, machines: Collection[wire.Listed]) -> list[_Lent]:
+    def _lent(self, machines: Collection[wire.ListedMachine]) -> list[_Lent]:
         """Borrowed room on the machines, by machine and team."""
         by_name = {machine.machine: machine for machine in machines}
         found: dict[tuple[str, str], _Lent] = {}
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -79,7 +79,7 @@
 class MachineUp(msgspec.Struct, tag_field="k", tag="machine_up"):
     """The cloud started a machine."""
 
-    machine: wire.Listed
+    machine: wire.ListedMachine
 
 
 class TakeMachines(msgspec.Struct, tag_field="k", tag="take_machines"):
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -158,7 +158,7 @@
         ]
 
     @property
-    def machines(self) -> list[wire.Listed]:
+    def machines(self) -> list[wire.ListedMachine]:
         """The fleet at the start. Zones and types are spread evenly."""
         zones = self.zone_names
         found = []
@@ -167,7 +167,9 @@
             zone = zones[number % self.zones]
             host, port = self.worker_address(number)
             name = f"n-{number:06d}"
-            found.append(wire.Listed(name, kind, zone, False, "running", 0.0, f"{host}:{port}"))
+            found.append(
+                wire.ListedMachine(name, kind, zone, False, "running", 0.0, f"{host}:{port}")
+            )
         return found
 
     @property
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -43,7 +43,7 @@
     )
 
 
-def allowed(spec: wire.Spec, machine: wire.Listed, zones: list[str]) -> bool:
+def allowed(spec: wire.Spec, machine: wire.ListedMachine, zones: list[str]) -> bool:
     """Whether one more task of the job may be there, given the zones of its others."""
     return (
         (spec.machine_types is None or machine.machine_type in spec.machine_types)
@@ -62,7 +62,7 @@
     ) -> None:
         self.teams, self.types, self.cancel_s = teams, {kind.name: kind for kind in types}, cancel_s
         self.jobs: dict[str, _Job] = {}
-        self.on: dict[str, tuple[wire.Listed, int]] = {}
+        self.on: dict[str, tuple[wire.ListedMachine, int]] = {}
         """Where each task is that is on a machine, also while that hangs or can't be reached."""
         self.used: dict[str, list[float]] = {}
         self.broken: list[str] = []
@@ -78,7 +78,7 @@
 
     # Machines
 
-    def starts(self, task: str, attempt: int, machine: wire.Listed, now: float) -> None:
+    def starts(self, task: str, attempt: int, machine: wire.ListedMachine, now: float) -> None:
         job = self.job(task.partition("/")[0])
         spec = job.spec
         if task in self.on:
@@ -198,7 +198,7 @@
                 )
 
     def look_when_calm(
-        self, now: float, calm_since: float, machines: list[tuple[wire.Listed, set[str]]]
+        self, now: float, calm_since: float, machines: list[tuple[wire.ListedMachine, set[str]]]
     ) -> None:
         """Once all troubles are over.
 
@@ -221,7 +221,7 @@
                 # Nothing of it began in that time, though there was room for it all along.
                 self.breaks("left_waiting", f"{ref} while a machine fits", now)
 
-    def _room(self, machine: wire.Listed, tasks: set[str]) -> tuple[float, float, float]:
+    def _room(self, machine: wire.ListedMachine, tasks: set[str]) -> tuple[float, float, float]:
         kind, specs = (
             self.types[machine.machine_type],
             [self.job(task.partition("/")[0]).spec for task in tasks],
@@ -233,7 +233,7 @@
         )
 
     def _could_start(
-        self, spec: wire.Spec, rooms: list[tuple[wire.Listed, tuple[float, float, float]]]
+        self, spec: wire.Spec, rooms: list[tuple[wire.ListedMachine, tuple[float, float, float]]]
     ) -> bool:
         team, used = self.teams[spec.team], self.used.get(spec.team, [0.0, 0.0])
         if _over(team, used[0] + spec.cores, used[1] + spec.gpus):
--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -114,7 +114,7 @@
                 self._given_up += 1
                 self._open.discard(number)
 
-        self._ask("POST", wire.WORK, wire.submission(spec), SUBMIT_TIMEOUT_S, told)
+        self._ask("POST", wire.JOBS, wire.submission(spec), SUBMIT_TIMEOUT_S, told)
 
     def _again(self, number: int, first: float) -> None:
         self._submit(number, first, self._loop.now())
@@ -135,7 +135,7 @@
         def told(reply: Reply) -> None:
             self._answered(ANSWERED_SUBMIT, spec.ref, asked_at, reply)
 
-        self._ask("POST", wire.WORK, wire.submission(spec), SUBMIT_TIMEOUT_S, told)
+        self._ask("POST", wire.JOBS, wire.submission(spec), SUBMIT_TIMEOUT_S, told)
 
     def _cancel(self, number: int, first: float | None) -> None:
         ref, asked_at = reference(number), self._loop.now()
@@ -149,7 +149,7 @@
                 delay = self._rng.uniform(*RETRY_AFTER_S)
                 self._loop.after(delay, self._cancel, number, since)
 
-        self._ask("POST", f"{wire.WORK}/{ref}/cancel", None, SUBMIT_TIMEOUT_S, told)
+        self._ask("POST", f"{wire.JOBS}/{ref}/cancel", None, SUBMIT_TIMEOUT_S, told)
 
     # Questions
 
@@ -164,7 +164,7 @@
                 self._unanswered += 1
             self._loop.after(self._rng.uniform(*POLL_EVERY_S), self._poll, number)
 
-        self._ask("GET", f"{wire.WORK}/{ref}", None, POLL_TIMEOUT_S, told)
+        self._ask("GET", f"{wire.JOBS}/{ref}", None, POLL_TIMEOUT_S, told)
 
     def _ask_unknown(self) -> None:
         """Users also ask for jobs that nobody has submitted."""
@@ -175,7 +175,7 @@
         def told(reply: Reply) -> None:
             self._answered(ANSWERED_POLL, ref, asked_at, reply)
 
-        self._ask("GET", f"{wire.WORK}/{ref}", None, POLL_TIMEOUT_S, told)
+        self._ask("GET", f"{wire.JOBS}/{ref}", None, POLL_TIMEOUT_S, told)
 
     def _ask(self, method: str, path: str, body: object, timeout: float, told: Done) -> None:
         self._asked += 1
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -47,7 +47,7 @@
             if plan.process_of(machine.machine) == number:
                 self._add(machine)
 
-    def _add(self, machine: wire.Listed) -> None:
+    def _add(self, machine: wire.ListedMachine) -> None:
         where = address(str(machine.address))
         assert where is not None, machine.address
         worker = HollowWorker(
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -45,13 +45,13 @@
         types: list[wire.MachineType],
         capacity: dict[tuple[str, str, bool], int],
         place: Callable[[int], str],
-        start: Callable[[wire.Listed], None],
+        start: Callable[[wire.ListedMachine], None],
         end: Callable[[str], None],
         rng: random.Random,
     ) -> None:
         self._runtime, self._types, self._capacity, self._rng = runtime, types, capacity, rng
         self._place, self._start, self._end = place, start, end
-        self.machines: dict[str, wire.Listed] = {}
+        self.machines: dict[str, wire.ListedMachine] = {}
         self._asked_at: dict[str, float] = {}
         self._answers: dict[str, list[str]] = {}
         self.down = False
@@ -67,7 +67,7 @@
         self.lag = 0.0
         """The list is that much old, at times twice."""
         self._up_at: dict[str, float] = {}
-        self._gone: dict[str, tuple[float, wire.Listed]] = {}
+        self._gone: dict[str, tuple[float, wire.ListedMachine]] = {}
         self.callers: list[tuple[str, str]] = []
         """Host and path of each request that changes something, in order."""
         self.asked: list[str] = []
@@ -79,7 +79,7 @@
         path = request.path.partition("?")[0]
         if request.method == "POST":
             self.callers.append((request.far, path))
-        if path == wire.RENTALS and request.method == "POST":
+        if path == wire.MACHINES and request.method == "POST":
             self.asked.append(
                 msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest).request
             )
@@ -88,9 +88,9 @@
         elif self.limit is not None and not self.limit.try_take(1):
             self.limited += 1
             request.reply(429, {"error": "too many"})
-        elif path == wire.CATALOG:
+        elif path == wire.MACHINE_TYPES:
             request.reply(200, wire.MachineTypeList(self._types))
-        elif path == wire.RELEASE:
+        elif path == wire.TERMINATE:
             self._release(
                 request, msgspec.msgpack.decode(request.body, type=wire.TerminateRequest).machines
             )
@@ -110,7 +110,7 @@
         machines = [machine for machine in self._list() if machine.machine > after]
         request.reply(200, wire.MachineList(machines[:most], len(machines) > most))
 
-    def _list(self) -> list[wire.Listed]:
+    def _list(self) -> list[wire.ListedMachine]:
         """The machines as they were a while ago, in the order of their names."""
         then = self._runtime.now() - (self.lag * self._rng.uniform(1, 2) if self.lag else 0.0)
         known = dict(self.machines)
@@ -135,7 +135,7 @@
             self._answers[rental.request] = [self.add(*pool) for _ in range(count)]
         request.reply(200, wire.ProvisionReply(self._answers[rental.request]))
 
-    def add_running(self, machine: wire.Listed) -> None:
+    def add_running(self, machine: wire.ListedMachine) -> None:
         """A machine that is up already, with its worker, and was rented long ago."""
         self._count += 1
         self.machines[machine.machine] = machine
@@ -144,7 +144,9 @@
     def add(self, kind: str, zone: str, spot: bool, boot: float | None = None) -> str:
         """A machine that boots from now on."""
         name = f"n-{self._count:06d}"
-        machine = wire.Listed(name, kind, zone, spot, wire.BOOTING, 0.0, self._place(self._count))
+        machine = wire.ListedMachine(
+            name, kind, zone, spot, wire.BOOTING, 0.0, self._place(self._count)
+        )
         self._count += 1
         self.machines[name] = machine
         self._asked_at[name] = self._runtime.now()
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -115,7 +115,7 @@
         self._workers: dict[str, Worker] = {}
         self._gangs = GangMeetings(loop, GANG_WAIT_S, GANG_PEER_S, self._run_time)
 
-    def _start(self, machine: wire.Listed) -> None:
+    def _start(self, machine: wire.ListedMachine) -> None:
         kind = next(entry for entry in TYPES if entry.name == machine.machine_type)
         host, _, port = str(machine.address).partition(":")
         self._workers[machine.machine] = Worker(
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -79,18 +79,18 @@
             self._refuse(request)
             return
         path, _, query = request.path.partition("?")
-        if path == wire.TXN:
+        if path == wire.TRANSACTIONS:
             self._txn(request)
-        elif path == wire.STORE:
+        elif path == wire.KEYS:
             self._list(request, {name: values[0] for name, values in parse_qs(query).items()})
-        elif path.startswith(wire.STORE + "/"):
-            key = path[len(wire.STORE) + 1 :]
+        elif path.startswith(wire.KEYS + "/"):
+            key = path[len(wire.KEYS) + 1 :]
             row = self.rows.get(key)
             if row is None:
                 request.reply(404, {"ledger": self.revision})
             else:
                 request.reply(200, wire.Row(key, row[0], row[1]))
-        elif path == wire.HOLDS:
+        elif path == wire.LEASES:
             life = msgspec.msgpack.decode(request.body, type=wire.LeaseRequest).milliseconds / 1000
             lease, self._next_lease = self._next_lease, self._next_lease + 1
             self._leases[lease] = (life, self._runtime.now() + life)
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -29,7 +29,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        machine: wire.Listed,
+        machine: wire.ListedMachine,
         kind: wire.MachineType,
         address: Address,
         nodes: dict[str, Address],
@@ -138,7 +138,7 @@
             return
         report = self.report()
         self.copy(node, report)
-        self._clients[node].request("POST", wire.BEAT, report, 4.0, told)
+        self._clients[node].request("POST", wire.HEARTBEAT, report, 4.0, told)
 
     def _other(self, node: str) -> str:
         names = sorted(self._nodes)
@@ -169,7 +169,7 @@
             return
         if self._runtime.now() - self._renewed > self._lease_s:
             self._lapse()
-        if request.path == wire.STATUS:
+        if request.path == wire.WORKER_STATUS:
             request.reply(200, self.report())
             return
         orders = msgspec.msgpack.decode(request.body, type=wire.CommandBatch)
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -102,7 +102,7 @@
         self._is_listing = True
         self.cloud.list_machines(partial(self._on_listed, now))
 
-    def _on_listed(self, requested_at: float, entries: list[wire.Listed] | None) -> None:
+    def _on_listed(self, requested_at: float, entries: list[wire.ListedMachine] | None) -> None:
         now = self.runtime.now()
         self._is_listing = False
         # A long list takes many calls: half of them are left to others.
@@ -135,7 +135,7 @@
             if is_unknown and machine.placements and is_missing:
                 self.terminate(machine, "placed on by an earlier leader, silent and not listed")
 
-    def _find_or_add_machine(self, entry: wire.Listed, now: float) -> Machine:
+    def _find_or_add_machine(self, entry: wire.ListedMachine, now: float) -> Machine:
         machine = self.fleet.machines.get(entry.machine)
         if machine is None:
             log.info(
@@ -150,7 +150,7 @@
             machine.provisioned_at = now - entry.age_s
         return machine
 
-    def _update_machine(self, machine: Machine, entry: wire.Listed, now: float) -> None:
+    def _update_machine(self, machine: Machine, entry: wire.ListedMachine, now: float) -> None:
         """Takes over what the cloud's list says of a machine."""
         if not machine.machine_type:
             machine.machine_type = entry.machine_type
--- a/flaxtally/protocol/wire.py
+++ b/flaxtally/protocol/wire.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from .cloud import ListedMachine as Listed
 from .cloud import (
+    ListedMachine,
     MachineList,
     MachineType,
     MachineTypeList,
@@ -21,18 +21,22 @@
     parse_submission,
     submission,
 )
-from .paths import COMMANDS as ORDERS
-from .paths import HEALTH as UP
-from .paths import HEARTBEAT as BEAT
-from .paths import JOBS as WORK
-from .paths import KEYS as STORE
-from .paths import LEASES as HOLDS
-from .paths import LOANS, list_keys_path, list_machines_path
-from .paths import MACHINE_TYPES as CATALOG
-from .paths import MACHINES as RENTALS
-from .paths import TERMINATE as RELEASE
-from .paths import TRANSACTIONS as TXN
-from .paths import WORKER_STATUS as STATUS
+from .paths import (
+    COMMANDS,
+    HEALTH,
+    HEARTBEAT,
+    JOBS,
+    KEYS,
+    LEASES,
+    LOANS,
+    MACHINE_TYPES,
+    MACHINES,
+    TERMINATE,
+    TRANSACTIONS,
+    WORKER_STATUS,
+    list_keys_path,
+    list_machines_path,
+)
 from .store import Change, Lease, LeaseRequest, Revision, Row, Rows, Transaction, VersionCheck
 from .vocabulary import (
     ABORTED,
@@ -78,9 +82,7 @@
 __all__ = [
     "ABORTED",
     "ARRAY",
-    "BEAT",
     "BOOTING",
-    "CATALOG",
     "CAUSES",
     "CAUSE_ALONE",
     "CAUSE_DONE",
@@ -90,6 +92,7 @@
     "CAUSE_IN_USE",
     "CAUSE_PEERS",
     "CAUSE_UNKNOWN",
+    "COMMANDS",
     "DONE",
     "EXITED",
     "FAILED",
@@ -97,26 +100,27 @@
     "FLUSHING",
     "FORGET",
     "GANG",
-    "HOLDS",
+    "HEALTH",
+    "HEARTBEAT",
+    "JOBS",
     "JOB_ID",
+    "KEYS",
     "LAUNCH",
+    "LEASES",
     "LOANS",
+    "MACHINES",
+    "MACHINE_TYPES",
     "MAX_TASKS",
-    "ORDERS",
     "PENDING",
     "RANKS",
-    "RELEASE",
-    "RENTALS",
     "RUNNING",
     "SERVICE",
-    "STATUS",
     "STOP",
-    "STORE",
     "TASK_STATES",
-    "TXN",
-    "UP",
+    "TERMINATE",
+    "TRANSACTIONS",
     "WAITING",
-    "WORK",
+    "WORKER_STATUS",
     "Change",
     "Command",
     "CommandBatch",
@@ -126,7 +130,7 @@
     "JobStatus",
     "Lease",
     "LeaseRequest",
-    "Listed",
+    "ListedMachine",
     "MachineList",
     "MachineType",
     "MachineTypeList",
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -248,7 +248,7 @@
 
     # Machines
 
-    def _start_worker(self, machine: wire.Listed) -> None:
+    def _start_worker(self, machine: wire.ListedMachine) -> None:
         kind = next(entry for entry in TYPES if entry.name == machine.machine_type)
         assert machine.address is not None
         ip, _, port = machine.address.partition(":")
@@ -421,7 +421,7 @@
     def _deliver_copy(self, node: str, report: wire.Heartbeat) -> None:
         self.copies += 1
         Client(self.user, (self.ip(node), 8080)).request(
-            "POST", wire.BEAT, report, 4.0, lambda _: None
+            "POST", wire.HEARTBEAT, report, 4.0, lambda _: None
         )
 
     def machine_trouble(self, what: str, machines: list[str], for_s: float) -> None:
@@ -470,7 +470,7 @@
             for ref, job in self.rules.jobs.items():
                 if job.accepted:
                     name = self.rng.choice(self.names)
-                    self.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
+                    self.call(name, "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None)
             self.run(5.0)
 
     # Users
@@ -481,7 +481,7 @@
         """A user's request. The rules see all that are asked and answered."""
         client = self._clients.setdefault(node, Client(self.user, (self.ip(node), 8080), 8))
         asked_at = self.sim.time
-        if path == wire.WORK:
+        if path == wire.JOBS:
             what, ref = (
                 "submit",
                 getattr(body, "ref", "") or (body.get("ref", "") if isinstance(body, dict) else ""),
@@ -489,14 +489,14 @@
             if isinstance(body, wire.Submission):
                 self.rules.submits(self.specs.get(ref) or wire.Spec(**msgspec.structs.asdict(body)))
         else:
-            ref, _, verb = path[len(wire.WORK) + 1 :].partition("/")
+            ref, _, verb = path[len(wire.JOBS) + 1 :].partition("/")
             what = verb or "poll"
             if what == "cancel":
                 self.rules.asks_to_cancel(ref)
 
         def told(reply: Reply) -> None:
             answer = msgspec.msgpack.decode(reply.body) if reply.body else None
-            if path.startswith(wire.WORK) and ref:
+            if path.startswith(wire.JOBS) and ref:
                 self.rules.answered(what, ref, asked_at, self.sim.time, reply.status, answer)
             done(reply.status, answer)
 
@@ -518,7 +518,7 @@
             else:
                 self.sim.at(self.sim.time + 1.0, self.submit, job, run_time, node + 1)
 
-        self.call(name, "POST", wire.WORK, wire.submission(job), done)
+        self.call(name, "POST", wire.JOBS, wire.submission(job), done)
 
     def cancel(self, ref: str, node: int = 0, since: float | None = None) -> None:
         """Asks until it is told the end, like the users do: for 60 s."""
@@ -535,7 +535,7 @@
                 self.gave_up.append(ref)
 
         self.call(
-            self.names[node % len(self.names)], "POST", f"{wire.WORK}/{ref}/cancel", None, done
+            self.names[node % len(self.names)], "POST", f"{wire.JOBS}/{ref}/cancel", None, done
         )
 
     def look_closely(self, ref: str) -> None:
@@ -546,10 +546,10 @@
             for number, name in enumerate(self.names):
                 delay = 0.004 * turn + 0.001 * number
                 self.after(
-                    delay, self.call, name, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None
+                    delay, self.call, name, "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None
                 )
                 body = wire.submission(self.specs[ref])
-                self.after(delay, self.call, name, "POST", wire.WORK, body, lambda *_: None)
+                self.after(delay, self.call, name, "POST", wire.JOBS, body, lambda *_: None)
 
     def ask(self, ref: str) -> tuple[int, Any]:
         """Polls any node until one answers other than 503, at most 20 s."""
@@ -559,7 +559,7 @@
         while self.sim.time < end:
             answers.clear()
             name = self.names[turn % len(self.names)]
-            self.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda s, b: answers.append((s, b)))
+            self.call(name, "GET", f"{wire.JOBS}/{ref}", None, lambda s, b: answers.append((s, b)))
             self.until(lambda: bool(answers), 6)
             if answers and answers[0][0] in (200, 404):
                 return answers[0]
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -64,7 +64,7 @@
     def lending_of(self, node: str) -> LendingFeature | None:
         return None if node in self.without else FEATURE
 
-    def _start_worker(self, machine: wire.Listed) -> None:
+    def _start_worker(self, machine: wire.ListedMachine) -> None:
         super()._start_worker(machine)
         self.workers[machine.machine].saves = True
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -31,11 +31,11 @@
 @pytest.mark.parametrize(
     ("path", "body", "expected"),
     [
-        (wire.WORK, b"\xc1", 400),
-        (wire.WORK, {"ref": "x" * 300, "lane": 7}, 400),
-        (wire.WORK, [[[[[[1]]]]]], 400),
-        (wire.BEAT, {"rig": 5}, 400),
-        (wire.BEAT, b"\x91" * 500, 400),
+        (wire.JOBS, b"\xc1", 400),
+        (wire.JOBS, {"ref": "x" * 300, "lane": 7}, 400),
+        (wire.JOBS, [[[[[[1]]]]]], 400),
+        (wire.HEARTBEAT, {"rig": 5}, 400),
+        (wire.HEARTBEAT, b"\x91" * 500, 400),
     ],
 )
 def test_malformed_requests_are_answered_at_once(path: str, body: object, expected: int) -> None:
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -67,7 +67,7 @@
         stages = set()
         for name in CELL_NODES:
             answers: list[tuple[int, object]] = []
-            world.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda *a, to=answers: to.append(a))
+            world.call(name, "GET", f"{wire.JOBS}/{ref}", None, lambda *a, to=answers: to.append(a))
             assert world.until(lambda to=answers: bool(to), 5)
             assert answers[0][0] == 200, (ref, name, answers)
             stages.add(answers[0][1]["stage"])  # type: ignore[index]
@@ -80,7 +80,7 @@
     for name in CELL_NODES:
         answers: list[int] = []
         world.call(
-            name, "GET", f"{wire.WORK}/j-424242", None, lambda s, _, to=answers: to.append(s)
+            name, "GET", f"{wire.JOBS}/j-424242", None, lambda s, _, to=answers: to.append(s)
         )
         assert world.until(lambda to=answers: bool(to), 5)
         assert answers == [404]
@@ -297,7 +297,7 @@
     statuses: dict[str, list[int]] = {ref: [] for ref in lost}
     world.run(2.0)
     for ref, to in statuses.items():
-        world.call("north-0", "GET", f"{wire.WORK}/{ref}", None, lambda s, _, to=to: to.append(s))
+        world.call("north-0", "GET", f"{wire.JOBS}/{ref}", None, lambda s, _, to=to: to.append(s))
     world.run(3.0)
     # Never unknown: nobody can tell, so they are told to ask again.
     assert all(to and set(to) <= {200, 503} for to in statuses.values()), statuses
@@ -438,7 +438,7 @@
             world.call(
                 CELL_NODES[number % 6],
                 "GET",
-                f"{wire.WORK}{path}",
+                f"{wire.JOBS}{path}",
                 None,
                 lambda *_: took.append(world.sim.time - asked_at),
             )
@@ -453,7 +453,7 @@
     world = ready()
     node = "north-0"
     answers: list[int] = []
-    world.call(node, "GET", f"{wire.WORK}/j-000001", None, lambda status, _: answers.append(status))
+    world.call(node, "GET", f"{wire.JOBS}/j-000001", None, lambda status, _: answers.append(status))
     world.run(0.004)
     world.freeze(node, 4.0)
     world.submit(batch("j-000001", 1), run_time=20.0, node=CELL_NODES.index("south-0"))
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -240,13 +240,13 @@
     service.change_limit = TokenBucket(host, 10.0, 10.0)
     user = Answers(sim.host("10.3.0.1"), where)
     for number in range(15):
-        user.ask("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
+        user.ask("POST", wire.TRANSACTIONS, wire.Transaction.build({}, {f"k/{number}": 1}, []))
     play(sim, 1.0)
     assert (user.statuses.count(200), user.statuses.count(429)) == (10, 5)
     assert service.limited == 5
     assert len(service.rows) == 10
     play(sim, 1.0)
-    user.ask("POST", wire.TXN, wire.Transaction.build({}, {"k/late": 1}, []))
+    user.ask("POST", wire.TRANSACTIONS, wire.Transaction.build({}, {"k/late": 1}, []))
     play(sim, 1.0)
     assert user.statuses[-1] == 200
 
@@ -266,7 +266,7 @@
     plan = msgspec.structs.replace(PLAN, workers_per_process=30)
     cloud = RemoteCloud(sim.host(HOST), plan, told)  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
-    user.ask("POST", wire.RELEASE, wire.TerminateRequest(["n-000000", "n-000001"]))
+    user.ask("POST", wire.TERMINATE, wire.TerminateRequest(["n-000000", "n-000001"]))
     play(sim, 1.0)
     assert told.messages == [TakeMachines(1, ["n-000000", "n-000001"])]
     cloud.taken(1)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -101,7 +101,7 @@
         world.cancel(f"j-{number:06d}", others[number % 2])
     answers: list[int] = []
     world.call(
-        old, "POST", f"{wire.WORK}/j-000005/cancel", None, lambda status, _: answers.append(status)
+        old, "POST", f"{wire.JOBS}/j-000005/cancel", None, lambda status, _: answers.append(status)
     )
     for ref in list(world.specs):
         world.look_closely(ref)
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -250,7 +250,7 @@
         world.call(
             NAMES[number % 7],
             "POST",
-            wire.WORK,
+            wire.JOBS,
             wire.submission(job),
             lambda status, _: answers.append((world.sim.time - asked, status)),
         )
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -24,7 +24,7 @@
     world.call(
         NODES[leader],
         "POST",
-        f"{wire.WORK}/{ref}/cancel",
+        f"{wire.JOBS}/{ref}/cancel",
         None,
         lambda status, _: answers.append((world.sim.time - asked, status)),
     )
@@ -87,7 +87,7 @@
 
     def send(name: str, body: object) -> None:
         world.call(
-            "hearth-1", "POST", wire.WORK, body, lambda status, _: answers.__setitem__(name, status)
+            "hearth-1", "POST", wire.JOBS, body, lambda status, _: answers.__setitem__(name, status)
         )
         world.run(0.5)
 
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -85,7 +85,7 @@
         world.sim.cut(world.ip(old), other)
     assert world.until(lambda: world.leader() not in (None, old), 15), world.trace
     answers: list[int] = []
-    world.call(old, "GET", f"{wire.WORK}/j-000000", None, lambda status, _: answers.append(status))
+    world.call(old, "GET", f"{wire.JOBS}/j-000000", None, lambda status, _: answers.append(status))
     world.submit(spec("j-000060", tasks=2), node=(NODES.index(old) + 1) % 3)
     assert world.until(lambda: world.count("j-000060") == 2, 30)
     world.run(2)
@@ -108,7 +108,7 @@
     world.call(
         "hearth-0",
         "POST",
-        wire.WORK,
+        wire.JOBS,
         wire.submission(spec("j-000061")),
         lambda status, _: answers.append((world.sim.time - asked, status)),
     )
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -238,7 +238,7 @@
     teams = {team.name: team for team in (CREW, OTHERS)}
     rules = Rules(teams, TYPES, CANCEL_S)
     audit = LoanAudit(rules, teams, 10.0)
-    machine = wire.Listed("n-1", "g8", "a", False, "running", 1.0)
+    machine = wire.ListedMachine("n-1", "g8", "a", False, "running", 1.0)
     for job in (work("j-000100", 12, "others"), work("j-000200", 4)):
         rules.submits(job)
         rules.job(job.ref).accepted = True
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -66,7 +66,7 @@
                 world.call,
                 world.names[number % len(world.names)],
                 "GET",
-                f"{wire.WORK}/j-000001",
+                f"{wire.JOBS}/j-000001",
                 None,
                 lambda status, _: answered.append(status),
             )
@@ -90,7 +90,9 @@
 
     host.after = counted  # type: ignore[method-assign]
     for number in range(50):
-        world.after(0.05 * number, world.call, world.names[0], "GET", wire.UP, None, print_nothing)
+        world.after(
+            0.05 * number, world.call, world.names[0], "GET", wire.HEALTH, None, print_nothing
+        )
     world.run(4.0)
     assert sum(name.startswith("ServerConn.") for name in set_now) <= 5
 
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -98,7 +98,7 @@
             if job.told and world.sim.time - job.told_at < 0.6:
                 world.look_closely(ref)
             elif not job.told:
-                world.call(NODES[number % 3], "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
+                world.call(NODES[number % 3], "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None)
         assert world.sim.time < 200, world.trace[-30:]
     assert cancelled == 5
     ends_well(world, 20)
@@ -111,7 +111,7 @@
     done = [ref for ref, job in world.rules.jobs.items() if job.told == wire.DONE] or ["j-000100"]
     statuses: dict[str, set[int]] = {}
 
-    def send(name: str, body: object, path: str = wire.WORK) -> None:
+    def send(name: str, body: object, path: str = wire.JOBS) -> None:
         node = world.rng.choice(NODES)
         world.call(
             node, "POST", path, body, lambda status, _: statuses.setdefault(name, set()).add(status)
@@ -127,8 +127,8 @@
         )
         send("known", wire.submission(world.specs["j-000000"]))
         send("known, malformed", {"ref": "j-000001"})
-        send("done, cancelled", None, f"{wire.WORK}/{done[0]}/cancel")
-        send("nobody's, cancelled", None, f"{wire.WORK}/{ref}5/cancel")
+        send("done, cancelled", None, f"{wire.JOBS}/{done[0]}/cancel")
+        send("nobody's, cancelled", None, f"{wire.JOBS}/{ref}5/cancel")
 
     for number in range(40):
         world.after(number * 0.7, odd, number)
@@ -152,7 +152,7 @@
     leader = leader_of(world)
     node = next(name for name in NODES if name != leader)
     world.slow_state(1.0, 10.0)
-    world.call(node, "GET", f"{wire.WORK}/j-000000", None, lambda *_: None)
+    world.call(node, "GET", f"{wire.JOBS}/j-000000", None, lambda *_: None)
     world.run(0.05)
     world.crash(node, back_after=0.1)
     assert world.until(
@@ -161,7 +161,7 @@
     answers: list[int] = []
     for ref in ("j-000001", "j-000100"):
         world.call(
-            node, "GET", f"{wire.WORK}/{ref}", None, lambda status, _: answers.append(status)
+            node, "GET", f"{wire.JOBS}/{ref}", None, lambda status, _: answers.append(status)
         )
     world.run(5)
     assert len(answers) == 2
@@ -235,7 +235,11 @@
         for body in (b"x", {"rig": "n-1"}, {"rig": 7}):
             answers: list[int] = []
             world.call(
-                leader, "POST", wire.BEAT, body, lambda status, _, told=answers: told.append(status)
+                leader,
+                "POST",
+                wire.HEARTBEAT,
+                body,
+                lambda status, _, told=answers: told.append(status),
             )
             world.run(0.2)
             assert answers == [400]
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -26,7 +26,7 @@
 
     for number in range(int(for_s * per_s)):
         ref, node = refs[number % len(refs)], world.names[number % len(world.names)]
-        path = f"{wire.WORK}/{ref}"
+        path = f"{wire.JOBS}/{ref}"
         world.after(number / per_s, world.call, node, "GET", path, None, count)
     return answers
 
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -103,9 +103,9 @@
         world.submit(spec(ref, tasks=2, cores=4.0), node=world.names.index(leader_of(world)))
     assert world.until(lambda: all(world.count(ref) == 2 for ref in refs), 14), world.trace
     assert set(spare) & {machine for machine, _ in world.running.values()}
-    running, asked = dict(world.running), world.cloud.callers.count((world.ip(old), wire.RELEASE))
+    running, asked = dict(world.running), world.cloud.callers.count((world.ip(old), wire.TERMINATE))
     world.run(12)
-    assert world.cloud.callers.count((world.ip(old), wire.RELEASE)) == asked
+    assert world.cloud.callers.count((world.ip(old), wire.TERMINATE)) == asked
     assert world.running == running, world.trace[-20:]
     ends_well(world, 40)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -112,7 +112,7 @@
             loop.stop()
 
         client = Client(loop, (HOST, PORT + 1))
-        client.request("POST", wire.RELEASE, wire.TerminateRequest([machine]), 5.0, told)
+        client.request("POST", wire.TERMINATE, wire.TerminateRequest([machine]), 5.0, told)
         loop.run()
         assert statuses == [200]
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,8 +19,8 @@
 REF = "j-000001"
 
 
-def listed(name: str, zone: str = "a", spot: bool = False, kind: str = "g8") -> wire.Listed:
-    return wire.Listed(name, kind, zone, spot, "running", 0.0, None)
+def listed(name: str, zone: str = "a", spot: bool = False, kind: str = "g8") -> wire.ListedMachine:
+    return wire.ListedMachine(name, kind, zone, spot, "running", 0.0, None)
 
 
 def day(job: wire.Spec | None = None) -> Rules:
--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -23,7 +23,7 @@
     """Polls at these controllers; the statuses that come are added to what is returned."""
     statuses: list[int] = []
     for number in range(int(seconds * POLLS_A_SECOND)):
-        path = f"{wire.WORK}/j-{number % SERVICES:06d}"
+        path = f"{wire.JOBS}/j-{number % SERVICES:06d}"
         node = nodes[number % len(nodes)]
         world.after(
             number / POLLS_A_SECOND,
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -230,7 +230,7 @@
         def told(status: int, _: object) -> None:
             waits.append(world.sim.time - asked if status == 200 else 9.0)
 
-        world.call(NODES[number % 3], "GET", f"{wire.WORK}/j-{number % 4:06d}", None, told)
+        world.call(NODES[number % 3], "GET", f"{wire.JOBS}/j-{number % 4:06d}", None, told)
 
     for number in range(500):
         world.after(number * 0.1, ask, number)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -162,7 +162,7 @@
         asked[0] += 1
         ref = world.rng.choice(world.services)
         name = world.rng.choice(NODES)
-        world.call(name, "GET", f"{wire.WORK}/{ref}", None, told)
+        world.call(name, "GET", f"{wire.JOBS}/{ref}", None, told)
 
     poll()
     world.run(3.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -60,7 +60,7 @@
             world.specs["j-000200"] = gang("j-000200", 2)
             for node in world.upgraded:
                 body = wire.submission(world.specs["j-000200"])
-                world.call(node, "POST", wire.WORK, body, lambda s, _, a=answers: a.append(s))  # type: ignore[misc]
+                world.call(node, "POST", wire.JOBS, body, lambda s, _, a=answers: a.append(s))  # type: ignore[misc]
             world.run(3.0)
             assert set(answers) == {503}
     world.run(8.0)
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -236,7 +236,7 @@
         self._world.after(self._rng.expovariate(self.polls), self._poll)
         ref = f"j-{self._rng.randrange(self._jobs) + 1:06d}"
         node = self._rng.choice(self._world.names)
-        self._world.call(node, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
+        self._world.call(node, "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None)
 
 
 class LargeWorld(simulated_cluster.SimulatedCluster):
