--- a/flaxtally/api/heartbeat_endpoint.py
+++ b/flaxtally/api/heartbeat_endpoint.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..clients.workers import decode_report
+from ..clients.workers import decode_heartbeat
 from ..protocol import wire
 
 if TYPE_CHECKING:
@@ -82,7 +82,7 @@
     def handle_heartbeat(self, request: Request) -> None:
         """Answers a worker's heartbeat, and passes it to the leader if it is accepted here."""
         try:
-            heartbeat = decode_report(request.body)
+            heartbeat = decode_heartbeat(request.body)
         except msgspec.DecodeError as error:
             log.warning("malformed heartbeat of a worker: %s", error)
             request.reply(BAD_REQUEST, {"error": "not a report"})
@@ -126,7 +126,7 @@
         if not self._leads_term(message.term):
             return
         try:
-            heartbeat = decode_report(message.heartbeat)
+            heartbeat = decode_heartbeat(message.heartbeat)
         except msgspec.DecodeError as error:
             log.warning("malformed heartbeat forwarded by %s: %s", sender, error)
             return
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -33,9 +33,9 @@
 
 Message = TypeVar("Message")
 
-MAX_TERMINATED = 100
+MAX_MACHINES_PER_TERMINATE_CALL = 100
 """Machines in one call."""
-MAX_PROVISIONED = 50
+MAX_MACHINES_PER_PROVISION_CALL = 50
 """Machines in one call."""
 MAX_CONNECTIONS = 3
 MACHINES_PER_PAGE = 500
@@ -104,15 +104,15 @@
         self._sequence_numbers = itertools.count()
         self._is_send_scheduled = False
         self._is_paused = False
-        self.troubled_at = float("-inf")
+        self.last_failure_at = float("-inf")
         """When a call last got no reply, or a refusal."""
         self.last_contact_at = float("-inf")
         """When the cloud last served a call."""
 
     @property
-    def is_troubled(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether its last reply was none, or of no use."""
-        return self.troubled_at > self.last_contact_at
+        return self.last_failure_at > self.last_contact_at
 
     # Calls
 
@@ -184,17 +184,17 @@
 
     # Whether calls are sent
 
-    def forget(self) -> None:
+    def drop_queued_calls(self) -> None:
         """Drops the calls that still wait, for a controller that no longer leads."""
         self._queue.clear()
         self._is_paused = False
 
-    def hold(self) -> None:
+    def pause_calls(self) -> None:
         """Sends nothing until `resume`; calls wait in their order."""
         self._is_paused = True
 
     def resume(self) -> None:
-        """Sends calls again after `hold`."""
+        """Sends calls again after `pause_calls`."""
         self._is_paused = False
         self._send_queued()
 
@@ -232,7 +232,7 @@
             self._bucket.empty()
         is_outage = reply.status == 503 and not _is_out_of_capacity(reply)
         if reply.status in (0, 429) or is_outage:
-            self.troubled_at = self._runtime.now()
+            self.last_failure_at = self._runtime.now()
 
     def _decode(self, reply: Reply, decoder: msgspec.msgpack.Decoder[Message]) -> Message | None:
         if reply.status != 200:
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-CALLED_SHARE = 0.3
+WORKER_SOCKETS_FRACTION = 0.3
 """Of the sockets, for calls to workers."""
 CONNECTIONS_PER_WORKER = 2
 
@@ -27,7 +27,7 @@
 
 Status 0 means that no reply came, so the commands may yet be executed.
 """
-decode_report = msgspec.msgpack.Decoder(Heartbeat).decode
+decode_heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
 
 
 def parse_address(text: str) -> Address | None:
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -85,7 +85,9 @@
     @property
     def common_format(self) -> int:
         """The newest format that all configured controllers are known to read."""
-        return min([formats.OWN.newest, *(self.newest_format_of(peer) for peer in self._peers)])
+        return min(
+            [formats.SUPPORTED.newest, *(self.newest_format_of(peer) for peer in self._peers)]
+        )
 
     # The formats key
 
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -206,7 +206,7 @@
             is_ready=self.is_ready,
             can_see_leader=self._observation.can_see_leader(),
             live_members=self.live_members if self.is_leader else [],
-            formats=list(formats.OWN),
+            formats=list(formats.SUPPORTED),
         )
         self._peers.broadcast(to_frame(heartbeat))
         self._candidacy.evaluate()
--- a/flaxtally/cluster/peer_links.py
+++ b/flaxtally/cluster/peer_links.py
@@ -182,7 +182,7 @@
         link.dialled_at = self.runtime.now()
         link.stream = self.runtime.connect(link.address)
         link.stream.on_close = lambda: self._on_link_closed(node, link)
-        hello = Hello(node=self._node, formats=list(formats.OWN))
+        hello = Hello(node=self._node, formats=list(formats.SUPPORTED))
         link.stream.send(encode_frame(to_frame(hello)))
 
     def _on_link_closed(self, node: str, link: _Link) -> None:
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -16,7 +16,7 @@
 from .api.shard_redirects import ShardRedirects
 from .clients.cloud import Cloud
 from .clients.key_value_store import KeyValueStore
-from .clients.workers import CALLED_SHARE, Workers
+from .clients.workers import WORKER_SOCKETS_FRACTION, Workers
 from .cluster.format_negotiation import FormatNegotiation
 from .cluster.frame_router import FrameRouter
 from .cluster.leader_election import LeaderElection, LeadershipListener
@@ -38,7 +38,7 @@
 from .leader.team_limits import SettingsLimits, TeamLimits
 from .leader.term import LeaderContext
 from .ledger.group_commit import LedgerTimings
-from .ledger.pages import PAGE_SHARE
+from .ledger.pages import PAGE_FILL_FRACTION
 from .ledger.write_ahead_log import WriteAheadLog
 from .runtime.http import Server
 
@@ -133,7 +133,7 @@
         """Links to the other controllers, the election, and what goes with them."""
         runtime, settings, policy = self._runtime, self._settings, self._policy
         self._workers = Workers(
-            runtime, policy.order_call, int(settings.max_sockets * CALLED_SHARE)
+            runtime, policy.order_call, int(settings.max_sockets * WORKER_SOCKETS_FRACTION)
         )
         self.formats = FormatNegotiation(runtime, settings.peers, self._store, policy.retry)
         self.peers = self._link_peers()
@@ -151,7 +151,7 @@
         """The links to the other controllers, with the relay for those that are silent."""
         runtime, settings, policy = self._runtime, self._settings, self._policy
         liveness = PeerLiveness(runtime, settings.node, settings.peers, policy.peer_silence)
-        max_batch_chars = int(settings.state_limits.value_bytes * PAGE_SHARE)
+        max_batch_chars = int(settings.state_limits.value_bytes * PAGE_FILL_FRACTION)
         relay = StoreRelay(
             runtime,
             self._store,
@@ -204,7 +204,9 @@
             self._store,
             settings.state_limits,
             LedgerTimings(
-                retry_s=policy.retry, first_call_s=policy.first_call, gather_s=policy.gather
+                retry_s=policy.retry,
+                first_call_timeout_s=policy.first_call,
+                batching_delay_s=policy.gather,
             ),
             self.election.step_down,
             self.election.refuse_to_lead,
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -272,7 +272,7 @@
     def _submit(self, spec: wire.Spec) -> None:
         self._specs[spec.ref] = spec
         self._rules.submits(spec)
-        self._ask("submit", spec.ref, "POST", wire.JOBS, wire.submission(spec))
+        self._ask("submit", spec.ref, "POST", wire.JOBS, wire.build_submission(spec))
 
     def _cancel(self, ref: str) -> None:
         self._rules.asks_to_cancel(ref)
--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -114,7 +114,7 @@
                 self._given_up += 1
                 self._open.discard(number)
 
-        self._ask("POST", wire.JOBS, wire.submission(spec), SUBMIT_TIMEOUT_S, told)
+        self._ask("POST", wire.JOBS, wire.build_submission(spec), SUBMIT_TIMEOUT_S, told)
 
     def _again(self, number: int, first: float) -> None:
         self._submit(number, first, self._loop.now())
@@ -135,7 +135,7 @@
         def told(reply: Reply) -> None:
             self._answered(ANSWERED_SUBMIT, spec.ref, asked_at, reply)
 
-        self._ask("POST", wire.JOBS, wire.submission(spec), SUBMIT_TIMEOUT_S, told)
+        self._ask("POST", wire.JOBS, wire.build_submission(spec), SUBMIT_TIMEOUT_S, told)
 
     def _cancel(self, number: int, first: float | None) -> None:
         ref, asked_at = reference(number), self._loop.now()
--- a/flaxtally/fakes/gang_meeting.py
+++ b/flaxtally/fakes/gang_meeting.py
@@ -77,7 +77,7 @@
         meeting = self._meetings.setdefault((ref, held.attempt), _Meeting(spec))
         meeting.members[held.task] = host, held
         host.set_state(held, wire.WAITING)
-        held.timer = self._runtime.after(self._wait_s, host.exit, held, wire.CAUSE_ALONE)
+        held.timer = self._runtime.after(self._wait_s, host.exit, held, wire.CAUSE_INCOMPLETE)
         if len(meeting.members) == spec.tasks and meeting.began_at is None:
             self._begin(ref, held.attempt, meeting)
 
@@ -134,12 +134,12 @@
         if meeting.began_at is not None and not meeting.is_over:
             self._note_progress(meeting, ref)
             meeting.is_over = True
-            self._runtime.after(self._peer_s, self._exit_all, meeting, wire.CAUSE_PEERS)
+            self._runtime.after(self._peer_s, self._exit_all, meeting, wire.CAUSE_PEER_LOST)
 
     def _break(self, meeting: _Meeting) -> None:
         self._note_progress(meeting, next(iter(meeting.members)).partition("/")[0])
         meeting.is_over = True
-        self._exit_all(meeting, wire.CAUSE_PEERS)
+        self._exit_all(meeting, wire.CAUSE_PEER_LOST)
 
     def _note_progress(self, meeting: _Meeting, ref: str) -> None:
         """The gang falls back to its last checkpoint."""
@@ -197,4 +197,4 @@
         for task in late:
             if not meeting.is_over and task in meeting.members:
                 host, held = meeting.members[task]
-                host.exit(held, wire.CAUSE_PEERS)
+                host.exit(held, wire.CAUSE_PEER_LOST)
--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -120,7 +120,7 @@
 ) -> float:
     """Reserves a machine for each task until none is found; gives the longest time of a fetch."""
     spec, index = search.spec, search.index
-    max_in_zone = spec.zone_share if spec.spread else spec.tasks
+    max_in_zone = spec.max_tasks_per_zone if spec.spread else spec.tasks
     tasks_by_zone = dict(placed_by_zone)
     longest_fetch_s = 0.0
     for _ in range(task_count):
--- a/flaxtally/leader/autoscaling/autoscaler.py
+++ b/flaxtally/leader/autoscaling/autoscaler.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ...clients.cloud import MAX_PROVISIONED
+from ...clients.cloud import MAX_MACHINES_PER_PROVISION_CALL
 from ...planning.fleet import Machine, Pool
 from ...planning.provisioning import ProvisionDecision, Provisioner
 from ...protocol import wire
@@ -135,10 +135,12 @@
             SPOT_PRICE_FACTOR,
         )
         decisions_by_pool: dict[Pool, list[ProvisionDecision]] = {}
-        for decision in provisioner.plan(steps, max_calls * MAX_PROVISIONED):
+        for decision in provisioner.plan(steps, max_calls * MAX_MACHINES_PER_PROVISION_CALL):
             decisions_by_pool.setdefault(decision.pool, []).append(decision)
         for pool, group in list(decisions_by_pool.items())[:max_calls]:
-            self._scale_out.provision(pool, min(len(group), MAX_PROVISIONED), group[0])
+            self._scale_out.provision(
+                pool, min(len(group), MAX_MACHINES_PER_PROVISION_CALL), group[0]
+            )
 
     def _available_pools(self) -> list[Pool]:
         return [
@@ -151,7 +153,7 @@
 
     def _max_calls(self) -> int:
         """Provisioning calls that this step may make."""
-        if self.cloud.is_troubled:
+        if self.cloud.is_failing:
             return 1
         return max(1, int(self.settings.cloud_rps * self.policy.plan_step))
 
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -119,11 +119,11 @@
             demand = self._demand_of(by_shape, job)
             demand.add_tasks(count, self._jobs.expected_run_s(job.spec))
             if job.spec.spread:
-                zone_share = job.spec.zone_share
+                max_tasks_per_zone = job.spec.max_tasks_per_zone
                 _add_zone_limits(
                     demand,
                     {
-                        zone: max(0, zone_share - job.placements_in_zone(zone))
+                        zone: max(0, max_tasks_per_zone - job.placements_in_zone(zone))
                         for zone in self.settings.zones
                     },
                 )
--- a/flaxtally/leader/autoscaling/scale_in.py
+++ b/flaxtally/leader/autoscaling/scale_in.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...clients.cloud import MAX_TERMINATED
+from ...clients.cloud import MAX_MACHINES_PER_TERMINATE_CALL
 from ...protocol import wire
 from ..term import Term, TermActor
 
@@ -64,7 +64,7 @@
         if not names or self._is_terminating:
             return
         names = sorted(names, key=lambda name: self.fleet.machines[name].termination_tried_at)[
-            :MAX_TERMINATED
+            :MAX_MACHINES_PER_TERMINATE_CALL
         ]
         for name in names:
             self.fleet.machines[name].termination_tried_at = now
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -166,7 +166,7 @@
                 job.spec.ref,
                 placed.attempt,
             )
-        elif not is_done and cause in (wire.CAUSE_PEERS, wire.CAUSE_ALONE):
+        elif not is_done and cause in (wire.CAUSE_PEER_LOST, wire.CAUSE_INCOMPLETE):
             # What is left of the attempt exits too: waiting for it would only take time.
             attempt.is_broken = True
         self._no_capacity_until.pop(job.number, None)
--- a/flaxtally/leader/job_admission.py
+++ b/flaxtally/leader/job_admission.py
@@ -43,7 +43,7 @@
 
     def _can_hold_gang(self, spec: wire.Spec) -> bool:
         """Whether the zones can hold all tasks of a gang that is spread over zones."""
-        if not (spec.spread and spec.tasks > spec.zone_share):
+        if not (spec.spread and spec.tasks > spec.max_tasks_per_zone):
             return True
         return not spec.one_zone and len(set(self._allowed_zones(spec))) > 1
 
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -262,7 +262,7 @@
         return frozenset(
             zone
             for zone, count in job.zone_counts.items()
-            if count - (zone == left_zone) >= spec.zone_share
+            if count - (zone == left_zone) >= spec.max_tasks_per_zone
         )
 
     def is_within_limit(self, spec: wire.Spec, count: int = 1) -> bool:
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -76,7 +76,7 @@
         """This controller was elected. The term becomes active once the log has been replayed."""
         self.term.active = False
         self.duties = self._create_duties(number, self.term.machine_types)
-        self._context.cloud.forget()
+        self._context.cloud.drop_queued_calls()
         self._context.limits.end_term()
         self._formats.begin(version)
         self._context.ledger.replay(version, self._on_replayed)
@@ -89,7 +89,7 @@
         self._context.limits.end_term()
         self._formats.end()
         self._context.ledger.close()
-        self._context.cloud.forget()
+        self._context.cloud.drop_queued_calls()
         self.duties = self._create_duties(NO_TERM, self.term.machine_types)
 
     def _on_replayed(self) -> None:
@@ -113,7 +113,7 @@
             return
         term.pause_count += 1
         self.duties.on_pause(lost_s)
-        self._context.cloud.hold()
+        self._context.cloud.pause_calls()
         if not term.suspended:
             term.suspended = True
             self._confirm_leadership(term)
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING, TypeVar
 
-from ...ledger.reclaims import Borrowed, Reclaim
+from ...ledger.reclaims import BorrowedAttempt, Reclaim
 from ...lending.entitlement import NOTHING, Amounts, amounts_of
 
 if TYPE_CHECKING:
@@ -53,7 +53,7 @@
         self._promised: dict[str, Amounts] = {}
         self._unsent: dict[int, OpenReclaim] = {}
         """Reclaims whose victims were not sent a stop yet."""
-        self._chosen: set[Borrowed] = set()
+        self._chosen: set[BorrowedAttempt] = set()
         """The victims of these."""
         self._chosen_usage: dict[str, Amounts] = {}
         """What the chosen tasks take, by team."""
@@ -103,7 +103,7 @@
         self._chosen_usage = {}
         for entry in self._unsent.values():
             for placed in self.remaining_victims(entry.reclaim):
-                victim = Borrowed(placed.job.number, placed.task, placed.attempt)
+                victim = BorrowedAttempt(placed.job.number, placed.task, placed.attempt)
                 if placed.stopping_at is None and victim not in self._chosen:
                     self._chosen.add(victim)
                     team = placed.job.spec.team
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -10,7 +10,7 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Protocol
 
-from ...ledger.reclaims import Borrowed, LoanAccount, Reclaim
+from ...ledger.reclaims import BorrowedAttempt, LoanAccount, Reclaim
 from ...lending.entitlement import amounts_of
 from ...lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
 from ...protocol import wire
@@ -257,11 +257,11 @@
         reclaim = entry.reclaim
         self.open_reclaims.remove(entry)
         is_late = self.runtime.wall() > reclaim.deadline
-        self.ledger.propose(reclaim.over_record())
+        self.ledger.propose(reclaim.to_finished_record())
         if outcome != Step.WITHDRAW.value:
             stored = self.ledger.state.loan_state.accounts.get(reclaim.lender)
             account = stored or LoanAccount(reclaim.lender)
-            self.ledger.propose(account.counted(is_late=is_late).record())
+            self.ledger.propose(account.with_reclaim_counted(is_late=is_late).record())
         log.info(
             "event=reclaim_ended term=%d id=%s how=%r late=%s after=%.1f",
             self.term.number,
@@ -272,8 +272,8 @@
         )
 
 
-def _victims_of(plan: PreemptionPlan) -> tuple[Borrowed, ...]:
-    return tuple(Borrowed(each.job.number, each.task, each.attempt) for each in plan.victims)
+def _victims_of(plan: PreemptionPlan) -> tuple[BorrowedAttempt, ...]:
+    return tuple(BorrowedAttempt(each.job.number, each.task, each.attempt) for each in plan.victims)
 
 
 def _grace_period_s(placed: Placement) -> float:
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -119,5 +119,5 @@
         return excluded | {
             zone
             for zone, count in zones.items()
-            if job.placements_in_zone(zone) + count >= spec.zone_share
+            if job.placements_in_zone(zone) + count >= spec.max_tasks_per_zone
         }
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -5,7 +5,7 @@
 from functools import partial
 from typing import TYPE_CHECKING
 
-from ...clients.workers import CALLED_SHARE
+from ...clients.workers import WORKER_SOCKETS_FRACTION
 from ..term import Term, TermActor
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
         self._commands = commands
         self._probed_machine_count = 0
         """Machines that are being probed."""
-        called_sockets = self.settings.max_sockets * CALLED_SHARE
+        called_sockets = self.settings.max_sockets * WORKER_SOCKETS_FRACTION
         self._max_probed_machines = max(1, int(called_sockets * PROBING_SHARE))
         self._zone_silent_until: dict[str, float] = {}
 
--- a/flaxtally/ledger/cluster_state.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -208,9 +208,9 @@
             self.catalog_page = page
 
     def _raise_format(self, page: int, record: FormatRaised) -> None:
-        if record.format > formats.OWN.newest:
+        if record.format > formats.SUPPORTED.newest:
             raise UnsupportedFormatError(
-                f"format {record.format}; this program reads {formats.OWN.newest}"
+                f"format {record.format}; this program reads {formats.SUPPORTED.newest}"
             )
         self.format = max(self.format, record.format)
         self.format_page = page
--- a/flaxtally/ledger/group_commit.py
+++ b/flaxtally/ledger/group_commit.py
@@ -36,9 +36,9 @@
 
     retry_s: float
     """Before a call that failed is made again."""
-    first_call_s: float
+    first_call_timeout_s: float
     """For the answer to a first call."""
-    gather_s: float
+    batching_delay_s: float
     """For further records, or requests, to be sent together."""
 
 
@@ -112,7 +112,7 @@
         """Commits soon what waits; more may come until then."""
         if not self._is_scheduled and not self.is_busy:
             self._is_scheduled = True
-            delay_s = max(self._timings.gather_s / 2, self._bucket.wait(1.0))
+            delay_s = max(self._timings.batching_delay_s / 2, self._bucket.wait(1.0))
             self.later(delay_s, self._commit)
 
     def _commit(self) -> None:
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -50,8 +50,8 @@
         runtime: Runtime,
         store: KeyValueStore,
         leader_key_version: int,
-        first_call_s: float,
-        gather_s: float,
+        first_call_timeout_s: float,
+        batching_delay_s: float,
         on_leadership_lost: Callable[[], None],
     ) -> None:
         """`on_leadership_lost` is called when somebody else leads."""
@@ -59,8 +59,8 @@
         self._store = store
         self._leader_key_version = leader_key_version
         self._on_leadership_lost = on_leadership_lost
-        self._first_call_s = first_call_s
-        self._gather_s = gather_s
+        self._first_call_s = first_call_timeout_s
+        self._gather_s = batching_delay_s
         self._waiting: list[_Request] = []
         self._is_open = True
         self._is_asking = False
--- a/flaxtally/ledger/pages.py
+++ b/flaxtally/ledger/pages.py
@@ -14,7 +14,7 @@
 """
 MAX_TRANSACTION_BYTES = 56 * 1024
 MIN_PAGE_BYTES = 768
-PAGE_SHARE = 7 / 8
+PAGE_FILL_FRACTION = 7 / 8
 """Of a value's largest size: what the records of a page may take."""
 LEDGER_SHARE = 0.85
 """Of the changes a second: the rest is for leadership and the store relay."""
@@ -37,7 +37,7 @@
 
     def __init__(self, limits: StateLimits) -> None:
         """What the settings say that the store accepts."""
-        self.page_bytes = int(limits.value_bytes * PAGE_SHARE)
+        self.page_bytes = int(limits.value_bytes * PAGE_FILL_FRACTION)
         self.transaction_changes = limits.txn_ops
         """Writes and deletes."""
         # A transaction must not be more than a burst, which other writers share.
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -20,7 +20,7 @@
 """About what an attempt of a reclaim takes in a page."""
 
 
-class Borrowed(NamedTuple):
+class BorrowedAttempt(NamedTuple):
     """An attempt of a borrowed task that is to be stopped."""
 
     job: int
@@ -40,7 +40,7 @@
     deadline: float
     tasks: int
     """For how many tasks of the job: more than one only of a gang."""
-    borrowed: tuple[Borrowed, ...]
+    borrowed: tuple[BorrowedAttempt, ...]
 
     @property
     def id(self) -> str:
@@ -58,7 +58,7 @@
             record.decided_at,
             record.deadline,
             record.tasks,
-            tuple(Borrowed(*attempt) for attempt in record.attempts),
+            tuple(BorrowedAttempt(*attempt) for attempt in record.attempts),
         )
 
     def record(self) -> ReclaimStarted:
@@ -74,7 +74,7 @@
             self.borrowed,
         )
 
-    def over_record(self) -> ReclaimFinished:
+    def to_finished_record(self) -> ReclaimFinished:
         """The record that ends it."""
         return ReclaimFinished(self.number)
 
@@ -111,7 +111,7 @@
         """The record that takes the place of the team's earlier one; figures are rounded."""
         return LoanAccountStored(self.team, *(round(figure, 1) for figure in astuple(self)[1:]))
 
-    def counted(self, *, is_late: bool) -> LoanAccount:
+    def with_reclaim_counted(self, *, is_late: bool) -> LoanAccount:
         """The same with one more reclaim that is over."""
         return replace(self, met=self.met + (not is_late), late=self.late + is_late)
 
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -87,8 +87,8 @@
             self.runtime,
             self._store,
             leader_key_version,
-            self._timings.first_call_s,
-            self._timings.gather_s,
+            self._timings.first_call_timeout_s,
+            self._timings.batching_delay_s,
             self._on_leadership_lost,
         )
         self._replay: Replay | None = None
--- a/flaxtally/protocol/formats.py
+++ b/flaxtally/protocol/formats.py
@@ -25,14 +25,14 @@
     newest: int
 
 
-OWN = FormatRange(FIRST, LENDING)
+SUPPORTED = FormatRange(FIRST, LENDING)
 """What this version reads."""
-UNSTATED = FormatRange(FIRST, FIRST)
+UNANNOUNCED = FormatRange(FIRST, FIRST)
 """A controller that states no range."""
 
 
 def parse_range(value: object) -> FormatRange:
-    """The range that a frame states; `UNSTATED` if it states none that is valid."""
+    """The range that a frame states; `UNANNOUNCED` if it states none that is valid."""
     if (
         isinstance(value, list | tuple)
         and len(value) == 2
@@ -40,4 +40,4 @@
         and FIRST <= value[0] <= value[1]
     ):
         return FormatRange(*value)
-    return UNSTATED
+    return UNANNOUNCED
--- a/flaxtally/protocol/jobs.py
+++ b/flaxtally/protocol/jobs.py
@@ -40,7 +40,7 @@
     deadline: float | None
 
     @property
-    def zone_share(self) -> int:
+    def max_tasks_per_zone(self) -> int:
         """How many tasks of a job that spreads may be in one zone."""
         return (self.tasks + 1) // 2
 
@@ -184,7 +184,7 @@
     )
 
 
-def submission(spec: Spec) -> Submission:
+def build_submission(spec: Spec) -> Submission:
     """The submission that a user sends for this."""
     return Submission(**msgspec.structs.asdict(spec))
 
--- a/flaxtally/protocol/vocabulary.py
+++ b/flaxtally/protocol/vocabulary.py
@@ -34,9 +34,9 @@
 CAUSE_IN_USE = "in_use"
 CAUSE_UNKNOWN = "unknown"
 CAUSE_HALTED = "halted"
-CAUSE_PEERS = "mates_gone"
+CAUSE_PEER_LOST = "mates_gone"
 """Of a gang's task: another task of the gang is gone."""
-CAUSE_ALONE = "incomplete"
+CAUSE_INCOMPLETE = "incomplete"
 """Of a gang's task: the gang was not complete in time."""
 CAUSES = frozenset(
     {
@@ -46,8 +46,8 @@
         CAUSE_IN_USE,
         CAUSE_UNKNOWN,
         CAUSE_HALTED,
-        CAUSE_PEERS,
-        CAUSE_ALONE,
+        CAUSE_PEER_LOST,
+        CAUSE_INCOMPLETE,
     }
 )
 
--- a/tests/ledger_records.py
+++ b/tests/ledger_records.py
@@ -34,7 +34,7 @@
     return items
 
 
-def certain_records(read: Iterable[StoredRecord]) -> list[Record]:
+def complete_records(read: Iterable[StoredRecord]) -> list[Record]:
     """What the records say by themselves, and those of batches that are whole."""
     reader = BatchReader()
     found: list[Record] = []
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -27,7 +27,7 @@
 from flaxtally.runtime.http import Client, Reply
 from flaxtally.settings import Objective, Settings, StateLimits, Team
 
-from .ledger_records import certain_records
+from .ledger_records import complete_records
 from .simulation import Simulation
 
 if TYPE_CHECKING:
@@ -326,7 +326,7 @@
                 continue
             held = held or (task, attempt, machine) in placed
         for ledger, pieces in in_batches.items():
-            placed = self._placed_by(ledger, certain_records(pieces))
+            placed = self._placed_by(ledger, complete_records(pieces))
             held = held or (task, attempt, machine) in placed
         return held
 
@@ -518,7 +518,7 @@
             else:
                 self.sim.at(self.sim.time + 1.0, self.submit, job, run_time, node + 1)
 
-        self.call(name, "POST", wire.JOBS, wire.submission(job), done)
+        self.call(name, "POST", wire.JOBS, wire.build_submission(job), done)
 
     def cancel(self, ref: str, node: int = 0, since: float | None = None) -> None:
         """Asks until it is told the end, like the users do: for 60 s."""
@@ -548,7 +548,7 @@
                 self.after(
                     delay, self.call, name, "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None
                 )
-                body = wire.submission(self.specs[ref])
+                body = wire.build_submission(self.specs[ref])
                 self.after(delay, self.call, name, "POST", wire.JOBS, body, lambda *_: None)
 
     def ask(self, ref: str) -> tuple[int, Any]:
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -23,7 +23,7 @@
 from flaxtally.protocol.formats import FormatRange, parse_range
 
 from . import production
-from .ledger_records import accepted, certain_records, record, stored
+from .ledger_records import accepted, complete_records, record, stored
 from .scenarios import change_leader
 from .simulated_cluster import NODES, SimulatedCluster, batch, gang, spec
 from .simulated_upgrade import LOWER, UpgradingCluster
@@ -82,7 +82,7 @@
     kinds = {frame["k"] for frames in mailed for frame in frames}
     assert "hb" in kinds
     heartbeats = [frame for frames in mailed for frame in frames if frame["k"] == "hb"]
-    assert {parse_range(frame.get("formats")) for frame in heartbeats} == {formats.UNSTATED}
+    assert {parse_range(frame.get("formats")) for frame in heartbeats} == {formats.UNANNOUNCED}
 
 
 def test_what_is_written_before_the_raise_means_the_same_to_production() -> None:
@@ -112,7 +112,7 @@
 
 def read_all(records: list[list[Any]]) -> list[list[Any]]:
     read = [decode_record(items) for items in records]
-    return [stored(certain) for certain in certain_records(read)]
+    return [stored(certain) for certain in complete_records(read)]
 
 
 def pieces(records: list[list[Any]], max_bytes: int) -> list[list[Any]]:
@@ -204,7 +204,7 @@
     "stated", [None, 2, "2", [2], [1, 2, 3], [2, 1], [0, 2], [1, "2"], [True, 2], {"newest": 2}]
 )
 def test_a_range_that_is_none_counts_as_the_first_format(stated: object) -> None:
-    assert parse_range(stated) == formats.UNSTATED
+    assert parse_range(stated) == formats.UNANNOUNCED
 
 
 def member_formats() -> FormatNegotiation:
@@ -240,11 +240,11 @@
     assert world.until(lambda: world.leader() is not None, 20.0)
     world.run(3.0)
     leader = world.nodes[world.leader() or ""]
-    assert leader.formats.common_format == formats.OWN.newest
+    assert leader.formats.common_format == formats.SUPPORTED.newest
     peer = next(name for name in NODES if name != world.leader())
     leader.formats.on_hello(peer, 10**6, None)
     assert leader.formats.common_format == formats.FIRST
-    assert FormatRange(1, 3) == formats.OWN
+    assert FormatRange(1, 3) == formats.SUPPORTED
 
 
 def test_the_evidence_costs_few_changes() -> None:
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -251,7 +251,7 @@
             NAMES[number % 7],
             "POST",
             wire.JOBS,
-            wire.submission(job),
+            wire.build_submission(job),
             lambda status, _: answers.append((world.sim.time - asked, status)),
         )
 
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -109,7 +109,7 @@
         "hearth-0",
         "POST",
         wire.JOBS,
-        wire.submission(spec("j-000061")),
+        wire.build_submission(spec("j-000061")),
         lambda status, _: answers.append((world.sim.time - asked, status)),
     )
     world.run(20)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -14,7 +14,7 @@
 from flaxtally.emulator.rules import Rules
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.ledger.cluster_state import ClusterState
-from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Reclaim
+from flaxtally.ledger.reclaims import BorrowedAttempt, LoanAccount, Reclaim
 from flaxtally.ledger.snapshot import page_records
 from flaxtally.lending.entitlement import Reclaimable
 from flaxtally.lending.page import LoansPage, format_page
@@ -163,7 +163,9 @@
 
 def test_open_recalls_and_accounts_outlive_the_cleaning_of_their_pages() -> None:
     book = ClusterState()
-    recall = Reclaim(4, "crew", 1, "n-1", 10.0, 20.0, 1, (Borrowed(2, 0, 1), Borrowed(2, 1, 1)))
+    recall = Reclaim(
+        4, "crew", 1, "n-1", 10.0, 20.0, 1, (BorrowedAttempt(2, 0, 1), BorrowedAttempt(2, 1, 1))
+    )
     account = LoanAccount("crew", 5.0, 1.0, 2.0, 3.0, 4.0, 5, 6)
     book.apply(Reclaim(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).record(), 1)
     for written in (recall.record(), account.record(), record("X", 3)):
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -119,13 +119,14 @@
 
     def odd(number: int) -> None:
         ref = f"j-{7000 + number:06d}"
-        send("fits nothing", wire.submission(spec(ref + "1", cores=1000.0)))
-        send("too much", wire.submission(spec(ref + "2", tasks=101)))
+        send("fits nothing", wire.build_submission(spec(ref + "1", cores=1000.0)))
+        send("too much", wire.build_submission(spec(ref + "2", tasks=101)))
         send("lacks a field", {"ref": ref + "3", "lane": "gate"})
         send(
-            "wrong type", {**msgspec.to_builtins(wire.submission(spec(ref + "4"))), "hands": "many"}
+            "wrong type",
+            {**msgspec.to_builtins(wire.build_submission(spec(ref + "4"))), "hands": "many"},
         )
-        send("known", wire.submission(world.specs["j-000000"]))
+        send("known", wire.build_submission(world.specs["j-000000"]))
         send("known, malformed", {"ref": "j-000001"})
         send("done, cancelled", None, f"{wire.JOBS}/{done[0]}/cancel")
         send("nobody's, cancelled", None, f"{wire.JOBS}/{ref}5/cancel")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -86,7 +86,7 @@
         """One try, by the command line."""
         path = self.folder / f"{job.ref}.json"
         job = msgspec.structs.replace(job, team=demo.TEAM.name)
-        path.write_bytes(msgspec.json.encode(wire.submission(job)))
+        path.write_bytes(msgspec.json.encode(wire.build_submission(job)))
         return self._command("submit", str(path))[0] == 0
 
     def stage(self, ref: str) -> str:
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -59,7 +59,7 @@
             world.run(6.0)
             world.specs["j-000200"] = gang("j-000200", 2)
             for node in world.upgraded:
-                body = wire.submission(world.specs["j-000200"])
+                body = wire.build_submission(world.specs["j-000200"])
                 world.call(node, "POST", wire.JOBS, body, lambda s, _, a=answers: a.append(s))  # type: ignore[misc]
             world.run(3.0)
             assert set(answers) == {503}
