--- a/flaxtally/protocol/cloud.py
+++ b/flaxtally/protocol/cloud.py
@@ -52,8 +52,8 @@
 ):
     """A request for machines.
 
-    `request` names it: sent again under this name it is executed once, so the name must never be
-    used for anything else.
+    `request` is its idempotency key: the cloud executes requests with the same key once, so a key
+    must never be reused for another request.
     """
 
     request: str
@@ -64,7 +64,7 @@
 
 
 class ProvisionReply(msgspec.Struct, rename={"machines": "rigs"}):
-    """The machines that were provisioned; may be fewer than asked for."""
+    """The machines that were provisioned; may be fewer than requested."""
 
     machines: list[str]
 
--- a/flaxtally/protocol/formats.py
+++ b/flaxtally/protocol/formats.py
@@ -1,9 +1,9 @@
 """Format versions of what controllers write for each other: log records, keys, frames.
 
-During a rolling upgrade old and new controllers work on one write-ahead log. Each states the range
-of formats that it reads; one that states none reads only the first format. The committed cluster
-format, which the leader raises once every configured controller reads it, bounds what may be
-written.
+During a rolling upgrade old and new controllers work on one write-ahead log. Each announces the
+range of formats that it reads; one that announces none reads only the first format. The committed
+cluster format is the newest that may be written; the leader raises it once every configured
+controller reads the new one.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 
 FIRST = 1
-"""Before versions were stated: single records, none of them a batch."""
+"""The format from before controllers announced versions: single records, no batches."""
 GANGS = 2
-"""Adds batches of records that are read whole or not at all, and the attempts of gangs."""
+"""Adds batches of records that are read completely or not at all, and the attempts of gangs."""
 LENDING = 3
-"""Adds the records of loans; raised only where lending is enabled."""
+"""Adds the records of loans; the cluster format is raised to it only where lending is enabled."""
 
 
 class FormatRange(NamedTuple):
@@ -26,13 +26,13 @@
 
 
 SUPPORTED = FormatRange(FIRST, LENDING)
-"""What this version reads."""
+"""The formats that this version reads."""
 UNANNOUNCED = FormatRange(FIRST, FIRST)
-"""A controller that states no range."""
+"""The range of a controller that announces none."""
 
 
 def parse_range(value: object) -> FormatRange:
-    """The range that a frame states; `UNANNOUNCED` if it states none that is valid."""
+    """Returns the range that a frame announces; `UNANNOUNCED` if there is none or it is invalid."""
     if (
         isinstance(value, list | tuple)
         and len(value) == 2
--- a/flaxtally/protocol/jobs.py
+++ b/flaxtally/protocol/jobs.py
@@ -16,7 +16,7 @@
 
 
 class Spec(msgspec.Struct, frozen=True, array_like=True):
-    """What a user asked for. As an array it is also the form that the ledger keeps."""
+    """The specification of a job. Encoded as an array, it is also the form in the ledger."""
 
     ref: str
     job_class: str
@@ -41,12 +41,12 @@
 
     @property
     def max_tasks_per_zone(self) -> int:
-        """How many tasks of a job that spreads may be in one zone."""
+        """How many tasks of a job that spreads over zones may run in one zone."""
         return (self.tasks + 1) // 2
 
     @property
     def is_best_effort(self) -> bool:
-        """Whether the job is of the lowest rank and runs to an end."""
+        """Whether the job has the lowest rank and its tasks run to completion."""
         return self.job_kind == ARRAY and RANKS[self.rank] == RANKS["idle"]
 
 
@@ -72,7 +72,7 @@
         "deadline": "dueS",
     },
 ):
-    """A submission as it is sent."""
+    """A job as a user submits it."""
 
     ref: str
     job_class: str
@@ -97,7 +97,7 @@
 
 
 class InvalidSubmissionError(Exception):
-    """The submission is malformed; the text says which field."""
+    """The submission is malformed; the message names the field."""
 
 
 _submission_decoder = msgspec.msgpack.Decoder(Submission)
@@ -106,7 +106,7 @@
 def parse_submission(body: bytes) -> Spec:
     """Decodes and checks a submission, or raises `InvalidSubmissionError`.
 
-    Decoding checks the types, this also the ranges.
+    Decoding checks the types of the fields; this function also checks their ranges.
     """
     try:
         submission = _submission_decoder.decode(body)
@@ -185,7 +185,7 @@
 
 
 def build_submission(spec: Spec) -> Submission:
-    """The submission that a user sends for this."""
+    """Returns the submission that a user sends for the specification."""
     return Submission(**msgspec.structs.asdict(spec))
 
 
@@ -195,9 +195,9 @@
     ref: str
     state: str
     done: int | None = None
-    """Tasks that have ended; like `running` given while the job's details are kept."""
+    """Number of finished tasks; like `running`, present while the job's details are kept."""
     running: int | None = None
     attempt: int | None = None
-    """Of a gang that has not ended, like `waiting`: its newest attempt."""
+    """Newest attempt of a gang; like `waiting`, present while the gang is not terminal."""
     waiting: int | None = None
-    """Tasks that wait for the gang's others."""
+    """Number of tasks that wait for the other tasks of their gang."""
--- a/flaxtally/protocol/paths.py
+++ b/flaxtally/protocol/paths.py
@@ -1,4 +1,4 @@
-"""HTTP paths of the protocol, and the queries of those that list something."""
+"""HTTP paths of the protocol, and the query strings of those that return lists."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 WORKER_STATUS = "/status"
 HEALTH = "/up"
 LOANS = "/loans"
-"""The operators' page, beyond the protocol."""
+"""A page for operators; not part of the protocol."""
 
 MACHINE_TYPES = "/catalog"
 MACHINES = "/rentals"
@@ -20,12 +20,12 @@
 
 
 def list_keys_path(prefix: str, after: str | None, max_count: int) -> str:
-    """The path of a page of keys with a prefix, those behind the key `after`."""
+    """Returns the path of a page of the keys with a prefix that come after the key `after`."""
     start = f"&after={after}" if after else ""
     return f"{KEYS}?starts={prefix}{start}&most={max_count}"
 
 
 def list_machines_path(after: str | None, max_count: int) -> str:
-    """The path of a page of the cloud's machines, those behind the machine `after`."""
+    """Returns the path of a page of the cloud's machines that come after the machine `after`."""
     start = f"&after={after}" if after else ""
     return f"{MACHINES}?most={max_count}{start}"
--- a/flaxtally/protocol/shape.py
+++ b/flaxtally/protocol/shape.py
@@ -1,4 +1,4 @@
-"""What makes tasks alike for scheduling: resources, and the machines that they may use."""
+"""The resource shape of tasks: the resources that they need and the machines that they may use."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
     is_service: bool
     rank: int
     is_gang: bool = False
-    """All tasks of a job start at the same time."""
+    """Whether all tasks of the job start at the same time."""
     one_zone: bool = False
-    """Of a gang: all tasks run in one zone."""
+    """Whether all tasks of a gang run in one zone; False for other jobs."""
 
     @property
     def is_best_effort(self) -> bool:
-        """Whether it is of the lowest rank and runs to an end."""
+        """Whether the tasks have the lowest rank and run to completion."""
         return not self.is_service and self.rank == RANKS["idle"]
 
     @classmethod
     def of(cls, spec: Spec) -> Shape:
-        """The shape of a job's tasks."""
+        """Returns the shape of a job's tasks."""
         is_gang = spec.job_kind == GANG
         return cls(
             spec.job_class,
--- a/flaxtally/protocol/store.py
+++ b/flaxtally/protocol/store.py
@@ -26,20 +26,20 @@
 
 
 class VersionCheck(msgspec.Struct, rename={"key": "k", "version": "stamp"}):
-    """A condition of a transaction: the key has this version (0: it doesn't exist)."""
+    """A condition of a transaction: the key has this version (0: the key does not exist)."""
 
     key: str
     version: int
 
 
 class Change(msgspec.Struct, omit_defaults=True, rename={"value": "v", "lease": "tenure"}):
-    """A write (`put`, `value` and perhaps `lease`) or a delete (`drop`) of a transaction."""
+    """A write (`put`, `value`, optionally `lease`) or a delete (`drop`) in a transaction."""
 
     put: str | None = None
     value: Any = msgspec.UNSET
-    """Unset in a delete; a write may well write None."""
+    """UNSET in a delete; None is a valid value of a write."""
     lease: int | None = None
-    """The key is deleted when this lease expires."""
+    """Id of the lease; the key is deleted when it expires."""
     drop: str | None = None
 
 
@@ -61,7 +61,7 @@
         deletes: Iterable[str],
         lease: int | None = None,
     ) -> Transaction:
-        """A transaction; `lease` is attached to every key that it writes."""
+        """Builds a transaction; `lease` is attached to every key that it writes."""
         changes = [Change(key, value, lease) for key, value in writes.items()]
         changes += [Change(drop=key) for key in deletes]
         checks = [VersionCheck(key, version) for key, version in expected_versions.items()]
--- a/flaxtally/protocol/vocabulary.py
+++ b/flaxtally/protocol/vocabulary.py
@@ -1,4 +1,4 @@
-"""The words of the wire that are values of fields: kinds, ranks, states, causes and verbs."""
+"""Values of fields on the wire: kinds, ranks, states, causes and verbs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 GANG = "group"
 
 RANKS = {"critical": 0, "high": 1, "standard": 2, "idle": 3}
-"""Priorities by name; the smaller number goes first."""
+"""Priorities by name; a smaller number is scheduled first."""
 
 # States of jobs; `RUNNING` is also a state of tasks and machines
 
@@ -35,9 +35,9 @@
 CAUSE_UNKNOWN = "unknown"
 CAUSE_HALTED = "halted"
 CAUSE_PEER_LOST = "mates_gone"
-"""Of a gang's task: another task of the gang is gone."""
+"""Cause for a task of a gang: another task of the gang was lost."""
 CAUSE_INCOMPLETE = "incomplete"
-"""Of a gang's task: the gang was not complete in time."""
+"""Cause for a task of a gang: the gang was not complete in time."""
 CAUSES = frozenset(
     {
         CAUSE_DONE,
--- a/flaxtally/protocol/wire.py
+++ b/flaxtally/protocol/wire.py
@@ -1,4 +1,4 @@
-"""All messages, words and paths of the wire under one name."""
+"""All messages, field values and paths of the wire protocol, re-exported from one module."""
 
 from __future__ import annotations
 
--- a/flaxtally/protocol/workers.py
+++ b/flaxtally/protocol/workers.py
@@ -48,7 +48,7 @@
 
     @property
     def recency(self) -> tuple[int, int]:
-        """Of two heartbeats of a machine, the one with the larger is the newer."""
+        """Orders the heartbeats of a machine: the newer one has the larger value."""
         return self.incarnation, self.sequence_number
 
 
@@ -63,21 +63,21 @@
     task: str
     attempt: int
     grace_s: float | None = None
-    """Of a stop: the time to save a checkpoint."""
+    """Seconds that a task has to save a checkpoint; only in `stop` commands."""
 
 
 def launch(task: str, attempt: int) -> Command:
-    """The command to start an attempt of a task."""
+    """Returns the command to start an attempt of a task."""
     return Command(LAUNCH, task, attempt)
 
 
 def stop(task: str, attempt: int, grace_s: float) -> Command:
-    """The command to stop an attempt, with the time to save a checkpoint."""
+    """Returns the command to stop an attempt, with the time to save a checkpoint."""
     return Command(STOP, task, attempt, grace_s)
 
 
 def forget(task: str, attempt: int) -> Command:
-    """The command to leave an exited attempt out of the heartbeats from now on."""
+    """Returns the command to omit an exited attempt from further heartbeats."""
     return Command(FORGET, task, attempt)
 
 
@@ -85,7 +85,7 @@
     msgspec.Struct,
     rename={"fencing_token": "baton", "incarnation": "shift", "commands": "orders"},
 ):
-    """Commands that a worker executes unless token or incarnation are outdated."""
+    """Commands that a worker executes unless the token or the incarnation is outdated."""
 
     fencing_token: int
     incarnation: int
@@ -93,24 +93,24 @@
 
 
 EncodedBatch = dict[str, Any]
-"""A `CommandBatch` with the wire's words, as one controller passes it to another."""
+"""A `CommandBatch` with the field names of the wire, as controllers forward it to each other."""
 
 
 def encode_batch(batch: CommandBatch) -> EncodedBatch:
-    """The batch with the wire's words."""
+    """Returns the batch with the field names of the wire."""
     encoded: EncodedBatch = msgspec.to_builtins(batch)
     return encoded
 
 
 def fencing_token_of(encoded: EncodedBatch) -> object:
-    """The fencing token of a batch that another controller encoded; None if it has none."""
+    """Returns the fencing token of a batch from another controller; None if it has none."""
     return encoded.get("baton")
 
 
 class HeartbeatReply(msgspec.Struct, rename={"fencing_token": "baton", "commands": "orders"}):
     """The reply to a heartbeat: it renews the worker's lease.
 
-    Controllers send commands directly, never with this reply; the protocol would allow both.
+    Controllers send commands directly, never with this reply, although the protocol allows both.
     """
 
     fencing_token: int
@@ -118,6 +118,6 @@
 
 
 class Redirect(msgspec.Struct, omit_defaults=True, rename={"controller": "foreman"}):
-    """The reply that sends a worker to another controller; None: to any other."""
+    """The reply that redirects a worker to a controller; None: to any other one."""
 
     controller: str | None = None
