--- a/flaxtally/clients/__init__.py
+++ b/flaxtally/clients/__init__.py
@@ -1,4 +1,4 @@
-"""Clients of the outside systems: key-value store, cloud, workers.
+"""Clients of the external systems: key-value store, cloud, workers.
 
-Owns their calls, budgets and outcomes; decides nothing. Start with `key_value_store`.
+Owns their calls, call budgets and outcomes; makes no decisions. Start with `key_value_store`.
 """
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud: one call budget, urgent calls first."""
+"""Client of the cloud: all calls share one budget, and urgent calls are sent first."""
 
 from __future__ import annotations
 
@@ -34,13 +34,11 @@
 Message = TypeVar("Message")
 
 MAX_MACHINES_PER_TERMINATE_CALL = 100
-"""Machines in one call."""
 MAX_MACHINES_PER_PROVISION_CALL = 50
-"""Machines in one call."""
 MAX_CONNECTIONS = 3
 MACHINES_PER_PAGE = 500
-BUDGET_SHARE = 0.9
-"""Of the cloud's limit of calls a second."""
+CALL_RATE_FRACTION = 0.9
+"""Fraction of the cloud's limit of calls per second that this client uses."""
 
 _machine_type_list_decoder = msgspec.msgpack.Decoder(MachineTypeList)
 _provision_reply_decoder = msgspec.msgpack.Decoder(ProvisionReply)
@@ -48,18 +46,18 @@
 
 
 class ProvisionOutcome(enum.Enum):
-    """How a request for machines ended."""
+    """Outcome of a request for machines."""
 
     PROVISIONED = enum.auto()
     NO_CAPACITY = enum.auto()
     UNAVAILABLE = enum.auto()
     """Not executed: an outage, or too many calls."""
     INDETERMINATE = enum.auto()
-    """No reply: it may have been executed, or may still be."""
+    """No reply: the request may have been executed, or may still be executed."""
 
 
 class _Priority(enum.IntEnum):
-    """Which of the waiting calls go first."""
+    """Priority of a queued call; the smallest value is sent first."""
 
     TERMINATE = 0
     PROVISION = 1
@@ -68,7 +66,7 @@
 
 @dataclass(frozen=True)
 class _Request:
-    """A call as it is sent, and who waits for its reply."""
+    """A call, and the callback for its reply."""
 
     priority: _Priority
     method: str
@@ -79,7 +77,7 @@
 
 @dataclass(order=True, frozen=True)
 class _QueueEntry:
-    """A waiting call; those of one priority go in the order in which they came."""
+    """A queued call; calls of one priority are sent in the order in which they were queued."""
 
     priority: _Priority
     sequence_number: int
@@ -89,29 +87,29 @@
 class Cloud:
     """The calls to the cloud.
 
-    Every `on_done` of a listing gets None when no reply came that can be believed.
+    `on_done` of a method that lists something gets None when there was no valid reply.
     """
 
     def __init__(self, runtime: Runtime, address: Address, rps: float, timeout_s: float) -> None:
-        """Takes the cloud's address, its limit of calls a second, and the time-out of a call."""
+        """Takes the cloud's address, its limit of calls per second, and the time-out of a call."""
         self._runtime = runtime
         self._timeout_s = timeout_s
         self._client = Client(runtime, address, MAX_CONNECTIONS)
-        # The controllers share no budget: only the leader calls, and a new leader must not start
-        # with the burst that its predecessor may just have used.
-        self._bucket = TokenBucket(runtime, rps * BUDGET_SHARE, rps)
+        # Controllers do not share the budget: only the leader calls, and a new leader must not
+        # start with a burst, since its predecessor may just have used it.
+        self._bucket = TokenBucket(runtime, rps * CALL_RATE_FRACTION, rps)
         self._queue: list[_QueueEntry] = []
         self._sequence_numbers = itertools.count()
         self._is_send_scheduled = False
         self._is_paused = False
         self.last_failure_at = float("-inf")
-        """When a call last got no reply, or a refusal."""
+        """When a call last got no reply or was refused."""
         self.last_contact_at = float("-inf")
         """When the cloud last served a call."""
 
     @property
     def is_failing(self) -> bool:
-        """Whether its last reply was none, or of no use."""
+        """Whether a call failed since the cloud last served one."""
         return self.last_failure_at > self.last_contact_at
 
     # Calls
@@ -130,7 +128,7 @@
         request: ProvisionRequest,
         on_done: Callable[[ProvisionOutcome, list[str]], None],
     ) -> None:
-        """Asks for machines; `on_done` gets the outcome and the names of the new machines."""
+        """Requests machines; `on_done` gets the outcome and the names of the new machines."""
 
         def on_reply(reply: Reply) -> None:
             provisioned = self._decode(reply, _provision_reply_decoder)
@@ -149,7 +147,7 @@
     def terminate(self, machines: list[str], on_done: Callable[[bool], None]) -> None:
         """Terminates machines.
 
-        `on_done(True)` only after a 200: then the machines and everything on them are gone.
+        `on_done(True)` only after status 200: the machines and all that ran on them are gone.
         """
 
         def on_reply(reply: Reply) -> None:
@@ -182,15 +180,15 @@
 
         request_page(None)
 
-    # Whether calls are sent
+    # Control of the queue
 
     def drop_queued_calls(self) -> None:
-        """Drops the calls that still wait, for a controller that no longer leads."""
+        """Drops the queued calls when a term of leadership begins or ends, and ends a pause."""
         self._queue.clear()
         self._is_paused = False
 
     def pause_calls(self) -> None:
-        """Sends nothing until `resume`; calls wait in their order."""
+        """Sends no calls until `resume`; queued calls keep their order."""
         self._is_paused = True
 
     def resume(self) -> None:
@@ -222,12 +220,12 @@
 
     def _send(self, request: _Request) -> None:
         def on_reply(reply: Reply) -> None:
-            self._record_trouble(reply)
+            self._record_failure(reply)
             request.on_reply(reply)
 
         self._client.request(request.method, request.path, request.body, self._timeout_s, on_reply)
 
-    def _record_trouble(self, reply: Reply) -> None:
+    def _record_failure(self, reply: Reply) -> None:
         if reply.status == 429:
             self._bucket.empty()
         is_outage = reply.status == 503 and not _is_out_of_capacity(reply)
@@ -241,10 +239,10 @@
         try:
             return decoder.decode(reply.body)
         except msgspec.DecodeError as error:
-            log.warning("the cloud's reply can't be decoded: %s", error)
+            log.warning("the cloud's reply cannot be decoded and is ignored: %s", error)
             return None
 
 
 def _is_out_of_capacity(reply: Reply) -> bool:
-    """Whether the cloud has none of the machines that were asked for."""
+    """Whether the cloud has no capacity for the requested machines."""
     return reply.status == 503 and b"capacity" in reply.body
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -1,7 +1,7 @@
 """Client of the key-value store: typed calls, one outcome each.
 
-Outcomes keep apart what matters to a writer: committed, conflict (a version differs), unavailable
-(surely not executed), and indeterminate (it may have been executed, or may yet be).
+Outcomes distinguish what matters to a writer: committed, conflict (a version differs), unavailable
+(certainly not executed), and indeterminate (may have been executed, or may still be).
 """
 
 from __future__ import annotations
@@ -26,12 +26,12 @@
 Message = TypeVar("Message")
 
 MAX_CONNECTIONS = 8
-"""More than are needed while all calls are answered: one that gets no reply keeps its connection
+"""More than are needed while all calls get replies: a call without a reply occupies its connection
 until its time-out.
 """
 KEYS_PER_PAGE = 500
-SERVED = frozenset({200, 201, 404, 409, 410})
-"""Statuses of a store that serves calls; 429 and 503 are refusals."""
+SERVED_STATUSES = frozenset({200, 201, 404, 409, 410})
+"""HTTP statuses that show that the store serves calls; 429 and 503 are refusals."""
 
 _row_decoder = msgspec.msgpack.Decoder(Row)
 _rows_decoder = msgspec.msgpack.Decoder(Rows)
@@ -40,7 +40,7 @@
 
 
 class Outcome(enum.Enum):
-    """How a transaction ended."""
+    """Outcome of a transaction."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
@@ -48,9 +48,9 @@
     UNAVAILABLE = "unavailable"
     """Not executed: an outage, or too many requests. The same can be sent again."""
     INVALID = "invalid"
-    """Never executed: a value or the transaction is too large, or its lease has ended."""
+    """Never executed: a value or the transaction is too large, or its lease has expired."""
     INDETERMINATE = "indeterminate"
-    """No reply: it may have been executed, or may yet be."""
+    """No reply: it may have been executed, or may still be executed."""
 
 
 class KeyValueStore:
@@ -66,7 +66,7 @@
     ) -> None:
         """Takes the store's address and the time-outs of calls and of a transaction's first try.
 
-        `prefix` is put before every key, and taken off those that are read.
+        `prefix` is prepended to every key, and removed from keys that are read.
         """
         self._runtime = runtime
         self._timeout_s = timeout_s
@@ -82,11 +82,12 @@
     def get(self, key: str, on_done: Callable[[bool, Row | None], None]) -> None:
         """Reads a key.
 
-        `on_done(True, row or None)`, or `on_done(False, None)` when the store can't tell.
+        `on_done(True, row)`, with None for a key that does not exist, or `on_done(False, None)`
+        when the store gave no valid reply.
         """
 
         def on_reply(reply: Reply) -> None:
-            self._note_contact(reply)
+            self._record_contact(reply)
             row = self._decode(reply, _row_decoder) if reply.status == 200 else None
             on_done(row is not None or reply.status == 404, row)
 
@@ -94,11 +95,11 @@
         self._client.request("GET", path, None, self._timeout_s, on_reply)
 
     def list_prefix(self, prefix: str, on_done: Callable[[list[Row] | None], None]) -> None:
-        """Reads all rows with the prefix, over as many calls as it takes; None when one fails."""
+        """Reads all rows with the prefix, page by page; `on_done(None)` when a call fails."""
         found: list[Row] = []
 
         def on_reply(reply: Reply) -> None:
-            self._note_contact(reply)
+            self._record_contact(reply)
             page = self._decode(reply, _rows_decoder) if reply.status == 200 else None
             if page is None:
                 on_done(None)
@@ -123,14 +124,14 @@
         on_done: Callable[[Outcome, int], None],
         *,
         lease: int | None = None,
-        commit: bool = False,
+        use_commit_connection: bool = False,
         first: bool = False,
     ) -> None:
-        """Changes keys if all of the expected versions are still theirs.
+        """Changes keys if all of them still have the expected versions.
 
-        `on_done(outcome, revision)`: the revision is that of the changes once committed, else 0.
-        `lease` is attached to every key that is written. `commit` uses the connection that is kept
-        for the write-ahead log; `first`: a first try has a shorter time-out.
+        `on_done(outcome, revision)`: the revision is that of the committed changes, else 0. `lease`
+        is attached to every key that is written. `use_commit_connection` selects the connection
+        reserved for the write-ahead log; `first` marks a first try, which has a shorter time-out.
         """
 
         def on_reply(reply: Reply) -> None:
@@ -141,17 +142,17 @@
             writes = self._with_prefix(writes)
             deletes = [self._prefix + key for key in deletes]
         transaction = Transaction.build(expected_versions, writes, deletes, lease)
-        client = self._commit_client if commit else self._client
+        client = self._commit_client if use_commit_connection else self._client
         timeout_s = self._first_timeout_s if first else self._timeout_s
         client.request("POST", paths.TRANSACTIONS, transaction, timeout_s, on_reply)
 
     # Leases
 
     def grant_lease(self, duration_s: float, on_done: Callable[[int | None], None]) -> None:
-        """Asks for a lease; `on_done` gets its number, or None when it is not known."""
+        """Requests a lease; `on_done` gets its id, or None when it is unknown."""
 
         def on_reply(reply: Reply) -> None:
-            self._note_contact(reply)
+            self._record_contact(reply)
             is_granted = reply.status in (200, 201)
             granted = self._decode(reply, _lease_decoder) if is_granted else None
             on_done(None if granted is None else granted.lease)
@@ -160,10 +161,10 @@
         self._client.request("POST", paths.LEASES, body, self._timeout_s, on_reply)
 
     def renew_lease(self, lease: int, on_done: Callable[[bool | None], None]) -> None:
-        """`on_done(True)`: renewed; `on_done(False)`: it has expired; `on_done(None)`: unknown."""
+        """Renews a lease; `on_done` gets True if renewed, False if it expired, None if unknown."""
 
         def on_reply(reply: Reply) -> None:
-            self._note_contact(reply)
+            self._record_contact(reply)
             on_done({200: True, 404: False}.get(reply.status))
 
         path = f"{paths.LEASES}/{lease}/extend"
@@ -172,17 +173,17 @@
     # Contact with the store
 
     def on_pause(self, pause_s: float) -> None:
-        """The process stood still this long: the store was not silent meanwhile."""
+        """Excludes a pause of this process from the time without contact with the store."""
         self.last_contact_at = min(self._runtime.now(), self.last_contact_at + pause_s)
 
-    def _note_contact(self, reply: Reply) -> None:
-        if reply.status in SERVED:
+    def _record_contact(self, reply: Reply) -> None:
+        if reply.status in SERVED_STATUSES:
             self.last_contact_at = self._runtime.now()
 
     # Reading replies
 
     def _read_outcome(self, reply: Reply) -> tuple[Outcome, int]:
-        self._note_contact(reply)
+        self._record_contact(reply)
         if reply.status == 200:
             committed = self._decode(reply, _revision_decoder)
             if committed is None:
@@ -191,7 +192,9 @@
         if reply.status == 409:
             return Outcome.CONFLICT, 0
         if reply.status == 400:
-            log.warning("the store refused a transaction as invalid: %r", reply.body[:200])
+            log.warning(
+                "the store refused a transaction as invalid (status 400): %r", reply.body[:200]
+            )
             return Outcome.INVALID, 0
         if reply.status in (429, 503):
             return Outcome.UNAVAILABLE, 0
@@ -202,7 +205,7 @@
         try:
             return decoder.decode(reply.body)
         except msgspec.DecodeError as error:
-            log.warning("the store's reply can't be decoded: %s", error)
+            log.warning("the store's reply cannot be decoded and is ignored: %s", error)
             return None
 
     # The prefix of keys
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -1,4 +1,4 @@
-"""Client of the workers: commands and status queries, few kept connections a machine."""
+"""Client of the workers: commands and status queries over few open connections per machine."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 log = logging.getLogger(__name__)
 
 WORKER_SOCKETS_FRACTION = 0.3
-"""Of the sockets, for calls to workers."""
+"""Fraction of the process's sockets that may be used for calls to workers."""
 CONNECTIONS_PER_WORKER = 2
 
 OnReply = Callable[[int, bytes], None]
-"""Gets the status and the body of a worker's reply.
+"""Callback that gets the HTTP status and the body of a worker's reply.
 
-Status 0 means that no reply came, so the commands may yet be executed.
+Status 0 means that there was no reply, so the commands may still be executed.
 """
 decode_heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
 
 
 def parse_address(text: str) -> Address | None:
-    """The address of `HOST:PORT`, or None."""
+    """Parses an address `HOST:PORT`; returns None if the text has another form."""
     host, _, port = text.rpartition(":")
     return (host, int(port)) if host and port.isdigit() else None
 
 
 class _Request(NamedTuple):
-    """A call to a worker; `batch` None: a status query."""
+    """A call to a worker; a status query if `batch` is None."""
 
     address: str
     batch: CommandBatch | EncodedBatch | None
@@ -45,7 +45,7 @@
 
 
 class _QueuedCall(NamedTuple):
-    """A call that waits for a connection; its time runs from when it was asked for."""
+    """A call that waits for a connection; its time-out starts when it is queued."""
 
     request: _Request
     target: Address
@@ -55,17 +55,17 @@
 class Workers:
     """Sends commands and status queries to workers over a bounded number of connections.
 
-    Those that were used last are kept; a call beyond the bound waits.
+    The most recently used connections stay open; a call beyond the bound is queued.
     """
 
     def __init__(self, runtime: Runtime, timeout_s: float, max_connections: int) -> None:
-        """Takes the time-out of a call, and how many connections there may be in all."""
+        """Takes the time-out of a call and the maximum number of connections to all workers."""
         self._runtime = runtime
         self._timeout_s = timeout_s
         self._max_connections = max(CONNECTIONS_PER_WORKER, max_connections)
         self._opened = OpenConnections()
         self._clients: dict[str, Client] = {}
-        """By address, the one called longest ago first."""
+        """Clients by address, the least recently used first."""
         self._queue: deque[_QueuedCall] = deque()
 
     def send_commands(
@@ -81,7 +81,9 @@
     def _enqueue(self, request: _Request) -> None:
         target = parse_address(request.address)
         if target is None:
-            log.warning("a worker's address is none: %r", request.address)
+            log.warning(
+                "a worker's address is not HOST:PORT, so it is not called: %r", request.address
+            )
             request.on_reply(0, b"")
             return
         deadline_at = self._runtime.now() + self._timeout_s
@@ -103,7 +105,7 @@
             self._send(client, call.request, call.deadline_at - now)
 
     def _use_client(self, call: _QueuedCall) -> Client | None:
-        """The client for the call, as the one used last; None: there is no connection for it."""
+        """Returns the client for the call, now the most recently used; None if none is free."""
         address = call.request.address
         client = self._clients.pop(address, None)
         if client is None:
@@ -114,9 +116,9 @@
         return client
 
     def _make_capacity(self) -> bool:
-        """Whether one more worker may be called.
+        """Returns whether one more worker may be called.
 
-        Closes the connections that were used longest ago.
+        Closes the least recently used idle client if the bound is reached.
         """
         if self._opened.count + CONNECTIONS_PER_WORKER <= self._max_connections:
             return True
--- a/flaxtally/ledger/batch.py
+++ b/flaxtally/ledger/batch.py
@@ -1,9 +1,9 @@
-"""Batches: records that are read whole or not at all, though they take several pages. Pure.
+"""Batches: records that are read completely or not at all, even across several pages. Pure.
 
-A batch of more than a page is written in pieces (`records.BatchPiece`), one after the other.
-Commits may end between two of them, and their writer may lose its leadership there; what is read
-without its last piece never happened. A leader launches or reports nothing of a batch before the
-last piece is committed.
+A batch larger than a page is written as consecutive pieces (`records.BatchPiece`). They may be
+committed by different transactions, and the writer may lose its leadership in between: a batch
+without its last piece is ignored. A leader launches or reports nothing of a batch before the last
+piece is committed.
 """
 
 from __future__ import annotations
@@ -15,42 +15,44 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-PIECE_OVERHEAD = 32
-"""Bytes of a piece beside its records."""
+PIECE_OVERHEAD_BYTES = 32
+"""Size of a piece without its records."""
 
 
 def split_batch(records: Sequence[Record], max_bytes: int) -> list[BatchPiece]:
-    """The records in pieces of at most `max_bytes`, as far as no record is larger."""
+    """Splits records into pieces of at most `max_bytes`, unless a single record is larger."""
     groups: list[list[Record]] = [[]]
-    remaining_bytes = max_bytes - PIECE_OVERHEAD
+    remaining_bytes = max_bytes - PIECE_OVERHEAD_BYTES
     for record in records:
         size = record_size(record)
         if groups[-1] and size > remaining_bytes:
             groups.append([])
-            remaining_bytes = max_bytes - PIECE_OVERHEAD
+            remaining_bytes = max_bytes - PIECE_OVERHEAD_BYTES
         groups[-1].append(record)
         remaining_bytes -= size
-    last = len(groups) - 1
-    return [BatchPiece(index == 0, index == last, group) for index, group in enumerate(groups)]
+    last_index = len(groups) - 1
+    return [
+        BatchPiece(index == 0, index == last_index, group) for index, group in enumerate(groups)
+    ]
 
 
 class BatchReader:
-    """Puts batches together while pages are read in order."""
+    """Assembles batches while pages are read in order."""
 
     def __init__(self) -> None:
-        """No batch is open."""
+        """Starts without an open batch."""
         self._open: list[tuple[int, Record]] | None = None
-        """The pages and records of a batch whose last piece has not been read."""
+        """Pages and records of the batch that still lacks its last piece; None if there is none."""
 
     def abandon(self) -> None:
-        """A record that is in no batch was read: an open batch was given up by its writer."""
+        """Discards the open batch: a record outside a batch shows that its writer abandoned it."""
         self._open = None
 
     def read_piece(self, page: int, piece: BatchPiece) -> Sequence[tuple[int, Record]]:
-        """The records that are certain now, each with the page that it stands in.
+        """Returns the records of the batch that this piece completes, if any, with their pages.
 
-        A batch without its first piece began in a page that was compacted: what it said of jobs has
-        been rewritten since. One without its last piece was given up by its writer.
+        A batch without its first piece began in a page that was compacted, so its records about
+        jobs were rewritten since. One without its last piece was abandoned by its writer.
         """
         if piece.is_first:
             self._open = []
--- a/flaxtally/ledger/cluster_state.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -1,6 +1,6 @@
-"""The replicated state machine: all jobs, fed by records, the same live and on replay. Pure.
+"""The replicated state machine: records produce the state of all jobs, live as on replay. Pure.
 
-`records` names the records and says what each means.
+`records` defines the records and their meaning.
 """
 
 from __future__ import annotations
@@ -36,30 +36,30 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-TERMINATED_BYTES = 24
-"""About what the record of a terminal job takes in a page."""
+TERMINAL_JOB_BYTES = 24
+"""Approximate size of the record of a terminal job in a page."""
 
 
 class UnsupportedFormatError(Exception):
-    """The ledger is of a format that this program does not read."""
+    """The ledger has a format that this program does not read."""
 
 
 class ResourceUsage:
-    """What a team's placements use."""
+    """Resources that a team's placements use."""
 
     __slots__ = ("cores", "gpus")
 
     def __init__(self) -> None:
-        """Nothing is used."""
+        """Starts with no usage."""
         self.cores = 0.0
         self.gpus = 0.0
 
 
 class ClusterState:
-    """All jobs. Of those that are terminal and without placements only the stage is kept."""
+    """All jobs. Of a terminal job without placements, only the stage is kept."""
 
     def __init__(self) -> None:
-        """The state before the first record."""
+        """Creates the state before the first record."""
         self.jobs: dict[int, Job] = {}
         self.jobs_by_ref: dict[str, Job] = {}
         self.terminal_jobs = TerminalJobs()
@@ -70,7 +70,7 @@
         self.catalog: list[Any] = []
         self.catalog_page = 0
         self.format = formats.FIRST
-        """What may be written: all controllers read it."""
+        """The newest format that may be written, since all controllers read it."""
         self.format_page = 0
         self.loan_state = LoanState()
         self._reader = BatchReader()
@@ -90,38 +90,38 @@
         }
 
     def apply(self, record: Record, page: int) -> None:
-        """Applies a record that stands, or will stand, in the page.
+        """Applies a record that is, or will be, stored in the page.
 
-        Raises `InvalidRecordError`, and `UnsupportedFormatError`.
+        Raises `InvalidRecordError` or `UnsupportedFormatError`.
         """
         self._handlers[type(record)](page, record)
 
     def replay(self, stored: Any, page: int) -> None:
-        """Applies an item of a page that was read back.
+        """Applies an item of a page that was read from the store.
 
-        Records of a job whose own record is not there yet belong to a page that was compacted: a
-        later snapshot says what they meant. Raises `UnsupportedFormatError`, or
-        `InvalidRecordError`.
+        Records of a job that has not been accepted yet are skipped: the page with its acceptance
+        was compacted, and a later snapshot contains their effect. Raises `UnsupportedFormatError`
+        or `InvalidRecordError`.
         """
         record = decode_record(stored)
         if isinstance(record, BatchPiece):
-            for home_page, inner in self._reader.read_piece(page, record):
-                self._replay_record(inner, home_page)
+            for record_page, inner in self._reader.read_piece(page, record):
+                self._replay_record(inner, record_page)
         else:
             self._reader.abandon()
             self._replay_record(record, page)
 
     def compact_job(self, job: Job, page: int) -> None:
-        """Shrinks a job that is concluded to what must be kept for ever."""
+        """Reduces a concluded job to what is kept indefinitely: its id and stage."""
         self._keep_terminal(page, job.number, job.spec.ref, job.terminal_stage)
 
     def snapshot_bytes(self) -> int:
-        """About how many bytes the records of a snapshot of everything would take."""
+        """Returns the approximate size of a snapshot of the whole state."""
         job_bytes = sum(
-            TERMINATED_BYTES if job.is_terminal and not job.placements else job.snapshot_bytes
+            TERMINAL_JOB_BYTES if job.is_terminal and not job.placements else job.snapshot_bytes
             for job in self.jobs.values()
         )
-        terminal_bytes = TERMINATED_BYTES * len(self.terminal_jobs)
+        terminal_bytes = TERMINAL_JOB_BYTES * len(self.terminal_jobs)
         return terminal_bytes + job_bytes + self.loan_state.snapshot_bytes()
 
     def _replay_record(self, record: Record, page: int) -> None:
@@ -136,14 +136,14 @@
         if previous is not None:
             self._replace_job(previous, job)
         elif ref in self.jobs_by_ref or ref in self.terminal_jobs:
-            raise InvalidRecordError(f"job {ref} is known")
-        job.home_page = page
+            raise InvalidRecordError(f"job {ref} was already accepted")
+        job.record_page = page
         self.jobs[number] = job
         self.jobs_by_ref[ref] = job
         self.next_job_number = max(self.next_job_number, number + 1)
 
     def _replace_job(self, previous: Job, job: Job) -> None:
-        """A snapshot of a known job begins: the records that follow say what is placed."""
+        """Replaces a job whose snapshot begins; the records that follow add its placements."""
         for placement in list(previous.placements.values()):
             self._remove_placement(placement)
         job.reported_stage = previous.reported_stage
@@ -156,12 +156,12 @@
         job = self.jobs[record.job]
         if not job.can_place(record.task, record.attempt):
             raise InvalidRecordError(
-                f"task {job.spec.ref}/{record.task} can't be placed as attempt {record.attempt}"
+                f"task {job.spec.ref}/{record.task} cannot be placed as attempt {record.attempt}"
             )
         placement = Placement(job, record.task, record.attempt, record.machine, record.zone)
         job.add_placement(placement)
-        there = self.placements_by_machine.setdefault(record.machine, {})
-        there[record.job, record.task] = placement
+        machine_placements = self.placements_by_machine.setdefault(record.machine, {})
+        machine_placements[record.job, record.task] = placement
         usage = self.usage_by_team.get(job.spec.team)
         if usage is None:
             usage = ResourceUsage()
@@ -182,7 +182,7 @@
     def _cancel_job(self, page: int, record: JobCancelled) -> None:
         job = self.jobs[record.job]
         if job.is_done:
-            raise InvalidRecordError(f"job {job.spec.ref} is done")
+            raise InvalidRecordError(f"job {job.spec.ref} is done and cannot be cancelled")
         job.is_cancelled = True
 
     def _terminate_job(self, page: int, record: JobTerminated) -> None:
@@ -210,7 +210,8 @@
     def _raise_format(self, page: int, record: FormatRaised) -> None:
         if record.format > formats.SUPPORTED.newest:
             raise UnsupportedFormatError(
-                f"format {record.format}; this program reads {formats.SUPPORTED.newest}"
+                f"ledger format {record.format} is newer than {formats.SUPPORTED.newest}, "
+                "the newest that this program reads"
             )
         self.format = max(self.format, record.format)
         self.format_page = page
@@ -218,9 +219,9 @@
     def _remove_placement(self, placement: Placement) -> None:
         job = placement.job
         job.remove_placement(placement)
-        there = self.placements_by_machine[placement.machine]
-        del there[job.number, placement.task]
-        if not there:
+        machine_placements = self.placements_by_machine[placement.machine]
+        del machine_placements[job.number, placement.task]
+        if not machine_placements:
             del self.placements_by_machine[placement.machine]
         usage = self.usage_by_team[job.spec.team]
         usage.cores -= job.spec.cores
--- a/flaxtally/ledger/compaction.py
+++ b/flaxtally/ledger/compaction.py
@@ -1,6 +1,6 @@
-"""Compaction: old pages are rewritten, shorter, into the page being filled, and then deleted.
+"""Compaction: the live content of old pages is rewritten to the open page, and they are deleted.
 
-A crash between the new records and the delete leaves both: replay takes the later ones.
+After a crash between rewriting and deleting, both exist: on replay the later records take effect.
 """
 
 from __future__ import annotations
@@ -34,34 +34,34 @@
 
 log = logging.getLogger(__name__)
 
-COMPACTED_BYTES = 7 * 1024
-"""Of pages that are compacted at a time."""
-MAX_PAGES_PER_SNAPSHOT = 2
-"""Times what the pages still mean, from which on they are compacted. What doesn't fit into the rest
-of a page begins a new one, so up to half of all may be empty: to compact below that would never
-end.
+COMPACTION_STEP_BYTES = 7 * 1024
+"""Size of the pages that are compacted in one step."""
+MAX_SNAPSHOT_RATIO = 2
+"""Size of all pages relative to a snapshot of the state above which pages are compacted. A record
+that doesn't fit into the rest of a page begins a new one, so up to half of the space may be empty:
+compaction to a lower ratio would never finish.
 """
 MIN_PAGE_COUNT = 8
-"""Fewer aren't worth compacting."""
+"""Number of pages up to which compaction is not worthwhile."""
 
 
 class Compactor:
-    """Compacts the oldest pages in one term of leading."""
+    """Compacts the oldest pages during one term of leadership."""
 
     def __init__(
         self, state: ClusterState, queue: RecordQueue, commit: GroupCommit, limits: PageLimits
     ) -> None:
-        """Rewrites records of `state` by `queue`, and deletes pages by `commit`."""
+        """Rewrites records of `state` through `queue`, and deletes pages through `commit`."""
         self.is_compacting = False
-        """Whether pages were rewritten whose new records are not committed yet."""
+        """Whether the records of rewritten pages still wait for their commit."""
         self._state = state
         self._queue = queue
         self._commit = commit
         self._limits = limits
 
     def compact(self) -> None:
-        """Compacts the oldest pages if the pages hold much more than what they still mean."""
-        if self._is_occupied():
+        """Compacts the oldest pages if all pages are much larger than a snapshot of the state."""
+        if self._is_busy():
             return
         rewritten: list[int] = []
         for page in self._pages_to_compact():
@@ -77,40 +77,41 @@
         else:
             self._delete_pages(rewritten)
 
-    def _is_occupied(self) -> bool:
-        """Whether something is under way. Pages to delete are still among the known ones."""
+    def _is_busy(self) -> bool:
+        """Whether a compaction or commit is in progress. Pages to delete still count as stored."""
         commit = self._commit
         return bool(self.is_compacting or commit.pages_to_delete or self._queue or commit.is_busy)
 
     def _pages_to_compact(self) -> list[int]:
-        """The oldest pages, as many as are compacted in one go."""
+        """Returns the oldest pages, as many as are compacted in one step."""
         pages = self._commit.page_versions
         if len(pages) <= MIN_PAGE_COUNT:
             return []
         page_bytes = self._limits.page_bytes
-        snapshot_pages = MAX_PAGES_PER_SNAPSHOT * self._state.snapshot_bytes() // page_bytes
+        snapshot_pages = MAX_SNAPSHOT_RATIO * self._state.snapshot_bytes() // page_bytes
         excess = len(pages) - (MIN_PAGE_COUNT + snapshot_pages)
         if excess <= 0:
             return []
-        # Small pages are compacted several at a time: one at a time fell behind what is written.
-        count = min(max(1, COMPACTED_BYTES // page_bytes), excess)
+        # Several small pages are compacted at a time: with one at a time, compaction fell behind
+        # the writes.
+        count = min(max(1, COMPACTION_STEP_BYTES // page_bytes), excess)
         return [page for page in sorted(pages) if page != ORIGIN_PAGE][:count]
 
     def _delete_pages(self, pages: list[int]) -> None:
-        """What the pages mean is committed elsewhere."""
+        """Deletes pages whose live content is committed in other pages."""
         self.is_compacting = False
         self._commit.delete_pages(pages)
 
     def _rewrite_page(self, page: int) -> bool:
-        """Queues again what the page still means; False: not now."""
+        """Queues the live content of the page again; returns False if that has to wait."""
         if page >= self._queue.open_page - 1:
             return False
-        jobs = [job for job in self._state.jobs.values() if job.home_page == page]
+        jobs = [job for job in self._state.jobs.values() if job.record_page == page]
         if any(_is_being_concluded(job) for job in jobs):
             return False
         groups = snapshot.page_records(self._state, page, self._limits.page_bytes)
         if self._state.format < formats.GANGS and any(map(self._exceeds_page, groups)):
-            # Read in part by an older controller, such a job would have tasks placed nowhere.
+            # An older controller would read such a job in part, and miss placements of its tasks.
             return False
         log.info(
             "event=page_compacted page=%d of=%d jobs=%d",
@@ -127,11 +128,11 @@
         return sum(map(record_size, group)) > self._limits.page_bytes
 
     def _relocate(self, record: Record, page: int) -> None:
-        """What the record begins to rewrite stands in that page from now on."""
+        """Notes the new page of what is rewritten by the group that begins with the record."""
         state = self._state
         match record:
             case JobAccepted(number=number):
-                state.jobs[number].home_page = page
+                state.jobs[number].record_page = page
             case CatalogStored() | CatalogPartStored():
                 state.catalog_page = page
             case FormatRaised():
@@ -148,8 +149,8 @@
 
 
 def _is_being_concluded(job: Job) -> bool:
-    """Whether its end is about to be reported.
+    """Whether the job is concluded, but its final stage is not reported yet.
 
-    (A cancelled job that still has placements is rewritten like any other.)
+    A cancelled job that still has placements is rewritten like any other.
     """
     return job.is_concluded and not job.reported_stage
--- a/flaxtally/ledger/group_commit.py
+++ b/flaxtally/ledger/group_commit.py
@@ -1,9 +1,9 @@
-"""Group commit: the records that wait are written together, page by page, in transactions.
+"""Group commit: queued records are written together, page by page, in transactions.
 
 Records are appended to pages `p/00000001`, `p/00000002`, … in order; a transaction rewrites the
-page that is being filled and creates those that follow. One transaction is under way at a time,
-each expects the leader key's version and the versions of the pages that it writes, so a late or
-repeated copy, or one of a deposed leader, fails.
+page that is being filled and creates those that follow. One transaction is in flight at a time.
+Each expects the leader key's version and the versions of the pages that it writes, so a delayed or
+duplicate copy, or a transaction of a deposed leader, fails.
 """
 
 from __future__ import annotations
@@ -32,14 +32,14 @@
 
 @dataclass(frozen=True)
 class LedgerTimings:
-    """How long the ledger waits."""
+    """Delays and time-outs of the ledger."""
 
     retry_s: float
-    """Before a call that failed is made again."""
+    """Delay before a failed call is retried."""
     first_call_timeout_s: float
-    """For the answer to a first call."""
+    """Time-out of the first try of a call."""
     batching_delay_s: float
-    """For further records, or requests, to be sent together."""
+    """Time to wait for more records, or requests, that are then sent together."""
 
 
 @dataclass
@@ -50,7 +50,7 @@
     deletes: list[int]
     max_pages: int
     cost: int
-    """Changes, of the budget."""
+    """Number of changes that count against the write budget."""
     pages: dict[int, list[StoredRecord]] = field(default_factory=dict)
     callbacks: list[OnCommitted] = field(default_factory=list)
 
@@ -61,7 +61,7 @@
 
 
 class GroupCommit(Actor):
-    """Owns the pages in the store for one term of leading, and writes what the queue holds."""
+    """Owns the pages in the store for one term of leadership, and writes the queued records."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         """`on_leadership_lost` is called when a transaction is refused."""
         super().__init__(runtime)
         self.page_versions: dict[int, int] = {}
-        """By page, the version that the store has of it."""
+        """The store's version of each page."""
         self.pages_to_delete: list[int] = []
         self._bucket = bucket
         self._limits = limits
@@ -91,25 +91,25 @@
         self._in_flight: _Commit | None = None
         self._last_page = 0
         self._last_page_records: list[StoredRecord] = []
-        """What the last page written holds: it is written again with further records."""
+        """Records of the last written page, which is rewritten when records are added to it."""
 
     @property
     def is_busy(self) -> bool:
-        """Whether a transaction is under way."""
+        """Whether a transaction is in flight."""
         return self._in_flight is not None
 
     def close(self) -> None:
-        """The term is over: nothing is sent and nobody called from now on."""
+        """Ends the term: no more transactions are sent and no callbacks called."""
         self._is_open = False
         self._sender.close()
 
     def delete_pages(self, pages: list[int]) -> None:
-        """Deletes pages whose records stand elsewhere."""
+        """Deletes pages whose live records are stored in other pages."""
         self.pages_to_delete += pages
         self.schedule()
 
     def schedule(self) -> None:
-        """Commits soon what waits; more may come until then."""
+        """Schedules a commit after a short delay, in which more records may be queued."""
         if not self._is_scheduled and not self.is_busy:
             self._is_scheduled = True
             delay_s = max(self._timings.batching_delay_s / 2, self._bucket.wait(1.0))
@@ -128,7 +128,7 @@
             self.later(wait_s, self._commit)
             return
         self._take_records(commit)
-        transaction = self._transaction(commit)
+        transaction = self._build_transaction(commit)
         self.pages_to_delete = self.pages_to_delete[len(commit.deletes) :]
         self._bucket.take(commit.cost)
         if commit.pages:
@@ -141,7 +141,7 @@
         return bool(self._queue or self.pages_to_delete)
 
     def _plan(self) -> _Commit:
-        """How many pages a transaction may write and delete now."""
+        """Plans how many pages the next transaction may write and delete."""
         has_records = bool(self._queue)
         creates_origin = has_records and not self.page_versions
         changes = self._limits.transaction_changes - creates_origin
@@ -162,8 +162,8 @@
             if on_committed is not None:
                 commit.callbacks.append(on_committed)
 
-    def _transaction(self, commit: _Commit) -> Transaction:
-        """The transaction that carries the commit out; deleted pages are forgotten."""
+    def _build_transaction(self, commit: _Commit) -> Transaction:
+        """Builds the transaction of the commit; drops the versions of the pages that it deletes."""
         expected_versions = {LEADER_KEY: self._leader_key_version}
         writes: dict[str, Any] = {}
         for page, records in commit.pages.items():
@@ -174,9 +174,9 @@
             expected_versions[page_key(ORIGIN_PAGE)] = 0
             writes[page_key(ORIGIN_PAGE)] = {"r": []}
         elif created:
-            # "Does not exist" would hold again once the new page was deleted, and a late copy of
-            # this transaction would bring its records back. The page before it, which is final and
-            # goes first, tells the two apart.
+            # The condition "does not exist" would hold again once the new page was deleted, and a
+            # delayed copy of this transaction would restore its records. The version of the page
+            # before it prevents that: that page is final, and is deleted first.
             before = max(page for page in self.page_versions if page < min(created))
             expected_versions.setdefault(page_key(before), self.page_versions[before])
         for page in commit.deletes:
@@ -184,7 +184,7 @@
         return Transaction(expected_versions, writes, [page_key(page) for page in commit.deletes])
 
     def _on_outcome(self, outcome: CommitOutcome, revision: int) -> None:
-        """The transaction under way came out."""
+        """Handles the outcome of the transaction in flight."""
         commit = self._in_flight
         if commit is None:
             return
@@ -211,11 +211,11 @@
             callback()
 
     def _reduce_limits(self) -> None:
-        """The store accepts less than the settings say.
+        """Halves the limits: the store accepts less than the settings say.
 
-        Sent again unchanged the transaction would be refused for ever. Smaller pieces under the
-        same term could meet a late copy of what was refused: the next term's pages are smaller, and
-        its takeover bars all copies.
+        Sent again unchanged, the transaction would be refused indefinitely. Smaller transactions
+        under the same term could conflict with a delayed copy of the refused one. So the term ends:
+        the pages of the next one are smaller, and its takeover makes all copies fail.
         """
         self._limits.halve()
         log.error(
--- a/flaxtally/ledger/job.py
+++ b/flaxtally/ledger/job.py
@@ -14,19 +14,19 @@
     from .placement import Placement
     from .records import TaskRun
 
-ACCEPTED_BYTES = 40
-"""About what the record of an accepted job takes in a page beside its specification."""
-PLACED_BYTES = 24
-"""About what the record of a placement takes in a page beside names."""
+ACCEPTED_RECORD_BYTES = 40
+"""Approximate size of the record of an accepted job in a page, without its specification."""
+PLACED_RECORD_BYTES = 24
+"""Approximate size of the record of a placement in a page, without names."""
 RUN_BYTES = 20
-"""About what a run of tasks takes in a page."""
+"""Approximate size of a run of tasks in a page."""
 
 
 class Job:
     """A job and the states of its tasks. Tasks from `next_unstarted_task` on were never placed.
 
-    A task is unstarted, waiting again (`retry_queue`), placed, or done. What the ledger doesn't
-    keep, but the leader believes in its term, stands last in the constructor.
+    A task is unstarted, pending again (`retry_queue`), placed, or done. The last fields of the
+    constructor are the leader's view in its present term; the ledger does not store them.
     """
 
     __slots__ = (
@@ -35,7 +35,6 @@
         "attempts",
         "cancelled_at",
         "done_tasks",
-        "home_page",
         "is_cancellation_committed",
         "is_cancelled",
         "is_committed",
@@ -46,6 +45,7 @@
         "pending_since",
         "placement_bytes",
         "placements",
+        "record_page",
         "reported_stage",
         "retry_queue",
         "shape",
@@ -55,46 +55,46 @@
     )
 
     def __init__(self, number: int, accepted_at: float, spec: wire.Spec) -> None:
-        """A job of which no task was placed yet; `accepted_at` is the time of day."""
+        """Creates a job without placements; `accepted_at` is wall-clock time."""
         self.number = number
         self.accepted_at = accepted_at
         self.spec = spec
         self.shape = Shape.of(spec)
-        self.accepted_bytes = ACCEPTED_BYTES + len(msgspec.json.encode(spec))
-        self.placement_bytes = PLACED_BYTES
-        """About what the record of its last placement takes."""
+        self.accepted_bytes = ACCEPTED_RECORD_BYTES + len(msgspec.json.encode(spec))
+        self.placement_bytes = PLACED_RECORD_BYTES
+        """Approximate size of the record of its last placement."""
         self.next_unstarted_task = 0
         self.retry_queue: list[int] = []
-        """A heap of the tasks that were placed once, or passed over, and wait again."""
+        """A heap of the pending tasks that were placed before, or skipped."""
         self.attempts: dict[int, int] = {}
-        """By task, the number of its newest attempt."""
+        """Number of the newest attempt, by task."""
         self.done_tasks: set[int] = set()
         self.placements: dict[int, Placement] = {}
         self.zone_counts: dict[str, int] = {}
-        """Placements by zone; zones without any are left out."""
+        """Number of placements by zone; zones without placements are omitted."""
         self.is_cancelled = False
         self.is_done = False
-        self.home_page = 0
-        """The page of the record that accepted it, or of its newest snapshot."""
-        # What the leader believes in its term.
+        self.record_page = 0
+        """The page of the record that accepted it, or in which its newest snapshot begins."""
+        # The leader's view in its present term.
         self.is_committed = False
         self.is_cancellation_committed = False
         self.reported_stage = ""
         self.uncommitted_ends = 0
-        """Attempts that ended and whose record is not committed yet."""
+        """Number of ended attempts whose record is not committed yet."""
         self.cancelled_at = 0.0
         self.known_at = 0.0
         self.pending_since = 0.0
-        """Since when it has waiting tasks and none of them was placed."""
+        """Time since which it has pending tasks of which none was placed."""
 
     @property
     def is_terminal(self) -> bool:
-        """Whether none of its tasks is to be placed any more."""
+        """Whether the job is done or cancelled: no task of it will be placed again."""
         return self.is_done or self.is_cancelled
 
     @property
     def is_concluded(self) -> bool:
-        """Whether it is terminal and nothing of it is placed."""
+        """Whether it is terminal and has no placements."""
         return self.is_terminal and not self.placements
 
     @property
@@ -114,29 +114,29 @@
 
     @property
     def snapshot_bytes(self) -> int:
-        """About how many bytes its records take in a snapshot."""
+        """The approximate size of its records in a snapshot."""
         placed = len(self.placements)
-        # Tasks that are placed, or wait again, part the others into runs.
+        # Tasks that are placed, or pending again, separate the others into runs.
         runs = min(self.next_unstarted_task - placed, placed + 1 + 2 * len(self.retry_queue))
         return self.accepted_bytes + self.placement_bytes * placed + RUN_BYTES * max(0, runs)
 
     @property
     def pending_count(self) -> int:
-        """How many of its tasks wait to be placed."""
+        """How many of its tasks are to be placed."""
         if self.is_terminal:
             return 0
         return self.spec.tasks - self.next_unstarted_task + len(self.retry_queue)
 
     def next_pending_task(self) -> int:
-        """The waiting task to place next; it stays waiting until it is placed."""
+        """Returns the pending task to place next; it stays pending until it is placed."""
         return self.retry_queue[0] if self.retry_queue else self.next_unstarted_task
 
     def placements_in_zone(self, zone: str) -> int:
-        """How many of its tasks are placed in the zone."""
+        """Returns how many of its tasks are placed in the zone."""
         return self.zone_counts.get(zone, 0)
 
     def can_place(self, task: int, attempt: int) -> bool:
-        """Whether the task may be placed under that attempt number.
+        """Returns whether the task may be placed under that attempt number.
 
         A task of a gang may be placed again with the attempt number of its gang.
         """
@@ -146,7 +146,7 @@
         return attempt >= last_attempt + (self.spec.job_kind != wire.GANG)
 
     def add_placement(self, placement: Placement) -> None:
-        """The task that waited is placed."""
+        """Adds the placement of a pending task."""
         task = placement.task
         zone = placement.zone
         if task == self.next_unstarted_task and not self.retry_queue:
@@ -155,18 +155,18 @@
             self._remove_pending(task)
         self.attempts[task] = placement.attempt
         self.placements[task] = placement
-        self.placement_bytes = PLACED_BYTES + len(placement.machine) + len(zone)
+        self.placement_bytes = PLACED_RECORD_BYTES + len(placement.machine) + len(zone)
         self.zone_counts[zone] = self.zone_counts.get(zone, 0) + 1
 
     def remove_placement(self, placement: Placement) -> None:
-        """The task is not placed any more; the caller says what became of it."""
+        """Removes a placement; the caller decides what becomes of the task."""
         del self.placements[placement.task]
         self.zone_counts[placement.zone] -= 1
         if not self.zone_counts[placement.zone]:
             del self.zone_counts[placement.zone]
 
     def end_task(self, task: int, *, is_done: bool) -> None:
-        """An attempt of the task ended: the task is done, or waits again."""
+        """Ends an attempt of the task: the task is done, or pending again."""
         if is_done and self.spec.job_kind == wire.GANG:
             # The tasks of a gang complete together.
             self.done_tasks.update(range(self.spec.tasks))
@@ -177,7 +177,7 @@
         self._update_is_done()
 
     def restore_tasks(self, runs: list[TaskRun]) -> None:
-        """Takes tasks over from a snapshot: those that were placed before and are not placed."""
+        """Restores the tasks of a snapshot that were placed before and are not placed now."""
         for run in runs:
             for task in range(run.first, run.first + run.count):
                 if run.attempt:
@@ -190,10 +190,10 @@
         self._update_is_done()
 
     def mark_replayed(self) -> None:
-        """All that is known of it was read from the ledger, so it is committed."""
+        """Marks the job as committed: all that is known of it was read from the ledger."""
         self.is_committed = True
         self.is_cancellation_committed = self.is_cancelled
-        # A cancelled job is reported as such when nothing of it is placed; see
+        # A cancelled job is reported as such once it has no placements; see
         # `JobRegistry.conclude_job`.
         if self.is_done:
             self.reported_stage = wire.DONE
@@ -205,7 +205,7 @@
             placement.mark_inherited()
 
     def _remove_pending(self, task: int) -> None:
-        """The task waits no more; unstarted tasks that were passed over wait in the heap."""
+        """Removes a pending task; unstarted tasks before it move to the heap."""
         queue = self.retry_queue
         if queue and queue[0] == task:
             heapq.heappop(queue)
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -1,7 +1,7 @@
-"""A read barrier: leadership is confirmed after a request came.
+"""Read barrier: leadership is confirmed after a request was received.
 
-An answer that may still change may only be given by a controller that leads *after* the request
-came. A transaction that only compares the leader key's version, sent after it, shows that.
+A reply that may still change may only be given by a controller that leads *after* it received the
+request. A transaction that only compares the leader key's version, sent after that, proves it.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class _Request:
-    """A request to confirm leadership, until it is answered once."""
+    """A request to confirm leadership, which is resolved once."""
 
     __slots__ = ("_on_done",)
 
@@ -27,12 +27,12 @@
         self._on_done: Callable[[bool], None] | None = on_done
 
     @property
-    def is_answered(self) -> bool:
-        """Whether it was answered."""
+    def is_resolved(self) -> bool:
+        """Whether it was resolved."""
         return self._on_done is None
 
-    def answer(self, *, is_leading: bool) -> None:
-        """Answers the request, unless it was answered before."""
+    def resolve(self, *, is_leading: bool) -> None:
+        """Calls the request's callback, unless it was resolved before."""
         on_done = self._on_done
         self._on_done = None
         if on_done is not None:
@@ -42,7 +42,7 @@
 class LeadershipBarrier(Actor):
     """Owns the requests to confirm leadership under one version of the leader key.
 
-    One transaction is under way at a time and serves all requests that came before it was sent.
+    One transaction is in flight at a time and serves all requests received before it was sent.
     """
 
     def __init__(
@@ -54,69 +54,69 @@
         batching_delay_s: float,
         on_leadership_lost: Callable[[], None],
     ) -> None:
-        """`on_leadership_lost` is called when somebody else leads."""
+        """`on_leadership_lost` is called when another controller leads."""
         super().__init__(runtime)
         self._store = store
         self._leader_key_version = leader_key_version
         self._on_leadership_lost = on_leadership_lost
-        self._first_call_s = first_call_timeout_s
-        self._gather_s = batching_delay_s
+        self._first_call_timeout_s = first_call_timeout_s
+        self._batching_delay_s = batching_delay_s
         self._waiting: list[_Request] = []
         self._is_open = True
-        self._is_asking = False
+        self._is_sending = False
         self._round = 0
 
     def confirm(self, on_done: Callable[[bool], None]) -> None:
-        """`on_done(True)` once a transaction sent after this call shows that we lead."""
+        """`on_done(True)` once a transaction sent after this call proves leadership."""
         self._waiting.append(_Request(on_done))
-        if not self._is_asking:
-            self._is_asking = True
-            self.later(self._gather_s / 2, self._ask)
+        if not self._is_sending:
+            self._is_sending = True
+            self.later(self._batching_delay_s / 2, self._send_round)
 
     def close(self) -> None:
-        """The version is none of ours any more: requests are answered that it is not sure."""
+        """Ends the term: pending requests are resolved as not confirmed."""
         self._is_open = False
         waiting = self._waiting
         self._waiting = []
         for request in waiting:
-            request.answer(is_leading=False)
+            request.resolve(is_leading=False)
 
-    def _ask(self) -> None:
+    def _send_round(self) -> None:
         if not self._is_open:
             return
-        asked = self._waiting
+        requests = self._waiting
         self._waiting = []
-        number = self._round
+        round_number = self._round
 
         def on_reply(outcome: Outcome, _: int) -> None:
             timer.cancel()
-            self._on_reply(number, asked, outcome)
+            self._on_reply(round_number, requests, outcome)
 
-        timer = self.later(self._first_call_s, self._on_unanswered, number, asked)
+        timer = self.later(self._first_call_timeout_s, self._on_timeout, round_number, requests)
         self._store.compare_and_swap({LEADER_KEY: self._leader_key_version}, {}, [], on_reply)
 
-    def _on_reply(self, number: int, asked: list[_Request], outcome: Outcome) -> None:
-        for request in asked:
-            request.answer(is_leading=self._is_open and outcome is Outcome.COMMITTED)
+    def _on_reply(self, round_number: int, requests: list[_Request], outcome: Outcome) -> None:
+        for request in requests:
+            request.resolve(is_leading=self._is_open and outcome is Outcome.COMMITTED)
         if self._is_open and outcome is Outcome.CONFLICT:
             self._on_leadership_lost()
         else:
-            self._next_round(number)
+            self._start_next_round(round_number)
 
-    def _on_unanswered(self, number: int, asked: list[_Request]) -> None:
-        """The answer may be lost: it is asked again for them and whoever came since.
+    def _on_timeout(self, round_number: int, requests: list[_Request]) -> None:
+        """Sends the unresolved requests again, with those received since: the reply may be lost.
 
-        An answer that comes later still counts.
+        A reply that arrives later still counts.
         """
-        if self._is_open and number == self._round:
-            self._waiting = [each for each in asked if not each.is_answered] + self._waiting
-            self._next_round(number)
+        if self._is_open and round_number == self._round:
+            self._waiting = [each for each in requests if not each.is_resolved] + self._waiting
+            self._start_next_round(round_number)
 
-    def _next_round(self, number: int) -> None:
-        if not self._is_open or number != self._round:
+    def _start_next_round(self, round_number: int) -> None:
+        if not self._is_open or round_number != self._round:
             return
         self._round += 1
         if self._waiting:
-            self.later(self._gather_s, self._ask)
+            self.later(self._batching_delay_s, self._send_round)
         else:
-            self._is_asking = False
+            self._is_sending = False
--- a/flaxtally/ledger/pages.py
+++ b/flaxtally/ledger/pages.py
@@ -1,4 +1,4 @@
-"""Pages of the store that hold the records: their keys, and how much they may take. Pure."""
+"""Pages of the store that hold the records: their keys and size limits. Pure."""
 
 from __future__ import annotations
 
@@ -9,38 +9,40 @@
 
 PAGE_PREFIX = "p/"
 ORIGIN_PAGE = 0
-"""An empty page, created with the first records and never deleted: that it "does not exist" is true
-just once.
+"""An empty page, created with the first records and never deleted, so that the condition that it
+does not exist holds only once.
 """
 MAX_TRANSACTION_BYTES = 56 * 1024
 MIN_PAGE_BYTES = 768
 PAGE_FILL_FRACTION = 7 / 8
-"""Of a value's largest size: what the records of a page may take."""
-LEDGER_SHARE = 0.85
-"""Of the changes a second: the rest is for leadership and the store relay."""
+"""Fraction of the largest value of the store that the records of a page may take."""
+LEDGER_WRITE_FRACTION = 0.85
+"""Fraction of the changes per second for the ledger; the rest is for leadership and the store
+relay.
+"""
 BURST_S = 0.5
-"""Changes of so many seconds may come at once; the store allows those of one second."""
+"""Changes of this time may be sent at once; the store allows those of one second."""
 
 
 def page_key(page: int) -> str:
-    """The key of a page in the store."""
+    """Returns the key of a page in the store."""
     return f"{PAGE_PREFIX}{page:08d}"
 
 
 def page_of_key(key: str) -> int:
-    """The page that has that key."""
+    """Returns the page that has the key."""
     return int(key[len(PAGE_PREFIX) :])
 
 
 class PageLimits:
-    """How much a page and a transaction may take. It falls when the store refuses a transaction."""
+    """Size limits of pages and transactions, halved when the store refuses a transaction."""
 
     def __init__(self, limits: StateLimits) -> None:
-        """What the settings say that the store accepts."""
+        """Derives the limits from what the store accepts according to the settings."""
         self.page_bytes = int(limits.value_bytes * PAGE_FILL_FRACTION)
         self.transaction_changes = limits.txn_ops
-        """Writes and deletes."""
-        # A transaction must not be more than a burst, which other writers share.
+        """Maximum number of writes and deletes in a transaction."""
+        # A transaction must not exceed a burst, which other writers share.
         self.transaction_pages = max(
             1,
             min(
@@ -51,6 +53,6 @@
         )
 
     def halve(self) -> None:
-        """The store accepts less than the settings say."""
+        """Halves the limits: the store accepts less than the settings say."""
         self.page_bytes = max(MIN_PAGE_BYTES, self.page_bytes // 2)
         self.transaction_pages = max(1, self.transaction_pages // 2)
--- a/flaxtally/ledger/placement.py
+++ b/flaxtally/ledger/placement.py
@@ -1,4 +1,4 @@
-"""Placements: what the ledger says of an attempt, and what the leader believes of it. Pure."""
+"""Placements: the replicated state of an attempt, and the leader's view of it. Pure."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ReplicatedPlacement:
-    """A task's attempt on a machine, as the ledger's records say it.
+    """A task's attempt on a machine, as recorded in the ledger.
 
     It exists from its proposal until it is proven to have ended, and is the same on each replay.
     """
@@ -17,7 +17,7 @@
     __slots__ = ("attempt", "job", "machine", "task", "zone")
 
     def __init__(self, job: Job, task: int, attempt: int, machine: str, zone: str) -> None:
-        """`machine` is a name, `zone` the one that the machine was in when it was chosen."""
+        """`machine` is a name, `zone` the machine's zone when it was chosen."""
         self.job = job
         self.task = task
         self.attempt = attempt
@@ -31,12 +31,12 @@
 
     @property
     def is_best_effort(self) -> bool:
-        """Whether its job is of the lowest rank and runs to an end."""
+        """Whether its job has the lowest rank and its tasks run to completion."""
         return self.job.spec.is_best_effort
 
 
 class Placement(ReplicatedPlacement):
-    """A placement with what the leader believes of it in its present term.
+    """A placement with the leader's view of it in its present term.
 
     None of these fields is in the ledger: a new leader begins without them, and learns them from
     commits and from the workers' heartbeats.
@@ -56,8 +56,8 @@
     )
 
     def __init__(self, job: Job, task: int, attempt: int, machine: str, zone: str) -> None:
-        """The leader knows nothing of it yet."""
-        # Set here, not by the base class: a replay makes one of these for each record of its kind.
+        """Starts without any knowledge of the attempt's state."""
+        # Set here, without a call of the base class: replay creates one object per such record.
         self.job = job
         self.task = task
         self.attempt = attempt
@@ -75,6 +75,6 @@
         self.stopping_at: float | None = None
 
     def mark_inherited(self) -> None:
-        """It was read from the ledger at the start of the term, so an earlier leader placed it."""
+        """Marks it as placed by an earlier leader: it was read from the ledger on takeover."""
         self.is_committed = True
         self.is_inherited = True
--- a/flaxtally/ledger/record_queue.py
+++ b/flaxtally/ledger/record_queue.py
@@ -32,19 +32,19 @@
     """
 
     def __init__(self, limits: PageLimits) -> None:
-        """An empty queue; the first page is the one after the origin."""
+        """Creates an empty queue; the first page is the one after the origin."""
         self.open_page = 1
         self._limits = limits
         self._open_page_bytes = 0
         self._records: deque[QueuedRecord] = deque()
 
     def __len__(self) -> int:
-        """How many records wait."""
+        """Returns how many records wait."""
         return len(self._records)
 
     @property
     def first_page(self) -> int:
-        """The page of the record that waits longest."""
+        """The page of the oldest record."""
         return self._records[0].page
 
     @property
@@ -52,42 +52,42 @@
         """How many pages the waiting records go to."""
         return self._records[-1].page - self._records[0].page + 1 if self._records else 0
 
-    def make_room(self, size: int) -> None:
-        """Opens the next page if so many bytes don't fit into the open one."""
+    def open_next_page_if_full(self, size: int) -> None:
+        """Opens the next page if `size` more bytes don't fit into the open one."""
         if self._open_page_bytes and self._open_page_bytes + size > self._limits.page_bytes:
             self.open_page += 1
             self._open_page_bytes = 0
 
     def append(self, record: StoredRecord, size: int, on_committed: OnCommitted | None) -> None:
-        """Adds a record of that size to the open page, for which `make_room` was called."""
+        """Adds a record of `size` bytes to the open page; call `open_next_page_if_full` before."""
         self._open_page_bytes += size
         self._records.append(QueuedRecord(record, self.open_page, on_committed))
 
     def append_batch(self, records: Sequence[Record], on_committed: OnCommitted | None) -> int:
-        """Adds records so that they are read all or none; returns the page of the first.
+        """Adds records that are read all or none; returns the page of the first.
 
-        `on_committed` follows the commit of the last.
+        `on_committed` is called after the commit of the last.
         """
         size = sum(record_size(record) for record in records)
         written: Sequence[StoredRecord] = records
         if size <= self._limits.page_bytes:
-            # One page is written at once.
-            self.make_room(size)
+            # A single page is always written atomically.
+            self.open_next_page_if_full(size)
         else:
             written = split_batch(records, self._limits.page_bytes)
         first_page = 0
-        last = len(written) - 1
+        last_index = len(written) - 1
         for index, record in enumerate(written):
             size = record_size(record)
-            self.make_room(size)
+            self.open_next_page_if_full(size)
             first_page = first_page or self.open_page
-            self.append(record, size, on_committed if index == last else None)
+            self.append(record, size, on_committed if index == last_index else None)
         return first_page
 
     def popleft(self) -> QueuedRecord:
-        """Takes the record that waits longest."""
+        """Removes and returns the oldest record."""
         return self._records.popleft()
 
     def set_last_callback(self, on_committed: OnCommitted) -> None:
-        """Calls `on_committed` after the commit of all that waits now."""
+        """Sets the callback of the newest record, called once all queued records are committed."""
         self._records[-1] = self._records[-1]._replace(on_committed=on_committed)
--- a/flaxtally/ledger/records.py
+++ b/flaxtally/ledger/records.py
@@ -1,20 +1,20 @@
-"""The records of the ledger: one struct a kind, encoded as the array that lies in the store. Pure.
+"""The records of the ledger: one struct per kind, encoded as the array that is stored. Pure.
 
-The first item of an array is the tag of its kind:
+The first item of an array is the tag of the kind:
 
     J  number, accepted at, *spec   a job was accepted, or a snapshot of it begins
     P  job, task, attempt, machine, zone   a task was placed
     E  job, task, attempt, has result   an attempt ended
     C  job                          the user cancelled the job
     T  job, runs                    snapshot: [first, count, attempt, is done] of tasks not placed
-    F  job, ref, stage              a terminal job, all that is kept of it
-    K  types                        the cloud's machine types, for leaders that begin in an outage
+    F  job, ref, stage              all that is kept of a terminal job
+    K  types                        the cloud's machine types, for leaders elected during an outage
 
-Since format 2 (`protocol.formats`), and never before a record V says so:
+Since format 2 (`protocol.formats`), only after a record V that allows it:
 
     V  format                       all controllers read records of this format
     B  first, last, records         a piece of a batch (`ledger.batch`)
-    K  types, more                  with more: in addition to those of the records before
+    K  types, more                  with more: added to those of the preceding records
     P, E of gangs                   a lost task of a gang that has not begun may be placed again
                                     with the attempt number of its gang; one task that is done
                                     ends the job
@@ -22,13 +22,13 @@
 Since format 3 (`ledger.reclaims`):
 
     R  number, lender, job, machine, at, deadline, tasks, [[job, task, attempt], …]
-                                    a reclaim begins, or goes on elsewhere
-    X  number                       a reclaim is over
+                                    a reclaim begins, or moves to another machine
+    X  number                       a reclaim is finished
     A  team, borrows since, borrowed core s, GPU s, lent core s, GPU s, met, late
                                     the account of a team, in place of its earlier one
 
-A record with items that its kind doesn't have is refused, except J: older controllers pass over
-further items of a spec, and so does this one. `docs/upgrade.md` has the table.
+A record with items that its kind doesn't have is refused, except J: older controllers ignore
+additional items of a spec, and so does this one. `docs/upgrade.md` has the table.
 """
 
 from __future__ import annotations
@@ -43,12 +43,12 @@
 class InvalidRecordError(Exception):
     """A record is malformed or breaks an invariant; it must not be committed.
 
-    On replay: a damaged ledger.
+    On replay it means that the ledger is damaged.
     """
 
 
 class JobAccepted(msgspec.Struct, frozen=True, array_like=True, gc=False, tag="J"):
-    """A job was accepted, or a snapshot of it begins. From `ref` on these are the spec's items."""
+    """A job was accepted, or a snapshot of it begins. The fields from `ref` on are the spec's."""
 
     number: int
     accepted_at: float
@@ -75,17 +75,17 @@
 
     @classmethod
     def from_spec(cls, number: int, accepted_at: float, spec: wire.Spec) -> JobAccepted:
-        """The record that accepts a job of that specification."""
+        """Returns the record that accepts a job with the specification."""
         return cls(number, accepted_at, *msgspec.structs.astuple(spec))
 
     @property
     def spec(self) -> wire.Spec:
-        """What the user asked for."""
+        """The specification of the job."""
         return wire.Spec(*msgspec.structs.astuple(self)[2:])
 
 
 class TaskRun(msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True):
-    """Tasks that follow each other and are alike. It is part of a record, so it has no tag."""
+    """Consecutive tasks in the same state. It is part of a record, so it has no tag."""
 
     first: int
     count: int
@@ -96,7 +96,7 @@
 class TasksRestored(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="T"
 ):
-    """Snapshot: tasks of a job that have been placed before and are not placed now."""
+    """Snapshot: tasks of a job that were placed before and are not placed now."""
 
     job: int
     runs: list[TaskRun]
@@ -123,7 +123,7 @@
     task: int
     attempt: int
     is_done: bool
-    """It ended with the task's result."""
+    """Whether it ended with the task's result."""
 
 
 class JobCancelled(
@@ -137,10 +137,10 @@
 class JobTerminated(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="F"
 ):
-    """A terminal job: all that is kept of it."""
+    """All that is kept of a terminal job."""
 
     job: int
-    """0: its number is no longer known."""
+    """The job's number; 0 if it is no longer known."""
     ref: str
     stage: str
 
@@ -148,7 +148,7 @@
 class CatalogStored(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="K"
 ):
-    """The cloud's machine types, in place of the earlier ones."""
+    """The cloud's machine types, which replace the earlier ones."""
 
     types: list[Any]
 
@@ -156,11 +156,11 @@
 class CatalogPartStored(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="K"
 ):
-    """Some of the cloud's machine types, where they don't all fit into one record."""
+    """Some of the cloud's machine types, if they don't all fit into one record."""
 
     types: list[Any]
     is_continuation: bool
-    """In addition to those of the records before."""
+    """Whether these types are added to those of the preceding records."""
 
 
 class FormatRaised(
@@ -174,7 +174,7 @@
 class ReclaimStarted(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="R"
 ):
-    """A reclaim of borrowed quota begins, goes on elsewhere, or is rewritten."""
+    """A reclaim of borrowed quota begins, moves to another machine, or is rewritten."""
 
     number: int
     lender: str
@@ -184,13 +184,13 @@
     deadline: float
     tasks: int
     attempts: tuple[tuple[int, int, int], ...]
-    """The attempts of borrowers that it stops: job, task, attempt."""
+    """The borrowers' attempts that it stops, each as job, task, attempt."""
 
 
 class ReclaimFinished(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="X"
 ):
-    """A reclaim is over."""
+    """A reclaim is finished."""
 
     number: int
 
@@ -198,7 +198,7 @@
 class LoanAccountStored(
     msgspec.Struct, frozen=True, array_like=True, gc=False, forbid_unknown_fields=True, tag="A"
 ):
-    """The account of a team, in place of its earlier one."""
+    """The account of a team, which replaces its earlier one."""
 
     team: str
     borrows_since: float
@@ -224,11 +224,11 @@
     | ReclaimFinished
     | LoanAccountStored
 )
-"""A record that says something by itself."""
+"""A record with a meaning of its own."""
 
 
 class BatchPiece(msgspec.Struct, frozen=True, array_like=True, gc=False, tag="B"):
-    """A piece of a batch: its records count once its last piece is read (`ledger.batch`)."""
+    """A piece of a batch; its records apply once the last piece is read (`ledger.batch`)."""
 
     is_first: bool
     is_last: bool
@@ -252,7 +252,7 @@
     "X": ReclaimFinished,
     "A": LoanAccountStored,
 }
-"""The kinds that alone have their tag. Two share K, and a B holds other records."""
+"""The kinds with a tag of their own. Two kinds share K, and a B contains other records."""
 
 
 class _StoredPiece(msgspec.Struct, array_like=True, forbid_unknown_fields=True, tag=_BATCH_TAG):
@@ -264,12 +264,12 @@
 
 
 def record_size(record: StoredRecord) -> int:
-    """Bytes that the record takes in a page, with the comma that follows it."""
+    """Returns the bytes that the record takes in a page, with the comma that follows it."""
     return len(msgspec.json.encode(record)) + 1
 
 
 def decode_record(stored: Any) -> StoredRecord:
-    """The record that an item of a page says; raises `InvalidRecordError` if it says none."""
+    """Decodes an item of a page; raises `InvalidRecordError` if it is not a valid record."""
     try:
         kind = _KINDS_BY_TAG.get(stored[0])
         if kind is not None:
@@ -277,19 +277,19 @@
         if stored[0] == _BATCH_TAG:
             return _decode_piece(stored)
         return _decode_catalog(stored)
-    except (msgspec.ValidationError, LookupError, TypeError) as fault:
-        raise InvalidRecordError(f"no record: {fault}") from fault
+    except (msgspec.ValidationError, LookupError, TypeError) as error:
+        raise InvalidRecordError(f"not a valid record: {error}") from error
 
 
 def _decode_catalog(stored: Any) -> CatalogStored | CatalogPartStored:
-    """The two kinds that share a tag differ in their lengths."""
+    """Decodes the two kinds that share a tag; they differ in their lengths."""
     if len(stored) == _CATALOG_PART_ITEMS:
         return msgspec.convert(stored, CatalogPartStored)
     return msgspec.convert(stored, CatalogStored)
 
 
 def _decode_piece(stored: Any) -> BatchPiece:
-    """A piece of a batch; a batch in it is refused like any unknown tag."""
+    """Decodes a piece of a batch; a batch inside it is refused like any unknown tag."""
     piece = msgspec.convert(stored, _StoredPiece)
     records: list[Record] = []
     for inner in piece.records:
--- a/flaxtally/ledger/replay.py
+++ b/flaxtally/ledger/replay.py
@@ -1,6 +1,6 @@
 """Replay: a new leader reads all pages of the ledger once.
 
-Writes of earlier leaders fail from the takeover on, so what is read is final.
+Writes of earlier leaders fail after the takeover, so the pages that are read are final.
 """
 
 from __future__ import annotations
@@ -25,17 +25,17 @@
 
 
 class ReplayOutcome(enum.Enum):
-    """How a replay came out."""
+    """Outcome of a replay."""
 
     COMPLETE = "complete"
     DAMAGED = "damaged"
-    """Some page can't be read."""
+    """A page can't be read."""
     UNSUPPORTED_FORMAT = "unsupported format"
     """This program can't read the ledger."""
 
 
 class Replay(Actor):
-    """Reads the pages into a state, as often as it takes until the store serves them."""
+    """Reads the pages into a state, and retries until the store serves them."""
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
         self._is_open = True
 
     def start(self) -> None:
-        """Asks the store for the pages."""
+        """Requests the pages from the store."""
         self._store.list_prefix(PAGE_PREFIX, self._on_rows)
 
     def close(self) -> None:
-        """The term is over: `on_done` is not called any more."""
+        """Ends the term: `on_done` is not called any more."""
         self._is_open = False
 
     def _on_rows(self, rows: list[wire.Row] | None) -> None:
@@ -74,13 +74,13 @@
         for row in rows:
             try:
                 self._read_page(row)
-            except UnsupportedFormatError as fault:
-                log.error("event=ledger_format_unknown page=%s why=%r", row.key, str(fault))
+            except UnsupportedFormatError as error:
+                log.error("event=ledger_format_unknown page=%s why=%r", row.key, str(error))
                 return ReplayOutcome.UNSUPPORTED_FORMAT
-            except Exception as fault:
-                # To serve without a part of it could start a task twice: nothing is served until it
-                # is mended.
-                log.error("event=ledger_damaged page=%s why=%r", row.key, fault)
+            except Exception as error:
+                # Serving without a part of the ledger could start a task twice, so nothing is
+                # served until it is repaired.
+                log.error("event=ledger_damaged page=%s why=%r", row.key, error)
                 return ReplayOutcome.DAMAGED
         return ReplayOutcome.COMPLETE
 
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -1,11 +1,11 @@
-"""Snapshots: records that rewrite what the records of a page still mean, for compaction. Pure."""
+"""Snapshots: the records that replace the live content of a page in a compaction. Pure."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
 from ..protocol import formats
-from .batch import PIECE_OVERHEAD
+from .batch import PIECE_OVERHEAD_BYTES
 from .records import (
     CatalogPartStored,
     CatalogStored,
@@ -25,20 +25,20 @@
     from .job import Job
 
 MAX_RUNS_PER_RECORD = 16
-"""So that a record fits into a page, however many tasks its job has."""
+"""Limits a record to the size of a page, however many tasks its job has."""
 TYPES_PER_RECORD = 1
-"""Machine types of the catalogue in one record, where they don't all fit into a page."""
+"""Machine types of the catalog in one record, if they don't all fit into a page."""
 
 
 def terminal_record(job: Job) -> JobTerminated:
-    """All that is kept of a job that is concluded."""
+    """Returns the record that is kept of a concluded job."""
     return JobTerminated(job.number, job.spec.ref, job.terminal_stage)
 
 
 def job_records(job: Job) -> list[Record]:
-    """All of a job that is not concluded, to be written as one batch.
+    """Returns all records of a job that is not concluded, to be written as one batch.
 
-    Read in part they would say that its tasks are placed nowhere.
+    If only a part of them were read, placed tasks would appear as not placed.
     """
     accepted = JobAccepted.from_spec(job.number, job.accepted_at, job.spec)
     placed = [
@@ -46,7 +46,7 @@
         for each in job.placements.values()
     ]
     if job.is_done:
-        # A gang that is done while some of its attempts are not proven to have ended: each of its
+        # A gang can be done while some of its attempts are not proven to have ended: each of its
         # tasks counts as done.
         all_tasks = TaskRun(first=0, count=job.spec.tasks, attempt=job.newest_attempt, is_done=True)
         return [accepted, *placed, TasksRestored(job.number, [all_tasks])]
@@ -60,12 +60,12 @@
 
 
 def catalog_records(types: list[Any], max_bytes: int) -> list[Record]:
-    """The cloud's machine types: one record, or a batch of several if they don't fit into a page.
+    """Returns the cloud's machine types as one record, or as a batch if they exceed a page.
 
-    The first record says that none of the earlier ones count.
+    The first record replaces all earlier ones.
     """
     complete = CatalogStored(types)
-    if record_size(complete) <= max_bytes - PIECE_OVERHEAD:
+    if record_size(complete) <= max_bytes - PIECE_OVERHEAD_BYTES:
         return [complete]
     return [
         CatalogPartStored(types[start : start + TYPES_PER_RECORD], start > 0)
@@ -74,9 +74,9 @@
 
 
 def page_records(state: ClusterState, page: int, max_bytes: int) -> list[list[Record]]:
-    """All that the records of a page still mean, in groups that are each a batch.
+    """Returns the live content of a page, in groups that are each written as a batch.
 
-    `max_bytes`: of the records of a page.
+    `max_bytes` is the largest size of the records of a page.
     """
     groups: list[list[Record]] = []
     if state.format > formats.FIRST and state.format_page == page:
@@ -86,7 +86,7 @@
     groups += [
         [terminal_record(job)] if job.is_concluded else job_records(job)
         for job in state.jobs.values()
-        if job.home_page == page
+        if job.record_page == page
     ]
     groups += [[record] for record in state.loan_state.records_of_page(page)]
     for ref in state.terminal_job_pages.get(page, ()):
@@ -97,7 +97,7 @@
 
 
 def _runs_of_unplaced_tasks(job: Job) -> list[TaskRun]:
-    """The tasks that were placed before and are not placed, those alike in a row as one run."""
+    """Returns the tasks placed before and not now; consecutive ones in the same state as a run."""
     runs: list[TaskRun] = []
     first = 0
     count = 0
--- a/flaxtally/ledger/terminal_jobs.py
+++ b/flaxtally/ledger/terminal_jobs.py
@@ -1,7 +1,8 @@
-"""The stages of terminal jobs, which are kept for ever: a few bytes each. Pure.
+"""The stages of terminal jobs, which are kept indefinitely in a few bytes each. Pure.
 
-A job's id is a text of digits, so an id and its stage fit a number of 64 bits. Numbers are kept in
-sorted blocks; a text and an entry of a dict for each would take ten times the memory.
+A job's id consists of a prefix and digits, so the id and the stage fit into a 64-bit number. The
+numbers are kept in sorted blocks; a string and a dict entry for each would take ten times the
+memory.
 """
 
 from __future__ import annotations
@@ -15,42 +16,42 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-PREFIX = "j-"
+JOB_ID_PREFIX = "j-"
 _MAX_RECENT = 4096
-"""Stages that are kept apart until they are worth sorting into a block."""
+"""Number of stages that are collected before they are sorted into a block."""
 _MAX_MERGED_BLOCK = 1 << 16
-"""Blocks that are larger aren't merged: it would hold up the loop."""
+"""Larger blocks aren't merged, since that would block the event loop."""
 
 
 def _number_of(ref: str) -> int | None:
-    """The id as a number: a 1 before its digits keeps leading zeros apart; None: it is no id."""
-    return int("1" + ref[len(PREFIX) :]) if wire.JOB_ID.match(ref) else None
+    """Returns the id as a number, with a 1 in front to keep leading zeros; None if it is no id."""
+    return int("1" + ref[len(JOB_ID_PREFIX) :]) if wire.JOB_ID.match(ref) else None
 
 
 def _ref_of(number: int) -> str:
-    return PREFIX + str(number)[1:]
+    return JOB_ID_PREFIX + str(number)[1:]
 
 
 class TerminalJobs:
-    """By id, whether a job was done or cancelled. The stage of a terminal job never changes."""
+    """Whether a terminal job was done or cancelled, by id. The stage never changes."""
 
     def __init__(self) -> None:
-        """No job is terminal yet."""
+        """Starts without terminal jobs."""
         self._recent: dict[int, int] = {}
-        """By the number of an id, the number with its stage."""
+        """The number with its stage, by the number of the id."""
         self._blocks: list[array[int]] = []
-        """Numbers with their stages, in order within each block."""
+        """Numbers with their stages, sorted within each block."""
 
     def __len__(self) -> int:
-        """How many jobs are terminal."""
+        """Returns how many jobs are terminal."""
         return len(self._recent) + sum(len(block) for block in self._blocks)
 
     def __contains__(self, ref: str) -> bool:
-        """Whether the job is terminal."""
+        """Returns whether the job is terminal."""
         return self.get(ref) is not None
 
     def __iter__(self) -> Iterator[str]:
-        """The ids, in no order."""
+        """Yields the ids in no particular order."""
         for number in self._recent:
             yield _ref_of(number)
         for block in self._blocks:
@@ -58,7 +59,7 @@
                 yield _ref_of(coded >> 1)
 
     def get(self, ref: str) -> str | None:
-        """The stage of a terminal job; None: it is none, or the text is no job's id."""
+        """Returns the stage of a terminal job; None if there is no terminal job with the id."""
         number = _number_of(ref)
         coded = None if number is None else self._find(number)
         if coded is None:
@@ -66,7 +67,7 @@
         return wire.ABORTED if coded & 1 else wire.DONE
 
     def add(self, ref: str, stage: str) -> None:
-        """Keeps the stage of a terminal job; raises ValueError if the text is no job's id."""
+        """Stores the stage of a terminal job; raises ValueError if `ref` is no job's id."""
         number = _number_of(ref)
         if number is None:
             raise ValueError(f"{ref!r} is no job's id")
@@ -77,7 +78,7 @@
             self._merge_recent()
 
     def _find(self, number: int) -> int | None:
-        """The number with its stage; None: the job is not terminal."""
+        """Returns the number with its stage; None if the job is not terminal."""
         if number in self._recent:
             return self._recent[number]
         sought = number << 1
@@ -89,7 +90,7 @@
         return None
 
     def _merge_recent(self) -> None:
-        """Makes a block of the recent stages; small blocks become one."""
+        """Moves the recent stages to a block, and merges small blocks into it."""
         block = array("Q", sorted(self._recent.values()))
         self._recent = {}
         while self._blocks and len(self._blocks[-1]) <= len(block) < _MAX_MERGED_BLOCK:
@@ -98,20 +99,20 @@
 
 
 class TerminalJobPage:
-    """The ids of terminal jobs whose records stand in one page, in order."""
+    """The ids of the terminal jobs whose records are in one page, in order."""
 
     __slots__ = ("_numbers",)
 
     def __init__(self) -> None:
-        """No record stands in the page yet."""
+        """Starts without records."""
         self._numbers = array("Q")
 
     def __iter__(self) -> Iterator[str]:
-        """The ids, in the order of their records."""
+        """Yields the ids in the order of their records."""
         return map(_ref_of, self._numbers)
 
     def add(self, ref: str) -> None:
-        """One more record of a terminal job; raises ValueError if the text is no job's id."""
+        """Adds the record of a terminal job; raises ValueError if `ref` is no job's id."""
         number = _number_of(ref)
         if number is None:
             raise ValueError(f"{ref!r} is no job's id")
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -1,4 +1,4 @@
-"""A transaction of the ledger, sent until its outcome is certain."""
+"""A transaction of the ledger, retried until its outcome is certain."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 
 
 class CommitOutcome(enum.Enum):
-    """How a transaction came out."""
+    """Final outcome of a transaction."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
-    """A version is not the expected one: somebody else leads."""
+    """A key has another version than expected: another controller leads."""
     TOO_LARGE = "too large"
-    """The store will never accept it; an earlier copy may still be carried out."""
+    """The store will never accept it, but may still execute an earlier copy."""
 
 
 @dataclass(frozen=True)
 class Transaction:
-    """Pages to write and to delete, by compare-and-swap. It is sent again unchanged.
+    """Pages to write and to delete, by compare-and-swap. A retry sends it unchanged.
 
     The first write, if any, is of a page with a record that no earlier transaction wrote.
     """
@@ -46,7 +46,7 @@
 
 
 class TransactionSender(Actor):
-    """Sends transactions, one at a time, for one term of leading."""
+    """Sends transactions, one at a time, during one term of leadership."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         retry_s: float,
         on_outcome: Callable[[CommitOutcome, int], None],
     ) -> None:
-        """`on_outcome(outcome, revision)` is called for each transaction, unless closed before."""
+        """Calls `on_outcome(outcome, revision)` for each transaction, unless closed before."""
         super().__init__(runtime)
         self._store = store
         self._bucket = bucket
@@ -64,14 +64,14 @@
         self._on_outcome = on_outcome
         self._is_open = True
         self._may_be_applied = False
-        """Whether a copy of the present transaction may have been carried out."""
+        """Whether the store may have executed a copy of the present transaction."""
 
     def close(self) -> None:
-        """Nothing is sent again, and `on_outcome` not called, from now on."""
+        """Ends retries and calls of `on_outcome`."""
         self._is_open = False
 
     def send(self, transaction: Transaction) -> None:
-        """Sends it until its outcome is certain."""
+        """Sends the transaction, and retries it until its outcome is certain."""
         self._may_be_applied = False
         self._send_copy(transaction)
 
@@ -88,7 +88,7 @@
             transaction.writes,
             transaction.deletes,
             on_reply,
-            commit=True,
+            use_commit_connection=True,
             first=not self._may_be_applied,
         )
 
@@ -96,17 +96,17 @@
         if outcome is Outcome.COMMITTED:
             self._on_outcome(CommitOutcome.COMMITTED, revision)
         elif outcome is Outcome.CONFLICT and self._may_be_applied:
-            # The first copy may have been carried out although its answer was lost.
+            # The first copy may have been executed although its reply was lost.
             self._read_back(transaction)
         elif outcome is Outcome.CONFLICT:
             self._on_outcome(CommitOutcome.CONFLICT, 0)
         elif outcome is Outcome.INVALID:
             self._on_outcome(CommitOutcome.TOO_LARGE, 0)
         else:
-            self._send_again(transaction, outcome)
+            self._retry(transaction, outcome)
 
-    def _send_again(self, transaction: Transaction, outcome: Outcome) -> None:
-        """The store did not carry this copy out, or it is not known whether it did."""
+    def _retry(self, transaction: Transaction, outcome: Outcome) -> None:
+        """Retries after a delay: the store did not execute this copy, or that is unknown."""
         self._bucket.take(transaction.change_count)
         delay_s = max(self._retry_s / 4, self._bucket.wait(transaction.change_count))
         if outcome is Outcome.INDETERMINATE:
@@ -114,7 +114,7 @@
         self.later(delay_s, self._send_copy, transaction)
 
     def _read_back(self, transaction: Transaction) -> None:
-        """Finds out by one key of it whether the transaction was carried out."""
+        """Finds out by one of its keys whether the transaction was executed."""
         key = next(iter([*transaction.writes, *transaction.deletes]))
         self._store.get(
             key, lambda is_known, row: self._on_read_back(transaction, key, row, is_known=is_known)
@@ -123,7 +123,7 @@
     def _on_read_back(
         self, transaction: Transaction, key: str, row: wire.Row | None, *, is_known: bool
     ) -> None:
-        """A transaction is atomic: one page tells for all."""
+        """Derives the outcome from one page, since a transaction is atomic."""
         if not self._is_open:
             return
         if not is_known:
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -1,8 +1,8 @@
 """The write-ahead log: records are proposed, applied to the cluster state, and committed soon.
 
-The cluster state takes a record when it is proposed; whatever may be *seen* of it (answers,
-launches) waits for its `on_committed`, which is called after the commit only. `group_commit` writes
-the records, `replay` reads them at a takeover, and `compaction` rewrites old pages.
+The cluster state applies a record when it is proposed; its *visible* effects (replies, launches)
+wait for `on_committed`, which is called only after the commit. `group_commit` writes the records,
+`replay` reads them at a takeover, and `compaction` rewrites old pages.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from ..runtime.actor import Actor
 from ..runtime.token_bucket import TokenBucket
 from . import snapshot
-from .batch import PIECE_OVERHEAD
+from .batch import PIECE_OVERHEAD_BYTES
 from .cluster_state import ClusterState
 from .compaction import Compactor
 from .group_commit import GroupCommit, LedgerTimings
 from .leadership_barrier import LeadershipBarrier
-from .pages import BURST_S, LEDGER_SHARE, ORIGIN_PAGE, PageLimits
+from .pages import BURST_S, LEDGER_WRITE_FRACTION, ORIGIN_PAGE, PageLimits
 from .record_queue import OnCommitted, RecordQueue
 from .records import FormatRaised, Record, record_size
 from .replay import Replay, ReplayOutcome
@@ -34,12 +34,12 @@
 
 log = logging.getLogger(__name__)
 
-DAMAGED_RETRIES = 10
-"""Times the delay of a retry, until a damaged ledger is read again."""
+DAMAGED_RETRY_FACTOR = 10
+"""Factor of `retry_s` that gives the delay until a damaged ledger is read again."""
 
 
 class WriteAheadLog(Actor):
-    """The ledger as the leader uses it; it begins anew with each term of leading."""
+    """The leader's interface to the ledger; its state is reset with each term of leadership."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         on_leadership_lost: Callable[[], None],
         on_unsupported_format: Callable[[], None],
     ) -> None:
-        """`on_leadership_lost`: somebody else leads, or the term must end.
+        """`on_leadership_lost`: another controller leads, or the term must end.
 
         `on_unsupported_format`: the ledger can't be read by this program.
         """
@@ -62,13 +62,13 @@
         self._limits = PageLimits(limits)
         self._bucket = TokenBucket(
             runtime,
-            limits.write_rps * LEDGER_SHARE,
+            limits.write_rps * LEDGER_WRITE_FRACTION,
             max(self._limits.transaction_pages + 2, limits.write_rps * BURST_S),
         )
         self._start_term(0)
 
     def _start_term(self, leader_key_version: int) -> None:
-        """Begins with nothing under that version of the leader key; 0: this controller follows."""
+        """Creates empty state for a version of the leader key; 0: this controller is a follower."""
         self.leader_key_version = leader_key_version
         self.state = ClusterState()
         self._queue = RecordQueue(self._limits)
@@ -94,7 +94,7 @@
         self._replay: Replay | None = None
 
     def _restart(self, leader_key_version: int) -> None:
-        """Forgets everything; requests to confirm leadership are answered that it is not sure."""
+        """Discards all state; pending requests to confirm leadership get False."""
         barrier = self._barrier
         if self._replay is not None:
             self._replay.close()
@@ -103,11 +103,11 @@
         barrier.close()
 
     def close(self) -> None:
-        """This controller leads no more: what waited is dropped."""
+        """Ends the term of leadership: records that are not committed are dropped."""
         self._restart(0)
 
     def replay(self, leader_key_version: int, on_ready: Callable[[], None]) -> None:
-        """Reads all pages under a leader key of this version; `on_ready` follows."""
+        """Reads all pages under a leader key of this version, then calls `on_ready`."""
         self._restart(leader_key_version)
         self._replay = Replay(
             self.runtime,
@@ -128,7 +128,7 @@
             return
         if outcome is ReplayOutcome.DAMAGED:
             self._restart(self.leader_key_version)
-            delay_s = DAMAGED_RETRIES * self._timings.retry_s
+            delay_s = DAMAGED_RETRY_FACTOR * self._timings.retry_s
             self.later(delay_s, self._replay_again, self.state, on_ready)
             return
         self._commit.page_versions = replay.page_versions
@@ -146,18 +146,18 @@
             self.replay(self.leader_key_version, on_ready)
 
     def propose(self, record: Record, on_committed: OnCommitted | None = None) -> None:
-        """Applies the record and commits it soon; `on_committed` follows the commit."""
+        """Applies the record and schedules its commit, after which `on_committed` is called."""
         size = record_size(record)
-        self._queue.make_room(size)
+        self._queue.open_next_page_if_full(size)
         self.state.apply(record, self._queue.open_page)
         self._queue.append(record, size, on_committed)
         self._commit.schedule()
 
     def propose_batch(self, records: list[Record], on_committed: OnCommitted | None = None) -> None:
-        """Proposes records that are read all or none; `on_committed` follows the last commit.
+        """Proposes records that are read all or none; calls `on_committed` after the last commit.
 
-        None of them is of a kind that a page is the home of. More than a page is written only in
-        a format that has batches (`writes_batches`).
+        None of them sets the page of a job, a reclaim or an account. A batch larger than a page may
+        only be written in a format that has batches (`writes_batches`).
         """
         for record in records:
             self.state.apply(record, self._queue.open_page)
@@ -165,44 +165,44 @@
         self._commit.schedule()
 
     def raise_format(self, version: int) -> None:
-        """Lets records of that format be written: no older program can read the ledger again."""
+        """Allows records of the format: no older program can read the ledger from now on."""
         log.info("event=format_raised format=%d", version)
         self.propose(FormatRaised(version))
 
     def propose_catalog(self, types: list[Any]) -> None:
-        """Keeps the cloud's machine types, if that can be written."""
+        """Stores the cloud's machine types, if the ledger's format allows their size."""
         records = snapshot.catalog_records(types, self._limits.page_bytes)
         if len(records) == 1 or self.writes_batches:
             self.propose_batch(records)
 
     def compact(self) -> None:
-        """Rewrites and deletes old pages if the pages hold much more than they still mean."""
+        """Compacts old pages if all pages are much larger than a snapshot of the state."""
         self._compactor.compact()
 
     def confirm_leadership(self, on_done: Callable[[bool], None]) -> None:
-        """`on_done(True)` once a transaction sent after this call shows that we lead."""
+        """`on_done(True)` once a transaction sent after this call proves leadership."""
         self._barrier.confirm(on_done)
 
     def fits_in_page(self, record: Record) -> bool:
-        """Whether the record fits into a page, also within a batch."""
-        return record_size(record) <= self._limits.page_bytes - PIECE_OVERHEAD
+        """Returns whether the record fits into a page, also within a batch."""
+        return record_size(record) <= self._limits.page_bytes - PIECE_OVERHEAD_BYTES
 
     @property
     def writes_batches(self) -> bool:
-        """Whether all controllers read batches of more than a page."""
+        """Whether all controllers read batches larger than a page."""
         return self.state.format >= formats.GANGS
 
     @property
     def backlog(self) -> int:
-        """How many records wait for their commit."""
+        """Number of records that wait for their commit."""
         return len(self._queue)
 
     @property
     def is_committing(self) -> bool:
-        """Whether a transaction is under way."""
+        """Whether a transaction is in flight."""
         return self._commit.is_busy
 
     @property
     def is_compacting(self) -> bool:
-        """Whether pages were rewritten whose new records are not committed yet."""
+        """Whether the records of rewritten pages still wait for their commit."""
         return self._compactor.is_compacting
--- a/tests/test_record_queue.py
+++ b/tests/test_record_queue.py
@@ -19,7 +19,7 @@
 def propose(queue: RecordQueue, record: Record) -> None:
     """Queues the record as a proposal does."""
     size = record_size(record)
-    queue.make_room(size)
+    queue.open_next_page_if_full(size)
     queue.append(record, size, None)
 
 
