--- a/tests/ledger_records.py
+++ b/tests/ledger_records.py
@@ -1,4 +1,4 @@
-"""Records in the forms in which tests write them down and in which they lie in the store."""
+"""Conversions between records and the arrays that are stored, for tests."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 def record(*items: Any) -> Record:
-    """The record whose stored form has these items."""
+    """Returns the record whose stored form has these items."""
     decoded = decode_record(list(items))
     assert not isinstance(decoded, BatchPiece)
     return decoded
 
 
 def accepted(number: int, accepted_at: float, spec: wire.Spec) -> JobAccepted:
-    """The record that accepts a job."""
+    """Returns the record that accepts a job."""
     return JobAccepted.from_spec(number, accepted_at, spec)
 
 
 def stored(written: StoredRecord) -> list[Any]:
-    """The form of the record that lies in the store."""
+    """Returns the stored form of the record."""
     items = msgspec.msgpack.decode(msgspec.msgpack.encode(written))
     assert isinstance(items, list)
     return items
 
 
 def complete_records(read: Iterable[StoredRecord]) -> list[Record]:
-    """What the records say by themselves, and those of batches that are whole."""
+    """Returns the records outside of batches, and those of complete batches."""
     reader = BatchReader()
     found: list[Record] = []
     for each in read:
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -1,5 +1,5 @@
-"""Formats of what controllers write for each other: batches, snapshots, evidence of what members
-read, and what the version in production wrote."""
+"""Formats of what controllers write for each other: batches, snapshots, the announced formats of
+peers, and compatibility with the version in production."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 PAGE_BYTES = LOWER.value_bytes * 7 // 8
 
 
-def meaning(state: Any) -> dict[str, Any]:
-    """What a ledger says of each job, in plain values: the same for both versions."""
+def job_contents(state: Any) -> dict[str, Any]:
+    """Returns the contents of a state by job, in plain values that both versions have."""
     found: dict[str, Any] = {ref: state.terminal_jobs.get(ref) for ref in state.terminal_jobs}
     for job in state.jobs.values():
         if job.is_terminal and not job.placements:
@@ -56,26 +56,27 @@
     return found
 
 
-def read(rows: dict[str, Any], book: Any) -> Any:
-    """The book that the pages make."""
+def replay_pages(rows: dict[str, Any], state: Any) -> Any:
+    """Returns the state after a replay of all pages."""
     for key in sorted(rows):
         if key.startswith("p/"):
-            for record in rows[key]["r"]:
-                book.replay(record, int(key[2:]))
-    return book
+            for items in rows[key]["r"]:
+                state.replay(items, int(key[2:]))
+    return state
 
 
-# What production wrote, and what it reads
+# Compatibility with data of the version in production
 
 
-def test_pages_that_production_wrote_mean_the_same_today() -> None:
-    kept = json.loads(FIXTURE.read_text())
-    assert kept["commit"] == production.commit()
-    assert len(kept["meaning"]) > 20
-    assert meaning(read(kept["rows"], ClusterState())) == kept["meaning"]
+def test_pages_written_by_production_give_the_same_state() -> None:
+    # An upgraded leader takes over pages that the version in production wrote.
+    fixture = json.loads(FIXTURE.read_text())
+    assert fixture["commit"] == production.commit()
+    assert len(fixture["meaning"]) > 20
+    assert job_contents(replay_pages(fixture["rows"], ClusterState())) == fixture["meaning"]
 
 
-def test_keys_and_mail_that_production_wrote_are_read_today() -> None:
+def test_keys_and_relayed_frames_written_by_production_are_read() -> None:
     rows = json.loads(FIXTURE.read_text())["rows"]
     assert {"term", "node", "boot"} <= rows["lead"].keys()
     mailed = [decode_batch(value)[1] for key, value in rows.items() if key.startswith("mail/")]
@@ -85,9 +86,11 @@
     assert {parse_range(frame.get("formats")) for frame in heartbeats} == {formats.UNANNOUNCED}
 
 
-def test_what_is_written_before_the_raise_means_the_same_to_production() -> None:
-    # Needs production's sources: skipped where the clone lacks its commit.
-    book = production.under_present_names(production.module("ledger.book").Book())
+def test_production_reads_what_is_written_before_the_format_is_raised() -> None:
+    # During a rolling upgrade, or after a rollback, the version in production takes over pages that
+    # the present version wrote or compacted. Needs production's sources; skipped if the clone lacks
+    # their commit.
+    production_state = production.under_present_names(production.module("ledger.book").Book())
     world = UpgradingCluster(seed=3, upgraded=NODES[:2])
     while world.leader() not in NODES[:2]:
         change_leader(world) if world.leader() else world.run(0.5)
@@ -102,35 +105,39 @@
     world.run(40.0)
     assert world.format == formats.FIRST
     rows = {key: value for key, (value, _, _) in world.state.rows.items()}
-    # Old pages were cleaned by today's code meanwhile.
+    # Meanwhile the present code has compacted old pages.
     assert min(int(key[2:]) for key in rows if key.startswith("p/") and key != "p/00000000") > 1
-    assert meaning(read(rows, book)) == meaning(read(rows, ClusterState()))
+    assert job_contents(replay_pages(rows, production_state)) == job_contents(
+        replay_pages(rows, ClusterState())
+    )
 
 
 # Batches
 
 
 def read_all(records: list[list[Any]]) -> list[list[Any]]:
-    read = [decode_record(items) for items in records]
-    return [stored(certain) for certain in complete_records(read)]
+    """Returns the stored form of the records that take effect."""
+    decoded = [decode_record(items) for items in records]
+    return [stored(complete) for complete in complete_records(decoded)]
 
 
 def pieces(records: list[list[Any]], max_bytes: int) -> list[list[Any]]:
-    """What lies in the store of a batch of these records."""
+    """Returns the stored form of a batch of these records."""
     written = split_batch([record(*items) for items in records], max_bytes)
     return [stored(piece) for piece in written]
 
 
-def test_a_batch_is_read_whole_or_not_at_all() -> None:
+def test_a_batch_is_read_completely_or_not_at_all() -> None:
+    # A writer may be deposed between the commits of two pieces, and pages may be compacted.
     records = [["E", number, 0, 1, False] for number in range(200)]
     written = pieces(records, 500)
     assert len(written) > 3
     assert read_all(written) == records
-    # Its writer was deposed before the last piece; the next one writes other records.
+    # The writer was deposed before the last piece; its successor writes other records.
     assert read_all(written[:-1]) == []
     assert read_all([*written[:-1], ["C", 7]]) == [["C", 7]]
     assert read_all([*written[:-1], *pieces(records[:3], 500)]) == records[:3]
-    # Its first page was cleaned: what the rest says was said anew.
+    # The first page was compacted: the records of the others were rewritten.
     assert read_all(written[1:]) == []
     assert read_all([*written[1:], ["C", 7]]) == [["C", 7]]
 
@@ -138,54 +145,58 @@
 @pytest.mark.real_processes
 @given(st.lists(st.integers(1, 900), max_size=60), st.integers(1000, 4000))
 @examples(derandomize=True, max_examples=60)
-def test_pieces_stay_within_a_page_and_lose_nothing(sizes: list[int], most: int) -> None:
+def test_pieces_stay_within_a_page_and_lose_nothing(sizes: list[int], max_bytes: int) -> None:
     records: list[list[Any]] = [["F", 0, "x" * size, "done"] for size in sizes]
-    written = pieces(records, most)
-    assert all(piece[0] == "B" and record_size(decode_record(piece)) <= most for piece in written)
+    written = pieces(records, max_bytes)
+    assert all(
+        piece[0] == "B" and record_size(decode_record(piece)) <= max_bytes for piece in written
+    )
     assert read_all(written) == records
 
 
 def test_a_snapshot_of_any_job_fits_into_pages_of_the_lower_limits() -> None:
-    book = ClusterState()
+    state = ClusterState()
     job = spec("j-000001", job_kind=wire.ARRAY, tasks=100_000, spread=False)
-    book.apply(accepted(1, 1.0, job), 1)
+    state.apply(accepted(1, 1.0, job), 1)
     rng = random.Random(4)
     for task in range(4000):
-        book.apply(record("P", 1, task, 1 + task % 3, f"n-{task:06d}", "a"), 1)
+        state.apply(record("P", 1, task, 1 + task % 3, f"n-{task:06d}", "a"), 1)
         if rng.random() < 0.6:
-            book.apply(record("E", 1, task, 1 + task % 3, rng.random() < 0.5), 1)
+            state.apply(record("E", 1, task, 1 + task % 3, rng.random() < 0.5), 1)
     types = [{"label": f"type-{number}", "yards": ["a"] * 40} for number in range(30)]
-    book.apply(record("K", types), 1)
-    groups = page_records(book, 1, PAGE_BYTES)
+    state.apply(record("K", types), 1)
+    groups = page_records(state, 1, PAGE_BYTES)
     written = [piece for group in groups for piece in split_batch(group, PAGE_BYTES)]
     assert max(map(record_size, written)) <= PAGE_BYTES
-    again = ClusterState()
+    restored = ClusterState()
     for piece in written:
-        again.replay(stored(piece), 2)
-    assert meaning(again) == meaning(book)
-    assert again.catalog == book.catalog
+        restored.replay(stored(piece), 2)
+    assert job_contents(restored) == job_contents(state)
+    assert restored.catalog == state.catalog
 
 
-def test_a_gang_that_is_done_stays_done_in_a_snapshot_with_tasks_not_proven_over() -> None:
-    book = ClusterState()
-    book.apply(accepted(1, 1.0, gang("j-000001", 3)), 1)
+def test_a_done_gang_stays_done_in_a_snapshot_while_attempts_are_not_proven_ended() -> None:
+    # The end of one task completes the gang; a snapshot must not make the others pending again.
+    state = ClusterState()
+    state.apply(accepted(1, 1.0, gang("j-000001", 3)), 1)
     for task in range(3):
-        book.apply(record("P", 1, task, 1, f"n-{task}", "a"), 1)
-    book.apply(record("E", 1, 1, 1, True), 1)
-    assert book.jobs[1].is_done
-    again = ClusterState()
-    for group in page_records(book, 1, PAGE_BYTES):
+        state.apply(record("P", 1, task, 1, f"n-{task}", "a"), 1)
+    state.apply(record("E", 1, 1, 1, True), 1)
+    assert state.jobs[1].is_done
+    restored = ClusterState()
+    for group in page_records(state, 1, PAGE_BYTES):
         for written in group:
-            again.replay(stored(written), 2)
-    assert again.jobs[1].is_done
-    assert sorted(again.jobs[1].placements) == [0, 2]
+            restored.replay(stored(written), 2)
+    assert restored.jobs[1].is_done
+    assert sorted(restored.jobs[1].placements) == [0, 2]
     for task in (0, 2):
-        again.apply(record("E", 1, task, 1, False), 2)
-    assert again.jobs[1].is_done
-    assert not again.jobs[1].pending_count
+        restored.apply(record("E", 1, task, 1, False), 2)
+    assert restored.jobs[1].is_done
+    assert not restored.jobs[1].pending_count
 
 
 def test_a_submission_with_names_longer_than_a_page_is_refused() -> None:
+    # Its record would fit into no page, so it could never be committed.
     world = SimulatedCluster(value_bytes=2048)
     world.submit(spec("j-000009", tasks=1))
     world.run(15.0)
@@ -197,45 +208,46 @@
     assert world.until(lambda: world.count("j-000002") == 1, 10.0)
 
 
-# Evidence
+# Announced formats
 
 
 @pytest.mark.parametrize(
     "stated", [None, 2, "2", [2], [1, 2, 3], [2, 1], [0, 2], [1, "2"], [True, 2], {"newest": 2}]
 )
-def test_a_range_that_is_none_counts_as_the_first_format(stated: object) -> None:
+def test_an_invalid_range_counts_as_the_first_format(stated: object) -> None:
     assert parse_range(stated) == formats.UNANNOUNCED
 
 
 def member_formats() -> FormatNegotiation:
+    """Returns the format negotiation of a controller that has no peers running."""
     world = SimulatedCluster(nodes=NODES[:1])
     return world.nodes[NODES[0]].formats
 
 
-def test_only_the_newest_connection_of_a_peer_speaks_for_it() -> None:
-    known = member_formats()
-    known.on_hello("hearth-1", 5, [1, 2])
-    assert known.newest_format_of("hearth-1") == 2
-    # Its earlier life, before the upgrade: held back by the network, delivered late.
-    known.on_hello("hearth-1", 3, None)
-    assert known.newest_format_of("hearth-1") == 2
-    # It was rolled back.
-    known.on_hello("hearth-1", 6, None)
-    assert known.newest_format_of("hearth-1") == 1
-    known.on_hello("hearth-1", 5, [1, 2])
-    assert known.newest_format_of("hearth-1") == 1
+def test_only_the_newest_connection_of_a_peer_announces_its_formats() -> None:
+    negotiation = member_formats()
+    negotiation.on_hello("hearth-1", 5, [1, 2])
+    assert negotiation.newest_format_of("hearth-1") == 2
+    # From an earlier incarnation, before the upgrade; delayed by the network.
+    negotiation.on_hello("hearth-1", 3, None)
+    assert negotiation.newest_format_of("hearth-1") == 2
+    # The peer was rolled back.
+    negotiation.on_hello("hearth-1", 6, None)
+    assert negotiation.newest_format_of("hearth-1") == 1
+    negotiation.on_hello("hearth-1", 5, [1, 2])
+    assert negotiation.newest_format_of("hearth-1") == 1
 
 
-def test_mail_raises_what_is_known_and_never_lowers_it() -> None:
-    known = member_formats()
-    known.on_relayed_heartbeat("hearth-1", None)
-    assert known.newest_format_of("hearth-1") == 1
-    known.on_relayed_heartbeat("hearth-1", [1, 2])
-    known.on_relayed_heartbeat("hearth-1", None)
-    assert known.newest_format_of("hearth-1") == 2
+def test_relayed_heartbeats_raise_the_known_format_and_never_lower_it() -> None:
+    negotiation = member_formats()
+    negotiation.on_relayed_heartbeat("hearth-1", None)
+    assert negotiation.newest_format_of("hearth-1") == 1
+    negotiation.on_relayed_heartbeat("hearth-1", [1, 2])
+    negotiation.on_relayed_heartbeat("hearth-1", None)
+    assert negotiation.newest_format_of("hearth-1") == 2
 
 
-def test_what_all_read_is_what_every_configured_member_reads() -> None:
+def test_the_common_format_is_read_by_every_configured_member() -> None:
     world = SimulatedCluster()
     assert world.until(lambda: world.leader() is not None, 20.0)
     world.run(3.0)
@@ -247,29 +259,30 @@
     assert FormatRange(1, 3) == formats.SUPPORTED
 
 
-def test_the_evidence_costs_few_changes() -> None:
+def test_announced_formats_are_not_rewritten_while_unchanged() -> None:
+    # The key with the announced formats must not use up the store's write budget.
     world = SimulatedCluster()
     world.run(60.0)
-    _, stamp, _ = world.state.rows["formats"]
+    _, version, _ = world.state.rows["formats"]
     world.run(60.0)
-    assert world.state.rows["formats"][1] == stamp
+    assert world.state.rows["formats"][1] == version
 
 
-# What production does with what it doesn't know: the table in docs/upgrade.md
+# How production treats what it doesn't know: the table in docs/upgrade.md
 
 
 def production_reads(record: list[Any]) -> str:
-    """How production's ledger takes a record after a job of two tasks, one of them placed."""
-    book = production.under_present_names(production.module("ledger.book").Book())
+    """Returns how production treats a record after a job of two tasks, one of them placed."""
+    state = production.under_present_names(production.module("ledger.book").Book())
     job = msgspec.to_builtins(batch("j-000001", 2))
-    book.replay(["J", 1, 1.0, *job], 1)
-    book.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
-    before = meaning(book)
+    state.replay(["J", 1, 1.0, *job], 1)
+    state.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
+    before = job_contents(state)
     try:
-        book.replay(record, 1)
+        state.replay(record, 1)
     except Exception as fault:
         return type(fault).__name__
-    return "ignored" if meaning(book) == before else "taken"
+    return "ignored" if job_contents(state) == before else "taken"
 
 
 @pytest.mark.parametrize(
@@ -285,12 +298,13 @@
         (["K", [], True], "TypeError"),
     ],
 )
-def test_production_takes_ignores_or_refuses_a_record(record: list[Any], outcome: str) -> None:
-    # What it refuses it logs as `ledger_damaged`, and serves nothing.
+def test_production_applies_ignores_or_refuses_a_record(record: list[Any], outcome: str) -> None:
+    # Production logs a record that it refuses as `ledger_damaged`, and serves nothing.
     assert production_reads(record) == outcome
 
 
-def test_production_passes_over_frames_and_fields_that_it_does_not_know() -> None:
+def test_production_ignores_unknown_frames_and_fields() -> None:
+    # During a rolling upgrade, production receives frames and fields that newer controllers send.
     world = UpgradingCluster(seed=5)
     world.submit(spec("j-000001", tasks=2))
     world.run(20.0)
--- a/tests/test_record_queue.py
+++ b/tests/test_record_queue.py
@@ -1,4 +1,4 @@
-"""Which page a proposed record goes to, and what a lower limit of the store does to pages."""
+"""The record queue: which page a record goes to, and how a lowered size limit affects pages."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 CANCELLATIONS = 5
 
 
-def ended(count: int) -> list[Record]:
-    """Records of equal size."""
+def end_records(count: int) -> list[Record]:
+    """Returns records of equal size."""
     return [AttemptEnded(1, 100 + task, 1, is_done=False) for task in range(count)]
 
 
@@ -24,13 +24,13 @@
 
 
 def propose_cancellations(queue: RecordQueue) -> None:
-    """Leaves too little of the first page for as many records as a page holds."""
+    """Fills a part of the first page, so that a full page of records no longer fits into it."""
     for job in range(CANCELLATIONS):
         propose(queue, JobCancelled(job))
 
 
-def pages_of(queue: RecordQueue) -> dict[int, int]:
-    """How many bytes the waiting records take in each page; empties the queue."""
+def bytes_by_page(queue: RecordQueue) -> dict[int, int]:
+    """Empties the queue; returns the bytes of its records by page."""
     sizes: dict[int, int] = {}
     while queue:
         record, page, _ = queue.popleft()
@@ -42,21 +42,21 @@
     limits = PageLimits(LIMITS)
     assert limits.page_bytes == 896
     queue = RecordQueue(limits)
-    for record in ended(130):
+    for record in end_records(130):
         propose(queue, record)
     assert queue.first_page == 1
     assert queue.page_count == 3
-    sizes = pages_of(queue)
+    sizes = bytes_by_page(queue)
     assert list(sizes) == [1, 2, 3]
-    size = record_size(ended(1)[0])
+    size = record_size(end_records(1)[0])
     assert all(896 - size < sizes[page] <= 896 for page in (1, 2))
     assert queue.page_count == 0
 
 
-def test_a_batch_that_fits_into_a_page_stands_in_one() -> None:
+def test_a_batch_that_fits_into_a_page_is_not_split() -> None:
     queue = RecordQueue(PageLimits(LIMITS))
     propose_cancellations(queue)
-    first_page = queue.append_batch(ended(896 // record_size(ended(1)[0])), None)
+    first_page = queue.append_batch(end_records(896 // record_size(end_records(1)[0])), None)
     assert first_page == 2
     assert queue.page_count == 2
     for _ in range(CANCELLATIONS):
@@ -65,11 +65,11 @@
     assert queue.page_count == 1
 
 
-def test_a_larger_batch_is_written_in_pieces_and_reported_with_the_last() -> None:
+def test_a_larger_batch_is_split_and_its_callback_follows_the_last_piece() -> None:
     queue = RecordQueue(PageLimits(LIMITS))
     calls: list[int] = []
     propose_cancellations(queue)
-    assert queue.append_batch(ended(120), lambda: calls.append(1)) == 2
+    assert queue.append_batch(end_records(120), lambda: calls.append(1)) == 2
     for _ in range(CANCELLATIONS):
         queue.popleft()
     queued = [queue.popleft() for _ in range(len(queue))]
@@ -83,7 +83,7 @@
 def test_the_callback_of_the_last_record_is_replaced() -> None:
     queue = RecordQueue(PageLimits(LIMITS))
     calls: list[int] = []
-    for record in ended(2):
+    for record in end_records(2):
         propose(queue, record)
     queue.set_last_callback(lambda: calls.append(1))
     assert queue.popleft().on_committed is None
@@ -93,21 +93,21 @@
     assert calls == [1]
 
 
-def test_halved_limits_count_at_once_and_have_a_floor() -> None:
+def test_halved_limits_apply_at_once_and_have_a_minimum() -> None:
     limits = PageLimits(StateLimits(write_rps=100.0, value_bytes=8192, txn_ops=32))
     queue = RecordQueue(limits)
     assert (limits.page_bytes, limits.transaction_pages) == (7168, 7)
     limits.halve()
     assert (limits.page_bytes, limits.transaction_pages) == (3584, 3)
-    for record in ended(400):
+    for record in end_records(400):
         propose(queue, record)
-    assert max(pages_of(queue).values()) <= 3584
+    assert max(bytes_by_page(queue).values()) <= 3584
     for _ in range(5):
         limits.halve()
     assert (limits.page_bytes, limits.transaction_pages) == (MIN_PAGE_BYTES, 1)
 
 
-def test_keys_of_pages_are_in_their_order() -> None:
+def test_keys_of_pages_sort_by_page_number() -> None:
     assert page_key(7) == "p/00000007"
     assert page_of_key(page_key(12345)) == 12345
     assert page_key(9) < page_key(10)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Records as structs: what is decoded and encoded again is what lay in the store, to the byte."""
+"""Records: decoding and encoding a stored record reproduces its bytes; invalid ones are refused."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def assert_encoded_as_stored(items: list[Any]) -> None:
-    """The record of these items has their bytes, in the store and where sizes are counted."""
+    """Asserts that the decoded record has the bytes and the size of the items."""
     decoded = decode_record(items)
     assert msgspec.msgpack.encode(decoded) == msgspec.msgpack.encode(items)
     assert msgspec.json.encode(decoded) == msgspec.json.encode(items)
@@ -33,17 +33,17 @@
 
 
 def stored_records(rows: dict[str, Any]) -> list[list[Any]]:
-    """The items of all pages."""
+    """Returns the items of all pages."""
     return [items for key in sorted(rows) if key.startswith("p/") for items in rows[key]["r"]]
 
 
 def tags(records: list[list[Any]]) -> set[str]:
-    """The kinds of the records, those within batches too."""
+    """Returns the kinds of the records, including those within batches."""
     inner = [each for items in records if items[0] == "B" for each in items[3]]
     return {items[0] for items in [*records, *inner]}
 
 
-def test_records_of_the_kept_fixture_are_encoded_as_they_were_stored() -> None:
+def test_records_of_the_stored_fixture_are_encoded_as_they_were_stored() -> None:
     records = stored_records(json.loads(FIXTURE.read_text())["rows"])
     assert len(records) > 300
     assert tags(records) == {"J", "P", "E", "C", "K"}
@@ -52,7 +52,7 @@
 
 
 def test_records_that_production_writes_are_encoded_as_they_were_stored() -> None:
-    # Needs production's sources: skipped where the clone lacks its commit.
+    # Needs production's sources; skipped if the clone lacks their commit.
     world = UpgradingCluster(seed=4, upgraded=())
     world.run(10.0)
     for number in range(6):
@@ -67,7 +67,7 @@
         assert_encoded_as_stored(items)
 
 
-def test_records_of_a_day_with_loans_and_gangs_are_encoded_as_they_were_stored() -> None:
+def test_records_of_a_run_with_loans_and_gangs_are_encoded_as_they_were_stored() -> None:
     world = SimulatedLendingCluster()
     world.run(10.0)
     world.submit(gang("j-000001", 3, cores=1.0))
@@ -104,20 +104,20 @@
     assert_encoded_as_stored(items)
 
 
-def test_the_items_of_an_accepted_job_are_those_of_its_specification() -> None:
-    own = list(get_type_hints(JobAccepted).items())
-    assert own[2:] == list(get_type_hints(wire.Spec).items())
+def test_an_accepted_job_has_the_items_of_its_specification_in_order() -> None:
+    record_fields = list(get_type_hints(JobAccepted).items())
+    assert record_fields[2:] == list(get_type_hints(wire.Spec).items())
     job = spec("j-000001", machine_types=("c16", "g8"), deadline=9.5)
     assert accepted(3, 1.5, job).spec == job
     items = json.loads(msgspec.json.encode(job))
     assert stored(accepted(3, 1.5, job)) == ["J", 3, 1.5, *items]
 
 
-def test_further_items_of_a_specification_are_passed_over() -> None:
+def test_additional_items_of_a_specification_are_ignored() -> None:
     assert record("J", 3, 1.5, *SPEC_ITEMS, "more") == record("J", 3, 1.5, *SPEC_ITEMS)
 
 
-def test_a_catalogue_is_one_record_or_several_that_begin_anew() -> None:
+def test_a_catalog_is_one_record_or_several_that_replace_the_earlier_ones() -> None:
     types = [{"label": f"type-{number}"} for number in range(4)]
     assert [stored(each) for each in catalog_records(types, 4096)] == [["K", types]]
     parts = [stored(each) for each in catalog_records(types, 64)]
@@ -153,6 +153,6 @@
         ["A", "crew", 5.0],
     ],
 )
-def test_what_is_no_record_is_refused(items: Any) -> None:
+def test_an_invalid_record_is_refused(items: Any) -> None:
     with pytest.raises(InvalidRecordError):
         ClusterState().replay(items, 1)
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -1,4 +1,4 @@
-"""Combinations of faults in which the state service refuses, is slow, loses answers or is late."""
+"""Faults of the state service: refused, slow, lost and delayed calls, and combinations of these."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from .simulated_cluster import NODES, SimulatedCluster, batch, spec
 
 
-def test_the_gap_between_a_refused_leader_and_an_outage() -> None:
-    # The meeting that broke most schedulers: the leader is refused, another confirms cancellations,
-    # then nobody reaches the state service for longer than `cancel_s` while workers go on reporting
-    # to the old leader.
+def test_cancellations_hold_when_an_outage_follows_a_refused_leader() -> None:
+    # The state service refuses the leader, the next leader confirms cancellations, then no
+    # controller reaches the state service for longer than `cancel_s`, while workers still report to
+    # the old leader. A confirmed cancellation must hold nevertheless.
     for seed in range(3):
         world = busy(seed, services=10, arrays=4, run_time=200.0)
         old = leader_of(world)
@@ -23,7 +23,7 @@
         world.after(4.0, world.outage, 40.0)
         refs = [f"j-{number:06d}" for number in [*range(10), *range(100, 104)]]
         for number, ref in enumerate(refs):
-            # At the refused leader, at the next one, and in the outage.
+            # Sent to the refused leader, to the next one, and during the outage.
             world.after(number * 0.6, world.cancel, ref, number)
         world.run(3.9)
         new = leader_of(world)
@@ -38,7 +38,9 @@
         ends_well(world, 20)
 
 
-def test_cancelled_as_the_leader_is_refused_and_a_second_later_nobody_is_served() -> None:
+def test_cancellations_hold_when_an_outage_begins_a_second_after_the_leader_is_refused() -> None:
+    # Jobs are cancelled as the state service refuses the leader; a second later it fails for all.
+    # No task of a job whose cancellation was confirmed may run, and every user gets a reply.
     for seed in range(3):
         world = busy(seed, services=8, arrays=2, run_time=200.0)
         world.refuse(leader_of(world), 14.0)
@@ -54,10 +56,10 @@
 
 
 @pytest.mark.parametrize("at_once", [False, True])
-def test_transactions_without_an_answer(at_once: bool) -> None:
-    # Carried out after newer ones of the same controller, or at once while other nodes read what
-    # they wrote. Found: a record whose types are a tuple was not recognised when read back, so the
-    # leader took itself for deposed.
+def test_transactions_without_a_reply_are_executed_late_or_at_once(at_once: bool) -> None:
+    # The store executes transactions without a reply: after newer ones of the same controller, or
+    # at once, while other controllers read what they wrote. A record with a tuple of types was not
+    # recognized when it was read back, so the leader assumed that it was deposed.
     world = busy()
     for number in range(200, 240):
         world.after(
@@ -79,7 +81,8 @@
     ends_well(world)
 
 
-def test_ten_leaders_in_two_minutes_also_inside_an_outage() -> None:
+def test_ten_changes_of_leader_in_two_minutes_also_during_outages() -> None:
+    # Leaders crash, are isolated or are refused by the state service, some just before an outage.
     world = busy()
     first = term(world)
     steady_work(world, 100.0, every=1.0)
@@ -98,7 +101,9 @@
     ends_well(world)
 
 
-def test_the_state_service_is_slow_or_gone_while_users_cancel_and_ask() -> None:
+def test_cancellations_and_queries_while_the_state_service_is_slow_or_unreachable() -> None:
+    # Cancellations are confirmed while the state service is slow; those sent while it refuses the
+    # leader and then fails for all are confirmed later.
     world = busy(services=6, run_time=200.0)
     world.slow_state(0.6, 20.0)
     for number in range(4):
@@ -116,9 +121,9 @@
     ends_well(world)
 
 
-def test_one_task_jobs_four_a_second_for_minutes_a_quarter_cancelled() -> None:
-    # Also while a cancelled job's machine is silent: found that cleaning then stood still, and
-    # pages grew with the day.
+def test_compaction_keeps_up_with_four_jobs_per_second_while_a_machine_hangs() -> None:
+    # Four jobs of one task per second, a quarter of them cancelled. Compaction stopped while the
+    # machine of a cancelled job sent no heartbeats, so the number of pages grew without bound.
     world = SimulatedCluster(value_bytes=2048)
     world.submit(spec("j-900000", tasks=2))
     assert world.until(lambda: world.count("j-900000") == 2, 60)
@@ -134,10 +139,10 @@
     world.cancel("j-900000")
     world.run(90)
     leader = world.nodes[leader_of(world)]
-    kept = [key for key in world.state.rows if key.startswith("p/")]
-    written = max(int(key[2:]) for key in kept)
+    page_keys = [key for key in world.state.rows if key.startswith("p/")]
+    last_page = max(int(key[2:]) for key in page_keys)
     assert leader.leader.state.jobs_by_ref["j-900000"].placements
-    assert len(kept) < written / 2, (len(kept), written)
+    assert len(page_keys) < last_page / 2, (len(page_keys), last_page)
     change_leader(world)
     world.run(40)
     world.cloud.down = False
@@ -148,8 +153,9 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(seed: int) -> None:
-    # Found: the next leader released machines that worked and were not listed yet.
+def test_a_new_leader_keeps_working_machines_that_are_not_listed_yet(seed: int) -> None:
+    # New machines get tasks at once, the cloud lists them late, writes are slow, and the leader
+    # crashes. The next leader terminated machines that ran tasks but were not listed yet.
     world = SimulatedCluster(seed)
     world.cloud.boot, world.cloud.lag = 1.0, 4.0
     world.run(3)
@@ -165,25 +171,25 @@
     ends_well(world)
 
 
-def test_a_late_copy_of_a_transaction_brings_no_cleaned_page_back() -> None:
-    # Found by reading: the guard "does not exist" holds again once the page that a transaction
-    # created is cleaned away; its late copy, under the same term, would have brought old records
-    # back for the next leader to read.
+def test_a_delayed_copy_of_a_transaction_restores_no_compacted_page() -> None:
+    # The condition "does not exist" holds again once the page that a transaction created has been
+    # compacted and deleted. A delayed copy under the same term would then have restored its old
+    # records, and the next leader would have read them.
     world = SimulatedCluster(value_bytes=512)
     sent: list[wire.Transaction] = []
     transact = world.state.transact
 
-    def seen(txn: wire.Transaction) -> tuple[int, object]:
+    def recorded(txn: wire.Transaction) -> tuple[int, object]:
         status, body = transact(txn)
         if status == 200 and any((change.put or "").startswith("p/") for change in txn.changes):
             sent.append(txn)
         return status, body
 
-    world.state.transact = seen  # type: ignore[method-assign]
+    world.state.transact = recorded  # type: ignore[method-assign]
     for number in range(100):
         world.after(number * 0.4, world.submit, batch(f"j-{number:06d}", 1), 1.0, number)
     world.run(60)
-    gone = [
+    compacted = [
         txn
         for txn in sent
         if all(
@@ -192,13 +198,13 @@
             if change.put != "p/00000000"
         )
     ]
-    assert len(gone) > 20
+    assert len(compacted) > 20
     assert {transact(txn)[0] for txn in sent} == {409}
 
 
-def test_a_commit_whose_answer_is_lost_is_recognised_when_read_back() -> None:
-    # Found: types are a tuple in memory and a list when read, so the leader took itself for
-    # deposed.
+def test_a_commit_whose_reply_is_lost_is_recognized_when_read_back() -> None:
+    # Machine types are a tuple in memory and a list when read back. Comparing the two failed, so
+    # the leader assumed that it was deposed.
     world = busy()
     leader = world.nodes[leader_of(world)].leader
     before = leader.term
@@ -217,32 +223,32 @@
     ends_well(world, 20)
 
 
-def test_answers_that_are_lost_keep_no_user_waiting() -> None:
-    # Found on a day of our own: with a third of the transactions unanswered, most polls were
-    # answered after the 2 s for which users wait, since one lost answer held all questions up.
+def test_lost_replies_of_the_state_service_delay_no_user() -> None:
+    # With a third of the transactions unanswered, most polls got their reply after the 2 s for
+    # which users wait, since one lost reply of the store delayed all queries.
     world = busy()
     world.lose_writes(0.3, 60.0)
-    waits: list[float] = []
+    reply_times: list[float] = []
 
-    def ask(number: int) -> None:
-        asked = world.sim.time
+    def poll(number: int) -> None:
+        sent_at = world.sim.time
 
-        def told(status: int, _: object) -> None:
-            waits.append(world.sim.time - asked if status == 200 else 9.0)
+        def on_reply(status: int, _: object) -> None:
+            reply_times.append(world.sim.time - sent_at if status == 200 else 9.0)
 
-        world.call(NODES[number % 3], "GET", f"{wire.JOBS}/j-{number % 4:06d}", None, told)
+        world.call(NODES[number % 3], "GET", f"{wire.JOBS}/j-{number % 4:06d}", None, on_reply)
 
     for number in range(500):
-        world.after(number * 0.1, ask, number)
+        world.after(number * 0.1, poll, number)
     world.run(56)
-    assert len(waits) == 500
-    assert sum(wait < 2.0 for wait in waits) > 450
+    assert len(reply_times) == 500
+    assert sum(wait < 2.0 for wait in reply_times) > 450
 
 
-def test_a_leader_that_gave_up_never_leads_the_same_term_again() -> None:
-    # Found: the key still named it, so it led the same term anew and took what it had placed for
-    # placed by an earlier one. A launch that was held up then came under a token that the worker
-    # still takes: the task ran twice.
+def test_a_leader_that_stepped_down_never_leads_the_same_term_again() -> None:
+    # The leader key still named it, so it led the same term again and regarded its own placements
+    # as those of an earlier leader. A delayed launch then arrived with a fencing token that the
+    # worker still accepts: the task ran twice.
     world = busy(services=1, arrays=0)
     old = world.nodes[leader_of(world)]
     first, task = old.election.term, "j-000050/0"
@@ -257,18 +263,19 @@
     ends_well(world, 30)
 
 
-def test_a_damaged_ledger_is_said_once_and_not_served_from(
+def test_a_damaged_ledger_is_logged_once_and_not_served(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # Serving from a ledger of which a page can't be read could start a task twice.
     world = busy()
-    sound = world.state.rows["p/00000001"]
+    intact = world.state.rows["p/00000001"]
     for damage in ({"x": 1}, {"r": [["?"]]}):
-        world.state.rows["p/00000001"] = damage, *sound[1:]
+        world.state.rows["p/00000001"] = damage, *intact[1:]
         caplog.clear()
         with caplog.at_level(logging.ERROR):
             world.crash(leader_of(world), back_after=1.0)
             world.run(4)
         assert [record.message.split()[0] for record in caplog.records] == ["event=ledger_damaged"]
         assert not any(node.election.is_ready for node in world.nodes.values())
-    world.state.rows["p/00000001"] = sound
+    world.state.rows["p/00000001"] = intact
     ends_well(world, 40)
--- a/tests/test_wire_messages.py
+++ b/tests/test_wire_messages.py
@@ -1,4 +1,4 @@
-"""The bytes of the messages that are sent: fields, their order, and which are omitted."""
+"""The encoded messages: their fields, the order of these, and which are omitted."""
 
 from __future__ import annotations
 
@@ -72,24 +72,24 @@
         {"ref": "j-000001", "stage": "pending", "done": 0, "running": 0, "try": 0, "waiting": 0},
     ),
 }
-"""A message and what is to be on the wire."""
+"""Messages, and what must be on the wire, by name."""
 
 
 @pytest.mark.parametrize("name", SENT)
-def test_a_message_has_the_same_bytes_as_ever(name: str) -> None:
+def test_a_message_has_the_specified_bytes(name: str) -> None:
     message, sent = SENT[name]
     assert pack(message) == pack(sent)
-    # Frames between controllers carry some of them as builtins.
+    # Frames between controllers contain some of them as builtins.
     assert pack(msgspec.to_builtins(message)) == pack(sent)
 
 
 @pytest.mark.parametrize("name", [name for name in SENT if not name.startswith("transaction")])
-def test_the_other_side_reads_what_was_sent(name: str) -> None:
+def test_a_sent_message_decodes_to_the_original(name: str) -> None:
     message, sent = SENT[name]
     assert msgspec.msgpack.decode(pack(sent), type=type(message)) == message
 
 
-def test_a_write_of_nothing_is_no_delete() -> None:
+def test_a_write_of_none_differs_from_a_delete() -> None:
     sent = store.Transaction.build({}, {"a": None}, ["b"])
     write, delete = msgspec.msgpack.decode(pack(sent), type=store.Transaction).changes
     assert (write.put, write.value, write.drop) == ("a", None, None)
