--- a/flaxtally/ledger/job.py
+++ b/flaxtally/ledger/job.py
@@ -80,10 +80,12 @@
         self.is_committed = False
         self.is_cancellation_committed = False
         self.reported_stage = ""
+        """The terminal stage, once it may be reported to users; empty before."""
         self.uncommitted_ends = 0
         """Number of ended attempts whose record is not committed yet."""
         self.cancelled_at = 0.0
         self.known_at = 0.0
+        """When this leader accepted the job; 0 for a job of an earlier term."""
         self.pending_since = 0.0
         """Time since which it has pending tasks of which none was placed."""
 
--- a/flaxtally/ledger/placement.py
+++ b/flaxtally/ledger/placement.py
@@ -65,14 +65,20 @@
         self.zone = zone
         self.is_committed = False
         self.is_inherited = False
+        """Whether an earlier leader placed it."""
         self.launch_incarnation = 0
+        """The newest incarnation of the worker to which a launch was sent; 0: none was sent."""
         self.launches_in_flight = 0
+        """Number of launch commands without a reply."""
         self.was_reported = False
+        """Whether a heartbeat of this term reported the attempt."""
         self.state = ""
         self.proposed_at = 0.0
         self.started_at: float | None = None
         self.command_sent_at = float("-inf")
+        """When a command for the attempt was last issued."""
         self.stopping_at: float | None = None
+        """When this leader learned that the task was commanded to stop; None: it was not."""
 
     def mark_inherited(self) -> None:
         """Marks it as placed by an earlier leader: it was read from the ledger on takeover."""
--- a/flaxtally/protocol/workers.py
+++ b/flaxtally/protocol/workers.py
@@ -17,6 +17,7 @@
     state: str
     cause: str | None = None
     kept: bool = False
+    """Whether a checkpoint was saved when the task was stopped."""
 
 
 class Heartbeat(
