--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -175,7 +175,7 @@
                 on_done(found)
 
         def request_page(after: str | None) -> None:
-            path = paths.list_machines_path(after, MACHINES_PER_PAGE)
+            path = paths.build_machine_list_path(after, MACHINES_PER_PAGE)
             self._enqueue(_Request(_Priority.LIST, "GET", path, None, on_reply))
 
         request_page(None)
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -111,7 +111,7 @@
                 on_done(found)
 
         def request_page(after: str | None) -> None:
-            path = paths.list_keys_path(self._prefix + prefix, after, KEYS_PER_PAGE)
+            path = paths.build_key_list_path(self._prefix + prefix, after, KEYS_PER_PAGE)
             self._client.request("GET", path, None, self._timeout_s * 2, on_reply)
 
         request_page(None)
--- a/flaxtally/ledger/compaction.py
+++ b/flaxtally/ledger/compaction.py
@@ -109,7 +109,7 @@
         jobs = [job for job in self._state.jobs.values() if job.record_page == page]
         if any(_is_being_concluded(job) for job in jobs):
             return False
-        groups = snapshot.page_records(self._state, page, self._limits.page_bytes)
+        groups = snapshot.build_page_records(self._state, page, self._limits.page_bytes)
         if self._state.format < formats.GANGS and any(map(self._exceeds_page, groups)):
             # An older controller would read such a job in part, and miss placements of its tasks.
             return False
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -30,12 +30,12 @@
 """Machine types of the catalog in one record, if they don't all fit into a page."""
 
 
-def terminal_record(job: Job) -> JobTerminated:
+def build_terminal_record(job: Job) -> JobTerminated:
     """Returns the record that is kept of a concluded job."""
     return JobTerminated(job.number, job.spec.ref, job.terminal_stage)
 
 
-def job_records(job: Job) -> list[Record]:
+def build_job_records(job: Job) -> list[Record]:
     """Returns all records of a job that is not concluded, to be written as one batch.
 
     If only a part of them were read, placed tasks would appear as not placed.
@@ -59,7 +59,7 @@
     return [accepted, *restored, *placed, *cancelled]
 
 
-def catalog_records(types: list[Any], max_bytes: int) -> list[Record]:
+def build_catalog_records(types: list[Any], max_bytes: int) -> list[Record]:
     """Returns the cloud's machine types as one record, or as a batch if they exceed a page.
 
     The first record replaces all earlier ones.
@@ -73,7 +73,7 @@
     ]
 
 
-def page_records(state: ClusterState, page: int, max_bytes: int) -> list[list[Record]]:
+def build_page_records(state: ClusterState, page: int, max_bytes: int) -> list[list[Record]]:
     """Returns the live content of a page, in groups that are each written as a batch.
 
     `max_bytes` is the largest size of the records of a page.
@@ -82,9 +82,9 @@
     if state.format > formats.FIRST and state.format_page == page:
         groups.append([FormatRaised(state.format)])
     if state.catalog and state.catalog_page == page:
-        groups.append(catalog_records(state.catalog, max_bytes))
+        groups.append(build_catalog_records(state.catalog, max_bytes))
     groups += [
-        [terminal_record(job)] if job.is_concluded else job_records(job)
+        [build_terminal_record(job)] if job.is_concluded else build_job_records(job)
         for job in state.jobs.values()
         if job.record_page == page
     ]
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -171,7 +171,7 @@
 
     def propose_catalog(self, types: list[Any]) -> None:
         """Stores the cloud's machine types, if the ledger's format allows their size."""
-        records = snapshot.catalog_records(types, self._limits.page_bytes)
+        records = snapshot.build_catalog_records(types, self._limits.page_bytes)
         if len(records) == 1 or self.writes_batches:
             self.propose_batch(records)
 
--- a/flaxtally/protocol/paths.py
+++ b/flaxtally/protocol/paths.py
@@ -19,13 +19,13 @@
 LEASES = "/holds"
 
 
-def list_keys_path(prefix: str, after: str | None, max_count: int) -> str:
+def build_key_list_path(prefix: str, after: str | None, max_count: int) -> str:
     """Returns the path of a page of the keys with a prefix that come after the key `after`."""
     start = f"&after={after}" if after else ""
     return f"{KEYS}?starts={prefix}{start}&most={max_count}"
 
 
-def list_machines_path(after: str | None, max_count: int) -> str:
+def build_machine_list_path(after: str | None, max_count: int) -> str:
     """Returns the path of a page of the cloud's machines that come after the machine `after`."""
     start = f"&after={after}" if after else ""
     return f"{MACHINES}?most={max_count}{start}"
--- a/flaxtally/protocol/wire.py
+++ b/flaxtally/protocol/wire.py
@@ -34,8 +34,8 @@
     TERMINATE,
     TRANSACTIONS,
     WORKER_STATUS,
-    list_keys_path,
-    list_machines_path,
+    build_key_list_path,
+    build_machine_list_path,
 )
 from .store import Change, Lease, LeaseRequest, Revision, Row, Rows, Transaction, VersionCheck
 from .vocabulary import (
@@ -146,11 +146,11 @@
     "TerminateRequest",
     "Transaction",
     "VersionCheck",
+    "build_key_list_path",
+    "build_machine_list_path",
     "build_submission",
     "forget",
     "launch",
-    "list_keys_path",
-    "list_machines_path",
     "parse_submission",
     "stop",
 ]
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -13,7 +13,7 @@
 
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import InvalidRecordError
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.snapshot import build_page_records
 
 from .ledger_records import accepted, record, stored
 from .simulated_cluster import batch, spec
@@ -82,7 +82,9 @@
 
 def compaction_records(state: ClusterState) -> list[list[Any]]:
     """Returns the records that a compaction of the first page writes."""
-    return [stored(each) for each in itertools.chain.from_iterable(page_records(state, 1, 2000))]
+    return [
+        stored(each) for each in itertools.chain.from_iterable(build_page_records(state, 1, 2000))
+    ]
 
 
 @pytest.mark.real_processes
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -283,8 +283,8 @@
     plan = msgspec.structs.replace(PLAN, workers=700)
     RemoteCloud(sim.host(HOST), plan, Told())  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
-    user.ask("GET", wire.list_machines_path(None, 500))
-    user.ask("GET", wire.list_machines_path("n-000499", 500))
+    user.ask("GET", wire.build_machine_list_path(None, 500))
+    user.ask("GET", wire.build_machine_list_path("n-000499", 500))
     play(sim, 1.0)
     first, second = (msgspec.msgpack.decode(body, type=wire.MachineList) for body in user.bodies)
     assert [len(first.machines), first.more] == [500, True]
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -18,7 +18,7 @@
 from flaxtally.ledger.batch import split_batch
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import decode_record, record_size
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.snapshot import build_page_records
 from flaxtally.protocol import formats, wire
 from flaxtally.protocol.formats import FormatRange, parse_range
 
@@ -165,7 +165,7 @@
             state.apply(record("E", 1, task, 1 + task % 3, rng.random() < 0.5), 1)
     types = [{"label": f"type-{number}", "yards": ["a"] * 40} for number in range(30)]
     state.apply(record("K", types), 1)
-    groups = page_records(state, 1, PAGE_BYTES)
+    groups = build_page_records(state, 1, PAGE_BYTES)
     written = [piece for group in groups for piece in split_batch(group, PAGE_BYTES)]
     assert max(map(record_size, written)) <= PAGE_BYTES
     restored = ClusterState()
@@ -184,7 +184,7 @@
     state.apply(record("E", 1, 1, 1, True), 1)
     assert state.jobs[1].is_done
     restored = ClusterState()
-    for group in page_records(state, 1, PAGE_BYTES):
+    for group in build_page_records(state, 1, PAGE_BYTES):
         for written in group:
             restored.replay(stored(written), 2)
     assert restored.jobs[1].is_done
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -15,7 +15,7 @@
 from flaxtally.fakes.settings_text import settings_text
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.reclaims import BorrowedAttempt, LoanAccount, Reclaim
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.snapshot import build_page_records
 from flaxtally.lending.entitlement import Reclaimable
 from flaxtally.lending.page import LoansPage, format_page
 from flaxtally.protocol import wire
@@ -171,13 +171,13 @@
     for written in (recall.record(), account.record(), record("X", 3)):
         book.apply(written, 1)
     again = ClusterState()
-    for group in page_records(book, 1, 4096):
+    for group in build_page_records(book, 1, 4096):
         for written in group:
             again.replay(stored(written), 2)
     assert again.loan_state.reclaims == {4: recall}
     assert again.loan_state.accounts == {"crew": account}
     assert again.loan_state.next_number == 5
-    assert page_records(again, 2, 4096) == page_records(book, 1, 4096)
+    assert build_page_records(again, 2, 4096) == build_page_records(book, 1, 4096)
 
 
 # What is refused
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -11,7 +11,7 @@
 
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.records import InvalidRecordError, JobAccepted, decode_record, record_size
-from flaxtally.ledger.snapshot import catalog_records
+from flaxtally.ledger.snapshot import build_catalog_records
 from flaxtally.protocol import wire
 
 from .ledger_records import accepted, record, stored
@@ -119,8 +119,8 @@
 
 def test_a_catalog_is_one_record_or_several_that_replace_the_earlier_ones() -> None:
     types = [{"label": f"type-{number}"} for number in range(4)]
-    assert [stored(each) for each in catalog_records(types, 4096)] == [["K", types]]
-    parts = [stored(each) for each in catalog_records(types, 64)]
+    assert [stored(each) for each in build_catalog_records(types, 4096)] == [["K", types]]
+    parts = [stored(each) for each in build_catalog_records(types, 64)]
     assert parts == [["K", [each], index > 0] for index, each in enumerate(types)]
     state = ClusterState()
     for _ in range(2):
--- a/tools/limits.py
+++ b/tools/limits.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from flaxtally.ledger.cluster_state import ClusterState
-from flaxtally.ledger.snapshot import page_records
+from flaxtally.ledger.snapshot import build_page_records
 from flaxtally.protocol import wire
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
         print(f"{jobs} jobs {text}: {tracemalloc.get_traced_memory()[0] / 2**20:.1f} MB")
         tracemalloc.stop()
         timed(f"  replay of {len(found)} records", lambda found=found: fill(found))  # type: ignore[misc]
-        timed("  a snapshot of one page", lambda book=book: page_records(book, 1, PAGE_BYTES))  # type: ignore[misc]
+        timed("  a snapshot of one page", lambda book=book: build_page_records(book, 1, PAGE_BYTES))  # type: ignore[misc]
         timed("  weight of everything", book.snapshot_bytes)
     final = ClusterState()
     tracemalloc.start()
