--- a/flaxtally/protocol/vocabulary.py
+++ b/flaxtally/protocol/vocabulary.py
@@ -1,4 +1,4 @@
-"""The words of the wire that are values of fields: kinds, ranks, states, causes and verbs."""
+"""Values of fields on the wire: kinds, ranks, states, causes and verbs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 GANG = "group"
 
 RANKS = {"critical": 0, "high": 1, "standard": 2, "idle": 3}
-"""Priorities by name; the smaller number goes first."""
+"""Priorities by name; a smaller number is scheduled first."""
 
 # States of jobs; `RUNNING` is also a state of tasks and machines
 
@@ -22,7 +22,9 @@
 
 FETCHING = "fetching"
 WAITING = "waiting"
+"""A task of a gang waits for the other tasks of the gang."""
 FLUSHING = "flushing"
+"""The task saves a checkpoint before it exits."""
 EXITED = "exited"
 TASK_STATES = frozenset({FETCHING, WAITING, RUNNING, FLUSHING, EXITED})
 
@@ -31,13 +33,17 @@
 CAUSE_DONE = "done"
 CAUSE_ERROR = "error"
 CAUSE_FULL = "full"
+"""The machine lacks free capacity for the task."""
 CAUSE_IN_USE = "in_use"
+"""Another attempt of the task runs on the machine."""
 CAUSE_UNKNOWN = "unknown"
+"""The worker does not know the job."""
 CAUSE_HALTED = "halted"
+"""The task was stopped by a command."""
 CAUSE_PEER_LOST = "mates_gone"
-"""Of a gang's task: another task of the gang is gone."""
+"""Cause for a task of a gang: another task of the gang was lost."""
 CAUSE_INCOMPLETE = "incomplete"
-"""Of a gang's task: the gang was not complete in time."""
+"""Cause for a task of a gang: the gang was not complete in time."""
 CAUSES = frozenset(
     {
         CAUSE_DONE,
@@ -61,3 +67,4 @@
 LAUNCH = "launch"
 STOP = "stop"
 FORGET = "reap"
+"""Omit an exited attempt from further heartbeats."""
--- a/flaxtally/protocol/wire.py
+++ b/flaxtally/protocol/wire.py
@@ -1,9 +1,9 @@
-"""All messages, words and paths of the wire under one name."""
+"""All messages, field values and paths of the wire protocol, re-exported from one module."""
 
 from __future__ import annotations
 
-from .cloud import ListedMachine as ListedMachine
 from .cloud import (
+    ListedMachine,
     MachineList,
     MachineType,
     MachineTypeList,
@@ -21,18 +21,22 @@
     build_submission,
     parse_submission,
 )
-from .paths import COMMANDS as COMMANDS
-from .paths import HEALTH as HEALTH
-from .paths import HEARTBEAT as HEARTBEAT
-from .paths import JOBS as JOBS
-from .paths import KEYS as KEYS
-from .paths import LEASES as LEASES
-from .paths import LOANS, build_key_list_path, build_machine_list_path
-from .paths import MACHINE_TYPES as MACHINE_TYPES
-from .paths import MACHINES as MACHINES
-from .paths import TERMINATE as TERMINATE
-from .paths import TRANSACTIONS as TRANSACTIONS
-from .paths import WORKER_STATUS as WORKER_STATUS
+from .paths import (
+    COMMANDS,
+    HEALTH,
+    HEARTBEAT,
+    JOBS,
+    KEYS,
+    LEASES,
+    LOANS,
+    MACHINE_TYPES,
+    MACHINES,
+    TERMINATE,
+    TRANSACTIONS,
+    WORKER_STATUS,
+    build_key_list_path,
+    build_machine_list_path,
+)
 from .store import Change, Lease, LeaseRequest, Revision, Row, Rows, Transaction, VersionCheck
 from .vocabulary import (
     ABORTED,
@@ -78,18 +82,17 @@
 __all__ = [
     "ABORTED",
     "ARRAY",
-    "BEAT",
     "BOOTING",
-    "CATALOG",
     "CAUSES",
-    "CAUSE_ALONE",
     "CAUSE_DONE",
     "CAUSE_ERROR",
     "CAUSE_FULL",
     "CAUSE_HALTED",
+    "CAUSE_INCOMPLETE",
     "CAUSE_IN_USE",
-    "CAUSE_PEERS",
+    "CAUSE_PEER_LOST",
     "CAUSE_UNKNOWN",
+    "COMMANDS",
     "DONE",
     "EXITED",
     "FAILED",
@@ -97,26 +100,27 @@
     "FLUSHING",
     "FORGET",
     "GANG",
-    "HOLDS",
+    "HEALTH",
+    "HEARTBEAT",
+    "JOBS",
     "JOB_ID",
+    "KEYS",
     "LAUNCH",
+    "LEASES",
     "LOANS",
+    "MACHINES",
+    "MACHINE_TYPES",
     "MAX_TASKS",
-    "ORDERS",
     "PENDING",
     "RANKS",
-    "RELEASE",
-    "RENTALS",
     "RUNNING",
     "SERVICE",
-    "STATUS",
     "STOP",
-    "STORE",
     "TASK_STATES",
-    "TXN",
-    "UP",
+    "TERMINATE",
+    "TRANSACTIONS",
     "WAITING",
-    "WORK",
+    "WORKER_STATUS",
     "Change",
     "Command",
     "CommandBatch",
@@ -126,7 +130,7 @@
     "JobStatus",
     "Lease",
     "LeaseRequest",
-    "Listed",
+    "ListedMachine",
     "MachineList",
     "MachineType",
     "MachineTypeList",
@@ -142,11 +146,11 @@
     "TerminateRequest",
     "Transaction",
     "VersionCheck",
+    "build_key_list_path",
+    "build_machine_list_path",
+    "build_submission",
     "forget",
     "launch",
-    "list_keys_path",
-    "list_machines_path",
     "parse_submission",
     "stop",
-    "submission",
 ]
