--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -132,7 +132,7 @@
         """Returns the next machine to empty; skips those that can't be emptied for a while."""
         emptying = self._moves.list_machines_being_emptied()
         price_factor = self.policy.move_worth if not emptying else 1.0
-        schedulable = self._reconciler.schedulable_machines()
+        schedulable = self._reconciler.find_schedulable_machines()
         with without_best_effort(schedulable):
             choice = choose_machine_to_empty(
                 schedulable,
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -114,13 +114,13 @@
         headroom: dict[str, tuple[float, float]] = {}
         for entry in self._jobs.queue.ordered_jobs():
             job = entry.job
-            if not job.pending_count or job.number in self._jobs.suspects:
+            if not job.pending_count or job.number in self._jobs.suspect_jobs:
                 continue
             count = self._take_team_headroom(job, headroom)
             if count is None:
                 continue
             demand = self._get_or_add_demand(by_shape, job)
-            demand.add_tasks(count, self._jobs.expected_run_s(job.spec))
+            demand.add_tasks(count, self._jobs.estimate_run_s(job.spec))
             if job.spec.spread:
                 max_tasks_per_zone = job.spec.max_tasks_per_zone
                 _add_zone_limits(
@@ -142,7 +142,7 @@
         if team is None:
             return None
         if spec.team not in headroom:
-            reserved_cores, reserved_gpus = self.term.team_usage(spec.team)
+            reserved_cores, reserved_gpus = self.term.compute_team_usage(spec.team)
             headroom[spec.team] = (
                 team.cores_max - reserved_cores if team.cores_max else UNLIMITED_CAPACITY,
                 team.gpus_max - reserved_gpus if team.gpus_max else UNLIMITED_CAPACITY,
@@ -167,7 +167,7 @@
             if not job.placements or job.is_terminal or not job.spec.is_best_effort:
                 continue
             demand = self._get_or_add_demand(by_shape, job)
-            demand.add_tasks(len(job.placements), self._jobs.expected_run_s(job.spec))
+            demand.add_tasks(len(job.placements), self._jobs.estimate_run_s(job.spec))
             if job.spec.spread:
                 zones = self.settings.zones
                 _add_zone_limits(demand, {zone: job.placements_in_zone(zone) for zone in zones})
@@ -182,7 +182,7 @@
             )
             if shape in by_shape or not is_expected:
                 continue
-            run_s = arrivals.mean_run_s(job_class, now) or self._jobs.expected_run_s(spec)
+            run_s = arrivals.mean_run_s(job_class, now) or self._jobs.estimate_run_s(spec)
             demand = Demand(shape, 0.0, run_s, represents_job_class=True)
             by_shape[shape] = demand
             if spec.spread:
@@ -196,7 +196,7 @@
             demand = by_shape[shape] = Demand(
                 shape,
                 0.0,
-                self._jobs.expected_run_s(job.spec),
+                self._jobs.estimate_run_s(job.spec),
                 represents_job_class=self._jobs.shapes.is_typical(shape),
             )
         return demand
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -112,7 +112,7 @@
             )
             if not must_wait and not is_move_in_progress:
                 if index is None:
-                    index = self._index_schedulable(self._reconciler.schedulable_machines())
+                    index = self._index_schedulable(self._reconciler.find_schedulable_machines())
                 self._move_next_replica(machine, index, now)
 
     def _is_pending(self, job_kind: str) -> bool:
@@ -163,7 +163,7 @@
             job.placements and job.spec.is_best_effort for job in self._jobs.live_jobs.values()
         ):
             return
-        schedulable = self._reconciler.schedulable_machines()
+        schedulable = self._reconciler.find_schedulable_machines()
         with without_best_effort(schedulable):
             index = self._index_schedulable(schedulable)
             search = self.make_target_search()
--- a/flaxtally/leader/resource_shapes.py
+++ b/flaxtally/leader/resource_shapes.py
@@ -22,13 +22,13 @@
 
     def __init__(self) -> None:
         """Starts without shapes."""
-        self._job_classes: dict[str, OrderedDict[Shape, wire.Spec]] = {}
+        self._shapes_by_job_class: dict[str, OrderedDict[Shape, wire.Spec]] = {}
         self._gpu_reservations: placement.GpuReservations | None = placement.GpuReservations()
         """None: to be computed when next asked for."""
 
     def record_shape(self, shape: Shape, spec: wire.Spec) -> None:
         """Records that a job of that shape was submitted."""
-        shapes = self._job_classes.setdefault(shape.job_class, OrderedDict())
+        shapes = self._shapes_by_job_class.setdefault(shape.job_class, OrderedDict())
         if shape in shapes:
             return
         shapes[shape] = spec
@@ -42,17 +42,17 @@
         """The cores and memory to reserve for each GPU."""
         if self._gpu_reservations is None:
             self._gpu_reservations = placement.compute_gpu_reservations(
-                spec for shapes in self._job_classes.values() for spec in shapes.values()
+                spec for shapes in self._shapes_by_job_class.values() for spec in shapes.values()
             )
         return self._gpu_reservations
 
     def is_typical(self, shape: Shape) -> bool:
         """Whether the shape stands for its job class in the forecast: the newest one does."""
-        shapes = self._job_classes.get(shape.job_class)
+        shapes = self._shapes_by_job_class.get(shape.job_class)
         return shapes is not None and next(reversed(shapes)) == shape
 
     def typical_shapes(self) -> Iterator[tuple[Shape, wire.Spec]]:
         """Yields the shape that stands for each job class, with a specification of that shape."""
-        for shapes in self._job_classes.values():
+        for shapes in self._shapes_by_job_class.values():
             shape = next(reversed(shapes))
             yield shape, shapes[shape]
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -120,14 +120,14 @@
     def run(self, queue: list[PendingJob]) -> placement.InfeasibleRequests:
         """Places the tasks that fit; returns the requests that are known to find no capacity."""
         infeasible_keys: set[Hashable] = set()
-        backoff = self._jobs.backoff
+        backoff_until = self._jobs.backoff_until
         for _, job, equivalence_class in list(queue):
             if self.is_full:
                 break
             key = equivalence_class, self._jobs.excluded_zones(job)
             if key in infeasible_keys and not self._scheduler.has_hint(job):
                 continue
-            if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
+            if not job.pending_count or backoff_until.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_job(job) and equivalence_class is not None:
                 # Zones are read again: placing some of the job's tasks may have excluded more.
@@ -146,7 +146,7 @@
                 job, self._index, is_overdue=self._is_overdue(job)
             )
             return True
-        if job.number in self._jobs.suspects:
+        if job.number in self._jobs.suspect_jobs:
             return bool(job.placements) or self._try_suspect(job)
         return self._place_tasks(job)
 
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -283,7 +283,7 @@
         known.record_shape(Shape.of(job), job)
     service = spec("j-900000", gpus=2.0, cores=8.0, memory_gb=4.0)
     known.record_shape(Shape.of(service), service)
-    assert len(known._job_classes["batch"]) == MAX_SHAPES
+    assert len(known._shapes_by_job_class["batch"]) == MAX_SHAPES
     last = batch_with_memory(16.0 + (4 * MAX_SHAPES - 1) / 100)
     assert known.is_typical(Shape.of(last))
     assert not known.is_typical(Shape.of(batch("j-000001", 1)))
