--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -129,7 +129,7 @@
         """The next machine to empty; those found to be impossible are skipped for a while."""
         emptying = self._moves.machines_being_emptied()
         price_factor = self.policy.move_worth if not emptying else 1.0
-        schedulable = self._reconciler.schedulable_machines()
+        schedulable = self._reconciler.find_schedulable_machines()
         with without_best_effort(schedulable):
             choice = choose_machine_to_empty(
                 schedulable,
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -111,13 +111,13 @@
         headroom: dict[str, tuple[float, float]] = {}
         for entry in self._jobs.queue.ordered_jobs():
             job = entry.job
-            if not job.pending_count or job.number in self._jobs.suspects:
+            if not job.pending_count or job.number in self._jobs.suspect_jobs:
                 continue
             count = self._take_headroom(job, headroom)
             if count is None:
                 continue
             demand = self._demand_of(by_shape, job)
-            demand.add_tasks(count, self._jobs.expected_run_s(job.spec))
+            demand.add_tasks(count, self._jobs.estimate_run_s(job.spec))
             if job.spec.spread:
                 zone_share = job.spec.zone_share
                 _add_zone_limits(
@@ -138,7 +138,7 @@
         if team is None:
             return None
         if spec.team not in headroom:
-            used_cores, used_gpus = self.term.team_usage(spec.team)
+            used_cores, used_gpus = self.term.compute_team_usage(spec.team)
             headroom[spec.team] = (
                 team.cores_max - used_cores if team.cores_max else UNLIMITED,
                 team.gpus_max - used_gpus if team.gpus_max else UNLIMITED,
@@ -163,7 +163,7 @@
             if not job.placements or job.is_terminal or not job.spec.is_best_effort:
                 continue
             demand = self._demand_of(by_shape, job)
-            demand.add_tasks(len(job.placements), self._jobs.expected_run_s(job.spec))
+            demand.add_tasks(len(job.placements), self._jobs.estimate_run_s(job.spec))
             if job.spec.spread:
                 zones = self.settings.zones
                 _add_zone_limits(demand, {zone: job.placements_in_zone(zone) for zone in zones})
@@ -178,7 +178,7 @@
             )
             if shape in by_shape or not is_expected:
                 continue
-            run_s = arrivals.length(job_class, now) or self._jobs.expected_run_s(spec)
+            run_s = arrivals.length(job_class, now) or self._jobs.estimate_run_s(spec)
             demand = Demand(shape, 0.0, run_s, represents_job_class=True)
             by_shape[shape] = demand
             if spec.spread:
@@ -192,7 +192,7 @@
             demand = by_shape[shape] = Demand(
                 shape,
                 0.0,
-                self._jobs.expected_run_s(job.spec),
+                self._jobs.estimate_run_s(job.spec),
                 represents_job_class=self._jobs.shapes.is_typical(shape),
             )
         return demand
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -109,7 +109,7 @@
             )
             if not must_wait and not is_moving:
                 if index is None:
-                    index = self._index_schedulable(self._reconciler.schedulable_machines())
+                    index = self._index_schedulable(self._reconciler.find_schedulable_machines())
                 self._move_next_replica(machine, index, now)
 
     def _is_pending(self, job_kind: str) -> bool:
@@ -159,7 +159,7 @@
             job.placements and job.spec.is_best_effort for job in self._jobs.live_jobs.values()
         ):
             return
-        schedulable = self._reconciler.schedulable_machines()
+        schedulable = self._reconciler.find_schedulable_machines()
         with without_best_effort(schedulable):
             index = self._index_schedulable(schedulable)
             search = self.target_search()
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -152,9 +152,9 @@
             spec = placed.job.spec
             self._stopping[spec.team] = self._stopping[spec.team].minus(amounts_of(spec))
 
-    def usage_not_stopping(self, team: str) -> Amounts:
+    def compute_usage_not_stopping(self, team: str) -> Amounts:
         """What a team's tasks take that were not commanded to stop."""
-        return self.term.team_usage(team).minus(self._stopping.get(team, NOTHING))
+        return self.term.compute_team_usage(team).minus(self._stopping.get(team, NOTHING))
 
     # Sending
 
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -33,7 +33,7 @@
 log = logging.getLogger(__name__)
 
 NO_ZONES: frozenset[str] = frozenset()
-MAX_BACKLOG = 2000
+MAX_UNCOMMITTED_RECORDS = 2000
 """Uncommitted records; with more of them no jobs are accepted and no tasks are placed."""
 
 
@@ -47,16 +47,16 @@
         self.live_jobs: dict[int, Job] = {}
         self.arrivals = Arrivals(self.policy.plan_horizon, self.policy.plan_step * 2)
         self.shapes = ResourceShapes()
-        self.backoff: dict[int, float] = {}
+        self.backoff_until: dict[int, float] = {}
         """Jobs of which no task is placed until a time."""
-        self.suspects: set[int] = set()
+        self.suspect_jobs: set[int] = set()
         """Jobs that seem to be submitted with a mistake: one of their tasks at a time is tried."""
         self._cancellation_replies: dict[int, list[OnReply]] = {}
         """Clients that wait for a job's cancellation. Those that wait for too long were replied 503
         by their controller.
         """
         self._admission = JobAdmission(term)
-        self.queue = PendingQueue(term, self.live_jobs, self.suspects)
+        self.queue = PendingQueue(term, self.live_jobs, self.suspect_jobs)
 
     def restore(self) -> None:
         """Takes up the jobs of the replayed ledger."""
@@ -93,7 +93,7 @@
 
     def _can_accept(self, spec: wire.Spec) -> bool:
         """Whether jobs can be accepted now."""
-        if not self.term.machine_types or self.ledger.backlog > MAX_BACKLOG:
+        if not self.term.machine_types or self.ledger.backlog > MAX_UNCOMMITTED_RECORDS:
             return False
         # Before all controllers know gangs, one of them would place the tasks one by one.
         return spec.job_kind != wire.GANG or self.ledger.state.format >= formats.GANGS
@@ -116,7 +116,7 @@
         self.live_jobs[job.number] = job
         self.queue.add(job)
         self.shapes.record_shape(job.shape, job.spec)
-        run_s = self.expected_run_s(job.spec)
+        run_s = self.estimate_run_s(job.spec)
         self.arrivals.note(job.spec.job_class, job.spec.tasks, run_s, now)
         self.term.request_pass()
 
@@ -199,7 +199,7 @@
         def on_committed() -> None:
             job.is_cancellation_committed = True
             self._stop_tasks(job)
-            self.conclude_job(job)
+            self.try_finish_cancellation(job)
 
         self.ledger.propose(JobCancelled(job.number), on_committed)
         job.cancelled_at = self.runtime.now()
@@ -223,7 +223,7 @@
             if placed.is_committed:
                 self.commands.stop_task(placed, 0.0)
 
-    def conclude_job(self, job: Job) -> None:
+    def try_finish_cancellation(self, job: Job) -> None:
         """Reports a cancelled job as such once, as committed, nothing of it is left."""
         has_tasks_left = job.placements or job.uncommitted_ends
         if not job.is_cancellation_committed or job.reported_stage or has_tasks_left:
@@ -234,7 +234,7 @@
 
     # What limits placements
 
-    def expected_run_s(self, spec: wire.Spec) -> float:
+    def estimate_run_s(self, spec: wire.Spec) -> float:
         """How long a task is expected to run."""
         if spec.job_kind != wire.SERVICE and spec.estimated_run_s:
             return spec.estimated_run_s
@@ -270,7 +270,7 @@
         team = self.term.limits.find_team(spec.team)
         if team is None:
             return False
-        cores, gpus = self.term.team_usage(spec.team)
+        cores, gpus = self.term.compute_team_usage(spec.team)
         return not (
             (team.cores_max and cores + spec.cores * count > team.cores_max + placement.SLACK)
             or (team.gpus_max and gpus + spec.gpus * count > team.gpus_max + placement.SLACK)
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -87,7 +87,7 @@
             TeamUse(
                 team,
                 self.term.quota(team),
-                self.term.team_usage(team),
+                self.term.compute_team_usage(team),
                 waiting.get(team, NOTHING),
             )
             for team in self.settings.teams
--- a/flaxtally/leader/reclaim/quota_accounting.py
+++ b/flaxtally/leader/reclaim/quota_accounting.py
@@ -55,7 +55,7 @@
 
     def _staying_usage(self, team: str) -> Amounts:
         """What a team's tasks take that were neither sent a stop nor chosen for one."""
-        not_stopping = self._commands.usage_not_stopping(team)
+        not_stopping = self._commands.compute_usage_not_stopping(team)
         return not_stopping.minus(self._open_reclaims.chosen_usage(team))
 
     def is_entitled(self, job: Job) -> bool:
@@ -65,10 +65,10 @@
         if lenders and spec.team not in lenders:
             return False
         promised = self._open_reclaims.promised_to(spec.team)
-        usage = self.term.team_usage(spec.team).plus(promised)
+        usage = self.term.compute_team_usage(spec.team).plus(promised)
         task_count = spec.tasks if spec.job_kind == wire.GANG else 1
         return self.term.quota(spec.team).covers(usage.plus(amounts_of(spec, task_count)))
 
     def is_within_quota(self, team: str, added: Amounts) -> bool:
         """Whether the team's usage with that much more is within its quota."""
-        return self.term.quota(team).covers(self.term.team_usage(team).plus(added))
+        return self.term.quota(team).covers(self.term.compute_team_usage(team).plus(added))
--- a/flaxtally/leader/reconciliation/attempt_finisher.py
+++ b/flaxtally/leader/reconciliation/attempt_finisher.py
@@ -94,7 +94,7 @@
         if job.is_done and not job.reported_stage:
             job.reported_stage = wire.DONE
             log.info("event=job_done term=%d job=%s", self.term.number, job.spec.ref)
-        self._jobs.conclude_job(job)
+        self._jobs.try_finish_cancellation(job)
 
     def _log_end(self, placement: Placement, reason_text: str) -> None:
         log.debug(
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -50,11 +50,11 @@
         """A task of the job failed on the machine."""
         failures = self._failures.setdefault(job.number, _JobFailures())
         failures.machines.add(machine.name)
-        if self._jobs.backoff.get(job.number, 0.0) <= self.runtime.now():
+        if self._jobs.backoff_until.get(job.number, 0.0) <= self.runtime.now():
             # Tasks that fail together count as one round.
             self._back_off(job, machine, failures)
         if len(failures.machines) >= SUSPECT_AFTER_MACHINES and not job.done_tasks:
-            self._jobs.suspects.add(job.number)
+            self._jobs.suspect_jobs.add(job.number)
             self._acquit_machines(job, failures)
         else:
             self._blame_machine(job, machine)
@@ -62,7 +62,7 @@
     def forget_failures(self, job: Job) -> None:
         """The job is over, or a task that succeeded or runs for long shows that it is sound."""
         self._failures.pop(job.number, None)
-        self._jobs.suspects.discard(job.number)
+        self._jobs.suspect_jobs.discard(job.number)
 
     def lift_quarantine(self, machine: Machine) -> None:
         """The machine gets another chance."""
@@ -75,10 +75,10 @@
 
     def acquit_suspects(self) -> None:
         """Acquits suspects whose task has run for longer than a mistake takes to show."""
-        for number in list(self._jobs.suspects):
+        for number in list(self._jobs.suspect_jobs):
             job = self._jobs.live_jobs.get(number)
             if job is None:
-                self._jobs.suspects.discard(number)
+                self._jobs.suspect_jobs.discard(number)
             elif self._has_long_running_task(job):
                 self.forget_failures(job)
 
@@ -92,7 +92,7 @@
     def _back_off(self, job: Job, machine: Machine, failures: _JobFailures) -> None:
         failures.rounds += 1
         backoff_s = self.policy.retry * min(2**failures.rounds, MAX_BACKOFF_FACTOR)
-        self._jobs.backoff[job.number] = self.runtime.now() + backoff_s
+        self._jobs.backoff_until[job.number] = self.runtime.now() + backoff_s
         log.info(
             "event=task_failed term=%d job=%s machine=%s round=%d",
             self.term.number,
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -180,7 +180,7 @@
     def _back_off(self, machine: Machine, placement: Placement, cause: str) -> None:
         """The machine refused the launch: the job's next attempt waits a little."""
         backoff_s = self.policy.retry * 2
-        self._jobs.backoff[placement.job.number] = self.runtime.now() + backoff_s
+        self._jobs.backoff_until[placement.job.number] = self.runtime.now() + backoff_s
         log.info(
             "event=launch_refused term=%d task=%s machine=%s cause=%s",
             self.term.number,
@@ -201,7 +201,7 @@
 
     # Which machines take new tasks
 
-    def schedulable_machines(self) -> list[Machine]:
+    def find_schedulable_machines(self) -> list[Machine]:
         """The machines on which tasks may be placed now."""
         return [machine for machine in self.fleet.machines.values() if self.is_schedulable(machine)]
 
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -9,7 +9,7 @@
 from ...planning.machine_index import Fit
 from ...protocol import wire
 from ..gang_scheduling.gang_reservations import GangReservations
-from ..jobs import MAX_BACKLOG, JobRegistry
+from ..jobs import MAX_UNCOMMITTED_RECORDS, JobRegistry
 from ..reconciliation.attempt_finisher import EndReason
 from ..term import Term, TermActor
 from .scheduling_pass import SchedulingPass
@@ -82,7 +82,7 @@
         self._is_pass_requested = False
         if not self.term.may_act or not self.term.machine_types:
             return
-        if self.ledger.backlog > MAX_BACKLOG:
+        if self.ledger.backlog > MAX_UNCOMMITTED_RECORDS:
             self._request_pass_later()
             return
         began_at = self.runtime.now()
@@ -124,11 +124,13 @@
     def resume_backed_off_jobs(self) -> None:
         """Requests a pass if the backoff of a job ends soon; forgets those that ended long ago."""
         now = self.runtime.now()
-        backoff = self.jobs.backoff
-        if any(now < until < now + 2 * self.policy.retry for until in backoff.values()):
+        backoff_until = self.jobs.backoff_until
+        if any(now < until < now + 2 * self.policy.retry for until in backoff_until.values()):
             self._request_pass_later()
-        self.jobs.backoff = {
-            number: until for number, until in backoff.items() if until > now - self.policy.settle
+        self.jobs.backoff_until = {
+            number: until
+            for number, until in backoff_until.items()
+            if until > now - self.policy.settle
         }
 
     def refresh_machines(self) -> None:
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -119,14 +119,14 @@
     def run(self, queue: list[PendingJob]) -> placement.Exhausted:
         """Places what it can; returns the requests known to find no capacity from here on."""
         hopeless: set[Hashable] = set()
-        backoff = self._jobs.backoff
+        backoff_until = self._jobs.backoff_until
         for _, job, equivalence_class in list(queue):
             if self.is_full:
                 break
             key = equivalence_class, self._jobs.excluded_zones(job)
             if key in hopeless and not self._scheduler.has_hint(job):
                 continue
-            if not job.pending_count or backoff.get(job.number, 0.0) > self._now:
+            if not job.pending_count or backoff_until.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_job(job) and equivalence_class is not None:
                 # With the zones excluded now: some of its tasks may have been placed.
@@ -144,7 +144,7 @@
                 job, self._index, is_overdue=self._is_overdue(job)
             )
             return True
-        if job.number in self._jobs.suspects:
+        if job.number in self._jobs.suspect_jobs:
             return bool(job.placements) or self._try_suspect(job)
         return self._place_tasks(job)
 
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -73,7 +73,7 @@
         """A team's quota as it is now."""
         return Quota.from_settings(self.limits.find_team(team))
 
-    def team_usage(self, team: str) -> Amounts:
+    def compute_team_usage(self, team: str) -> Amounts:
         """The resources of a team's placements, from proposal until they are proven to be over."""
         usage = self.ledger.state.usage_by_team.get(team)
         return Amounts(usage.cores, usage.gpus) if usage is not None else NOTHING
--- a/flaxtally/ledger/job.py
+++ b/flaxtally/ledger/job.py
@@ -194,7 +194,7 @@
         self.is_committed = True
         self.is_cancellation_committed = self.is_cancelled
         # A cancelled job is reported as such when nothing of it is placed; see
-        # `JobRegistry.conclude_job`.
+        # `JobRegistry.try_finish_cancellation`.
         if self.is_done:
             self.reported_stage = wire.DONE
         elif self.is_concluded:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -86,7 +86,7 @@
     world.run(30)
     failed = sum(" end error" in line for line in world.trace)
     leader = world.nodes[leader_of(world)].leader
-    assert len(leader.duties.jobs.suspects) == len(refs)
+    assert len(leader.duties.jobs.suspect_jobs) == len(refs)
     assert not any(machine.is_cordoned for machine in leader.term.fleet.machines.values())
     rented = len(world.cloud.asked)
     world.submit(batch("j-000300", 8), run_time=8.0)
@@ -118,7 +118,7 @@
     world.faulty.clear()
     assert world.until(lambda: len(world.rules.jobs["j-000100"].done) == 12, 90), world.trace[-20:]
     assert world.until(lambda: world.count("j-000200") == 4, 60), world.trace[-20:]
-    assert not world.nodes[leader_of(world)].leader.duties.jobs.suspects
+    assert not world.nodes[leader_of(world)].leader.duties.jobs.suspect_jobs
     ends_well(world)
 
 
