--- a/flaxtally/leader/__init__.py
+++ b/flaxtally/leader/__init__.py
@@ -1,9 +1,12 @@
-"""The leader: one controller decides for all, by the replicated state and by proofs from machines.
+"""The leader: the one controller that makes the decisions for the fleet.
 
-A term's duties are actors in rooms of their own: `scheduling` and `gang_scheduling` place tasks,
-`reclaim` takes borrowed quota back, `reconciliation` says what heartbeats prove, `autoscaling`
-provisions and terminates machines. `jobs` answers users, `commands` reaches the machines.
+It decides from the replicated state and from what machines and the cloud prove by their reports.
 
-Begin with `leader` (when terms begin and end), then `term_duties` (how the duties are connected),
-then `scheduling`.
+The duties of a term are actors in packages of their own: `scheduling` and `gang_scheduling` place
+tasks, `reclaim` takes borrowed quota back, `reconciliation` derives from heartbeats what runs
+where, and `autoscaling` provisions and terminates machines. `jobs` replies to users, and
+`commands` sends commands to the machines.
+
+Start reading at `leader` (when terms begin and end), then `term_duties` (how the duties are
+connected), then `scheduling`.
 """
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -21,20 +21,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_COMMANDS = 200
-"""Commands in one batch."""
-EMPTY_BATCH_INTERVAL = 1.5
-"""Times `order_call`: at least so long between two empty batches to a machine."""
+MAX_BATCH_COMMANDS = 200
+"""The most commands sent to a worker in one request."""
+EMPTY_BATCH_INTERVAL_RATIO = 1.5
+"""The shortest time between two empty batches to a machine, as a multiple of `order_call`."""
 
 _heartbeat_decoder = msgspec.msgpack.Decoder(Heartbeat)
 
 
 class CommandTransport(Protocol):
-    """How the leader's commands and status queries reach workers, and what they reported here."""
+    """Carries commands and status queries to workers, and keeps what they reported here."""
 
     def send(
         self,
-        server: str | None,
+        controller: str | None,
         machine: str,
         address: str,
         batch: CommandBatch | None,
@@ -42,38 +42,40 @@
     ) -> None:
         """Sends commands to a worker, or a status query where `batch` is None.
 
-        `server` is the controller that the machine reports to, where one is known; it is the one
-        that sends them. `on_reply(0, b"")` when no reply came.
+        `controller`: the controller that the machine reports to, which sends them; None if it is
+        unknown. `on_reply` is called with `(0, b"")` if no reply arrived.
         """
 
     def other_controllers(self, zone: str) -> list[str]:
-        """The other live controllers that can reach workers for us, those of the zone first."""
+        """Returns the other live controllers that can call workers, those of the zone first."""
         raise NotImplementedError
 
     def recent_heartbeats(self) -> list[Heartbeat]:
-        """The last heartbeats that this controller took itself, for a leader that has just begun.
+        """Returns the newest heartbeat of each machine that reported to this controller itself.
 
-        One for each machine.
+        A new leader learns the machines from them.
         """
         raise NotImplementedError
 
 
 class _QueuedCommand(NamedTuple):
-    """A command that waits for the end of this turn of the event loop."""
+    """A command to be sent at the end of this iteration of the event loop."""
 
     command: Command
     launched: Placement | None
-    """What it launches, if it is a launch."""
+    """The placement that the command launches; None if it is no launch command."""
 
     @property
     def is_obsolete(self) -> bool:
-        """Whether it launches a placement that was proven over while it waited."""
-        placed = self.launched
-        return placed is not None and placed.job.placements.get(placed.task) is not placed
+        """Whether it launches a placement that was proven finished while it was queued."""
+        placement = self.launched
+        return (
+            placement is not None and placement.job.placements.get(placement.task) is not placement
+        )
 
 
 class CommandSender(TermActor):
-    """Owns the commands to be sent, and which launches may still arrive."""
+    """Queues and sends commands, and tracks which launch commands may still arrive."""
 
     def __init__(
         self,
@@ -81,142 +83,161 @@
         transport: CommandTransport,
         on_heartbeat: Callable[[str, Heartbeat], None],
     ) -> None:
-        """`on_heartbeat` gets the status in each reply, and the controller that carried it."""
+        """Creates a sender with an empty queue.
+
+        `on_heartbeat`: called with the controller that carried a reply and the status in it.
+        """
         super().__init__(term)
         self.transport = transport
         self._on_heartbeat = on_heartbeat
         self._stopping: dict[str, Amounts] = {}
-        """By team, what the tasks take that were commanded to stop and are not proven over."""
+        """The resources, by team, of tasks that were told to stop and are not proven finished."""
         self._outbox: dict[str, list[_QueuedCommand]] = {}
-        """By machine."""
+        """The commands to be sent, by machine."""
 
     # Commands
 
     def enqueue(self, machine: Machine, command: Command, launched: Placement | None) -> None:
-        """Sends the command with the others of this turn of the event loop."""
+        """Queues a command, to be sent with the others of this iteration of the event loop.
+
+        `launched`: the placement that the command launches, if it is a launch command.
+        """
         if not self._outbox:
             self.runtime.soon(self._send_queued)
-        # Whether it was executed shows in the machine's next heartbeat.
+        # The machine's next heartbeat shows whether the command was executed.
         machine.converged_tasks = None
         self._outbox.setdefault(machine.name, []).append(_QueuedCommand(command, launched))
 
-    def launch_task(self, placed: Placement) -> None:
-        """Commands the placement's machine to start it."""
-        machine = self.fleet.machines.get(placed.machine)
+    def launch_task(self, placement: Placement) -> None:
+        """Commands the placement's machine to start the task."""
+        machine = self.fleet.machines.get(placement.machine)
         if machine is None:
             return
-        placed.command_sent_at = self.runtime.now()
-        self.enqueue(machine, workers.launch(placed.name, placed.attempt), placed)
+        placement.command_sent_at = self.runtime.now()
+        self.enqueue(machine, workers.launch(placement.name, placement.attempt), placement)
 
-    def stop_task(self, placed: Placement, grace_s: float) -> None:
-        """Commands the placement's machine to stop it, with time to save a checkpoint."""
-        machine = self.fleet.machines.get(placed.machine)
+    def stop_task(self, placement: Placement, grace_s: float) -> None:
+        """Commands the placement's machine to stop the task, with time to save a checkpoint."""
+        machine = self.fleet.machines.get(placement.machine)
         if machine is None:
             return
-        placed.command_sent_at = self.runtime.now()
-        self.mark_stopping(placed)
-        self.enqueue(machine, workers.stop(placed.name, placed.attempt, grace_s), None)
+        placement.command_sent_at = self.runtime.now()
+        self.mark_stopping(placement)
+        self.enqueue(machine, workers.stop(placement.name, placement.attempt, grace_s), None)
 
     def stop_best_effort(self, machine: Machine) -> None:
-        """Stops the machine's best-effort tasks that can save; others are left to end."""
-        for placed in machine.placements.values():
-            if placed.is_best_effort and placed.job.spec.checkpoint_interval_s:
-                self.stop_task(placed, placed.job.spec.checkpoint_save_s)
+        """Stops the machine's best-effort tasks that write checkpoints; the others may finish."""
+        for placement in machine.placements.values():
+            if placement.is_best_effort and placement.job.spec.checkpoint_interval_s:
+                self.stop_task(placement, placement.job.spec.checkpoint_save_s)
 
     def send_empty_command(self, machine: Machine) -> None:
-        """Finds out whether the machine replies again; one batch at a time."""
+        """Sends an empty batch to find out whether the machine replies again.
+
+        Does nothing if the previous one was sent too recently.
+        """
         now = self.runtime.now()
-        if now - machine.empty_command_at >= EMPTY_BATCH_INTERVAL * self.policy.order_call:
+        if now - machine.empty_command_at >= EMPTY_BATCH_INTERVAL_RATIO * self.policy.order_call:
             machine.empty_command_at = now
             self.send_fencing_token(machine)
 
     def send_fencing_token(self, machine: Machine) -> None:
-        """Sends an empty batch: it raises the worker's token, and the reply reconciles it."""
+        """Sends an empty batch: it raises the worker's token, and the reply reconciles the machine.
+
+        Does nothing while the machine's address is unknown.
+        """
         if machine.address:
             machine.incarnation = max(machine.incarnation, 1)
             self._send_batch(machine, [], [])
 
-    # What stopping tasks still take
+    # Resources of stopping tasks
 
-    def mark_stopping(self, placed: Placement) -> None:
-        """The task was commanded to stop, by this leader or an earlier one."""
-        if placed.stopping_at is None:
-            placed.stopping_at = self.runtime.now()
-            spec = placed.job.spec
+    def mark_stopping(self, placement: Placement) -> None:
+        """Counts the task as stopping: this leader or an earlier one told it to stop."""
+        if placement.stopping_at is None:
+            placement.stopping_at = self.runtime.now()
+            spec = placement.job.spec
             stopping = self._stopping.get(spec.team, NOTHING)
             self._stopping[spec.team] = stopping.plus(amounts_of(spec))
 
-    def forget_stopping(self, placed: Placement) -> None:
-        """The placement is proven over."""
-        if placed.stopping_at is not None:
-            spec = placed.job.spec
+    def unmark_stopping(self, placement: Placement) -> None:
+        """Stops counting the task as stopping: the placement is proven finished."""
+        if placement.stopping_at is not None:
+            spec = placement.job.spec
             self._stopping[spec.team] = self._stopping[spec.team].minus(amounts_of(spec))
 
     def compute_usage_not_stopping(self, team: str) -> Amounts:
-        """What a team's tasks take that were not commanded to stop."""
+        """Returns the resources of a team's tasks that were not told to stop."""
         return self.term.compute_team_usage(team).minus(self._stopping.get(team, NOTHING))
 
     # Sending
 
     def resume(self) -> None:
-        """Leadership was confirmed after a pause: what waited meanwhile is sent."""
+        """Sends the commands queued during a pause, once leadership is confirmed."""
         if self._outbox:
             self._send_queued()
 
     def _send_queued(self) -> None:
-        if self.term.suspended:
+        if self.term.is_suspended:
             return
         outbox = self._outbox
         self._outbox = {}
         for name, queued in outbox.items():
             machine = self.fleet.machines.get(name)
-            # One without an address is of an earlier term and has sent no heartbeat in this yet:
-            # its first one has the stops sent again.
+            # A machine without an address is known from an earlier term and has sent no heartbeat
+            # in this one: its first heartbeat makes the leader send the stops again.
             if machine is not None and machine.address:
-                self._send_in_batches(machine, [one for one in queued if not one.is_obsolete])
+                self._send_in_batches(
+                    machine,
+                    [queued_command for queued_command in queued if not queued_command.is_obsolete],
+                )
 
     def _send_in_batches(self, machine: Machine, queued: list[_QueuedCommand]) -> None:
-        for start in range(0, len(queued), MAX_COMMANDS):
-            part = queued[start : start + MAX_COMMANDS]
-            commands = [one.command for one in part]
-            launched = [one.launched for one in part if one.launched is not None]
+        for start in range(0, len(queued), MAX_BATCH_COMMANDS):
+            batch = queued[start : start + MAX_BATCH_COMMANDS]
+            commands = [queued_command.command for queued_command in batch]
+            launched = [
+                queued_command.launched
+                for queued_command in batch
+                if queued_command.launched is not None
+            ]
             self._send_batch(machine, commands, launched)
 
     def _send_batch(
         self, machine: Machine, commands: list[Command], launched: list[Placement]
     ) -> None:
-        server = machine.shard_owner
+        controller = machine.shard_owner
         pause_count = self.term.pause_count
-        for placed in launched:
-            # Set as the command leaves: this incarnation of the worker is the last in which a copy
-            # of it can be executed.
-            placed.launch_incarnation = max(placed.launch_incarnation, machine.incarnation)
-            placed.launches_in_flight += 1
+        for placement in launched:
+            # Set when the command is sent: no incarnation of the worker after this one can execute
+            # a copy of it.
+            placement.launch_incarnation = max(placement.launch_incarnation, machine.incarnation)
+            placement.launches_in_flight += 1
 
         def on_reply(status: int, body: bytes) -> None:
             if status in (200, 409):
-                for placed in launched:
-                    placed.launches_in_flight -= 1
+                for placement in launched:
+                    placement.launches_in_flight -= 1
                 if machine.is_unresponsive:
                     machine.mark_changed()
                 machine.failed_commands = 0
-                self.handle_reply(server, body)
+                self.handle_reply(controller, body)
             elif pause_count == self.term.pause_count:
                 machine.failed_commands += 1
 
         batch = CommandBatch(self.term.number, machine.incarnation, commands)
-        self.transport.send(server, machine.name, machine.address, batch, on_reply)
+        self.transport.send(controller, machine.name, machine.address, batch, on_reply)
 
     # Replies
 
-    def handle_reply(self, server: str | None, body: bytes) -> None:
-        """Takes the status in a worker's reply, unless a later leader commands the worker."""
+    def handle_reply(self, controller: str | None, body: bytes) -> None:
+        """Processes the status in a worker's reply, unless a later leader commands the worker."""
         if not self.term.active:
             return
         try:
             heartbeat = _heartbeat_decoder.decode(body)
         except msgspec.DecodeError as error:
-            log.warning("a worker's reply can't be decoded: %s", error)
+            log.warning("cannot decode a worker's reply, ignoring it: %s", error)
             return
         if heartbeat.fencing_token > self.term.number:
             log.info(
@@ -226,4 +247,4 @@
                 heartbeat.machine,
             )
             return
-        self._on_heartbeat(server or "", heartbeat)
+        self._on_heartbeat(controller or "", heartbeat)
--- a/flaxtally/leader/fleet.py
+++ b/flaxtally/leader/fleet.py
@@ -1,4 +1,4 @@
-"""The fleet as a leader knows it in one term."""
+"""The machines that a leader knows in one term."""
 
 from __future__ import annotations
 
@@ -12,20 +12,26 @@
 
 
 class Fleet:
-    """The machines that the leader knows in this term, and the names of the terminated ones."""
+    """The machines known in this term, and the names of those that were terminated."""
 
     def __init__(self, runtime: Runtime, ledger: WriteAheadLog, zones: tuple[str, ...]) -> None:
-        """`zones`: those of the settings; machines may be in others."""
+        """Starts without machines.
+
+        `zones`: the zones of the settings; machines may also be in others.
+        """
         self._runtime = runtime
         self._ledger = ledger
         self.machines: dict[str, Machine] = {}
         self.removed_machines: set[str] = set()
         self.changed_machines: dict[Machine, None] = {}
-        """Those whose free capacity, images or usability changed since the last scheduling pass."""
+        """Machines whose free capacity, images or usability changed since the last scheduling pass.
+
+        The values are unused: the dictionary serves as an ordered set.
+        """
         self.zones = set(zones)
 
     def add_machine(self, name: str, machine_type: str, zone: str, *, spot: bool) -> Machine:
-        """Returns the machine of that name; creates it with its placements where it is new."""
+        """Returns the machine of that name; if it is unknown, adds it with its placements."""
         machine = self.machines.get(name)
         if machine is None:
             now = self._runtime.now()
--- a/flaxtally/leader/job_admission.py
+++ b/flaxtally/leader/job_admission.py
@@ -1,4 +1,4 @@
-"""Which submitted jobs are admitted: known team, machine types that fit, and the team's limit."""
+"""Admission of submitted jobs by team, by the machine types that fit, and by the team's limit."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     """Decides whether a submitted job could ever run."""
 
     def __init__(self, term: Term) -> None:
-        """`term`: its settings hold the teams; its machine types are what can be provisioned."""
+        """Checks jobs against the teams of the term's settings and the term's machine types."""
         self._term = term
 
-    def rejection_reason(self, spec: wire.Spec) -> str | None:
-        """Returns why the job is rejected; None: it is admitted."""
+    def find_rejection_reason(self, spec: wire.Spec) -> str | None:
+        """Returns the reason to reject the job; None if it is admitted."""
         team = self._term.settings.teams.get(spec.team)
         if team is None:
             return "unknown team"
@@ -35,7 +35,10 @@
         return None
 
     def _allowed_zones(self, spec: wire.Spec) -> Iterator[str]:
-        """Yields the zone of each machine type and zone that may take a task of the job."""
+        """Yields the zone of each pair of machine type and zone that may run a task of the job.
+
+        A zone is yielded once for each such machine type.
+        """
         for machine_type in self._term.machine_types.values():
             for zone in machine_type.zones:
                 if placement.allowed(spec, machine_type, zone, spot=False):
@@ -49,7 +52,10 @@
 
 
 def _exceeds_limit(spec: wire.Spec, team: Team) -> bool:
-    """Whether what must run at the same time, of an array one task, is beyond the hard limit."""
+    """Whether the tasks that must run at the same time exceed the team's hard limit.
+
+    The tasks of an array can run one after the other, so only one of them counts.
+    """
     count = 1 if spec.job_kind == wire.ARRAY else spec.tasks
     exceeds_cores = team.cores_max and spec.cores * count > team.cores_max + placement.SLACK
     exceeds_gpus = team.gpus_max and spec.gpus * count > team.gpus_max + placement.SLACK
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -1,4 +1,4 @@
-"""Users' jobs: submission, status, cancellation, and what limits their placement."""
+"""Users' jobs: submission, status, cancellation, and the limits on their placement."""
 
 from __future__ import annotations
 
@@ -34,32 +34,36 @@
 
 NO_ZONES: frozenset[str] = frozenset()
 MAX_UNCOMMITTED_RECORDS = 2000
-"""Uncommitted records; with more of them no jobs are accepted and no tasks are placed."""
+"""The number of uncommitted records above which no jobs are accepted and no tasks are placed."""
 
 
 class JobRegistry(TermActor):
-    """Owns the jobs that are not over, and the resource shapes that are asked for."""
+    """Owns the jobs that are not finished, and the resource shapes that jobs ask for."""
 
     def __init__(self, term: Term, commands: CommandSender) -> None:
-        """`commands`: stops the tasks of cancelled jobs."""
+        """Starts without jobs; `commands` stops the tasks of cancelled ones."""
         super().__init__(term)
         self.commands = commands
         self.live_jobs: dict[int, Job] = {}
         self.arrivals = Arrivals(self.policy.plan_horizon, self.policy.plan_step * 2)
         self.shapes = ResourceShapes()
         self.backoff_until: dict[int, float] = {}
-        """Jobs of which no task is placed until a time."""
+        """The time, by job number, before which no task of the job is placed."""
         self.suspect_jobs: set[int] = set()
-        """Jobs that seem to be submitted with a mistake: one of their tasks at a time is tried."""
+        """The numbers of jobs that were probably submitted with a mistake.
+
+        At most one task of such a job runs at a time.
+        """
         self._cancellation_replies: dict[int, list[OnReply]] = {}
-        """Clients that wait for a job's cancellation. Those that wait for too long were replied 503
-        by their controller.
+        """The clients, by job number, that wait for a job's cancellation.
+
+        The controller that took the request replies 503 to a client that has waited too long.
         """
         self._admission = JobAdmission(term)
         self.queue = PendingQueue(term, self.live_jobs, self.suspect_jobs)
 
     def restore(self) -> None:
-        """Takes up the jobs of the replayed ledger."""
+        """Restores the unfinished jobs from the replayed ledger."""
         now = self.runtime.now()
         for job in self.ledger.state.jobs.values():
             if not job.is_terminal or job.placements:
@@ -80,7 +84,7 @@
         if not self._can_accept(spec):
             reply_unavailable(on_reply)
             return
-        rejection = self._admission.rejection_reason(spec)
+        rejection = self._admission.find_rejection_reason(spec)
         if rejection:
             self._reject(on_reply, rejection)
             return
@@ -95,14 +99,14 @@
         """Whether jobs can be accepted now."""
         if not self.term.machine_types or self.ledger.backlog > MAX_UNCOMMITTED_RECORDS:
             return False
-        # Before all controllers know gangs, one of them would place the tasks one by one.
+        # A controller that does not know gangs would place their tasks one by one.
         return spec.job_kind != wire.GANG or self.ledger.state.format >= formats.GANGS
 
     def _reject(self, on_reply: OnReply, reason: str) -> None:
-        self._confirm_then(on_reply, lambda: reply_error(on_reply, UNPROCESSABLE, reason))
+        self._run_if_leader(on_reply, lambda: reply_error(on_reply, UNPROCESSABLE, reason))
 
     def _accept(self, record: JobAccepted, on_reply: OnReply) -> None:
-        """Proposes the job's record; the client is told once that is committed."""
+        """Proposes the job's record; replies to the client once it is committed."""
 
         def on_committed() -> None:
             job.is_committed = True
@@ -123,23 +127,23 @@
     # Status
 
     def query_status(self, ref: str, on_reply: OnReply) -> None:
-        """Replies a terminal state at once, any other after leadership is confirmed."""
+        """Replies with a job's status: at once if terminal, else once leadership is confirmed."""
         job = self.ledger.state.jobs_by_ref.get(ref)
         terminal_stage = self.ledger.state.terminal_jobs.get(ref) if job is None else None
         if terminal_stage is not None:
             on_reply(OK, wire.JobStatus(ref, terminal_stage))
         elif job is not None and job.reported_stage:
-            on_reply(OK, self._status(job))
+            on_reply(OK, self._build_status(job))
         else:
-            self._confirm_then(on_reply, lambda: self._reply_status(ref, on_reply))
+            self._run_if_leader(on_reply, lambda: self._reply_status(ref, on_reply))
 
     def _reply_status(self, ref: str, on_reply: OnReply) -> None:
         job = self.ledger.state.jobs_by_ref.get(ref)
         if job is not None and not job.is_committed:
-            # Its acceptance is under way: neither known nor unknown until the commit ends.
+            # The job counts as neither known nor unknown until its acceptance is committed.
             reply_unavailable(on_reply)
         elif job is not None:
-            on_reply(OK, self._status(job))
+            on_reply(OK, self._build_status(job))
         else:
             stage = self.ledger.state.terminal_jobs.get(ref)
             if stage:
@@ -148,12 +152,12 @@
                 on_reply(NOT_FOUND, None)
 
     @staticmethod
-    def _status(job: Job) -> wire.JobStatus:
+    def _build_status(job: Job) -> wire.JobStatus:
         running = sum(placed.state == wire.RUNNING for placed in job.placements.values())
         stage = job.reported_stage or (wire.RUNNING if running else wire.PENDING)
         done = len(job.done_tasks)
         if stage in (wire.PENDING, wire.RUNNING) and job.spec.job_kind != wire.SERVICE:
-            # The last task counts as done only with the job, whose end is being committed.
+            # The last task counts as done only once the end of the job is committed.
             done = min(done, job.spec.tasks - 1)
         status = wire.JobStatus(job.spec.ref, stage, done, running)
         if job.spec.job_kind == wire.GANG and not job.reported_stage:
@@ -161,8 +165,8 @@
             status.waiting = sum(placed.state == wire.WAITING for placed in job.placements.values())
         return status
 
-    def _confirm_then(self, on_reply: OnReply, on_confirmed: Callable[[], None]) -> None:
-        """Calls `on_confirmed` after leadership is confirmed, else replies unavailable."""
+    def _run_if_leader(self, on_reply: OnReply, on_confirmed: Callable[[], None]) -> None:
+        """Calls `on_confirmed` once leadership is confirmed, or replies that it is unavailable."""
 
         def on_checked(is_leader: bool) -> None:
             if is_leader and self.term.active:
@@ -175,17 +179,18 @@
     # Cancellation
 
     def cancel(self, ref: str, on_reply: OnReply) -> None:
-        """Stops the job; the reply that it is cancelled follows the end of all its placements.
+        """Stops the job; replies that it is cancelled once all its placements are proven finished.
 
-        A promise that depended on leases or on the cloud could be broken by a partition together
-        with an outage. While a machine of the job is unresponsive, clients are asked to try again.
+        A reply that relied on leases or on the cloud instead could turn out wrong in a network
+        partition together with an outage. While a machine of the job is unresponsive, clients are
+        asked to try again.
         """
         job = self.ledger.state.jobs_by_ref.get(ref)
         if job is None or job.reported_stage or not job.is_committed:
             self.query_status(ref, on_reply)
             return
         if job.is_done:
-            # Its end is being committed.
+            # The end of the job is being committed.
             reply_unavailable(on_reply)
             return
         if any(self._is_unresponsive(placed) for placed in job.placements.values()):
@@ -224,7 +229,7 @@
                 self.commands.stop_task(placed, 0.0)
 
     def try_finish_cancellation(self, job: Job) -> None:
-        """Reports a cancelled job as such once, as committed, nothing of it is left."""
+        """Reports a cancelled job as aborted if its cancellation and all its ends are committed."""
         has_tasks_left = job.placements or job.uncommitted_ends
         if not job.is_cancellation_committed or job.reported_stage or has_tasks_left:
             return
@@ -232,10 +237,10 @@
         for on_reply in self._cancellation_replies.pop(job.number, ()):
             on_reply(OK, wire.JobStatus(job.spec.ref, wire.ABORTED))
 
-    # What limits placements
+    # Limits on placements
 
     def estimate_run_s(self, spec: wire.Spec) -> float:
-        """How long a task is expected to run."""
+        """Returns how long a task of the job is expected to run."""
         if spec.job_kind != wire.SERVICE and spec.estimated_run_s:
             return spec.estimated_run_s
         return self.policy.plan_horizon
@@ -245,10 +250,12 @@
         """The cores and memory to reserve for each GPU."""
         return self.shapes.gpu_reservations
 
-    def excluded_zones(self, job: Job, leaving: Placement | None = None) -> frozenset[str]:
-        """The zones in which none of the job's tasks may be placed now.
+    def excluded_zones(
+        self, job: Job, excluded_placement: Placement | None = None
+    ) -> frozenset[str]:
+        """Returns the zones in which none of the job's tasks may be placed now.
 
-        `leaving`: a placement that is not counted.
+        `excluded_placement`: a placement of the job that counts as removed.
         """
         spec = job.spec
         if not job.placements:
@@ -258,15 +265,15 @@
             return frozenset(zone for zone in self.fleet.zones if occupied != {zone})
         if not spec.spread:
             return NO_ZONES
-        left_zone = leaving.zone if leaving else None
+        excluded_zone = excluded_placement.zone if excluded_placement else None
         return frozenset(
             zone
             for zone, count in job.zone_counts.items()
-            if count - (zone == left_zone) >= spec.zone_share
+            if count - (zone == excluded_zone) >= spec.zone_share
         )
 
     def is_within_limit(self, spec: wire.Spec, count: int = 1) -> bool:
-        """Whether the team's hard limit allows so many more tasks of a job."""
+        """Whether the team's hard limit allows `count` more tasks of a job."""
         team = self.term.limits.find_team(spec.team)
         if team is None:
             return False
--- a/flaxtally/leader/leader.py
+++ b/flaxtally/leader/leader.py
@@ -1,8 +1,8 @@
 """The leader: begins and ends its terms, and passes requests and heartbeats to the term's duties.
 
-Only the leader proposes records. It decides by the replicated state and by what heartbeats and the
-cloud prove about the machines. Its commands reach the machines through the controllers that own
-their shards: rendezvous hashing over the live members assigns each machine to one of them.
+Only the leader proposes records. It decides from the replicated state and from what heartbeats and
+the cloud prove about the machines. The controllers that own the machines' shards send its commands
+to them: rendezvous hashing over the live members assigns each machine to one controller.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 log = logging.getLogger(__name__)
 
 NO_TERM = 0
-"""The number of the term while this controller does not lead."""
+"""The term number of a controller that does not lead."""
 
 
 class Leader(Actor):
-    """The life cycle of terms. It does nothing while this controller does not lead."""
+    """Runs the life cycle of terms. It does nothing while this controller does not lead."""
 
     def __init__(
         self,
@@ -43,7 +43,11 @@
         formats: FormatNegotiation,
         lending: LendingFeature | None = None,
     ) -> None:
-        """`lending`: loans between teams are reclaimed; None: only ranks decide."""
+        """Starts the periodic duties, which do nothing before a term begins.
+
+        `lending`: the feature by which loans between teams are reclaimed; None if it is disabled:
+        then only ranks decide who is preempted.
+        """
         super().__init__(context.runtime)
         self._context = context
         self._election = election
@@ -52,7 +56,7 @@
         self._lending = lending
         self.duties = self._create_duties(NO_TERM, {})
         policy = context.policy
-        self.every(policy.retry, self._watch)
+        self.every(policy.retry, self._run_periodic_checks)
         self.every(policy.plan_step, self._plan_fleet)
         self.every(max(context.settings.list_lag_s, policy.plan_step), self._list_machines)
 
@@ -62,7 +66,7 @@
 
     @property
     def term(self) -> Term:
-        """The term that runs; `NO_TERM` is its number while this controller does not lead."""
+        """The current term; its number is `NO_TERM` while this controller does not lead."""
         return self.duties.term
 
     @property
@@ -72,17 +76,21 @@
 
     # The life cycle of a term
 
-    def begin_term(self, number: int, version: int) -> None:
-        """This controller was elected. The term becomes active once the log has been replayed."""
+    def begin_term(self, number: int, leader_key_version: int) -> None:
+        """Begins a term after this controller was elected; it is active once the log is replayed.
+
+        `number`: the term's number and fencing token. `leader_key_version`: the version of the
+        leader key that this controller holds.
+        """
         self.term.active = False
         self.duties = self._create_duties(number, self.term.machine_types)
         self._context.cloud.forget()
         self._context.limits.end_term()
-        self._formats.begin(version)
-        self._context.ledger.replay(version, self._on_replayed)
+        self._formats.begin(leader_key_version)
+        self._context.ledger.replay(leader_key_version, self._on_replayed)
 
     def end_term(self) -> None:
-        """This controller stepped down."""
+        """Ends the term after this controller stepped down; does nothing if it was not leading."""
         if self.term.number == NO_TERM:
             return
         self.term.active = False
@@ -97,29 +105,33 @@
         term.active = True
         term.began_at = self.runtime.now()
         self._election.mark_ready()
-        # Before the replay it was unknown what counts against the limits.
+        # The usage that counts against the limits is known only after the replay.
         self._context.limits.begin_term(term.number)
         take_over(self.duties, self._transport)
 
-    # A process that stood still
+    # A paused process
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still, and another may lead by now: leadership is confirmed first.
+    def on_pause(self, pause_s: float) -> None:
+        """Suspends the term after the process was paused: another controller may lead by now.
 
-        Commits are guarded by themselves. Provisioning, terminations and commands wait.
+        Provisioning, terminations and commands wait until leadership is confirmed. Commits need not
+        wait: they fail if another leader has taken over.
         """
         term = self.term
         if term.number == NO_TERM:
             return
         term.pause_count += 1
-        self.duties.on_pause(lost_s)
+        self.duties.on_pause(pause_s)
         self._context.cloud.hold()
-        if not term.suspended:
-            term.suspended = True
+        if not term.is_suspended:
+            term.is_suspended = True
             self._confirm_leadership(term)
 
     def _confirm_leadership(self, term: Term) -> None:
-        """Resumes the term after a read barrier that no further pause interrupted."""
+        """Resumes the term after a read barrier that no further pause interrupted.
+
+        Tries again after `retry` if it was interrupted or leadership was not confirmed.
+        """
         if term is not self.term:
             return
         pause_count = term.pause_count
@@ -137,60 +149,60 @@
     def _resume(self) -> None:
         term = self.term
         log.info("event=leadership_confirmed term=%d", term.number)
-        term.suspended = False
+        term.is_suspended = False
         self._context.cloud.resume()
         self.duties.commands.resume()
         term.request_pass()
 
     # Requests of users and operators
 
-    def submit(self, spec: wire.Spec, answer: OnReply) -> None:
-        """Accepts a job, or answers why it is refused."""
+    def submit(self, spec: wire.Spec, on_reply: OnReply) -> None:
+        """Accepts a job, or replies why it is rejected."""
         if self.term.active:
-            self.duties.jobs.submit(spec, answer)
+            self.duties.jobs.submit(spec, on_reply)
         else:
-            answer(503, None)
+            on_reply(503, None)
 
-    def query_status(self, ref: str, answer: OnReply) -> None:
-        """Answers a job's state."""
+    def query_status(self, ref: str, on_reply: OnReply) -> None:
+        """Replies with a job's status."""
         if self.term.active:
-            self.duties.jobs.query_status(ref, answer)
+            self.duties.jobs.query_status(ref, on_reply)
         else:
-            answer(503, None)
+            on_reply(503, None)
 
-    def cancel(self, ref: str, answer: OnReply) -> None:
-        """Cancels a job; the answer follows once none of its tasks can run any more."""
+    def cancel(self, ref: str, on_reply: OnReply) -> None:
+        """Cancels a job; replies once none of its tasks can run any more."""
         if self.term.active:
-            self.duties.jobs.cancel(ref, answer)
+            self.duties.jobs.cancel(ref, on_reply)
         else:
-            answer(503, None)
+            on_reply(503, None)
 
-    def query_loans(self, answer: OnReply) -> None:
-        """Answers what the teams lend and borrow, for operators."""
+    def query_loans(self, on_reply: OnReply) -> None:
+        """Replies with what the teams lend and borrow, for operators."""
         loan_accounts = self.duties.loan_accounts
         if not self.term.active:
-            answer(503, None)
+            on_reply(503, None)
         elif loan_accounts is None:
-            answer(404, {"error": "lending is not enabled at the leader"})
+            on_reply(404, {"error": "lending is not enabled at the leader"})
         else:
-            loan_accounts.send_page(answer)
+            loan_accounts.send_page(on_reply)
 
     # Heartbeats of machines
 
-    def handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
-        """A machine's heartbeat, received by the controller `server`."""
-        self.duties.heartbeat_handler.handle_heartbeat(server, heartbeat)
+    def handle_heartbeat(self, controller: str, heartbeat: wire.Heartbeat) -> None:
+        """Processes a machine's heartbeat that `controller` received."""
+        self.duties.heartbeat_handler.handle_heartbeat(controller, heartbeat)
 
-    def handle_liveness(self, server: str, machines: list[str]) -> None:
-        """Machines that sent heartbeats to the controller `server` lately."""
-        self.duties.heartbeat_handler.handle_liveness(server, machines)
+    def handle_liveness(self, controller: str, machines: list[str]) -> None:
+        """Records that these machines recently sent heartbeats to `controller`."""
+        self.duties.heartbeat_handler.handle_liveness(controller, machines)
 
     # Periodic duties
 
-    def _watch(self) -> None:
+    def _run_periodic_checks(self) -> None:
         if self._may_act():
-            self._raise_format()
-            self.duties.watch()
+            self._upgrade_format()
+            self.duties.run_periodic_checks()
 
     def _plan_fleet(self) -> None:
         if self._may_act():
@@ -203,8 +215,8 @@
     def _may_act(self) -> bool:
         """Whether the leader may provision, terminate, move and preempt.
 
-        One that may be superseded only answers heartbeats and stops what it cancelled: machines
-        that look silent, idle or slow to it may be at work for its successor.
+        A leader that may be superseded only replies to heartbeats and stops cancelled tasks:
+        machines that look dead, idle or slow to it may be working for its successor.
         """
         if not self.term.active:
             return False
@@ -219,11 +231,11 @@
             log.info("event=supersession_possible term=%d", self.term.number)
             return
         log.info("event=supersession_ruled_out term=%d", self.term.number)
-        self.duties.machine_monitor.reset_silence()
+        self.duties.machine_monitor.reset_missing_heartbeats()
         self.term.request_pass()
 
-    def _raise_format(self) -> None:
-        """Once all configured controllers read a newer format, it may be written."""
+    def _upgrade_format(self) -> None:
+        """Starts to write a newer format once all configured controllers can read it."""
         newest = LENDING if self._lending is not None else GANGS
         common = min(self._formats.common_format, newest)
         if common > self.state.format:
--- a/flaxtally/leader/pass_requests.py
+++ b/flaxtally/leader/pass_requests.py
@@ -1,4 +1,4 @@
-"""How the actors of a term ask its scheduler for a scheduling pass."""
+"""Requests for scheduling passes, from the actors of a term to its scheduler."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 class PassRequests:
     """Passes requests for a scheduling pass on to the scheduler.
 
-    It is created with the term, before the scheduler: most of the actors that the scheduler works
-    with ask for passes themselves.
+    It is created before the scheduler, because most of the actors that the scheduler depends on
+    request passes themselves.
     """
 
     def __init__(self) -> None:
-        """Starts without listeners: requests made before the term is wired have no effect."""
+        """Starts without listeners: requests before the scheduler subscribes have no effect."""
         self._listeners: list[Callable[[], None]] = []
 
     def subscribe(self, on_request: Callable[[], None]) -> None:
-        """Calls `on_request` at each request from now on."""
+        """Calls `on_request` at each later request."""
         self._listeners.append(on_request)
 
     def publish(self) -> None:
-        """Asks for a scheduling pass."""
+        """Requests a scheduling pass."""
         for on_request in self._listeners:
             on_request()
--- a/flaxtally/leader/reconciliation/__init__.py
+++ b/flaxtally/leader/reconciliation/__init__.py
@@ -1,8 +1,9 @@
-"""Reconciliation: what heartbeats, silence and the cloud prove about machines and attempts.
+"""Reconciliation: what heartbeats, missing heartbeats and the cloud prove about machines and tasks.
 
-Owns a term's evidence: which heartbeats count (`heartbeat_handler`), how reported tasks compare
-with the placements of the log (`reconciler`, `orphans`), when an attempt is over
-(`attempt_finisher`), which machines are silent (`machine_monitor`, `health_checks`), about to be
-taken by the cloud (`preemption_notices`), faulty (`failure_attribution`) or slow (`stragglers`).
-Begin with `heartbeat_handler`, then `reconciler`.
+It decides which heartbeats count (`heartbeat_handler`), compares reported tasks with the placements
+in the log (`reconciler`, `orphans`), finishes attempts (`attempt_finisher`), and finds the machines
+that send no heartbeats (`machine_monitor`, `health_checks`), that the cloud is about to take back
+(`preemption_notices`), that are faulty (`failure_attribution`) or slow (`stragglers`).
+
+Start reading at `heartbeat_handler`, then `reconciler`.
 """
--- a/flaxtally/leader/reconciliation/attempt_finisher.py
+++ b/flaxtally/leader/reconciliation/attempt_finisher.py
@@ -1,4 +1,4 @@
-"""Ends attempts: the record, the freed capacity, and whoever waits for the end."""
+"""Finishes attempts: proposes the record, frees the capacity and notifies the other duties."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 
 
 class EndReason(Enum):
-    """What proves that an attempt is over. The values are the words of the log."""
+    """The proof that an attempt is finished. The values are written to the log."""
 
     EXITED = "exited"
-    """Its machine reported the task's exit; the exit's cause is logged in place of this word."""
+    """Its machine reported the task's exit; the exit's cause is logged instead of the value."""
     ABSENT = "absent"
-    """Its machine reported without the task, which an earlier leader had placed there."""
+    """An earlier leader placed the task, and the machine's report does not list it."""
     NEW_INCARNATION = "session"
-    """The agent on its machine began anew, and the task is not among those it runs."""
+    """The worker on its machine started again, and the task is not among those that it runs."""
     NEVER_LAUNCHED = "never launched"
-    """The attempt was called off, and no copy of its launch command can still arrive."""
+    """The attempt was cancelled, and no copy of its launch command can still arrive."""
     CANCELLED_BEFORE_LAUNCH = "cancelled before launch"
     WITHDRAWN_BEFORE_LAUNCH = "withdrawn before launch"
     MACHINE_REMOVED = "machine released"
 
 
 class AttemptFinisher(TermActor):
-    """The only one that declares an attempt to be over, once that is proven."""
+    """Declares attempts finished, once that is proven. No other class does."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         failure_attribution: FailureAttribution,
         gang_scheduler: GangScheduler,
     ) -> None:
-        """All of these hear of an attempt's end."""
+        """Creates a finisher that notifies all of these duties when an attempt is finished."""
         super().__init__(term)
         self._jobs = jobs
         self._commands = commands
@@ -57,9 +57,9 @@
         self._gang_scheduler = gang_scheduler
 
     def finish_attempt(self, placement: Placement, reason: EndReason, exit_cause: str = "") -> None:
-        """Proposes the record of the attempt's end, and frees its place.
+        """Proposes the record of the attempt's end, and frees its capacity.
 
-        `exit_cause`: what the machine reported, for `EndReason.EXITED`.
+        `exit_cause`: the cause that the machine reported, for `EndReason.EXITED`.
         """
         job = placement.job
         is_done = exit_cause == wire.CAUSE_DONE
@@ -69,7 +69,7 @@
             AttemptEnded(job.number, placement.task, placement.attempt, is_done),
             partial(self._on_end_committed, placement),
         )
-        self._commands.forget_stopping(placement)
+        self._commands.unmark_stopping(placement)
         job.uncommitted_ends += 1
         machine = self.fleet.machines.get(placement.machine)
         if machine is not None:
@@ -80,7 +80,7 @@
         self.term.request_pass()
 
     def _update_job(self, job: Job, *, is_done: bool) -> None:
-        """Forgets the job if this was its last attempt, or queues the task again."""
+        """Forgets the job if nothing of it is left to run, or queues the task again."""
         if job.is_terminal and not job.placements:
             self._jobs.live_jobs.pop(job.number, None)
             self._failure_attribution.forget_failures(job)
--- a/flaxtally/leader/reconciliation/failure_attribution.py
+++ b/flaxtally/leader/reconciliation/failure_attribution.py
@@ -1,4 +1,4 @@
-"""Whether a task's failure is the fault of its machine or of its job."""
+"""Attributes the failures of tasks to their machines or to their jobs."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 log = logging.getLogger(__name__)
 
-QUARANTINE_AFTER_JOBS = 2
-"""Jobs that fail on one machine."""
-SUSPECT_AFTER_MACHINES = 2
-"""Machines on which a job fails with nothing done."""
+MIN_FAILED_JOBS_FOR_QUARANTINE = 2
+"""The number of different jobs that must fail on a machine for it to be quarantined."""
+MIN_FAILED_MACHINES_FOR_SUSPECT = 2
+"""The number of machines on which a job must fail, with no successful task, to be suspect."""
 MAX_BACKOFF_FACTOR = 64
-"""Times `retry`: the backoff of a failing job doubles up to here."""
+"""The longest back-off of a failing job, as a multiple of `retry`; it doubles up to this value."""
 
 
 class _JobFailures:
@@ -35,37 +35,42 @@
 class FailureAttribution(TermActor):
     """Owns the failures by job, and decides which machines are quarantined.
 
-    A job that fails on several machines and has nothing done was likely submitted with a mistake:
-    its failures no longer count against the machines, one of its tasks at a time is tried, and no
-    machine is provisioned for it. A machine on which several other jobs fail is quarantined.
+    A job that fails on several machines before any of its tasks succeeded was probably submitted
+    with a mistake. It is then suspect: its failures do not count against the machines, at most one
+    of its tasks runs at a time, and no machine is provisioned for it. A machine on which several
+    other jobs fail is quarantined.
     """
 
     def __init__(self, term: Term, jobs: JobRegistry) -> None:
-        """`jobs` holds the backoffs and the suspects, which scheduling reads."""
+        """Starts without failures; `jobs` holds the back-offs and suspect jobs for scheduling."""
         super().__init__(term)
         self._jobs = jobs
         self._failures: dict[int, _JobFailures] = {}
 
     def record_failure(self, job: Job, machine: Machine) -> None:
-        """A task of the job failed on the machine."""
+        """Records that a task of the job failed on the machine."""
         failures = self._failures.setdefault(job.number, _JobFailures())
         failures.machines.add(machine.name)
         if self._jobs.backoff_until.get(job.number, 0.0) <= self.runtime.now():
-            # Tasks that fail together count as one round.
+            # Tasks that fail during the back-off count as the same round.
             self._back_off(job, machine, failures)
-        if len(failures.machines) >= SUSPECT_AFTER_MACHINES and not job.done_tasks:
+        if len(failures.machines) >= MIN_FAILED_MACHINES_FOR_SUSPECT and not job.done_tasks:
             self._jobs.suspect_jobs.add(job.number)
-            self._acquit_machines(job, failures)
+            self._clear_machine_failures(job, failures)
         else:
-            self._blame_machine(job, machine)
+            self._count_failure_of_machine(job, machine)
 
     def forget_failures(self, job: Job) -> None:
-        """The job is over, or a task that succeeded or runs for long shows that it is sound."""
+        """Forgets a job's failures.
+
+        The job is finished, or a task that succeeded or has run for long shows that the job was
+        submitted without a mistake.
+        """
         self._failures.pop(job.number, None)
         self._jobs.suspect_jobs.discard(job.number)
 
     def lift_quarantine(self, machine: Machine) -> None:
-        """The machine gets another chance."""
+        """Ends a machine's quarantine and forgets the failures on it."""
         log.info("event=quarantine_lifted term=%d machine=%s", self.term.number, machine.name)
         machine.quarantined_until = None
         machine.is_cordoned = machine.preempted_by_cloud_at is not None
@@ -73,8 +78,8 @@
         machine.mark_changed()
         self.term.request_pass()
 
-    def acquit_suspects(self) -> None:
-        """Acquits suspects whose task has run for longer than a mistake takes to show."""
+    def clear_suspect_jobs(self) -> None:
+        """Clears suspect jobs of which a task has run for longer than a mistake takes to show."""
         for number in list(self._jobs.suspect_jobs):
             job = self._jobs.live_jobs.get(number)
             if job is None:
@@ -101,15 +106,15 @@
             failures.rounds,
         )
 
-    def _blame_machine(self, job: Job, machine: Machine) -> None:
+    def _count_failure_of_machine(self, job: Job, machine: Machine) -> None:
         machine.failed_jobs.add(job.spec.ref)
-        if len(machine.failed_jobs) >= QUARANTINE_AFTER_JOBS and not machine.is_cordoned:
+        if len(machine.failed_jobs) >= MIN_FAILED_JOBS_FOR_QUARANTINE and not machine.is_cordoned:
             self._quarantine(machine)
 
     def _quarantine(self, machine: Machine) -> None:
         log.info("event=machine_quarantined term=%d machine=%s", self.term.number, machine.name)
-        # Some faults pass: the first quarantine is short, later ones longer. No job may have to
-        # wait 90 s beside an idle machine.
+        # Some faults are transient: the first quarantine is short, later ones are longer. The upper
+        # bound keeps jobs from waiting 90 s while a machine is idle.
         quarantine_s = min(
             self.policy.faulty_rest * 2**machine.quarantine_count, self.policy.keep_patience
         )
@@ -118,13 +123,13 @@
         machine.mark_changed()
         machine.quarantine_count += 1
 
-    def _acquit_machines(self, job: Job, failures: _JobFailures) -> None:
-        """The job's failures no longer count against the machines on which it failed."""
+    def _clear_machine_failures(self, job: Job, failures: _JobFailures) -> None:
+        """Stops counting the job's failures against the machines on which it failed."""
         for name in failures.machines:
             machine = self.fleet.machines.get(name)
             if machine is None:
                 continue
             machine.failed_jobs.discard(job.spec.ref)
-            is_acquitted = len(machine.failed_jobs) < QUARANTINE_AFTER_JOBS
-            if machine.quarantined_until is not None and is_acquitted:
+            is_below_threshold = len(machine.failed_jobs) < MIN_FAILED_JOBS_FOR_QUARANTINE
+            if machine.quarantined_until is not None and is_below_threshold:
                 self.lift_quarantine(machine)
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: probes of silent machines, and zones that are silent as a whole."""
+"""Health checks: probes of machines, and detection of zones whose heartbeats are missing."""
 
 from __future__ import annotations
 
@@ -12,49 +12,53 @@
     from ...planning.fleet import Machine
     from ..commands import CommandSender
 
-PROBING_SHARE = 0.5
-"""Of the connections for calls to workers: commands to others go on while a zone is silent."""
-MIN_SILENT_MACHINES = 3
-"""For a zone to count as silent."""
+MAX_PROBING_FRACTION = 0.5
+"""The share of the connections to workers that probes may use.
+
+The rest stays free for commands to other machines while a zone sends no heartbeats.
+"""
+MIN_OVERDUE_MACHINES = 3
+"""The fewest machines with missing heartbeats for which their whole zone may count as affected."""
 
 
 class _ZoneCount:
-    """How many machines of a zone are up, and how many of these are silent."""
+    """How many machines of a zone are up, and how many of these have missing heartbeats."""
 
-    __slots__ = ("silent", "up")
+    __slots__ = ("overdue", "up")
 
     def __init__(self) -> None:
         self.up = 0
-        self.silent = 0
+        self.overdue = 0
 
     @property
-    def is_mostly_silent(self) -> bool:
-        return self.silent >= MIN_SILENT_MACHINES and self.silent * 2 > self.up
+    def is_mostly_overdue(self) -> bool:
+        return self.overdue >= MIN_OVERDUE_MACHINES and self.overdue * 2 > self.up
 
 
 class HealthChecks(TermActor):
-    """Owns the probes under way."""
+    """Probes machines, and owns the probes in flight."""
 
     def __init__(self, term: Term, commands: CommandSender) -> None:
-        """`commands` reads the status that a probe's answer carries."""
+        """Starts without probes; `commands` processes the status in the reply to a probe."""
         super().__init__(term)
         self._commands = commands
         self._probed_machine_count = 0
-        """Machines that are being probed."""
+        """The number of machines that are being probed."""
         called_sockets = self.settings.max_sockets * CALLED_SHARE
-        self._max_probed_machines = max(1, int(called_sockets * PROBING_SHARE))
-        self._zone_silent_until: dict[str, float] = {}
+        self._max_probed_machines = max(1, int(called_sockets * MAX_PROBING_FRACTION))
+        self._zone_overdue_until: dict[str, float] = {}
 
-    def find_silent_zones(self, now: float) -> set[str]:
-        """Zones in which most machines fell silent together.
+    def find_zones_without_heartbeats(self, now: float) -> set[str]:
+        """Returns the zones in which the heartbeats of most machines are missing.
 
-        The likely cause is the network or a controller, while the machines are well.
+        The probable cause is the network or a controller, while the machines still work.
         """
         for zone, count in self._count_machines(now).items():
-            if count.is_mostly_silent:
-                # It lasts beyond the return of half of the machines: the others are to follow.
-                self._zone_silent_until[zone] = now + self.policy.machine_silence
-        return {zone for zone, until in self._zone_silent_until.items() if until > now}
+            if count.is_mostly_overdue:
+                # The zone still counts for a while after half of its machines are back: the
+                # others probably follow.
+                self._zone_overdue_until[zone] = now + self.policy.machine_silence
+        return {zone for zone, until in self._zone_overdue_until.items() if until > now}
 
     def _count_machines(self, now: float) -> dict[str, _ZoneCount]:
         counts: dict[str, _ZoneCount] = {}
@@ -66,44 +70,44 @@
                 count = counts[machine.zone] = _ZoneCount()
             count.up += 1
             if now - machine.last_heartbeat_at > self.policy.machine_suspect:
-                count.silent += 1
+                count.overdue += 1
         return counts
 
     def probe_machine(self, machine: Machine) -> None:
-        """Asks the machine directly and through another controller, at the same time.
+        """Queries the machine's status directly and through another controller at the same time.
 
-        One answer is enough; without any, more than this controller is cut off from the machine.
-        Nothing is sent while the machine, or too many others, are being probed.
+        One reply is enough. If neither replies, not only this controller is cut off from the
+        machine. Nothing is sent while the machine, or too many others, are being probed.
         """
         if machine.open_probes or not machine.address:
             return
         if self._probed_machine_count >= self._max_probed_machines:
             return
-        servers = self._choose_servers(machine)
-        machine.open_probes = len(servers)
+        controllers = self._choose_controllers(machine)
+        machine.open_probes = len(controllers)
         self._probed_machine_count += 1
         transport = self._commands.transport
         pause_count = self.term.pause_count
-        for server in servers:
-            on_reply = partial(self._on_probe_reply, machine, pause_count, server)
-            transport.send(server, machine.name, machine.address, None, on_reply)
+        for controller in controllers:
+            on_reply = partial(self._on_probe_reply, machine, pause_count, controller)
+            transport.send(controller, machine.name, machine.address, None, on_reply)
 
-    def _choose_servers(self, machine: Machine) -> list[str]:
-        """The controllers that probe: this one, and the others in turn."""
-        servers = [self.settings.node]
+    def _choose_controllers(self, machine: Machine) -> list[str]:
+        """Returns the controllers that probe a machine: this one, and one of the others in turn."""
+        controllers = [self.settings.node]
         others = self._commands.transport.other_controllers(machine.zone)
         if others:
-            servers.append(others[machine.failed_probes // 2 % len(others)])
-        return servers
+            controllers.append(others[machine.failed_probes // 2 % len(others)])
+        return controllers
 
     def _on_probe_reply(
-        self, machine: Machine, pause_count: int, server: str, status: int, body: bytes
+        self, machine: Machine, pause_count: int, controller: str, status: int, body: bytes
     ) -> None:
         machine.open_probes -= 1
         if not machine.open_probes:
             self._probed_machine_count -= 1
         if status == 200:
             machine.failed_probes = 0
-            self._commands.handle_reply(server, body)
+            self._commands.handle_reply(controller, body)
         elif pause_count == self.term.pause_count:
             machine.failed_probes += 1
--- a/flaxtally/leader/reconciliation/heartbeat_handler.py
+++ b/flaxtally/leader/reconciliation/heartbeat_handler.py
@@ -1,4 +1,4 @@
-"""Heartbeats of machines: which are fresh, which prove something, and what they change."""
+"""Handles the heartbeats of machines: decides which are new and which are proof of what runs."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 class HeartbeatHandler(TermActor):
     """Accepts heartbeats in the order in which their machines made them.
 
-    Only one made under the present fencing token proves what runs on a machine. An older one shows
-    that the machine is alive; the answer to it carries the present token.
+    Only a heartbeat made under the current fencing token proves what runs on a machine. One made
+    under an older token shows that the machine is alive; the reply to it carries the current token.
     """
 
     def __init__(
         self, term: Term, reconciler: Reconciler, preemption_notices: PreemptionNotices
     ) -> None:
-        """Both hear of heartbeats that count as proof."""
+        """Creates a handler that passes heartbeats that count as proof on to both."""
         super().__init__(term)
         self._reconciler = reconciler
         self._preemption_notices = preemption_notices
         self._suspect_after_s = self.policy.machine_suspect
 
-    def handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
-        """A heartbeat that the controller `server` received, or a machine's reply to commands."""
+    def handle_heartbeat(self, controller: str, heartbeat: wire.Heartbeat) -> None:
+        """Processes a heartbeat that `controller` received, or a machine's reply to commands."""
         term, fleet = self.term, self.fleet
         if not term.active or heartbeat.machine in fleet.removed_machines:
             return
@@ -46,29 +46,30 @@
         if not machine.is_newer(heartbeat.incarnation, heartbeat.sequence_number):
             return
         if heartbeat.fencing_token == term.number:
-            self._record_contact(machine, server, heartbeat)
+            self._record_contact(machine, controller, heartbeat)
             self._accept_status(machine, heartbeat)
         elif heartbeat.recency > machine.newest_foreign_heartbeat:
-            # A copy that comes after newer ones shows nothing, not even that the machine is alive.
+            # A copy that arrives after newer ones proves nothing, not even that the machine is
+            # alive.
             machine.newest_foreign_heartbeat = heartbeat.recency
-            self._record_contact(machine, server, heartbeat)
+            self._record_contact(machine, controller, heartbeat)
             machine.incarnation = max(machine.incarnation, heartbeat.incarnation)
 
-    def handle_liveness(self, server: str, names: list[str]) -> None:
-        """These machines reported to the controller `server`: they are alive, no more is proven."""
+    def handle_liveness(self, controller: str, names: list[str]) -> None:
+        """Records that these machines reported to `controller`; it only proves they are alive."""
         if not self.term.active:
             return
         for name in names:
             machine = self.fleet.machines.get(name)
             if machine is None or machine.is_booting or machine.is_terminating:
                 continue
-            self._end_silence(machine)
+            self._record_liveness(machine)
             machine.failed_probes = 0
             if machine.shard_owner is None:
-                machine.shard_owner = server
+                machine.shard_owner = controller
 
     def _discover_machine(self, heartbeat: wire.Heartbeat) -> Machine:
-        """A machine that neither this leader provisioned nor the cloud has listed yet."""
+        """Adds a machine that this leader did not provision and the cloud has not listed yet."""
         log.info(
             "event=unknown_machine_reported term=%d machine=%s", self.term.number, heartbeat.machine
         )
@@ -76,23 +77,23 @@
             heartbeat.machine, heartbeat.machine_type, heartbeat.zone, spot=heartbeat.spot
         )
 
-    def _record_contact(self, machine: Machine, server: str, heartbeat: wire.Heartbeat) -> None:
-        """The machine is alive, and `server` owns its shard."""
+    def _record_contact(self, machine: Machine, controller: str, heartbeat: wire.Heartbeat) -> None:
+        """Records that the machine is alive, and that `controller` owns its shard."""
         if machine.is_booting:
             self._on_booted(machine)
         machine.address = heartbeat.address
-        machine.shard_owner = server
-        # Once reconciled, a machine reports under the present token: an older heartbeat is late.
+        machine.shard_owner = controller
+        # A reconciled machine reports under the current token: one under an older token is late.
         if not machine.is_reconciled or heartbeat.fencing_token >= self.term.number:
-            self._end_silence(machine)
+            self._record_liveness(machine)
         machine.failed_probes = 0
 
-    def _end_silence(self, machine: Machine) -> None:
+    def _record_liveness(self, machine: Machine) -> None:
         now = self.runtime.now()
-        silent_s = now - machine.last_heartbeat_at
-        if silent_s >= self._suspect_after_s:
+        heartbeat_age_s = now - machine.last_heartbeat_at
+        if heartbeat_age_s >= self._suspect_after_s:
             machine.mark_changed()
-        if silent_s > 0:
+        if heartbeat_age_s > 0:
             machine.last_heartbeat_at = now
 
     def _on_booted(self, machine: Machine) -> None:
@@ -111,7 +112,7 @@
         self.term.request_pass()
 
     def _accept_status(self, machine: Machine, heartbeat: wire.Heartbeat) -> None:
-        """What the machine reports under the present token is the truth about it."""
+        """Takes over the status of a machine that reports under the current token."""
         if heartbeat.incarnation > machine.incarnation:
             machine.forget_images()
         machine.incarnation = heartbeat.incarnation
--- a/flaxtally/leader/reconciliation/machine_monitor.py
+++ b/flaxtally/leader/reconciliation/machine_monitor.py
@@ -1,4 +1,8 @@
-"""Periodic checks of machines: silent, never booted, drained, or not ending a cancelled task."""
+"""Periodic checks of machines.
+
+They find machines without heartbeats, with an overdue boot, drained, or still running a cancelled
+task.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +20,11 @@
     from .health_checks import HealthChecks
 
 MIN_FAILED_PROBES = 2
-"""Before a silent machine that has an address is terminated."""
+"""The failed probes before a machine without heartbeats whose address is known is terminated."""
 
 
 class MachineMonitor(TermActor):
-    """Probes silent machines, and terminates those of which nothing more is to be expected."""
+    """Probes machines without heartbeats, and terminates those that are lost or drained."""
 
     def __init__(
         self,
@@ -31,7 +35,7 @@
         health_checks: HealthChecks,
         scale_in: ScaleIn,
     ) -> None:
-        """`scale_in` terminates machines, `health_checks` probes them."""
+        """Creates a monitor; `scale_in` terminates machines, `health_checks` probes them."""
         super().__init__(term)
         self._jobs = jobs
         self._commands = commands
@@ -40,62 +44,69 @@
         self._scale_in = scale_in
 
     def check_machines(self) -> None:
-        """One round of checks over all machines."""
+        """Checks all machines once."""
         now = self.runtime.now()
-        self._failure_attribution.acquit_suspects()
-        silent_zones = self._health_checks.find_silent_zones(now)
+        self._failure_attribution.clear_suspect_jobs()
+        zones_without_heartbeats = self._health_checks.find_zones_without_heartbeats(now)
         for job in list(self._jobs.live_jobs.values()):
             if (
                 job.is_cancellation_committed
                 and now - job.cancelled_at > self.policy.cancel_patience
             ):
-                self._terminate_machines_of(job, silent_zones)
+                self._terminate_machines_of(job, zones_without_heartbeats)
         for machine in list(self.fleet.machines.values()):
             if not machine.is_terminating:
-                self._check_machine(machine, now, silent_zones)
+                self._check_machine(machine, now, zones_without_heartbeats)
 
-    def reset_silence(self) -> None:
-        """After a time in which this controller received little: silence counts from now."""
+    def reset_missing_heartbeats(self) -> None:
+        """Counts missing heartbeats from now on, after a time in which few could arrive here."""
         recent = self.runtime.now() - self.policy.machine_suspect
         for machine in self.fleet.machines.values():
             machine.last_heartbeat_at = max(machine.last_heartbeat_at, recent)
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still: it makes neither machines nor boots nor cancellations late."""
+    def on_pause(self, pause_s: float) -> None:
+        """Extends the deadlines of heartbeats, boots and cancellations by the process's pause."""
         now = self.runtime.now()
         for machine in self.fleet.machines.values():
-            machine.last_heartbeat_at = min(now, machine.last_heartbeat_at + lost_s)
+            machine.last_heartbeat_at = min(now, machine.last_heartbeat_at + pause_s)
             machine.failed_probes = 0
             if machine.is_booting:
-                machine.provisioned_at = min(now, machine.provisioned_at + lost_s)
+                machine.provisioned_at = min(now, machine.provisioned_at + pause_s)
         for job in self._jobs.live_jobs.values():
             if job.is_cancelled:
-                job.cancelled_at = min(now, job.cancelled_at + lost_s)
+                job.cancelled_at = min(now, job.cancelled_at + pause_s)
+
+    def _terminate_machines_of(self, job: Job, zones_without_heartbeats: set[str]) -> None:
+        """Terminates the machines that still run tasks of a cancelled job.
 
-    def _terminate_machines_of(self, job: Job, silent_zones: set[str]) -> None:
-        """The end of a machine proves the end of the tasks that no stop command ended."""
+        The termination of a machine proves that the tasks on it are finished, where stop commands
+        had no effect.
+        """
         for placement in list(job.placements.values()):
             machine = self.fleet.machines.get(placement.machine)
             if (
                 machine is not None
                 and not machine.is_terminating
-                and machine.zone not in silent_zones
+                and machine.zone not in zones_without_heartbeats
             ):
-                self._scale_in.terminate(machine, "cancelled task not confirmed gone")
+                self._scale_in.terminate(machine, "cancelled task not proven finished")
 
-    def _check_machine(self, machine: Machine, now: float, silent_zones: set[str]) -> None:
+    def _check_machine(
+        self, machine: Machine, now: float, zones_without_heartbeats: set[str]
+    ) -> None:
         if machine.is_booting:
             if self._is_boot_overdue(machine, now):
-                self._scale_in.terminate(machine, "never came up")
+                self._scale_in.terminate(machine, "did not boot in time")
         elif now - machine.last_heartbeat_at > self.policy.machine_suspect:
-            self._check_silent_machine(machine, now, silent_zones)
+            self._check_overdue_machine(machine, now, zones_without_heartbeats)
         elif machine.is_cordoned and not machine.placements and machine.is_reconciled:
             self._scale_in.terminate(machine, "drained")
         elif machine.quarantined_until is not None and now > machine.quarantined_until:
-            # Services ran on there all the while: it gets another chance.
+            # Services kept running on the machine, so it was not drained: it takes tasks again.
             self._failure_attribution.lift_quarantine(machine)
         elif machine.is_unresponsive:
-            # No other command goes there: without this one it would be passed over for ever.
+            # No other commands are sent to the machine: without this one it would stay unresponsive
+            # indefinitely.
             self._commands.send_empty_command(machine)
 
     def _is_boot_overdue(self, machine: Machine, now: float) -> bool:
@@ -105,14 +116,20 @@
         boot_s = max(machine_type.boot_s, self.policy.settle)
         return now - machine.provisioned_at > self.policy.boot_patience * boot_s
 
-    def _check_silent_machine(self, machine: Machine, now: float, silent_zones: set[str]) -> None:
-        silent_s = now - machine.last_heartbeat_at
+    def _check_overdue_machine(
+        self, machine: Machine, now: float, zones_without_heartbeats: set[str]
+    ) -> None:
+        heartbeat_age_s = now - machine.last_heartbeat_at
         self._health_checks.probe_machine(machine)
         if machine.preempted_by_cloud_at is not None and now > machine.preempted_by_cloud_at:
-            self._scale_in.terminate(machine, "silent, and its notice is over")
+            self._scale_in.terminate(machine, "no heartbeat, and its preemption notice has expired")
             return
         policy = self.policy
-        patience_s = policy.zone_silence if machine.zone in silent_zones else policy.machine_silence
+        timeout_s = (
+            policy.zone_silence
+            if machine.zone in zones_without_heartbeats
+            else policy.machine_silence
+        )
         is_unreachable = machine.failed_probes >= MIN_FAILED_PROBES or not machine.address
-        if silent_s > patience_s and is_unreachable:
-            self._scale_in.terminate(machine, f"silent for {silent_s:.1f}s")
+        if heartbeat_age_s > timeout_s and is_unreachable:
+            self._scale_in.terminate(machine, f"no heartbeat for {heartbeat_age_s:.1f}s")
--- a/flaxtally/leader/reconciliation/orphans.py
+++ b/flaxtally/leader/reconciliation/orphans.py
@@ -1,4 +1,4 @@
-"""Orphaned tasks: those that a machine reports and the log does not place there."""
+"""Orphaned tasks: tasks that a machine reports although the log does not place them there."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 
 
 class OrphanedTasks(TermActor):
-    """Stops orphaned tasks, and has machines forget exited ones once that is safe."""
+    """Stops orphaned tasks, and tells machines to forget exited ones once that is safe."""
 
     def __init__(self, term: Term, commands: CommandSender) -> None:
-        """`commands`: how stops and permissions to forget reach the machine."""
+        """Starts without reported exits; `commands` sends stop and forget commands to machines."""
         super().__init__(term)
         self._commands = commands
         self._exits: dict[str, dict[tuple[str, int], Placement]] = {}
-        """Placements whose exit was reported, by machine, then by task and attempt."""
+        """The placements whose exit was reported, by machine, then by task and attempt."""
 
     def record_exit(self, machine: Machine, placement: Placement) -> None:
-        """The machine reported the attempt's exit, and lists the task until it may forget it."""
+        """Records the attempt's exit; the machine lists the task until it is told to forget it."""
         self._exits.setdefault(machine.name, {})[placement.name, placement.attempt] = placement
 
     def forget_machine(self, machine: Machine) -> None:
-        """The machine was removed."""
+        """Forgets the exits on a machine that was removed."""
         self._exits.pop(machine.name, None)
 
     def handle_orphan(self, machine: Machine, task: wire.TaskStatus) -> None:
-        """The machine reported a task that the log does not place there."""
+        """Stops a task that the log does not place on the machine, or lets it forget the task."""
         if task.state != wire.EXITED:
             self._stop_orphan(machine, task)
         elif self._can_forget(machine, task):
@@ -52,7 +52,10 @@
         self._commands.enqueue(machine, wire.stop(task.task, task.attempt, 0.0), None)
 
     def _can_forget(self, machine: Machine, task: wire.TaskStatus) -> bool:
-        """Whether no copy of the task's launch can still arrive: one would start it again."""
+        """Whether no copy of the launch command can still arrive: it would start the task again.
+
+        If so, the recorded exit is removed.
+        """
         exits = self._exits.get(machine.name, {})
         placement = exits.get((task.task, task.attempt))
         if placement is None:
--- a/flaxtally/leader/reconciliation/preemption_notices.py
+++ b/flaxtally/leader/reconciliation/preemption_notices.py
@@ -1,4 +1,4 @@
-"""Preemption notices: the cloud announces that it takes a spot instance back."""
+"""Preemption notices: the cloud announces that it will take a spot instance back."""
 
 from __future__ import annotations
 
@@ -16,21 +16,27 @@
 
 log = logging.getLogger(__name__)
 
-RESTART_GAIN = 1.5
-"""A task without checkpoints is restarted elsewhere if its rest takes so many times the notice."""
+MIN_RESTART_GAIN_RATIO = 1.5
+"""The ratio of a task's remaining run time to the notice above which it is restarted elsewhere.
+
+It applies to tasks without checkpoints.
+"""
 
 
 class PreemptionNotices(TermActor):
-    """Cordons the machine and saves what can be saved before the cloud takes it."""
+    """Cordons a machine that the cloud takes back, and moves the tasks that would lose work."""
 
     def __init__(self, term: Term, commands: CommandSender, gang_scheduler: GangScheduler) -> None:
-        """`gang_scheduler` decides for gangs: their tasks stop together."""
+        """Creates a handler; `gang_scheduler` decides for gangs, whose tasks stop together."""
         super().__init__(term)
         self._commands = commands
         self._gang_scheduler = gang_scheduler
 
     def handle_notice(self, machine: Machine, notice_s: float) -> None:
-        """The machine reported for the first time that the cloud takes it in `notice_s`."""
+        """Prepares for the end of a machine that the cloud takes back in `notice_s`.
+
+        It is called for the first report of the notice only.
+        """
         machine.preempted_by_cloud_at = self.runtime.now() + notice_s
         machine.is_cordoned = True
         machine.mark_changed()
@@ -56,8 +62,11 @@
             self._commands.stop_task(placement, 0.0)
 
     def _is_restart_better(self, placement: Placement, notice_s: float) -> bool:
-        """What can't end before the machine is taken is lost anyway: it better begins anew now."""
-        return self._remaining_run_s(placement) > RESTART_GAIN * notice_s
+        """Whether the task should restart elsewhere now.
+
+        If it cannot finish before the machine is taken, its work is lost anyway.
+        """
+        return self._remaining_run_s(placement) > MIN_RESTART_GAIN_RATIO * notice_s
 
     def _remaining_run_s(self, placement: Placement) -> float:
         estimated_run_s = placement.job.spec.estimated_run_s
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -1,4 +1,4 @@
-"""Compares what machines report of their tasks with the placements of the log."""
+"""Compares the tasks that machines report with the placements in the log."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 log = logging.getLogger(__name__)
 
-NOT_STARTED_CAUSES = (wire.CAUSE_FULL, wire.CAUSE_IN_USE, wire.CAUSE_UNKNOWN)
-"""Exits of tasks that their machine refused to launch."""
+LAUNCH_REFUSED_CAUSES = (wire.CAUSE_FULL, wire.CAUSE_IN_USE, wire.CAUSE_UNKNOWN)
+"""The exit causes of tasks that their machine refused to launch."""
 
 
 class Reconciler(TermActor):
     """Brings the placements of a machine and its tasks into agreement.
 
-    A machine is converged when the same status once more would change nothing: all its placements
-    are reported, nothing else is, and nothing has exited or is to be stopped.
+    A machine is converged if the same status would change nothing when received again: it reports
+    all its placements and no other tasks, and no task has exited or must be stopped.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         failure_attribution: FailureAttribution,
         gang_scheduler: GangScheduler,
     ) -> None:
-        """`stragglers`, `failure_attribution` and `gang_scheduler` hear how tasks fare."""
+        """Creates a reconciler that notifies the other duties when tasks run, finish or fail."""
         super().__init__(term)
         self._jobs = jobs
         self._commands = commands
@@ -54,10 +54,10 @@
         self.scale_in = ScaleIn(term, commands, self._on_machine_removed)
 
     def reconcile(self, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
-        """Acts on the machine's status, made under the present fencing token."""
+        """Acts on the machine's status, which was made under the current fencing token."""
         reported = {(task.task, task.attempt): task for task in tasks}
         placements = list(machine.placements.values())
-        # Set before the comparison: a command or an ended attempt resets it.
+        # Set before the tasks are handled: a command or a finished attempt resets it.
         machine.converged_tasks = tasks if self._is_converged(placements, reported) else None
         for placement in placements:
             task = reported.pop((placement.name, placement.attempt), None)
@@ -93,13 +93,13 @@
             self._handle_unconfirmed_launch(placement)
 
     def _handle_unconfirmed_launch(self, placement: Placement) -> None:
-        """The task was launched in this term, and no heartbeat has reported it yet."""
+        """Repeats or gives up a launch of this term that no heartbeat has reported yet."""
         job = placement.job
         is_called_off = job.is_terminal or (
             job.spec.job_kind == wire.GANG and placement.stopping_at is not None
         )
         if is_called_off and placement.launches_in_flight == 0:
-            # No copy of the launch command is under way.
+            # No copy of the launch command is in flight.
             self.attempts.finish_attempt(placement, EndReason.NEVER_LAUNCHED)
         elif not job.is_terminal and self._seconds_since_command(placement) > (
             self.policy.order_call
@@ -130,7 +130,7 @@
             self._on_task_running(machine, placement)
 
     def _record_image(self, machine: Machine, placement: Placement) -> None:
-        """The task has fetched its image: the machine's cache holds it."""
+        """Records that the machine's cache holds the image, which the task has fetched."""
         machine_type = self.term.machine_types.get(machine.machine_type)
         cache_gb = machine_type.cache_gb if machine_type else 0.0
         spec = placement.job.spec
@@ -172,13 +172,13 @@
             self._stragglers.on_task_done(machine, placement)
         elif cause == wire.CAUSE_ERROR:
             self._failure_attribution.record_failure(placement.job, machine)
-        elif cause in NOT_STARTED_CAUSES:
+        elif cause in LAUNCH_REFUSED_CAUSES:
             self._back_off(machine, placement, cause)
         self._orphans.record_exit(machine, placement)
         self.attempts.finish_attempt(placement, EndReason.EXITED, cause or "")
 
     def _back_off(self, machine: Machine, placement: Placement, cause: str) -> None:
-        """The machine refused the launch: the job's next attempt waits a little."""
+        """Delays the job's next attempt, because the machine refused the launch."""
         backoff_s = self.policy.retry * 2
         self._jobs.backoff_until[placement.job.number] = self.runtime.now() + backoff_s
         log.info(
@@ -189,12 +189,13 @@
             cause,
         )
 
-    # A machine that is gone
+    # A machine that was removed
 
     def _on_machine_removed(self, machine: Machine) -> None:
-        """The cloud confirmed the termination: no attempt on the machine can run any more."""
+        """Finishes the attempts on a machine whose termination the cloud confirmed."""
         for placement in list(machine.placements.values()):
-            # Also one whose own commit is under way: nothing is launched there after it.
+            # This includes a placement whose commit is in flight: it is not launched after the
+            # commit.
             self.attempts.finish_attempt(placement, EndReason.MACHINE_REMOVED)
         self._orphans.forget_machine(machine)
         self.term.request_pass()
@@ -202,7 +203,7 @@
     # Which machines take new tasks
 
     def find_schedulable_machines(self) -> list[Machine]:
-        """The machines on which tasks may be placed now."""
+        """Returns the machines on which tasks may be placed now."""
         return [machine for machine in self.fleet.machines.values() if self.is_schedulable(machine)]
 
     def is_schedulable(self, machine: Machine) -> bool:
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -18,44 +18,44 @@
 
 log = logging.getLogger(__name__)
 
-MIN_SAMPLES = 6
-"""Ended tasks of a job without which its run times tell nothing."""
-MAX_SAMPLES = 64
-"""Run times that are remembered of a job."""
+MIN_RUN_TIME_SAMPLES = 6
+"""The fewest recorded run times of a job from which a median is computed."""
+MAX_RUN_TIME_SAMPLES = 64
+"""The most run times that are kept of a job."""
 MIN_LATE_TASKS = 2
-"""Late tasks that make a machine slow; a single one must be very late."""
+"""The late tasks after which a machine counts as slow; a single task must be very late."""
 
 Attempt = tuple[int, int, int]
 """The numbers of a job, of its task and of the task's attempt."""
 
 
 class Stragglers(TermActor):
-    """Owns the run times of ended tasks by job, and the late tasks by machine.
+    """Owns the run times of finished tasks by job, and the late tasks by machine.
 
-    Run times within a job differ by half, and sound machines by a tenth. So a single task that is
-    a little late proves nothing; two on one machine do, or one that is very late. A slow machine
-    gets no batch tasks for a while and does not count as free capacity; its tasks that can write a
-    checkpoint go on elsewhere.
+    Run times within a job differ by half, and the speeds of sound machines by a tenth. So a single
+    task that is a little late proves nothing; two late tasks on one machine do, or one that is very
+    late. A slow machine gets no batch tasks for a while and does not count as free capacity; its
+    tasks that can write a checkpoint continue elsewhere.
     """
 
     def __init__(self, term: Term, jobs: JobRegistry, commands: CommandSender) -> None:
-        """`commands` stops tasks of slow machines that can write a checkpoint."""
+        """Starts without run times; `commands` stops tasks that leave a slow machine."""
         super().__init__(term)
         self._jobs = jobs
         self._commands = commands
         self._run_times_s: dict[int, list[float]] = {}
-        """By job, ascending."""
+        """The run times of finished tasks, by job number, in ascending order."""
         self._late_attempts: dict[str, set[Attempt]] = {}
         self._slow_until: dict[str, float] = {}
         self._ignore_ends_until = float("-inf")
-        """Until then run times are unknown: the ends of tasks were reported during a pause."""
+        """The time until which run times are unknown, because tasks finished during a pause."""
 
     def on_pause(self) -> None:
-        """The process stood still: ends of tasks during the pause are seen late."""
+        """Ignores run times for a while: tasks that finished during the pause are noticed late."""
         self._ignore_ends_until = self.runtime.now() + 2 * self.policy.machine_suspect
 
     def on_task_done(self, machine: Machine, placement: Placement) -> None:
-        """A task succeeded."""
+        """Compares the run time of a task that succeeded with the median of its job."""
         now = self.runtime.now()
         if (
             placement.job.spec.job_kind != wire.ARRAY
@@ -64,22 +64,22 @@
             or now < self._ignore_ends_until
         ):
             return
-        usual_s = self._usual_run_time_s(placement.job)
+        median_s = self._median_run_time_s(placement.job)
         run_time_s = now - placement.started_at
         # Later attempts may have resumed from a checkpoint.
         is_first_attempt = placement.attempt == 1
         if is_first_attempt:
             self._record_run_time(placement.job, run_time_s)
-        if not usual_s:
+        if not median_s:
             return
-        if run_time_s > self.policy.late * usual_s:
-            self._record_late_task(machine, placement, run_time_s / usual_s)
-        elif is_first_attempt and run_time_s > usual_s / self.policy.late:
-            # As long as it should be: what ran longer on this machine did so by chance.
+        if run_time_s > self.policy.late * median_s:
+            self._record_late_task(machine, placement, run_time_s / median_s)
+        elif is_first_attempt and run_time_s > median_s / self.policy.late:
+            # The run time is normal: the late tasks on this machine were late by chance.
             self._clear_machine(machine.name)
 
     def check_running_tasks(self) -> None:
-        """Finds running tasks that are late already; clears machines whose time is over."""
+        """Finds running tasks that are already late; clears machines that were slow long enough."""
         now = self.runtime.now()
         for name, until in list(self._slow_until.items()):
             if now > until:
@@ -87,12 +87,12 @@
         if now < self._ignore_ends_until:
             return
         for job in list(self._jobs.live_jobs.values()):
-            usual_s = self._usual_run_time_s(job)
-            if usual_s:
-                self._check_tasks_of(job, usual_s, now)
-        self._forget_ended()
+            median_s = self._median_run_time_s(job)
+            if median_s:
+                self._check_tasks_of(job, median_s, now)
+        self._remove_finished_entries()
 
-    def _check_tasks_of(self, job: Job, usual_s: float, now: float) -> None:
+    def _check_tasks_of(self, job: Job, median_s: float, now: float) -> None:
         for placement in list(job.placements.values()):
             if (
                 placement.started_at is None
@@ -100,13 +100,13 @@
                 or placement.stopping_at is not None
             ):
                 continue
-            ratio = (now - placement.started_at) / usual_s
+            ratio = (now - placement.started_at) / median_s
             machine = self.fleet.machines.get(placement.machine)
             if ratio > self.policy.late and machine is not None:
                 self._record_late_task(machine, placement, ratio)
 
-    def _forget_ended(self) -> None:
-        """Jobs that are over, and machines that are gone."""
+    def _remove_finished_entries(self) -> None:
+        """Removes the entries of finished jobs and of removed machines."""
         self._run_times_s = {
             number: run_times_s
             for number, run_times_s in self._run_times_s.items()
@@ -121,25 +121,28 @@
     def _record_run_time(self, job: Job, run_time_s: float) -> None:
         run_times_s = self._run_times_s.setdefault(job.number, [])
         insort(run_times_s, run_time_s)
-        if len(run_times_s) > MAX_SAMPLES:
-            # Thinned out evenly, so that the median stays where it is.
-            del run_times_s[:: MAX_SAMPLES // 2]
+        if len(run_times_s) > MAX_RUN_TIME_SAMPLES:
+            # Thin out evenly, so that the median stays the same.
+            del run_times_s[:: MAX_RUN_TIME_SAMPLES // 2]
 
-    def _usual_run_time_s(self, job: Job) -> float:
-        """The median run time of the job's tasks; 0 while too few have ended to tell.
+    def _median_run_time_s(self, job: Job) -> float:
+        """Returns the median run time of the job's tasks; 0 while too few have finished.
 
-        The first to end are the short ones: tasks that still run count as longer than these.
+        The shortest tasks finish first, so tasks that still run count as longer than these.
         """
         run_times_s = self._run_times_s.get(job.number, ())
-        if len(run_times_s) < MIN_SAMPLES:
+        if len(run_times_s) < MIN_RUN_TIME_SAMPLES:
             return 0.0
         done_count = len(job.done_tasks)
         seen_count = done_count + len(job.placements)
-        median = int(len(run_times_s) * seen_count / (2 * max(1, done_count)))
-        return run_times_s[median] if median < len(run_times_s) else 0.0
+        median_index = int(len(run_times_s) * seen_count / (2 * max(1, done_count)))
+        return run_times_s[median_index] if median_index < len(run_times_s) else 0.0
 
     def _record_late_task(self, machine: Machine, placement: Placement, ratio: float) -> None:
-        """`ratio`: of the task's run time to the usual one."""
+        """Records a late task; marks the machine as slow if that is enough proof.
+
+        `ratio`: the task's run time divided by the median of its job.
+        """
         late_attempts = self._late_attempts.setdefault(machine.name, set())
         late_attempts.add((placement.job.number, placement.task, placement.attempt))
         if machine.name in self._slow_until:
--- a/flaxtally/leader/replies.py
+++ b/flaxtally/leader/replies.py
@@ -1,4 +1,4 @@
-"""What the leader replies to a request of a user or an operator."""
+"""The leader's replies to requests of users and operators."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 """A job's status, or another object with the fields of the HTTP API; None: no body."""
 
 OnReply = Callable[[int, ReplyBody], None]
-"""Takes an HTTP status and a body, once."""
+"""Called once, with an HTTP status and a body."""
 
 
 def reply_unavailable(on_reply: OnReply) -> None:
-    """Asks the client to try again later."""
+    """Replies 503, which asks the client to try again later."""
     on_reply(UNAVAILABLE, None)
 
 
 def reply_error(on_reply: OnReply, status: int, reason: str) -> None:
-    """Refuses the request for a reason that is given to the client."""
+    """Rejects the request with an HTTP status and a reason for the client."""
     on_reply(status, {"error": reason})
--- a/flaxtally/leader/resource_shapes.py
+++ b/flaxtally/leader/resource_shapes.py
@@ -14,7 +14,10 @@
     from ..protocol.shape import Shape
 
 MAX_SHAPES = 256
-"""Of a job class: the newest shapes stand for it. Where sizes vary freely, each job has its own."""
+"""The most shapes kept of each job class: the newest ones.
+
+The bound is needed where sizes vary freely, so that each job has a shape of its own.
+"""
 
 
 class ResourceShapes:
@@ -22,13 +25,13 @@
 
     def __init__(self) -> None:
         """Starts without shapes."""
-        self._job_classes: dict[str, OrderedDict[Shape, wire.Spec]] = {}
+        self._shapes_by_job_class: dict[str, OrderedDict[Shape, wire.Spec]] = {}
         self._gpu_reservations: placement.GpuNeeds | None = placement.GpuNeeds()
-        """None: to be computed when next asked for."""
+        """The cached value of `gpu_reservations`; None if it must be computed again."""
 
     def record_shape(self, shape: Shape, spec: wire.Spec) -> None:
-        """Records that a job of that shape was submitted."""
-        shapes = self._job_classes.setdefault(shape.job_class, OrderedDict())
+        """Records the shape of a submitted job."""
+        shapes = self._shapes_by_job_class.setdefault(shape.job_class, OrderedDict())
         if shape in shapes:
             return
         shapes[shape] = spec
@@ -42,17 +45,17 @@
         """The cores and memory to reserve for each GPU."""
         if self._gpu_reservations is None:
             self._gpu_reservations = placement.gpu_needs(
-                spec for shapes in self._job_classes.values() for spec in shapes.values()
+                spec for shapes in self._shapes_by_job_class.values() for spec in shapes.values()
             )
         return self._gpu_reservations
 
     def is_typical(self, shape: Shape) -> bool:
-        """Whether the shape stands for its job class in the forecast: the newest one does."""
-        shapes = self._job_classes.get(shape.job_class)
+        """Whether the shape represents its job class in the forecast: it is the newest one."""
+        shapes = self._shapes_by_job_class.get(shape.job_class)
         return shapes is not None and next(reversed(shapes)) == shape
 
     def typical_shapes(self) -> Iterator[tuple[Shape, wire.Spec]]:
-        """Yields the shape that stands for each job class, with a specification of that shape."""
-        for shapes in self._job_classes.values():
+        """Yields the newest shape of each job class, with a specification of that shape."""
+        for shapes in self._shapes_by_job_class.values():
             shape = next(reversed(shapes))
             yield shape, shapes[shape]
--- a/flaxtally/leader/takeover.py
+++ b/flaxtally/leader/takeover.py
@@ -1,4 +1,4 @@
-"""Takeover: a new leader's first knowledge of jobs and machines, before heartbeats reach it."""
+"""Takeover: how a new leader learns the jobs and machines before heartbeats reach it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def take_over(duties: TermDuties, transport: CommandTransport) -> None:
-    """Restores jobs and machines from the replayed log, and sends the new fencing token out."""
+    """Restores jobs and machines from the replayed log, and sends the new fencing token to them."""
     duties.jobs.restore()
     duties.quota_reclaim.restore()
     _add_reporting_machines(duties.term, transport)
@@ -28,7 +28,7 @@
 
 
 def _add_reporting_machines(term: Term, transport: CommandTransport) -> None:
-    """Those whose heartbeats this controller answered itself, as a follower."""
+    """Adds the machines whose heartbeats this controller handled as a follower."""
     for heartbeat in transport.recent_heartbeats():
         machine = term.fleet.add_machine(
             heartbeat.machine, heartbeat.machine_type, heartbeat.zone, spot=heartbeat.spot
@@ -39,14 +39,21 @@
 
 
 def _add_machines_with_placements(term: Term) -> None:
-    """Their type is unknown until they send a heartbeat or the cloud lists them."""
+    """Adds the machines with placements in the log.
+
+    Their type is unknown until they send a heartbeat or the cloud lists them.
+    """
     for name, placements in term.ledger.state.placements_by_machine.items():
         zone = next(iter(placements.values())).zone
         term.fleet.add_machine(name, "", zone, spot=False).is_booting = False
 
 
 def _send_fencing_tokens(duties: TermDuties) -> None:
-    """The answer of each machine reconciles it. Silence counts only once they had time for it."""
+    """Sends the term's fencing token to each machine; the machine's reply reconciles it.
+
+    The time of the last heartbeat is set ahead, so that the machines have time to reply before
+    heartbeats count as missing.
+    """
     term = duties.term
     last_heartbeat_at = term.runtime.now() + term.policy.settle / 2
     for machine in term.fleet.machines.values():
@@ -55,7 +62,7 @@
 
 
 def _restore_machine_types(term: Term) -> None:
-    """The stored catalogue, for a leader that begins while the cloud is unreachable."""
+    """Loads the stored machine types, for a leader that begins while the cloud is unreachable."""
     if not term.machine_types:
         stored = msgspec.convert(term.ledger.state.catalog, list[wire.MachineType])
         term.machine_types = {machine_type.name: machine_type for machine_type in stored}
--- a/flaxtally/leader/team_limits.py
+++ b/flaxtally/leader/team_limits.py
@@ -9,31 +9,31 @@
 
 
 class TeamLimits(Protocol):
-    """The limits that a leader enforces. An unknown team has none and may use nothing."""
+    """The limits that a leader enforces. An unknown team has no limits and may use nothing."""
 
     def find_team(self, team: str) -> Team | None:
-        """The team's quota and hard limit as they are now."""
+        """Returns the team's current quota and hard limit; None if the team is unknown."""
 
     def begin_term(self, term: int) -> None:
-        """A term begins, and its log has been replayed."""
+        """Begins to provide limits for a term whose log has been replayed."""
 
     def end_term(self) -> None:
-        """This controller does not lead any more."""
+        """Ends the term: this controller does not lead any more."""
 
 
 class SettingsLimits:
-    """The limits of the settings, for a fleet that has a single leader: they never change."""
+    """The limits in the settings, for a fleet with a single leader. They never change."""
 
     def __init__(self, settings: Settings) -> None:
         """Reads the teams of the settings."""
         self._teams = settings.teams
 
     def find_team(self, team: str) -> Team | None:
-        """The team as it stands in the settings."""
+        """Returns the team from the settings; None if it is unknown."""
         return self._teams.get(team)
 
     def begin_term(self, term: int) -> None:
-        """Nothing depends on the term."""
+        """Does nothing: the limits do not depend on the term."""
 
     def end_term(self) -> None:
-        """Nothing depends on the term."""
+        """Does nothing: the limits do not depend on the term."""
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -1,4 +1,4 @@
-"""A leader's term: what its duties share for as long as the term lasts."""
+"""A leader's term: the state that its duties share while the term lasts."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class LeaderContext:
-    """What a leader works with in all of its terms."""
+    """The collaborators of a leader in all of its terms."""
 
     runtime: Runtime
     settings: Settings
@@ -36,14 +36,19 @@
 
 
 class Term:
-    """One term of a leader. Once it is over, `active` stays false, and late answers end there."""
+    """One term of a leader.
+
+    `active` is true from the end of the log's replay to the end of the term. Replies that arrive
+    later are ignored.
+    """
 
     def __init__(
         self, number: int, context: LeaderContext, machine_types: dict[str, wire.MachineType]
     ) -> None:
-        """`number`: 0 while this controller does not lead; also the term's fencing token.
+        """Creates a term that is not active yet.
 
-        `machine_types`: those that an earlier term knew.
+        `number`: the term's number and fencing token; 0 while this controller does not lead.
+        `machine_types`: the machine types that an earlier term knew, by name.
         """
         self.number = number
         self.runtime = context.runtime
@@ -56,11 +61,11 @@
         self.machine_types = machine_types
         self.active = False
         self.may_be_superseded = False
-        """Another controller may lead by now: see `LeaderElection.may_be_superseded`."""
-        self.suspended = False
-        """The process stood still, and leadership has not been confirmed since."""
+        """Whether another controller may lead by now: see `LeaderElection.may_be_superseded`."""
+        self.is_suspended = False
+        """Whether the process was paused and leadership has not been confirmed since."""
         self.pause_count = 0
-        """How often the process stood still: what timed out across a pause proves nothing."""
+        """How often the process was paused: a timeout during a pause proves nothing."""
         self.began_at = context.runtime.now()
         self.fleet = Fleet(context.runtime, context.ledger, context.settings.zones)
         self.pass_requests = PassRequests()
@@ -70,25 +75,28 @@
         self.pass_requests.publish()
 
     def quota(self, team: str) -> Quota:
-        """A team's quota as it is now."""
+        """Returns a team's current quota."""
         return Quota.from_settings(self.limits.find_team(team))
 
     def compute_team_usage(self, team: str) -> Amounts:
-        """The resources of a team's placements, from proposal until they are proven to be over."""
+        """Returns the resources of a team's placements.
+
+        A placement counts from its proposal until it is proven finished.
+        """
         usage = self.ledger.state.usage_by_team.get(team)
         return Amounts(usage.cores, usage.gpus) if usage is not None else NOTHING
 
     @property
     def may_act(self) -> bool:
-        """Whether it may provision, terminate, send commands, move and preempt."""
-        return self.active and not self.may_be_superseded and not self.suspended
+        """Whether the leader may provision, terminate, send commands, move and preempt."""
+        return self.active and not self.may_be_superseded and not self.is_suspended
 
 
 class TermActor(Actor):
     """One duty of the leader, for one term."""
 
     def __init__(self, term: Term) -> None:
-        """Gives the duty the term's collaborators as its own members."""
+        """Copies the term's collaborators to attributes of the duty."""
         super().__init__(term.runtime)
         self.term = term
         self.fleet = term.fleet
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -37,7 +37,8 @@
     ) -> None:
         """Connects the duties; none of them acts before the term becomes active.
 
-        `lending`: loans between teams are reclaimed; None: only ranks decide who is preempted.
+        `lending`: the feature by which loans between teams are reclaimed; None if it is disabled:
+        then only ranks decide who is preempted.
         """
         self.term = term
         self.commands = CommandSender(term, transport, self._handle_heartbeat)
@@ -91,8 +92,8 @@
             self.reconciler.scale_in,
         )
 
-    def _handle_heartbeat(self, server: str, heartbeat: wire.Heartbeat) -> None:
-        self.heartbeat_handler.handle_heartbeat(server, heartbeat)
+    def _handle_heartbeat(self, controller: str, heartbeat: wire.Heartbeat) -> None:
+        self.heartbeat_handler.handle_heartbeat(controller, heartbeat)
 
     def _finish_attempt(self, placement: Placement, reason: EndReason) -> None:
         self.reconciler.attempts.finish_attempt(placement, reason)
@@ -102,13 +103,13 @@
     ) -> LoanAccounts | None:
         if lending is None:
             return None
-        # Imported here: a controller without the feature does not load the module.
+        # Imported here so that a controller without the feature does not load the module.
         from .reclaim.loan_accounts import LoanAccounts
 
         return LoanAccounts(self.term, self.jobs, quota, lending.account_interval_s)
 
-    def watch(self) -> None:
-        """The frequent checks, in order: what one proves, the later ones act on."""
+    def run_periodic_checks(self) -> None:
+        """Runs the frequent checks, in an order in which each uses the results of those before."""
         self.machine_monitor.check_machines()
         self.stragglers.check_running_tasks()
         self.gang_scheduler.watch()
@@ -117,12 +118,11 @@
         self.reconciler.scale_in.send_terminations()
         self.scheduler.refresh_machines()
         self.scheduler.resume_backed_off_jobs()
-        # Compacting only as often as the fleet is planned fell behind where jobs are many and
-        # short.
+        # Compaction at the interval of fleet planning falls behind if jobs are many and short.
         self.term.ledger.compact()
 
     def plan_fleet(self) -> None:
-        """Provisions and terminates machines; samples what the teams lend and borrow."""
+        """Provisions and terminates machines; samples how much the teams lend and borrow."""
         self.autoscaler.scale(self.consolidation.consolidate)
         if self.loan_accounts is not None:
             self.loan_accounts.sample()
@@ -131,7 +131,7 @@
         """Compares the known machines with the cloud's list."""
         self.reconciler.scale_in.list_machines()
 
-    def on_pause(self, lost_s: float) -> None:
-        """The process stood still for `lost_s`: what seems overdue since then may not be."""
-        self.machine_monitor.on_pause(lost_s)
+    def on_pause(self, pause_s: float) -> None:
+        """Adjusts the deadlines after the process was paused for `pause_s`."""
+        self.machine_monitor.on_pause(pause_s)
         self.stragglers.on_pause()
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from flaxtally.clients.workers import CALLED_SHARE
-from flaxtally.leader.reconciliation.health_checks import PROBING_SHARE
+from flaxtally.leader.reconciliation.health_checks import MAX_PROBING_FRACTION
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import Client
 from flaxtally.settings import Settings, Team
@@ -111,7 +111,7 @@
     leader = world.nodes[world.leader() or ""].leader
     fleet = leader.term.fleet.machines
     probed = sum(bool(machine.open_probes) for machine in fleet.values())
-    assert 0 < probed <= max(1, int(world._sockets * CALLED_SHARE * PROBING_SHARE))
+    assert 0 < probed <= max(1, int(world._sockets * CALLED_SHARE * MAX_PROBING_FRACTION))
     victim = world.services[0]
     world.cancel(victim)
     free = [world.cloud.add(TYPES[0].name, "a", False, boot=0.2) for _ in range(4)]
