--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -48,7 +48,7 @@
         self._late_attempts: dict[str, set[Attempt]] = {}
         self._slow_until: dict[str, float] = {}
         self._ignore_ends_until = float("-inf")
-        """The time until which run times are unknown, because tasks finished during a pause."""
+        """The time until which run times are unknown: tasks may have finished during a pause."""
 
     def on_pause(self) -> None:
         """Ignores run times for a while: tasks that finished during the pause are noticed late."""
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -1,4 +1,7 @@
-"""Jobs from submission to their end: cancellations, quota, preemption, order, consolidation."""
+"""Jobs from submission to end: cancellation, quota, preemption, priority and consolidation.
+
+Each test names the failure that it guards against.
+"""
 
 from __future__ import annotations
 
@@ -9,30 +12,30 @@
 from .simulated_cluster import NODES, SimulatedCluster, batch, spec
 
 
-def test_a_cancellation_is_told_when_nothing_of_the_job_is_left() -> None:
-    # A promise that hung on leases bounded how long a cut zone's tasks could be kept, and could be
-    # broken by a cut and an outage together: the user is told to ask again until the tasks are
-    # proven over.
+def test_cancellation_is_confirmed_only_when_all_tasks_are_proven_finished() -> None:
+    # A confirmation that relied on leases limited how long the tasks of a partitioned zone could be
+    # kept, and was wrong in a partition together with an outage. The client gets 503 and tries
+    # again until the tasks are proven finished.
     world = serving()
     ref = "j-000000"
     heal = cut_zone(world, "b")
     world.cloud.down = True
     world.run(6)
     leader = NODES.index(world.leader() or "")
-    asked = world.sim.time
-    answers: list[tuple[float, int]] = []
+    requested_at = world.sim.time
+    replies: list[tuple[float, int]] = []
     world.call(
         NODES[leader],
         "POST",
         f"{wire.WORK}/{ref}/cancel",
         None,
-        lambda status, _: answers.append((world.sim.time - asked, status)),
+        lambda status, _: replies.append((world.sim.time - requested_at, status)),
     )
     world.run(2)
-    assert [status for _, status in answers] == [503]
-    assert answers[0][0] < 0.1
-    # One task is stopped, the other can't be reached; nobody calls the job cancelled, and nothing
-    # of it starts.
+    assert [status for _, status in replies] == [503]
+    assert replies[0][0] < 0.1
+    # One task was stopped, the other cannot be reached: the job is not reported as cancelled, and
+    # none of its tasks starts.
     assert world.count(ref) == 1
     assert world.ask(ref)[1]["stage"] in ("running", "pending")
     world.run(20)
@@ -45,8 +48,9 @@
     assert world.ask(ref)[1]["stage"] == "aborted"
 
 
-def test_cancel_across_a_cut() -> None:
-    # The machine can't be told: before `cancel_s` is over the cloud must have taken it back.
+def test_cancellation_terminates_a_machine_that_no_command_reaches() -> None:
+    # A stop command cannot reach the machine: the cloud must have terminated it before `cancel_s`
+    # has passed.
     world = serving()
     machine = world.machine_of("j-000000/0")
     for name in NODES:
@@ -59,6 +63,8 @@
 
 
 def test_cancel_stops_at_once_and_is_final() -> None:
+    # A cancelled job must stay cancelled when all controllers restart and when it is submitted
+    # again.
     world = serving()
     world.cancel("j-000001", node=2)
     assert world.until(lambda: world.count("j-000001") == 0, 0.2)
@@ -71,8 +77,9 @@
     assert world.count("j-000001") == 0
 
 
-def test_quota_is_kept_under_a_flood() -> None:
-    # There is room for 16 tasks on the two machines that the limit of 10 GPUs asks for.
+def test_hard_limit_holds_under_many_submissions() -> None:
+    # The two machines that are provisioned for the limit of 10 GPUs could run 16 tasks: the free
+    # capacity must not let the team exceed its limit.
     world = SimulatedCluster(team=Team("crew", 0.0, 200.0, 0.0, 10.0))
     for number in range(6):
         world.submit(batch(f"j-{number:06d}", 30), run_time=4.0, node=number)
@@ -81,13 +88,19 @@
     assert world.accepted == {f"j-{number:06d}" for number in range(6)}
 
 
-def test_bad_submissions_are_answered_and_known_ids_win() -> None:
+def test_invalid_submissions_are_rejected_and_known_ids_get_their_status() -> None:
+    # A submission under a known id must be replied to with the job's status, even if its body is
+    # malformed: a client that sends a job again must not be told that it was rejected.
     world = serving()
-    answers: dict[str, int] = {}
+    statuses: dict[str, int] = {}
 
     def send(name: str, body: object) -> None:
         world.call(
-            "hearth-1", "POST", wire.WORK, body, lambda status, _: answers.__setitem__(name, status)
+            "hearth-1",
+            "POST",
+            wire.WORK,
+            body,
+            lambda status, _: statuses.__setitem__(name, status),
         )
         world.run(0.5)
 
@@ -102,7 +115,7 @@
     send("over the limit", wire.submission(spec("j-000076", tasks=101)))
     send("known, malformed", {"ref": "j-000000"})
     send("good", good)
-    assert answers == {
+    assert statuses == {
         "not a map": 400,
         "missing field": 400,
         "no tasks": 400,
@@ -116,8 +129,8 @@
     }
 
 
-def crowded() -> SimulatedCluster:
-    """A world whose only GPU machine is full of batch tasks."""
+def start_full_cluster() -> SimulatedCluster:
+    """Starts a cluster whose only GPU machine is full of batch tasks."""
     world = SimulatedCluster()
     for key in world.cloud._capacity:
         world.cloud._capacity[key] = 1 if key == ("g8", "a", False) else 0
@@ -126,18 +139,18 @@
     return world
 
 
-def test_a_critical_replica_takes_the_room_of_batch_tasks() -> None:
-    # All GPUs are taken by batch tasks and the cloud has no more: the replica must not wait for
-    # them.
-    world = crowded()
+def test_critical_replica_preempts_batch_tasks() -> None:
+    # Batch tasks use all GPUs, and the cloud has no more: the replica must not wait until they
+    # finish.
+    world = start_full_cluster()
     world.submit(spec("j-000001", gpus=2.0, cores=6.0))
     assert world.until(lambda: world.count("j-000001") == 1, 10), world.trace
     world.run(10)
     assert (world.count("j-000001"), world.count("j-000100")) == (1, 6)
 
 
-def test_thinly_used_machines_are_emptied_and_returned() -> None:
-    # Found by the fleet's log: replicas that stay kept machines used by a tenth from ever falling
+def test_machines_with_low_utilization_are_emptied_and_terminated() -> None:
+    # Replicas that keep running kept machines with a utilization of a tenth from ever becoming
     # idle.
     world = SimulatedCluster()
     for number in range(16):
@@ -151,10 +164,11 @@
     )
 
 
-def test_two_preemptions_on_one_machine_do_not_count_the_same_room_twice() -> None:
-    # Found when a machine with two replicas died: both waited for the same four stopped tasks. Then
-    # a machine taken by one preemption was closed to all others, and teams' guarantees waited.
-    world = crowded()
+def test_two_preemptions_on_one_machine_do_not_count_the_same_capacity_twice() -> None:
+    # A machine with two replicas died, and both replicas waited for the capacity of the same four
+    # stopped tasks. An earlier fix closed a machine with a preemption to all others, which delayed
+    # the quotas guaranteed to teams.
+    world = start_full_cluster()
     world.submit(spec("j-000001", gpus=2.0, cores=6.0))
     world.submit(spec("j-000002", gpus=2.0, cores=6.0), node=1)
     assert world.until(lambda: world.count("j-000001") + world.count("j-000002") == 2, 3), (
@@ -164,9 +178,9 @@
     assert world.count("j-000100") == 4
 
 
-def test_a_job_that_lost_its_deadline_goes_before_one_that_lost_its_multiple_too() -> None:
-    # Found on a grown deployment: in a queue that nothing can meet, jobs past their deadline went
-    # by age, though some could still be done by the multiple of it that is asked for as well.
+def test_late_job_that_can_meet_a_multiple_of_its_deadline_goes_first() -> None:
+    # In an overloaded queue, jobs past their deadline were ordered by age, although some could
+    # still finish within the multiple of the deadline that another objective asks for.
     world = SimulatedCluster(
         objectives=(
             Objective("deadline", "batch", 0.0, 0.9),
@@ -179,13 +193,14 @@
     world.run(1)
     leader = world.nodes[world.leader() or ""].leader
     jobs = [leader.state.jobs_by_ref[name] for name in ("j-000001", "j-000002", "j-000003")]
-    began = jobs[0].accepted_at
-    # At 14 s: the first can keep three times its deadline until 18 s, the third until 24 s.
+    accepted_at = jobs[0].accepted_at
+    # At 14 s: the first can finish within three times its deadline until 18 s, the third until
+    # 24 s.
     order = sorted(
-        jobs, key=lambda job: leader.duties.jobs.queue.compute_urgency(job, began + 14.0)
+        jobs, key=lambda job: leader.duties.jobs.queue.compute_urgency(job, accepted_at + 14.0)
     )
     assert [job.spec.ref for job in order] == ["j-000002", "j-000001", "j-000003"]
     order = sorted(
-        jobs, key=lambda job: leader.duties.jobs.queue.compute_urgency(job, began + 20.0)
+        jobs, key=lambda job: leader.duties.jobs.queue.compute_urgency(job, accepted_at + 20.0)
     )
     assert [job.spec.ref for job in order] == ["j-000002", "j-000003", "j-000001"]
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -1,4 +1,4 @@
-"""Machines and zones that hang, fail, run slowly, fall silent or come back. Each test names the
+"""Machines and zones that hang, fail, run slowly, are cut off or return. Each test names the
 failure that it guards against.
 """
 
@@ -15,7 +15,9 @@
 
 
 def test_hung_machine_is_replaced_and_may_return() -> None:
-    # A launch and a task held in a hung machine: silence proves nothing, the cloud's 200 does.
+    # Missing heartbeats do not prove that the tasks of a hung machine are finished: they move only
+    # once the cloud has confirmed its termination with a 200. When the machine continues, nothing
+    # may run twice.
     world = serving()
     machine = world.machine_of("j-000000/0")
     worker = world.workers[machine]
@@ -27,9 +29,9 @@
     assert len(world.running) == 8
 
 
-def test_hung_machine_in_a_cloud_outage_keeps_its_tasks_until_proof() -> None:
-    # With the cloud down there is no proof: the tasks must not start elsewhere, until it hangs no
-    # more.
+def test_tasks_of_hung_machine_do_not_move_during_cloud_outage() -> None:
+    # During a cloud outage nothing proves the termination of a hung machine: its tasks must not
+    # start elsewhere before the machine continues or the cloud is back.
     world = serving()
     machine = world.machine_of("j-000000/0")
     held = {task for task, (name, _) in world.running.items() if name == machine}
@@ -47,9 +49,9 @@
     )
 
 
-def test_worker_that_hears_nobody_lapses_and_its_tasks_move() -> None:
-    # Reports arrive, answers and orders don't: the lease ends in the worker, a new session is the
-    # proof.
+def test_worker_without_replies_loses_its_lease_and_its_tasks_move() -> None:
+    # The worker's heartbeats arrive, but replies and commands do not reach it. Its lease expires,
+    # and its new session proves that the old tasks are finished.
     world = serving()
     machine = world.machine_of("j-000000/0")
     world.workers[machine]._execute = lambda *_: None  # type: ignore[method-assign]
@@ -59,17 +61,16 @@
     assert world.until(lambda: len(world.running) == 8, 40), world.trace
 
 
-def test_a_controller_begun_anew_in_a_cut_zone_keeps_its_workers_tasks() -> None:
-    # Found on magnolia-plant-fleet: a cut zone's only controller ended and came back. It knew no
-    # term and answered its workers 503; 956 tasks were killed by their leases. With more
-    # controllers than two a worker's tries of those beyond the cut alone outlast this world's
-    # lease.
+def test_controller_restarted_in_partitioned_zone_keeps_its_workers_tasks() -> None:
+    # The only controller of a partitioned zone restarted, knew no term and replied 503 to its
+    # workers: 956 tasks were killed when their leases expired. The cluster has two controllers,
+    # because with more a worker's attempts to reach those outside the zone outlast its lease.
     world = SimulatedCluster(nodes=NODES[:2])
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2))
     assert world.until(lambda: len(world.running) == 8, 60), world.trace
-    more = [world.cloud.add("c16", "b", False, boot=0.5) for _ in range(3)]
-    assert world.until(lambda: all(name in world.workers for name in more), 5)
+    added = [world.cloud.add("c16", "b", False, boot=0.5) for _ in range(3)]
+    assert world.until(lambda: all(name in world.workers for name in added), 5)
     world.run(3)
     before = dict(world.running)
     heal = cut_zone(world, "b")
@@ -83,9 +84,9 @@
     assert world.ask("j-000000")[1]["stage"] == "running"
 
 
-def test_stale_report_copies_keep_no_machine_alive() -> None:
-    # Copies of old reports arrive for a lease and more: they are no sign of life and prove no task
-    # absent.
+def test_copies_of_an_old_heartbeat_prove_nothing() -> None:
+    # Copies of an old heartbeat arrive for longer than a lease: they must not make a hung machine
+    # look alive, nor prove that a task is absent.
     world = serving()
     leader = world.leader()
     assert leader
@@ -104,71 +105,77 @@
     assert machine not in world.workers
 
 
-def hold_orders(worker: Worker, seconds: float) -> None:
-    """Orders reach the worker that much later; its reports are not held."""
+def delay_commands(worker: Worker, seconds: float) -> None:
+    """Delays the commands to the worker; its heartbeats are not delayed."""
     direct = worker._direct
 
-    def late(request: Request) -> None:
+    def handle_later(request: Request) -> None:
         worker._runtime.after(seconds, direct, request)
 
-    worker._direct = late  # type: ignore[method-assign]
-    worker._server.handler = late
+    worker._direct = handle_later  # type: ignore[method-assign]
+    worker._server.handler = handle_later
 
 
-def test_late_launch_is_waited_for() -> None:
-    # Reports that don't list a launched task arrive before the launch does: no proof that it never
-    # will.
+def test_late_launch_is_not_replaced_by_a_second_attempt() -> None:
+    # Heartbeats that do not list a launched task arrive before the launch command does: they do not
+    # prove that the command will never arrive.
     world = SimulatedCluster()
     for zone in "ab":
         world.cloud.add("c16", zone, False, boot=0.5)
     world.run(5)
     for worker in world.workers.values():
-        hold_orders(worker, 6.0)
+        delay_commands(worker, 6.0)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 20), world.trace
     job = world.nodes[world.leader() or ""].leader.state.jobs_by_ref["j-000001"]
     assert job.attempts == {0: 1, 1: 1}
 
 
-def test_a_report_under_an_older_token_proves_nothing() -> None:
-    # Until a machine has the new leader's token, a launch of the old leader may still arrive there.
+def test_heartbeat_under_an_older_token_proves_no_task_absent() -> None:
+    # Until a machine has the new leader's token, a launch command of the old leader may still
+    # arrive there.
     world = serving()
-    old = world.leader()
-    assert old
-    world.crash(old, back_after=30.0)
+    old_leader = world.leader()
+    assert old_leader
+    world.crash(old_leader, back_after=30.0)
     assert world.until(
         lambda: (new := world.leader()) is not None and world.nodes[new].leader.term.active, 10
     )
     leader = world.nodes[world.leader() or ""].leader
     machine = world.machine_of("j-000000/0")
-    report = world.workers[machine].report()
-    report.tasks, report.fencing_token, report.sequence_number = [], leader.term.number - 1, 10**6
-    placed = dict(leader.term.fleet.machines[machine].placements)
-    leader.handle_heartbeat("hearth-0", report)
-    assert leader.term.fleet.machines[machine].placements == placed != {}
+    heartbeat = world.workers[machine].report()
+    heartbeat.tasks, heartbeat.fencing_token, heartbeat.sequence_number = (
+        [],
+        leader.term.number - 1,
+        10**6,
+    )
+    placements = dict(leader.term.fleet.machines[machine].placements)
+    leader.handle_heartbeat("hearth-0", heartbeat)
+    assert leader.term.fleet.machines[machine].placements == placements != {}
 
 
-def test_an_attempt_whose_launch_is_unanswered_is_not_forgotten() -> None:
-    # The launch arrived, its answer did not: another copy of it may come and would run the task
-    # again.
+def test_exited_task_is_not_forgotten_while_its_launch_has_no_reply() -> None:
+    # The launch command arrived, but its reply did not: another copy of the command may arrive and
+    # would run the task again if the worker had forgotten it.
     world = SimulatedCluster()
     name = world.cloud.add("g8", "a", False, boot=0.5)
     world.run(5)
     leader = world.nodes[world.leader() or ""].leader
-    carry = leader._transport.send
+    send = leader._transport.send
 
-    def deaf(server, machine, address, body, done):  # type: ignore[no-untyped-def]
-        carry(server, machine, address, body, lambda *_: done(0, b""))
+    def send_and_lose_reply(controller, machine, address, body, on_reply):  # type: ignore[no-untyped-def]
+        send(controller, machine, address, body, lambda *_: on_reply(0, b""))
 
-    leader._transport.send = deaf  # type: ignore[method-assign]
+    leader._transport.send = send_and_lose_reply  # type: ignore[method-assign]
     world.submit(batch("j-000001", 2), run_time=3.0)
     world.run(15)
     assert world.ask("j-000001")[1]["stage"] == "done"
     assert len(world.workers[name].tasks) == 2
 
 
-def test_spot_wave() -> None:
-    # All spot machines go at once without notice: the work restarts elsewhere, nothing runs twice.
+def test_job_completes_when_all_spot_machines_are_lost_at_once() -> None:
+    # The cloud takes all spot machines at once without notice: their tasks restart elsewhere, and
+    # nothing runs twice.
     world = SimulatedCluster()
     world.submit(batch("j-000100", 24), run_time=12.0)
     assert world.until(lambda: world.count("j-000100") >= 20, 60)
@@ -179,9 +186,9 @@
     ), world.trace
 
 
-def test_unexpected_machine_is_adopted_and_idle_ones_returned() -> None:
-    # A late rental nobody remembers shows up by its reports, and costs money until it is used or
-    # returned.
+def test_unknown_machine_is_added_and_terminated_when_idle() -> None:
+    # A machine that was provisioned late and is unknown to the leader is found by its heartbeats.
+    # It costs money until it is used or terminated.
     world = serving()
     name = world.cloud.add("g8", "a", False, boot=1.0)
     assert world.until(lambda: name in world.workers, 5)
@@ -189,72 +196,73 @@
     assert len(world.running) == 8
 
 
-def test_zone_cut_off_from_the_leader_keeps_its_tasks() -> None:
-    # Found on a rough day: the leader released the whole fleet beyond a cut between zones, although
-    # a controller there heard it. Through the state service that controller keeps both in touch:
-    # tasks stay, ends are learnt, a cancellation and a launch get through.
+def test_zone_partitioned_from_the_leader_keeps_its_tasks() -> None:
+    # In a partition between zones the leader terminated all machines of the other zone, although a
+    # controller there received their heartbeats. That controller relays through the state service:
+    # tasks keep running, the leader learns of exits, and cancellations and launches get through.
     world = serving(jobs=6)
     world.submit(batch("j-000100", 6), run_time=25.0)
     assert world.until(lambda: world.count("j-000100") == 6, 60)
     before = {
         task: where for task, where in world.running.items() if not task.startswith("j-000100")
     }
-    far = {name for name, worker in world.workers.items() if worker.machine.zone == "b"}
-    one = [*(world.ip(name) for name in NODES if NODES.index(name) % 2 == 0)]
-    one += [
+    machines_b = {name for name, worker in world.workers.items() if worker.machine.zone == "b"}
+    zone_a = [*(world.ip(name) for name in NODES if NODES.index(name) % 2 == 0)]
+    zone_a += [
         world.ip_of(name) for name, worker in world.workers.items() if worker.machine.zone == "a"
     ]
-    other = [world.ip("hearth-1"), *(world.ip_of(name) for name in far)]
-    for left in one:
-        for right in other:
-            world.sim.cut(left, right)
+    zone_b = [world.ip("hearth-1"), *(world.ip_of(name) for name in machines_b)]
+    for ip_a in zone_a:
+        for ip_b in zone_b:
+            world.sim.cut(ip_a, ip_b)
     world.run(40)
     assert {
         task: where for task, where in world.running.items() if not task.startswith("j-000100")
     } == before
-    victim = next(task for task, (name, _) in world.running.items() if name in far)
+    victim = next(task for task, (name, _) in world.running.items() if name in machines_b)
     ref = victim.partition("/")[0]
     world.cancel(ref)
     assert world.until(lambda: world.count(ref) == 0, 10), world.trace
     assert world.ask("j-000100")[1]["stage"] == "done"
-    for left in one:
-        for right in other:
-            world.sim.heal(left, right)
+    for ip_a in zone_a:
+        for ip_b in zone_b:
+            world.sim.heal(ip_a, ip_b)
     world.run(20)
     assert len(world.running) == 10
 
 
-def test_a_zone_that_falls_silent_at_once_is_waited_for() -> None:
-    # Found on a drawn day: beyond a cut the only controller crashed. The leader took the whole
-    # zone's machines for dead, and released them just as that controller was back.
+def test_machines_are_kept_when_a_whole_zone_loses_its_heartbeats() -> None:
+    # The only controller of a partitioned zone crashed. The leader considered all machines of the
+    # zone lost, and terminated them just when that controller was back.
     world = SimulatedCluster()
     for number in range(24):
         world.submit(spec(f"j-{number:06d}", tasks=2, cores=8.0))
     assert world.until(lambda: len(world.running) == 2 * 12, 90), len(world.running)
-    far = [name for name, worker in world.workers.items() if worker.machine.zone == "b"]
-    assert len(far) >= 3
-    for name in far:
+    machines_b = [name for name, worker in world.workers.items() if worker.machine.zone == "b"]
+    assert len(machines_b) >= 3
+    for name in machines_b:
         for node in NODES:
             world.sim.cut(world.ip(node), world.ip_of(name))
     world.run(14)
-    assert all(name in world.workers for name in far)
-    for name in far:
+    assert all(name in world.workers for name in machines_b)
+    for name in machines_b:
         for node in NODES:
             world.sim.heal(world.ip(node), world.ip_of(name))
     world.run(15)
-    assert all(name in world.workers for name in far)
+    assert all(name in world.workers for name in machines_b)
 
 
-def test_a_machine_that_runs_its_tasks_slower_is_found_and_left_alone() -> None:
-    # Found on a quiet day: two machines of three hundred were faulty and slow; each job with a task
-    # there ended minutes after its others. What saves is moved, and new batch tasks go elsewhere.
+def test_slow_machine_is_detected_and_gets_no_batch_tasks() -> None:
+    # Two machines of 300 were faulty and slow: each job with a task there finished minutes later
+    # than its other tasks. Tasks that write checkpoints must be moved, new batch tasks must go
+    # elsewhere.
     world = SimulatedCluster()
     world.submit(
         batch("j-000001", 24, checkpoint_interval_s=1.0, checkpoint_save_s=0.2), run_time=10.0
     )
     assert world.until(lambda: world.count("j-000001") == 24, 60)
-    slow = max(world.workers.values(), key=lambda worker: len(worker.tasks))
-    slow.slowness = 8.0
+    slow_worker = max(world.workers.values(), key=lambda worker: len(worker.tasks))
+    slow_worker.slowness = 8.0
     world.submit(
         batch("j-000002", 24, checkpoint_interval_s=1.0, checkpoint_save_s=0.2), run_time=10.0
     )
@@ -263,21 +271,21 @@
     assert world.sim.time - started < 50
     leader = world.nodes[world.leader() or ""].leader
     assert [name for name, machine in leader.term.fleet.machines.items() if machine.is_slow] == [
-        slow.machine.machine
+        slow_worker.machine.machine
     ]
     world.submit(batch("j-000003", 12), run_time=10.0)
     assert world.until(lambda: world.count("j-000003") == 12, 30)
     assert not any(
-        place[0] == slow.machine.machine
+        place[0] == slow_worker.machine.machine
         for task, place in world.running.items()
         if "j-000003" in task
     )
 
 
-def test_jobs_submitted_with_a_mistake_take_no_machine_with_them() -> None:
-    # Found in an incident: two such jobs failed on the same machines, which were then taken for
-    # faulty. With services on them they drained for the rest of the day: half of the GPUs; three
-    # quarters of the array jobs weren't served.
+def test_jobs_submitted_with_a_mistake_quarantine_no_machine() -> None:
+    # Two jobs that were submitted with a mistake failed on the same machines, which were then
+    # considered faulty. Services kept them up but cordoned for the rest of the run: half of the
+    # GPUs were lost, and three quarters of the array jobs were not served.
     world = SimulatedCluster(capacity=1)
     world.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60), world.trace
@@ -295,39 +303,39 @@
     assert all(len(world.rules.jobs[f"j-{200 + number:06d}"].done) == 4 for number in range(6))
 
 
-def test_a_machine_that_fails_for_a_spell_is_used_again() -> None:
-    # Found in the same incident: two of four GPU machines failed all tasks for a moment, and, with
-    # services on them, were left alone for three minutes.
+def test_machine_with_a_transient_fault_is_used_again() -> None:
+    # Two of four GPU machines failed all tasks for a moment. Services kept running on them, and no
+    # other task was placed there for three minutes.
     world = SimulatedCluster(capacity=1)
     world.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert world.until(lambda: world.count("j-000001") == 2, 60), world.trace
-    held = world.machine_of("j-000001/0")
-    world.faulty.add(held)
+    faulty_machine = world.machine_of("j-000001/0")
+    world.faulty.add(faulty_machine)
     for number in range(12):
         world.submit(batch(f"j-{200 + number:06d}", 4), run_time=60.0, node=number)
     world.run(5)
     world.faulty.clear()
     world.run(45)
-    there = [
+    tasks_there = [
         task
         for task, (machine, _) in world.running.items()
-        if machine == held and task.startswith("j-0002")
+        if machine == faulty_machine and task.startswith("j-0002")
     ]
-    assert len(there) >= 5, world.running
+    assert len(tasks_there) >= 5, world.running
 
 
-def test_a_machine_on_which_several_jobs_fail_is_left_alone() -> None:
-    # Also when one of them has failed elsewhere before: what it has done shows that the mistake
-    # isn't its own.
+def test_machine_on_which_several_jobs_fail_is_terminated() -> None:
+    # This holds even if one of the jobs has failed on another machine before: its successful tasks
+    # show that it was submitted without a mistake.
     world = SimulatedCluster()
     for number in range(4):
         world.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
     assert world.until(lambda: len(world.running) > 8, 60), world.trace
-    bad = world.machine_of(min(world.running))
-    world.faulty.add(bad)
+    faulty_machine = world.machine_of(min(world.running))
+    world.faulty.add(faulty_machine)
     for number in range(4, 12):
         world.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
-    assert world.until(lambda: bad not in world.workers, 40), world.trace[-30:]
+    assert world.until(lambda: faulty_machine not in world.workers, 40), world.trace[-30:]
     world.run(40)
     assert all(
         world.rules.jobs[f"j-{number:06d}"].told
@@ -336,10 +344,9 @@
     )
 
 
-def test_after_an_outage_of_the_cloud_no_old_rental_requests_are_worked_off() -> None:
-    # Found on a rough day: during an outage each plan's requests were kept and sent again and
-    # again. When it was over they took up all calls for 38 s, and what was needed by then had to
-    # wait.
+def test_old_provisioning_requests_are_dropped_in_a_cloud_outage() -> None:
+    # During a cloud outage the requests of each plan were kept and retried. After the outage they
+    # used up all calls for 38 s, and the machines that were needed by then had to wait.
     world = SimulatedCluster()
     world.run(2)
     world.cloud.down = True
@@ -353,10 +360,10 @@
     assert len(world.cloud.machines) <= 3
 
 
-def test_a_machine_that_an_earlier_leader_released_unseen_is_not_waited_for() -> None:
-    # Found on a rough day: the leader had released two hung machines while the state service was
-    # down, and ended before it could commit that. The next one waited for their silence, until the
-    # cloud was down in turn.
+def test_new_leader_removes_machines_that_the_cloud_no_longer_lists() -> None:
+    # A leader terminated two hung machines while the state service was down, and crashed before it
+    # could commit that. The next leader waited for their heartbeats to time out, until the cloud
+    # was down in turn.
     world = serving()
     lost = world.machine_of("j-000000/0")
     for name in NODES:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,6 +1,7 @@
-"""Poll storms, jobs that fail everywhere, machines that are late.
+"""Poll storms, jobs that fail on every machine, and machines that boot late or never.
 
-Each test brings the condition about, sees that it happened, and names what it guards against.
+Each test creates the condition, checks that it occurred, and names the failure that it guards
+against.
 """
 
 from __future__ import annotations
@@ -15,57 +16,61 @@
 from .simulated_cluster import STATE, SimulatedCluster, batch, spec
 
 
-def poll_storm(
-    world: SimulatedCluster, refs: list[str], for_s: float, per_s: int = 200
+def start_poll_storm(
+    world: SimulatedCluster, refs: list[str], duration_s: float, polls_per_s: int = 200
 ) -> dict[int, int]:
-    """Users ask about these jobs that many times a second, at all nodes; the answers by status."""
-    answers: dict[int, int] = {}
+    """Polls the status of these jobs at all nodes; counts the replies by HTTP status.
 
-    def count(status: int, _: Any) -> None:
-        answers[status] = answers.get(status, 0) + 1
+    The dictionary that is returned fills while the cluster runs.
+    """
+    replies: dict[int, int] = {}
 
-    for number in range(int(for_s * per_s)):
+    def on_reply(status: int, _: Any) -> None:
+        replies[status] = replies.get(status, 0) + 1
+
+    for number in range(int(duration_s * polls_per_s)):
         ref, node = refs[number % len(refs)], world.names[number % len(world.names)]
         path = f"{wire.WORK}/{ref}"
-        world.after(number / per_s, world.call, node, "GET", path, None, count)
-    return answers
+        world.after(number / polls_per_s, world.call, node, "GET", path, None, on_reply)
+    return replies
 
 
 @pytest.mark.parametrize(
-    "what",
+    "fault",
     ["nothing", "crash", "refuse", "isolate", "freeze", "workers", "state", "network"],
 )
-def test_a_poll_storm_crowds_nothing_out(what: str) -> None:
-    # Polls share confirmations of leadership, so the state service's requests don't grow with them;
-    # submissions, reports, cancellations and the lease go on, also when the leader is lost.
+def test_poll_storm_delays_no_other_requests(fault: str) -> None:
+    # Polls share confirmations of leadership, so that the requests to the state service do not grow
+    # with the polls. Submissions, heartbeats, cancellations and the lease must not be delayed, even
+    # if the leader is lost.
     world = busy(services=6, run_time=40.0)
     world.run(3)
     refs = list(world.specs)
     before = world.state.requests
-    answers = poll_storm(world, refs, 30.0)
+    replies = start_poll_storm(world, refs, 30.0)
     steady_work(world, 30.0, every=0.5)
     world.run(10)
     leader = leader_of(world)
-    if what == "crash":
+    if fault == "crash":
         world.crash(leader, back_after=3.0)
-    elif what == "refuse":
+    elif fault == "refuse":
         world.refuse(leader, 12.0)
-    elif what == "isolate":
+    elif fault == "isolate":
         world.isolate(leader, 12.0)
-    elif what == "freeze":
+    elif fault == "freeze":
         world.freeze(leader, 12.0)
-    elif what == "workers":
+    elif fault == "workers":
         world.cut(world.ip(leader), [world.ip_of(name) for name in world.workers], 15.0)
-    elif what == "state":
+    elif fault == "state":
         world.cut(world.ip(leader), [STATE[0]], 15.0)
-    elif what == "network":
+    elif fault == "network":
         world.cut(world.ip(leader), [ip for ip in world.sim.hosts if ip != world.ip(leader)], 15.0)
     running = dict(world.running)
     world.run(22)
-    asked = 30 * 200
-    assert answers[200] > asked * (0.99 if what == "nothing" else 0.6), answers
-    assert set(answers) <= {200, 503, 0}
-    # Two fifths of what the state service allows, however many ask.
+    poll_count = 30 * 200
+    assert replies[200] > poll_count * (0.99 if fault == "nothing" else 0.6), replies
+    assert set(replies) <= {200, 503, 0}
+    # Two fifths of the requests that the state service allows, however many clients poll.
     assert world.state.requests - before < 0.4 * 250 * 32, world.state.requests - before
     services = {task: at for task, at in running.items() if task < "j-000100"}
     assert {task: world.running.get(task) for task in services} == services, world.trace[-30:]
@@ -73,9 +78,9 @@
     ends_well(world)
 
 
-def test_jobs_that_fail_everywhere_cost_little_and_block_nobody() -> None:
-    # Found: all tasks of such a job were tried at each retry (656 failures on a recorded day), and
-    # its waiting tasks were demand for which the plan rented machines.
+def test_jobs_that_fail_on_every_machine_cost_little_and_block_no_others() -> None:
+    # All tasks of such a job were tried at each retry (656 failures in one recorded run), and
+    # machines were provisioned for its pending tasks.
     world = SimulatedCluster(capacity=2)
     world.submit(spec("j-000001", tasks=2))
     assert world.until(lambda: world.count("j-000001") == 2, 60)
@@ -88,14 +93,14 @@
     leader = world.nodes[leader_of(world)].leader
     assert len(leader.duties.jobs.suspect_jobs) == len(refs)
     assert not any(machine.is_cordoned for machine in leader.term.fleet.machines.values())
-    rented = len(world.cloud.asked)
+    provision_count = len(world.cloud.asked)
     world.submit(batch("j-000300", 8), run_time=8.0)
     world.run(60)
     assert len(world.rules.jobs["j-000300"].done) == 8
-    again = sum(" end error" in line for line in world.trace) - failed
-    # One task at a time, with a growing pause between.
-    assert 0 < again <= 6 * len(refs), again
-    assert len(world.cloud.asked) <= rented + 2, world.cloud.asked
+    later_failed = sum(" end error" in line for line in world.trace) - failed
+    # One task at a time, with a growing back-off between the attempts.
+    assert 0 < later_failed <= 6 * len(refs), later_failed
+    assert len(world.cloud.asked) <= provision_count + 2, world.cloud.asked
     for number, ref in enumerate(refs):
         world.cancel(ref, number)
     world.run(3)
@@ -104,9 +109,9 @@
     ends_well(world)
 
 
-def test_a_job_that_failed_on_faulty_machines_is_no_suspect_for_long() -> None:
-    # The other side of it: two faulty machines are no mistake of the job's. A replica that runs, or
-    # a task that ends, acquits it.
+def test_job_that_failed_on_faulty_machines_is_not_suspect_for_long() -> None:
+    # A job that fails on two faulty machines becomes suspect without a mistake of its own. A
+    # replica that keeps running, or a task that succeeds, must clear it.
     world = SimulatedCluster(capacity=4)
     for number in range(2):
         world.submit(spec(f"j-{number:06d}", tasks=4, gpus=1.0))
@@ -123,9 +128,11 @@
 
 
 @pytest.mark.parametrize("boot", [0.3, None])
-def test_machines_late_or_never_up_are_no_capacity_for_ever(boot: float | None) -> None:
-    # Many at once never come up (their pools are given up for a while, the jobs go elsewhere), or
-    # all are up within a second.
+def test_machines_that_do_not_boot_do_not_count_as_capacity_indefinitely(
+    boot: float | None,
+) -> None:
+    # Many machines at once never boot: their pools are not used for a while, and the jobs go to
+    # other pools. With the other parameter all machines boot within a second.
     world = SimulatedCluster(capacity=6)
     world.cloud.boot = boot
     world.cloud.boots_fail = boot is None
@@ -135,15 +142,15 @@
     if boot is None:
         assert not world.workers
         world.after(25.0, setattr, world.cloud, "boots_fail", False)
-    asked = len(world.cloud.asked)
+    provision_count = len(world.cloud.asked)
 
-    def begun(ref: str) -> bool:
+    def has_started(ref: str) -> bool:
         return world.count(ref) + len(world.rules.jobs[ref].done) == 4
 
     refs = [f"j-{100 + number:06d}" for number in range(6)]
-    assert world.until(lambda: all(begun(ref) for ref in refs), 120), world.trace[-10:]
-    assert len(world.cloud.asked) - asked < 40, "no endless renting and returning"
+    assert world.until(lambda: all(has_started(ref) for ref in refs), 120), world.trace[-10:]
+    assert len(world.cloud.asked) - provision_count < 40, "provisions and terminates in a loop"
     world.run(80)
-    stuck = [name for name in world.cloud.machines if name not in world.workers]
-    assert len(stuck) <= 2, stuck
+    not_booted = [name for name in world.cloud.machines if name not in world.workers]
+    assert len(not_booted) <= 2, not_booted
     ends_well(world)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -1,8 +1,8 @@
-"""What happens to thousands of machines at once, in small.
+"""Events that affect thousands of machines at once, simulated with a smaller number.
 
-`FLAXTALLY_MACHINES=4000 python -m pytest tests/test_storms.py` plays the same with that many; it
-takes minutes, and `docs/CAPACITY.md` says what it gave. The world checks the protocol's rules at
-each start and end of a task.
+`FLAXTALLY_MACHINES=4000 python -m pytest tests/test_storms.py` runs the same tests with 4000
+machines; it takes minutes, and `docs/CAPACITY.md` has the results. The simulated cluster checks the
+protocol's rules at each start and end of a task.
 """
 
 from __future__ import annotations
@@ -22,23 +22,24 @@
 
 MACHINES = int(os.environ.get("FLAXTALLY_MACHINES", "120"))
 REPLICAS = 4
-SOCKETS_A_MACHINE, FEWEST_SOCKETS = 4, 200
+SOCKETS_PER_MACHINE, MIN_SOCKETS = 4, 200
 LEASE_S = 10.0
 
 
-class Crowd(SimulatedCluster):
-    """A deployment with many machines that are up from the start, all of them in use."""
+class LargeCluster(SimulatedCluster):
+    """A cluster with many machines that are up from the start, all of them in use."""
 
     def __init__(self, sockets: int | None = None) -> None:
-        granted = max(FEWEST_SOCKETS, SOCKETS_A_MACHINE * MACHINES)
-        self._sockets = granted if sockets is None else sockets
+        default_sockets = max(MIN_SOCKETS, SOCKETS_PER_MACHINE * MACHINES)
+        self._sockets = default_sockets if sockets is None else sockets
         super().__init__(capacity=MACHINES, team=Team("crew", 0.0, 1e6, 0.0, 1e5))
-        # As many users as ask at a time: a few connections would hold back more than the service.
+        # As many connections as users poll at a time: with fewer, the clients would be the
+        # bottleneck instead of the service.
         for name in NODES:
             self._clients[name] = Client(self.user, (self.ip(name), 8080), MACHINES)
         for number in range(MACHINES):
             self.cloud.add(TYPES[0].name, "ab"[number % 2], False, boot=0.5)
-        # Three replicas of five cores fill a machine.
+        # Three replicas with five cores each fill a machine.
         self.services = [f"j-{number:06d}" for number in range(1, MACHINES * 3 // REPLICAS + 1)]
         for number, ref in enumerate(self.services):
             job = spec(ref, tasks=REPLICAS, cores=5.0, memory_gb=8.0, image=f"img-{number % 8}")
@@ -54,16 +55,18 @@
         )
 
     def sessions(self) -> list[int]:
-        """Each machine's session: 1 as long as it never lost its lease."""
+        """Returns the session of each machine: 1 as long as it never lost its lease."""
         return [worker.session for worker in self.workers.values()]
 
     def follower(self) -> str:
-        """A controller that does not lead."""
+        """Returns a controller that does not lead."""
         return next(name for name in NODES if name != self.leader())
 
 
-def test_two_of_three_controllers_end_and_all_machines_come_to_the_third() -> None:
-    world = Crowd()
+def test_all_machines_reconnect_to_the_last_of_three_controllers() -> None:
+    # Two controllers crash within a second: all machines turn to the third, which must become the
+    # leader and renew the workers' leases in time.
+    world = LargeCluster()
     before, third = dict(world.running), world.follower()
     others = [name for name in NODES if name != third]
     world.crash(others[0])
@@ -75,8 +78,10 @@
     assert before.items() <= dict(world.running).items()
 
 
-def test_all_machines_come_to_one_controller_with_fewer_sockets_than_machines() -> None:
-    world = Crowd(sockets=max(60, MACHINES))
+def test_all_machines_reconnect_to_a_controller_with_few_sockets() -> None:
+    # All machines turn to one controller whose sockets, shared with its other connections, are
+    # fewer than the machines: no worker may lose its lease.
+    world = LargeCluster(sockets=max(60, MACHINES))
     before, third = dict(world.running), world.follower()
     for name in NODES:
         if name != third:
@@ -86,8 +91,10 @@
     assert before.items() <= dict(world.running).items()
 
 
-def test_all_controllers_begin_anew_while_every_machine_reports() -> None:
-    world = Crowd()
+def test_all_controllers_restart_while_every_machine_sends_heartbeats() -> None:
+    # A new leader starts while the heartbeats of all machines arrive: no worker may lose its lease,
+    # and the leader must know all placements.
+    world = LargeCluster()
     before = dict(world.running)
     for number, name in enumerate(NODES):
         world.after(0.1 * number, world.crash, name, 2.0)
@@ -101,12 +108,12 @@
     )
 
 
-def test_a_silent_zone_keeps_no_orders_from_the_other_and_returns_at_once() -> None:
-    # Probes of a silent zone held all connections to workers: orders to the others timed out, and
-    # healthy machines were taken for deaf.
-    world = Crowd(sockets=max(100, MACHINES // 2))
-    silent = [name for name, worker in world.workers.items() if worker.machine.zone == "b"]
-    world.machine_trouble("hung", silent, 1.5 * LEASE_S)
+def test_zone_without_heartbeats_does_not_delay_commands_to_the_other_zone() -> None:
+    # Probes of a zone without heartbeats held all connections to workers: commands to the others
+    # timed out, and healthy machines were considered unresponsive.
+    world = LargeCluster(sockets=max(100, MACHINES // 2))
+    hung = [name for name, worker in world.workers.items() if worker.machine.zone == "b"]
+    world.machine_trouble("hung", hung, 1.5 * LEASE_S)
     world.run(6.0)
     leader = world.nodes[world.leader() or ""].leader
     fleet = leader.term.fleet.machines
@@ -114,8 +121,8 @@
     assert 0 < probed <= max(1, int(world._sockets * CALLED_SHARE * MAX_PROBING_FRACTION))
     victim = world.services[0]
     world.cancel(victim)
-    free = [world.cloud.add(TYPES[0].name, "a", False, boot=0.2) for _ in range(4)]
-    assert world.until(lambda: all(name in world.workers for name in free), 5)
+    added = [world.cloud.add(TYPES[0].name, "a", False, boot=0.2) for _ in range(4)]
+    assert world.until(lambda: all(name in world.workers for name in added), 5)
     small = msgspec.structs.replace(batch("j-900000", 12), gpus=0.0, cores=1.0, memory_gb=1.0)
     world.submit(small, run_time=30.0)
     assert world.until(lambda: world.count("j-900000") >= 8, 4.0), world.count("j-900000")
@@ -125,19 +132,23 @@
     assert victim in world.told_cancelled
 
 
-def test_a_tenth_of_the_machines_restart_and_their_tasks_run_again() -> None:
-    world = Crowd()
+def test_tasks_run_again_after_a_tenth_of_the_machines_lose_their_leases() -> None:
+    # Many tasks finish at once when their workers lose their leases: all must be placed again.
+    world = LargeCluster()
     restarted = list(world.workers)[::10]
     for name in restarted:
-        # Longer than its lease without an answer: it kills its tasks and begins a session.
+        # The worker gets no reply for longer than its lease: it kills its tasks and begins a new
+        # session.
         world.machine_trouble("mute", [name], 1.2 * LEASE_S)
     world.run(4 * LEASE_S)
     assert min(world.workers[name].session for name in restarted if name in world.workers) > 1
     assert len(world.running) >= 0.97 * MACHINES * 3
 
 
-def test_an_outage_of_the_state_service_tells_no_cancellation_that_is_not_kept() -> None:
-    world = Crowd()
+def test_cancellations_during_a_state_service_outage_are_confirmed_only_when_done() -> None:
+    # No cancellation can be committed during the outage: none may be confirmed before its tasks are
+    # stopped, and all must be confirmed afterwards.
+    world = LargeCluster()
     cancelled = world.services[:: max(1, len(world.services) // (MACHINES // 8))]
     world.outage(CANCEL_S + 6.0)
     for number, ref in enumerate(cancelled):
@@ -150,19 +161,21 @@
     assert not any(world.count(ref) for ref in cancelled)
 
 
-def test_ten_times_the_polls_change_no_leader_and_hold_up_no_start() -> None:
-    world = Crowd()
-    leader, asked, answered = world.leader(), [0], [0]
+def test_ten_times_the_polls_change_no_leader_and_delay_no_start() -> None:
+    # Ten times the usual number of polls must not delay cancellations, starts of tasks and the
+    # renewal of leases.
+    world = LargeCluster()
+    leader, poll_count, reply_count = world.leader(), [0], [0]
 
-    def told(status: int, _: object) -> None:
-        answered[0] += status in (200, 503)
+    def on_reply(status: int, _: object) -> None:
+        reply_count[0] += status in (200, 503)
 
     def poll() -> None:
         world.after(1.0 / (1.6 * MACHINES), poll)
-        asked[0] += 1
+        poll_count[0] += 1
         ref = world.rng.choice(world.services)
         name = world.rng.choice(NODES)
-        world.call(name, "GET", f"{wire.WORK}/{ref}", None, told)
+        world.call(name, "GET", f"{wire.WORK}/{ref}", None, on_reply)
 
     poll()
     world.run(3.0)
@@ -173,13 +186,14 @@
     assert world.until(lambda: world.count("j-900000") == 2, 3.0)
     assert world.leader() == leader
     world.run(2.0)
-    assert answered[0] > 0.95 * asked[0]
+    assert reply_count[0] > 0.95 * poll_count[0]
     assert set(world.sessions()) == {1}
 
 
-def test_a_thousandfold_boot_is_not_found_twice_while_the_list_lags() -> None:
-    # Machines that report before they are listed, and a list of several pages that is older still.
-    world = Crowd()
+def test_machines_that_boot_while_the_cloud_list_lags_stay_known() -> None:
+    # Many new machines send heartbeats before the cloud lists them, and its list has several pages
+    # that are older still: each machine must be known once, and must not be considered removed.
+    world = LargeCluster()
     world.cloud.lag = 6.0
     booted = [
         world.cloud.add(TYPES[0].name, "ab"[number % 2], False, boot=0.01 * number)
