--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -239,7 +239,7 @@
         known.record_shape(Shape.of(job), job)
     gate = spec("j-900000", gpus=2.0, cores=8.0, memory_gb=4.0)
     known.record_shape(Shape.of(gate), gate)
-    assert len(known._job_classes["batch"]) == MAX_SHAPES
+    assert len(known._shapes_by_job_class["batch"]) == MAX_SHAPES
     last = with_ram(16.0 + (4 * MAX_SHAPES - 1) / 100)
     assert known.is_typical(Shape.of(last))
     assert not known.is_typical(Shape.of(batch("j-000001", 1)))
