--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..lending.entitlement import NOTHING, Amounts, amounts_of
+from ..lending.entitlement import NO_RESOURCES, Amounts, compute_amounts
 from ..protocol import workers
 from ..protocol.workers import Command, CommandBatch, Heartbeat
 from .term import Term, TermActor
@@ -157,18 +157,18 @@
         if placement.stopping_at is None:
             placement.stopping_at = self.runtime.now()
             spec = placement.job.spec
-            stopping = self._stopping.get(spec.team, NOTHING)
-            self._stopping[spec.team] = stopping.plus(amounts_of(spec))
+            stopping = self._stopping.get(spec.team, NO_RESOURCES)
+            self._stopping[spec.team] = stopping.plus(compute_amounts(spec))
 
     def unmark_stopping(self, placement: Placement) -> None:
         """Stops counting the task as stopping: the placement is proven finished."""
         if placement.stopping_at is not None:
             spec = placement.job.spec
-            self._stopping[spec.team] = self._stopping[spec.team].minus(amounts_of(spec))
+            self._stopping[spec.team] = self._stopping[spec.team].minus(compute_amounts(spec))
 
     def compute_usage_not_stopping(self, team: str) -> Amounts:
         """Returns the resources of a team's tasks that were not told to stop."""
-        return self.term.compute_team_usage(team).minus(self._stopping.get(team, NOTHING))
+        return self.term.compute_team_usage(team).minus(self._stopping.get(team, NO_RESOURCES))
 
     # Sending
 
