--- a/flaxtally/feature_table.py
+++ b/flaxtally/feature_table.py
@@ -33,7 +33,7 @@
     name: str
     fields: dict[str, Any]
 
-    def fault(self, field: str, text: str) -> FeatureError:
+    def error(self, field: str, text: str) -> FeatureError:
         """An error that names the field."""
         return FeatureError(f"{self.path}: {self.name}.{field}: {text}")
 
@@ -41,27 +41,27 @@
         """A text that must be there."""
         value = self.fields.get(field)
         if not isinstance(value, str) or not value:
-            raise self.fault(field, "missing, or not a text")
+            raise self.error(field, "missing, or not a text")
         return value
 
     def number(self, field: str, default: float, least: float, most: float) -> float:
         """A number within bounds."""
         value = self.fields.get(field, default)
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise self.fault(field, "not a number")
+            raise self.error(field, "not a number")
         if not least <= value <= most:
-            raise self.fault(field, f"{value:g} is not within {least:g} to {most:g}")
+            raise self.error(field, f"{value:g} is not within {least:g} to {most:g}")
         return float(value)
 
     def texts(self, field: str) -> list[str]:
         """A list of texts; none if the field is missing."""
         value = self.fields.get(field, [])
         if not isinstance(value, list) or not all(isinstance(each, str) for each in value):
-            raise self.fault(field, "not a list of texts")
+            raise self.error(field, "not a list of texts")
         return value
 
-    def only(self, *known: str) -> None:
+    def refuse_unknown_fields(self, *known: str) -> None:
         """Refuses fields that are none of these."""
         for field in self.fields:
             if field not in known:
-                raise self.fault(field, f"not known; there are {', '.join(known)}")
+                raise self.error(field, f"not known; there are {', '.join(known)}")
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..lending.entitlement import NOTHING, Amounts, amounts_of
+from ..lending.entitlement import NO_RESOURCES, Amounts, compute_amounts
 from ..protocol import workers
 from ..protocol.workers import Command, CommandBatch, Heartbeat
 from .term import Term, TermActor
@@ -143,18 +143,18 @@
         if placed.stopping_at is None:
             placed.stopping_at = self.runtime.now()
             spec = placed.job.spec
-            stopping = self._stopping.get(spec.team, NOTHING)
-            self._stopping[spec.team] = stopping.plus(amounts_of(spec))
+            stopping = self._stopping.get(spec.team, NO_RESOURCES)
+            self._stopping[spec.team] = stopping.plus(compute_amounts(spec))
 
     def forget_stopping(self, placed: Placement) -> None:
         """The placement is proven over."""
         if placed.stopping_at is not None:
             spec = placed.job.spec
-            self._stopping[spec.team] = self._stopping[spec.team].minus(amounts_of(spec))
+            self._stopping[spec.team] = self._stopping[spec.team].minus(compute_amounts(spec))
 
     def usage_not_stopping(self, team: str) -> Amounts:
         """What a team's tasks take that were not commanded to stop."""
-        return self.term.team_usage(team).minus(self._stopping.get(team, NOTHING))
+        return self.term.team_usage(team).minus(self._stopping.get(team, NO_RESOURCES))
 
     # Sending
 
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from ...ledger.reclaims import LoanAccount
-from ...lending.accounts import TeamAccount, TeamUse, compute_team_accounts
-from ...lending.entitlement import NOTHING, Amounts, amounts_of
+from ...lending.accounts import TeamAccount, TeamUsage, compute_team_accounts
+from ...lending.entitlement import NO_RESOURCES, Amounts, compute_amounts
 from ...lending.page import LoansPage, build_page
 from ..term import Term, TermActor
 
@@ -82,13 +82,13 @@
             self.ledger.propose(self._current(team).record())
         self._unstored = {}
 
-    def _team_uses(self, waiting: dict[str, Amounts]) -> list[TeamUse]:
+    def _team_uses(self, waiting: dict[str, Amounts]) -> list[TeamUsage]:
         return [
-            TeamUse(
+            TeamUsage(
                 team,
                 self.term.quota(team),
                 self.term.team_usage(team),
-                waiting.get(team, NOTHING),
+                waiting.get(team, NO_RESOURCES),
             )
             for team in self.settings.teams
         ]
@@ -122,6 +122,6 @@
         waiting: dict[str, Amounts] = {}
         for job in self._jobs.queue.pending_jobs():
             team = job.spec.team
-            pending = amounts_of(job.spec, job.pending_count)
-            waiting[team] = waiting.get(team, NOTHING).plus(pending)
+            pending = compute_amounts(job.spec, job.pending_count)
+            waiting[team] = waiting.get(team, NO_RESOURCES).plus(pending)
         return waiting
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from ...ledger.reclaims import Borrowed, Reclaim
-from ...lending.entitlement import NOTHING, Amounts, amounts_of
+from ...lending.entitlement import NO_RESOURCES, Amounts, compute_amounts
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -31,7 +31,7 @@
         """`is_committed`: its record is stored, so its victims may be stopped."""
         self.reclaim = reclaim
         self.is_committed = is_committed
-        self.promised = NOTHING
+        self.promised = NO_RESOURCES
         """What it will give its lender."""
         self.stops_sent_at: float | None = None
         """When the victims were last sent a stop in this term."""
@@ -76,8 +76,10 @@
         """Adds a reclaim that started, or was moved to another machine."""
         reclaim = entry.reclaim
         job = self._ledger.state.jobs.get(reclaim.job)
-        entry.promised = amounts_of(job.spec, reclaim.tasks) if job is not None else NOTHING
-        self._promised[reclaim.lender] = self.promised_to(reclaim.lender).plus(entry.promised)
+        entry.promised = (
+            compute_amounts(job.spec, reclaim.tasks) if job is not None else NO_RESOURCES
+        )
+        self._promised[reclaim.lender] = self.get_promised(reclaim.lender).plus(entry.promised)
         self._by_number[reclaim.number] = entry
         self._by_job.setdefault(reclaim.job, []).append(entry)
         self._by_machine.setdefault(reclaim.machine, []).append(entry)
@@ -88,7 +90,7 @@
         """Removes a reclaim that ended, or leaves its machine."""
         reclaim = entry.reclaim
         del self._by_number[reclaim.number]
-        self._promised[reclaim.lender] = self.promised_to(reclaim.lender).minus(entry.promised)
+        self._promised[reclaim.lender] = self.get_promised(reclaim.lender).minus(entry.promised)
         _remove_entry(self._by_job, reclaim.job, entry)
         _remove_entry(self._by_machine, reclaim.machine, entry)
         self.mark_stops_sent(entry)
@@ -102,17 +104,17 @@
         self._chosen = set()
         self._chosen_usage = {}
         for entry in self._unsent.values():
-            for placed in self.remaining_victims(entry.reclaim):
+            for placed in self.find_remaining_victims(entry.reclaim):
                 victim = Borrowed(placed.job.number, placed.task, placed.attempt)
                 if placed.stopping_at is None and victim not in self._chosen:
                     self._chosen.add(victim)
                     team = placed.job.spec.team
-                    usage = self.chosen_usage(team).plus(amounts_of(placed.job.spec))
+                    usage = self.get_chosen_usage(team).plus(compute_amounts(placed.job.spec))
                     self._chosen_usage[team] = usage
 
     # Queries
 
-    def remaining_victims(self, reclaim: Reclaim) -> list[Placement]:
+    def find_remaining_victims(self, reclaim: Reclaim) -> list[Placement]:
         """The victims that are not proven to have ended."""
         remaining = []
         for victim in reclaim.borrowed:
@@ -122,13 +124,13 @@
                 remaining.append(placed)
         return remaining
 
-    def promised_to(self, team: str) -> Amounts:
+    def get_promised(self, team: str) -> Amounts:
         """What the reclaims will give a lender."""
-        return self._promised.get(team, NOTHING)
+        return self._promised.get(team, NO_RESOURCES)
 
-    def chosen_usage(self, team: str) -> Amounts:
+    def get_chosen_usage(self, team: str) -> Amounts:
         """What the tasks of a team take that were chosen and not sent a stop."""
-        return self._chosen_usage.get(team, NOTHING)
+        return self._chosen_usage.get(team, NO_RESOURCES)
 
     @property
     def chosen_count(self) -> int:
@@ -147,15 +149,15 @@
         """The reclaims for a job, the oldest first."""
         return list(self._by_job.get(job.number, ()))
 
-    def task_count_for(self, job: Job) -> int:
+    def count_tasks_for(self, job: Job) -> int:
         """For how many tasks of the job capacity is being reclaimed."""
         return sum(entry.reclaim.tasks for entry in self._by_job.get(job.number, ()))
 
     def is_served(self, job: Job) -> bool:
         """Whether there is a reclaim for each pending task of the job."""
-        return self.task_count_for(job) >= job.pending_count
+        return self.count_tasks_for(job) >= job.pending_count
 
-    def task_count_before(self, entry: OpenReclaim) -> int:
+    def count_tasks_before(self, entry: OpenReclaim) -> int:
         """For how many tasks of the same job capacity was reclaimed before this one."""
         entries = self._by_job[entry.reclaim.job]
         return sum(other.reclaim.tasks for other in entries[: entries.index(entry)])
@@ -164,7 +166,7 @@
         """The reclaims by machine; for reading only."""
         return self._by_machine
 
-    def reserved_specs(self, entries: list[OpenReclaim]) -> list[wire.Spec]:
+    def get_reserved_specs(self, entries: list[OpenReclaim]) -> list[wire.Spec]:
         """The spec of each task for which these reclaims reserve capacity."""
         jobs = self._ledger.state.jobs
         return [
--- a/flaxtally/leader/reclaim/quota_accounting.py
+++ b/flaxtally/leader/reclaim/quota_accounting.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from ...lending.entitlement import Amounts, Reclaimable, amounts_of
+from ...lending.entitlement import Amounts, ReclaimBudget, compute_amounts
 from ...protocol import formats, wire
 from ..term import Term, TermActor
 
@@ -41,11 +41,11 @@
         """Whether reclaims may start: all configured controllers can read their records."""
         return self._feature is not None and self.ledger.state.format >= formats.LENDING
 
-    def reclaimable(self) -> Reclaimable:
+    def reclaim_budget(self) -> ReclaimBudget:
         """What may be taken from the teams now, in one decision."""
-        return Reclaimable(self.term.quota, self._staying_usage)
+        return ReclaimBudget(self.term.quota, self._staying_usage)
 
-    def borrowers(self) -> frozenset[str]:
+    def find_borrowers(self) -> frozenset[str]:
         """The teams that use more than their quota: nothing may be taken from others."""
         return frozenset(
             team
@@ -56,7 +56,7 @@
     def _staying_usage(self, team: str) -> Amounts:
         """What a team's tasks take that were neither sent a stop nor chosen for one."""
         not_stopping = self._commands.usage_not_stopping(team)
-        return not_stopping.minus(self._open_reclaims.chosen_usage(team))
+        return not_stopping.minus(self._open_reclaims.get_chosen_usage(team))
 
     def is_entitled(self, job: Job) -> bool:
         """Whether one more task of the job, or the gang, is within its team's quota."""
@@ -64,10 +64,10 @@
         lenders = self._feature.lenders if self._feature is not None else frozenset()
         if lenders and spec.team not in lenders:
             return False
-        promised = self._open_reclaims.promised_to(spec.team)
+        promised = self._open_reclaims.get_promised(spec.team)
         usage = self.term.team_usage(spec.team).plus(promised)
         task_count = spec.tasks if spec.job_kind == wire.GANG else 1
-        return self.term.quota(spec.team).covers(usage.plus(amounts_of(spec, task_count)))
+        return self.term.quota(spec.team).covers(usage.plus(compute_amounts(spec, task_count)))
 
     def is_within_quota(self, team: str, added: Amounts) -> bool:
         """Whether the team's usage with that much more is within its quota."""
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from ...ledger.reclaims import Borrowed, LoanAccount, Reclaim
-from ...lending.entitlement import amounts_of
+from ...lending.entitlement import compute_amounts
 from ...lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
 from ...protocol import wire
 from ..term import Term, TermActor
@@ -111,7 +111,7 @@
             job.number,
             plan.machine.name,
             round(wall, 2),
-            round(wall + self._admission.time_left_s(job), 2),
+            round(wall + self._admission.compute_time_left_s(job), 2),
             plan.task_count,
             _victims_of(plan),
         )
@@ -137,7 +137,7 @@
 
     def _proposal_values(self, reclaim: Reclaim) -> tuple[object, ...]:
         """The values of `PROPOSAL_KEYS`."""
-        victims = self.open_reclaims.remaining_victims(reclaim)
+        victims = self.open_reclaims.find_remaining_victims(reclaim)
         return (
             self.term.number,
             reclaim.id,
@@ -181,11 +181,11 @@
             self._end(entry, step.value)
 
     def _situation(self, entry: OpenReclaim, until_deadline: float) -> ReclaimSituation:
-        victims = self.open_reclaims.remaining_victims(entry.reclaim)
+        victims = self.open_reclaims.find_remaining_victims(entry.reclaim)
         sent_at = entry.stops_sent_at
         return ReclaimSituation(
             is_wanted=self._is_wanted(entry),
-            can_machine_serve=self._capacity.can_be_given(entry.reclaim),
+            can_machine_serve=self._capacity.can_machine_take_task(entry.reclaim),
             remaining_victim_count=len(victims),
             since_stop_s=None if sent_at is None else self.runtime.now() - sent_at,
             is_forced=entry.is_forced,
@@ -197,16 +197,18 @@
         """Whether a task waits for this capacity and, before victims stop, is entitled to it."""
         reclaim = entry.reclaim
         job = self.ledger.state.jobs.get(reclaim.job)
-        if job is None or self.open_reclaims.task_count_before(entry) >= job.pending_count:
+        if job is None or self.open_reclaims.count_tasks_before(entry) >= job.pending_count:
             return False
-        remaining_count = len(self.open_reclaims.remaining_victims(reclaim))
+        remaining_count = len(self.open_reclaims.find_remaining_victims(reclaim))
         if entry.stops_sent_at is not None or remaining_count < len(reclaim.borrowed):
             return True
-        return self._accounting.is_within_quota(reclaim.lender, amounts_of(job.spec, reclaim.tasks))
+        return self._accounting.is_within_quota(
+            reclaim.lender, compute_amounts(job.spec, reclaim.tasks)
+        )
 
     def _stop_victims(self, entry: OpenReclaim, *, is_forced: bool) -> None:
         """Stops the remaining victims; forced: with no time to save."""
-        for placed in self.open_reclaims.remaining_victims(entry.reclaim):
+        for placed in self.open_reclaims.find_remaining_victims(entry.reclaim):
             if placed.stopping_at is None:
                 self._admission.record_stop(placed)
             if placed.job.spec.job_kind == wire.GANG:
--- a/flaxtally/leader/reclaim/reclaim_admission.py
+++ b/flaxtally/leader/reclaim/reclaim_admission.py
@@ -71,7 +71,7 @@
             if number in live
         )
 
-    def time_left_s(self, job: Job) -> float:
+    def compute_time_left_s(self, job: Job) -> float:
         """How much of the recall time is left, which runs from now on at the latest."""
         now = self.runtime.now()
         return self.policy.recall - (now - self._waiting_since.setdefault(job.number, now))
@@ -82,7 +82,7 @@
         Not while a machine can be provisioned that is up in time and costs no more than the
         autoscaler pays: that takes nothing from anybody.
         """
-        return not self._can_provision(job.spec, self.time_left_s(job))
+        return not self._can_provision(job.spec, self.compute_time_left_s(job))
 
     def _can_provision(self, spec: wire.Spec, within_s: float) -> bool:
         machine_types = self.term.machine_types
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -42,19 +42,19 @@
         self._open_reclaims = open_reclaims
         self._machine_status = machine_status
 
-    def machine_for(self, job: Job) -> Machine | None:
+    def find_freed_machine(self, job: Job) -> Machine | None:
         """A machine on which a reclaim has made room for a task of the job."""
         for entry in self._open_reclaims.for_job(job):
             machine = self.fleet.machines.get(entry.reclaim.machine)
             if (
                 entry.is_committed
                 and machine is not None
-                and not self._open_reclaims.remaining_victims(entry.reclaim)
+                and not self._open_reclaims.find_remaining_victims(entry.reclaim)
             ):
                 return machine
         return None
 
-    def can_be_given(self, reclaim: Reclaim) -> bool:
+    def can_machine_take_task(self, reclaim: Reclaim) -> bool:
         """Whether the machine of a reclaim can take the task that it is for.
 
         One that has sent this term no heartbeat yet can, as long as that is nothing unusual.
@@ -67,7 +67,7 @@
             return self.runtime.now() - self.term.began_at < self.policy.machine_suspect
         return self._machine_status.is_schedulable(machine)
 
-    def filter_for(self, job: Job) -> Callable[[Machine], bool] | None:
+    def make_reservation_filter(self, job: Job) -> Callable[[Machine], bool] | None:
         """Which machines hold the job beside what is reserved; None: nothing is reserved."""
         by_machine = self._open_reclaims.by_machine()
         if not by_machine:
@@ -85,21 +85,21 @@
         expected = placement.room(machine, machine_type)
         entries = self._open_reclaims.by_machine()[machine.name]
         others = [entry for entry in entries if entry.reclaim.job != job.number]
-        for spec in self._open_reclaims.reserved_specs(others):
+        for spec in self._open_reclaims.get_reserved_specs(others):
             expected = expected.minus(spec)
         leaving = {
             placed
             for entry in others
-            for placed in self._open_reclaims.remaining_victims(entry.reclaim)
+            for placed in self._open_reclaims.find_remaining_victims(entry.reclaim)
         }
         for placed in leaving:
             expected = expected.plus(placed.job.spec)
         return expected.holds(job.spec)
 
-    def reserved_on(self, machine: str) -> list[wire.Spec]:
+    def get_reserved_specs_on(self, machine: str) -> list[wire.Spec]:
         """The spec of each task for which reclaims reserve capacity on a machine."""
         entries = self._open_reclaims.by_machine().get(machine, [])
-        return self._open_reclaims.reserved_specs(entries)
+        return self._open_reclaims.get_reserved_specs(entries)
 
     def excluded_zones(self, job: Job) -> frozenset[str]:
         """The zones in which no more capacity may be reclaimed for the job."""
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -6,7 +6,7 @@
 import itertools
 from typing import TYPE_CHECKING
 
-from ...lending.entitlement import Reclaimable, amounts_of
+from ...lending.entitlement import ReclaimBudget, compute_amounts
 from ...protocol import wire
 from ..term import Term, TermActor
 
@@ -30,10 +30,12 @@
 class QuotaBudget:
     """Takes tasks of another team only while that team keeps its quota."""
 
-    def __init__(self, team: str, reclaimable: Reclaimable, open_reclaims: OpenReclaims) -> None:
+    def __init__(
+        self, team: str, reclaim_budget: ReclaimBudget, open_reclaims: OpenReclaims
+    ) -> None:
         """`team`: the one that takes, whose own tasks are not counted."""
         self._team = team
-        self._reclaimable = reclaimable
+        self._reclaim_budget = reclaim_budget
         self._open_reclaims = open_reclaims
         self._gangs: set[int] = set()
         """Gangs that are counted: they stop as a whole."""
@@ -46,7 +48,7 @@
             return True
         is_gang = job.spec.job_kind == wire.GANG
         task_count = len(job.placements) if is_gang else 1
-        if not self._reclaimable.try_take(job.spec.team, amounts_of(job.spec, task_count)):
+        if not self._reclaim_budget.try_take(job.spec.team, compute_amounts(job.spec, task_count)):
             return False
         if is_gang:
             self._gangs.add(job.number)
@@ -75,7 +77,7 @@
 
     def begin_pass(self) -> None:
         """Notes which teams borrow."""
-        self._borrowers = self._quota.borrowers()
+        self._borrowers = self._quota.find_borrowers()
 
     def is_entitled(self, job: Job) -> bool:
         """Whether one more task of the job, or the gang, is within its team's quota."""
@@ -105,7 +107,7 @@
 
     def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
         """The next pending task that neither a reclaim nor a preemption is for."""
-        reclaimed_count = self._open_reclaims.task_count_for(job)
+        reclaimed_count = self._open_reclaims.count_tasks_for(job)
         served_tasks = served.pending_of(job, now)
         if reclaimed_count + len(served_tasks) >= job.pending_count:
             return None
@@ -143,7 +145,7 @@
 
     def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
         """What the other teams use beyond their quotas."""
-        return QuotaBudget(spec.team, self._quota.reclaimable(), self._open_reclaims)
+        return QuotaBudget(spec.team, self._quota.reclaim_budget(), self._open_reclaims)
 
     def patience_s(self, job: Job) -> float:
         """Shorter for a job within its team's quota."""
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -5,7 +5,7 @@
 from bisect import insort
 from typing import TYPE_CHECKING, NamedTuple
 
-from ...lending.entitlement import NOTHING, Amounts, Quota, amounts_of
+from ...lending.entitlement import NO_RESOURCES, Amounts, Quota, compute_amounts
 from ...protocol import wire
 from ..term import Term, TermActor
 from .job_urgency import JobUrgency
@@ -168,8 +168,8 @@
 
     def _count_demand(self, job: Job) -> None:
         spec = job.spec
-        unfinished = amounts_of(spec, spec.tasks - len(job.done_tasks))
-        demand = self._demand.get(spec.team, NOTHING).plus(unfinished)
+        unfinished = compute_amounts(spec, spec.tasks - len(job.done_tasks))
+        demand = self._demand.get(spec.team, NO_RESOURCES).plus(unfinished)
         self._demand[spec.team] = demand
         quota = self._quotas.get(spec.team)
         if quota is None:
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -160,7 +160,7 @@
         what is stopped for it meanwhile does nothing.
         """
         policy, now = self._policies.current, self.runtime.now()
-        if self._served.is_served((job.number, 0), now) or self._open_reclaims.task_count_for(job):
+        if self._served.is_served((job.number, 0), now) or self._open_reclaims.count_tasks_for(job):
             return True
         key = "gang", job.shape, job.spec.tasks, policy.gang_equivalence_key(job)
         if (
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -140,14 +140,14 @@
     def has_hint(self, job: Job) -> bool:
         """Whether a machine is chosen for the job's next task."""
         is_hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
-        return is_hinted or self._reclaimed.machine_for(job) is not None
+        return is_hinted or self._reclaimed.find_freed_machine(job) is not None
 
     def take_hinted_machine(
         self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
     ) -> Machine | None:
         """Returns where the job's next task was moved, or capacity reclaimed, if it fits there."""
         hint = self.hints.pop((job.number, job.next_pending_task()), "")
-        machine = self.fleet.machines.get(hint) or self._reclaimed.machine_for(job)
+        machine = self.fleet.machines.get(hint) or self._reclaimed.find_freed_machine(job)
         if machine is None or machine.zone in excluded_zones:
             return None
         if not self.reconciler.is_schedulable(machine):
@@ -167,7 +167,7 @@
         candidates = (
             self.preemption.filter_for_rank(wire.RANKS[job.spec.rank]),
             self.gang_reservations.machine_filter_for(job),
-            self._reclaimed.filter_for(job),
+            self._reclaimed.make_reservation_filter(job),
         )
         filters = [each for each in candidates if each is not None]
         if len(filters) < 2:
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -162,6 +162,6 @@
         free = placement.room(machine, machine_type)
         for reservation in self._reservations.list_on(machine.name):
             free = free.minus(reservation.spec)
-        for spec in self._reclaimed.reserved_on(machine.name):
+        for spec in self._reclaimed.get_reserved_specs_on(machine.name):
             free = free.minus(spec)
         return free
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from ..lending.entitlement import NOTHING, Amounts, Quota
+from ..lending.entitlement import NO_RESOURCES, Amounts, Quota
 from ..runtime.actor import Actor
 from .fleet import Fleet
 from .pass_requests import PassRequests
@@ -76,7 +76,7 @@
     def team_usage(self, team: str) -> Amounts:
         """The resources of a team's placements, from proposal until they are proven to be over."""
         usage = self.ledger.state.usage_by_team.get(team)
-        return Amounts(usage.cores, usage.gpus) if usage is not None else NOTHING
+        return Amounts(usage.cores, usage.gpus) if usage is not None else NO_RESOURCES
 
     @property
     def may_act(self) -> bool:
--- a/flaxtally/lending/accounts.py
+++ b/flaxtally/lending/accounts.py
@@ -9,13 +9,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from .entitlement import NOTHING, Amounts, Quota
+from .entitlement import NO_RESOURCES, Amounts, Quota
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
 
-class TeamUse(NamedTuple):
+class TeamUsage(NamedTuple):
     """What a team's account is computed from."""
 
     team: str
@@ -43,7 +43,7 @@
     borrower: str
 
 
-def compute_team_accounts(teams: Iterable[TeamUse]) -> dict[str, TeamAccount]:
+def compute_team_accounts(teams: Iterable[TeamUsage]) -> dict[str, TeamAccount]:
     """The account of each team."""
     teams = list(teams)
     borrowed = {entry.team: entry.quota.borrowed(entry.use) for entry in teams}
@@ -85,7 +85,7 @@
 
 
 def _total(amounts: Iterable[Amounts]) -> Amounts:
-    total = NOTHING
+    total = NO_RESOURCES
     for each in amounts:
         total = total.plus(each)
     return total
--- a/flaxtally/lending/entitlement.py
+++ b/flaxtally/lending/entitlement.py
@@ -44,10 +44,10 @@
         return Amounts(self.cores * factor, self.gpus * factor)
 
 
-NOTHING = Amounts(0.0, 0.0)
+NO_RESOURCES = Amounts(0.0, 0.0)
 
 
-def amounts_of(spec: wire.Spec, task_count: int = 1) -> Amounts:
+def compute_amounts(spec: wire.Spec, task_count: int = 1) -> Amounts:
     """What so many tasks of a job take."""
     return Amounts(spec.cores * task_count, spec.gpus * task_count)
 
@@ -64,7 +64,7 @@
     def from_settings(cls, team: Team | None) -> Quota:
         """The quota in the settings; an unknown team has none."""
         if team is None or not (team.cores or team.gpus):
-            return cls(NOTHING, is_granted=False)
+            return cls(NO_RESOURCES, is_granted=False)
         return cls(Amounts(team.cores or math.inf, team.gpus or math.inf), is_granted=True)
 
     def covers(self, use: Amounts) -> bool:
@@ -99,7 +99,7 @@
         )
 
 
-class Reclaimable:
+class ReclaimBudget:
     """What may be taken from the teams in one decision, which may stop several tasks."""
 
     def __init__(self, quota_of: Callable[[str], Quota], use_of: Callable[[str], Amounts]) -> None:
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -35,7 +35,7 @@
     @classmethod
     def from_table(cls, table: Table) -> LendingFeature:
         """The table's values, or `FeatureError`."""
-        table.only("lenders", "stops_a_minute", "accounts_every_s")
+        table.refuse_unknown_fields("lenders", "stops_a_minute", "accounts_every_s")
         return cls(
             table,
             frozenset(table.texts("lenders")),
@@ -58,7 +58,7 @@
     def _check_lenders(self, settings: Settings) -> None:
         for team in sorted(self.lenders):
             if not Quota.from_settings(settings.teams.get(team)).is_granted:
-                raise self.table.fault("lenders", f"{team} is no team with a guarantee")
+                raise self.table.error("lenders", f"{team} is no team with a guarantee")
 
     def _check_objectives(self, settings: Settings, policy: Policy) -> None:
         for objective in settings.objectives:
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -52,8 +52,8 @@
             self._file.flush()
             if self._file.tell() > self._most_bytes:
                 self._begin_anew()
-        except OSError as fault:
-            log.warning("event=trace_lost spans=%d why=%r", len(spans), str(fault))
+        except OSError as error:
+            log.warning("event=trace_lost spans=%d why=%r", len(spans), str(error))
             return SpanExportResult.FAILURE
         return SpanExportResult.SUCCESS
 
@@ -89,7 +89,7 @@
     @classmethod
     def of(cls, table: Table) -> Tracing:
         """Checks the feature's table."""
-        table.only("file", "least_ms", "most_mb")
+        table.refuse_unknown_fields("file", "least_ms", "most_mb")
         return cls(
             table,
             Path(table.text("file")),
@@ -104,8 +104,8 @@
         """Has the loop tell of its long callbacks."""
         try:
             exporter = FileExporter(self.path, self.most_bytes)
-        except OSError as fault:
-            raise self.table.fault("file", fault.strerror or str(fault)) from None
+        except OSError as error:
+            raise self.table.error("file", error.strerror or str(error)) from None
         resource = Resource(
             {"service.name": "flaxtally", "node": settings.node, "zone": settings.zone}
         )
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -12,8 +12,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from flaxtally.lending.accounts import TeamUse, compute_loans, compute_team_accounts
-from flaxtally.lending.entitlement import NOTHING, Amounts, Quota, Reclaimable, amounts_of
+from flaxtally.lending.accounts import TeamUsage, compute_loans, compute_team_accounts
+from flaxtally.lending.entitlement import (
+    NO_RESOURCES,
+    Amounts,
+    Quota,
+    ReclaimBudget,
+    compute_amounts,
+)
 from flaxtally.lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
 from flaxtally.lending.victim_selection import select_victims
 from flaxtally.planning.placement import Room
@@ -73,11 +79,11 @@
         return [task for task in self.tasks if task.machine == machine]
 
     def use(self, team: str, firm: bool = False) -> Amounts:
-        use = NOTHING
+        use = NO_RESOURCES
         for task in self.tasks:
             leaves = task.stopping or any(task in recall.borrowed for recall in self.recalls)
             if task.spec.team == team and task.machine is not None and not (firm and leaves):
-                use = use.plus(amounts_of(task.spec))
+                use = use.plus(compute_amounts(task.spec))
         return use
 
     def free(self, machine: int) -> Room:
@@ -90,7 +96,7 @@
         promised = [r.task.spec for r in self.recalls if r.task.spec.team == team]
         use = self.use(team)
         for other in (*promised, task.spec):
-            use = use.plus(amounts_of(other))
+            use = use.plus(compute_amounts(other))
         return GUARANTEES[team].covers(use)
 
     def step(self) -> None:
@@ -116,7 +122,7 @@
         """Begins it, or goes on elsewhere, where room can be made."""
         team = recall.task.spec.team
         for machine in sorted(self.up):
-            budget = Reclaimable(GUARANTEES.__getitem__, lambda name: self.use(name, firm=True))
+            budget = ReclaimBudget(GUARANTEES.__getitem__, lambda name: self.use(name, firm=True))
             leaving = [t for t in self.on(machine) if t.stopping]
             others = [t for t in self.on(machine) if not t.stopping and t.spec.team != team]
             found, chosen = select_victims(
@@ -125,7 +131,7 @@
                 [*leaving, *others],
                 lambda t: t.spec,
                 lambda t, budget=budget: (  # type: ignore[misc]
-                    t.stopping or budget.try_take(t.spec.team, amounts_of(t.spec))
+                    t.stopping or budget.try_take(t.spec.team, compute_amounts(t.spec))
                 ),
             )
             if found.holds(recall.task.spec):
@@ -167,7 +173,7 @@
             team = task.spec.team
             left = self.use(team, firm=True)
             assert team != recall.task.spec.team
-            assert GUARANTEES[team].is_preserved(left, amounts_of(task.spec)), (
+            assert GUARANTEES[team].is_preserved(left, compute_amounts(task.spec)), (
                 f"{team} is taken below its guarantee"
             )
         task.stopping = True
@@ -230,16 +236,16 @@
         model = self.model
         waiting = [t for t in model.tasks if t.spec.team == team and t.machine is None]
         for task in waiting:
-            if not GUARANTEES[team].covers(model.use(team).plus(amounts_of(task.spec))):
+            if not GUARANTEES[team].covers(model.use(team).plus(compute_amounts(task.spec))):
                 continue
             for machine in model.up:
-                budget = Reclaimable(GUARANTEES.__getitem__, model.use)
+                budget = ReclaimBudget(GUARANTEES.__getitem__, model.use)
                 room, _ = select_victims(
                     task.spec,
                     Room(1000.0, GPUS - sum(t.spec.gpus for t in model.on(machine)), 1000.0),
                     [t for t in model.on(machine) if t.spec.team != team],
                     lambda t: t.spec,
-                    lambda t, budget=budget: budget.try_take(t.spec.team, amounts_of(t.spec)),  # type: ignore[misc]
+                    lambda t, budget=budget: budget.try_take(t.spec.team, compute_amounts(t.spec)),  # type: ignore[misc]
                 )
                 if room.holds(task.spec):
                     return True
@@ -304,7 +310,7 @@
 
 
 def test_one_decision_takes_no_more_than_is_borrowed() -> None:
-    budget = Reclaimable(GUARANTEES.__getitem__, lambda _: Amounts(0.0, 10.0))
+    budget = ReclaimBudget(GUARANTEES.__getitem__, lambda _: Amounts(0.0, 10.0))
     taken = [budget.try_take("north", Amounts(0.0, 1.0)) for _ in range(4)]
     assert taken == [True, True, False, False]
     assert not budget.can_take("north", Amounts(0.0, 1.0))
@@ -315,7 +321,9 @@
 def test_what_is_lent_is_what_is_borrowed_as_far_as_guarantees_are_unused(
     gpus: dict[str, float],
 ) -> None:
-    uses = [TeamUse(name, GUARANTEES[name], Amounts(0.0, n), NOTHING) for name, n in gpus.items()]
+    uses = [
+        TeamUsage(name, GUARANTEES[name], Amounts(0.0, n), NO_RESOURCES) for name, n in gpus.items()
+    ]
     accounts = compute_team_accounts(uses)
     lent = sum(account.lends.gpus for account in accounts.values())
     borrowed = sum(account.borrows.gpus for account in accounts.values())
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -16,7 +16,7 @@
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from flaxtally.ledger.snapshot import page_records
-from flaxtally.lending.entitlement import Reclaimable
+from flaxtally.lending.entitlement import ReclaimBudget
 from flaxtally.lending.page import LoansPage, format_page
 from flaxtally.protocol import wire
 from flaxtally.settings import Objective, Team
@@ -87,7 +87,7 @@
     world.submit(work("j-000100", 16, "others"), run_time=300.0)
     until(world, lambda: world.count("j-000100") == 16, 60)
     tried = []
-    monkeypatch.setattr(Reclaimable, "try_take", lambda *words: tried.append(words))
+    monkeypatch.setattr(ReclaimBudget, "try_take", lambda *words: tried.append(words))
     world.submit(work("j-000200", 8), run_time=30.0)
     world.run(RECALL_S)
     assert not tried
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -354,7 +354,7 @@
     assert stops >= 8
     lending, seen = lending_of(world), list(world.seen.values())
     assert len(seen) >= 8
-    assert not any(lending.open_reclaims.remaining_victims(recall) for recall in seen), (
+    assert not any(lending.open_reclaims.find_remaining_victims(recall) for recall in seen), (
         "they name the first attempts"
     )
     world.run(40.0)
