--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -1,7 +1,7 @@
-"""The operators' settings: what the platform's file leaves open, as ratios to its figures.
+"""The operators' policy: settings that are derived from the values of the platform's settings file.
 
-The shipped values stand in `defaults.policy`, in the language of `language`; an operators' file in
-the same language sets some of them anew.
+The default values are in `defaults.policy`, written in the language of the module `language`. An
+operators' file in the same language overrides some of them.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
     SIZE,
     TIME,
     Fault,
-    Known,
     PolicyError,
+    SettingConstraint,
     Statement,
     Unit,
     evaluate,
@@ -30,26 +30,27 @@
 
 __all__ = ["Policy", "PolicyError", "Setting", "build", "default", "explain", "load"]
 
-DEFAULTS = Path(__file__).with_name("defaults.policy")
-LONGEST_FILE = 256 * 1024
-
-_TIME = Known(TIME, 0.001, 86400.0)
-_RATIO = Known(PLAIN, 0.0, 1000.0)
-KNOWN: dict[str, Known] = {
-    "boot_patience": Known(PLAIN, 1.0, 100.0),
-    "late": Known(PLAIN, 1.1, 100.0),
-    "very_late": Known(PLAIN, 1.1, 100.0),
-    "slack": Known(PLAIN, 0.0, 1.0),
-    "move_worth": _RATIO,
-    "best_effort_price": _RATIO,
-    "pass_rest": _RATIO,
-    "sample": Known(PLAIN, 1.0, 10000.0, whole=True),
+DEFAULTS_PATH = Path(__file__).with_name("defaults.policy")
+MAX_FILE_BYTES = 256 * 1024
+
+_TIME_CONSTRAINT = SettingConstraint(TIME, 0.001, 86400.0)
+_RATIO_CONSTRAINT = SettingConstraint(PLAIN, 0.0, 1000.0)
+SETTING_CONSTRAINTS: dict[str, SettingConstraint] = {
+    "boot_patience": SettingConstraint(PLAIN, 1.0, 100.0),
+    "late": SettingConstraint(PLAIN, 1.1, 100.0),
+    "very_late": SettingConstraint(PLAIN, 1.1, 100.0),
+    "slack": SettingConstraint(PLAIN, 0.0, 1.0),
+    "move_worth": _RATIO_CONSTRAINT,
+    "best_effort_price": _RATIO_CONSTRAINT,
+    "pass_rest": _RATIO_CONSTRAINT,
+    "sample": SettingConstraint(PLAIN, 1.0, 10000.0, is_integer=True),
 }
+"""By the name of the setting. Those that are not listed here are times."""
 
 
 @dataclass(frozen=True)
 class Policy:
-    """The settings' values; times in seconds. What each means is said in `defaults.policy`."""
+    """The value of each setting, times in seconds; `defaults.policy` says what each one means."""
 
     heartbeat: float
     peer_silence: float
@@ -95,12 +96,12 @@
 
 
 for _field in dataclasses.fields(Policy):
-    KNOWN.setdefault(_field.name, _TIME)
+    SETTING_CONSTRAINTS.setdefault(_field.name, _TIME_CONSTRAINT)
 
 
 @dataclass(frozen=True)
 class Setting:
-    """A setting as `policy show` prints it."""
+    """A setting with its value and the place of its definition, as `policy show` prints it."""
 
     name: str
     value: float
@@ -110,8 +111,8 @@
     text: str
 
 
-def _platform(settings: Settings) -> dict[str, tuple[float, Unit]]:
-    """The names of the platform's file that expressions may use."""
+def _platform_values(settings: Settings) -> dict[str, tuple[float, Unit]]:
+    """Returns the values of the platform's settings file that expressions may refer to."""
     return {
         "workers.report_s": (settings.report_s, TIME),
         "workers.lease_s": (settings.lease_s, TIME),
@@ -127,59 +128,74 @@
     }
 
 
-def _read(path: Path, name: str) -> list[Statement]:
+def _read_statements(path: Path, name: str) -> list[Statement]:
     try:
-        if path.stat().st_size > LONGEST_FILE:
-            raise PolicyError([Fault(name, 0, "too long for a policy file")])
+        if path.stat().st_size > MAX_FILE_BYTES:
+            raise PolicyError([Fault(name, 0, f"the file is larger than {MAX_FILE_BYTES} bytes")])
         text = path.read_text(encoding="utf-8")
-    except OSError as fault:
-        raise PolicyError([Fault(name, 0, fault.strerror or str(fault))]) from None
+    except OSError as error:
+        raise PolicyError([Fault(name, 0, error.strerror or str(error))]) from None
     except UnicodeDecodeError:
-        raise PolicyError([Fault(name, 0, "not UTF-8 text")]) from None
+        raise PolicyError([Fault(name, 0, "the file is not UTF-8 text")]) from None
     statements = parse(text, name)
-    first: dict[str, int] = {}
-    twice = [
+    first_line: dict[str, int] = {}
+    duplicates = [
         Fault(
             name,
             statement.line,
-            f"{statement.name} was set in line {first[statement.name]} already",
+            f"{statement.name} is already set in line {first_line[statement.name]}",
         )
         for statement in statements
-        if first.setdefault(statement.name, statement.line) != statement.line
+        if first_line.setdefault(statement.name, statement.line) != statement.line
     ]
-    if twice:
-        raise PolicyError(twice)
+    if duplicates:
+        raise PolicyError(duplicates)
     return statements
 
 
 def explain(settings: Settings, path: str | None = None) -> list[Setting]:
-    """Each setting's value and where it came from, or `PolicyError` with every fault."""
-    statements = {statement.name: statement for statement in _read(DEFAULTS, DEFAULTS.name)}
+    """Returns each setting and the place of its definition.
+
+    Raises `PolicyError` with every fault.
+    """
+    statements = {
+        statement.name: statement
+        for statement in _read_statements(DEFAULTS_PATH, DEFAULTS_PATH.name)
+    }
     if path is not None:
-        statements |= {statement.name: statement for statement in _read(Path(path), path)}
-    values = evaluate(statements, KNOWN, _platform(settings))
+        statements |= {
+            statement.name: statement for statement in _read_statements(Path(path), path)
+        }
+    values = evaluate(statements, SETTING_CONSTRAINTS, _platform_values(settings))
     return [
         Setting(
-            name, values[name], KNOWN[name].unit, statement.file, statement.line, statement.text
+            name,
+            values[name],
+            SETTING_CONSTRAINTS[name].unit,
+            statement.file,
+            statement.line,
+            statement.text,
         )
         for name, statement in statements.items()
     ]
 
 
 def build(explained: list[Setting]) -> Policy:
-    """The policy of settings that were explained."""
+    """Builds the policy from the settings that `explain` returned."""
     values: dict[str, Any] = {
-        setting.name: int(setting.value) if KNOWN[setting.name].whole else setting.value
+        setting.name: int(setting.value)
+        if SETTING_CONSTRAINTS[setting.name].is_integer
+        else setting.value
         for setting in explained
     }
     return Policy(**values)
 
 
 def load(settings: Settings, path: str | None = None) -> Policy:
-    """The shipped values with those of an operators' file, or `PolicyError` with every fault."""
+    """Returns the policy with the overrides of an operators' file, or raises `PolicyError`."""
     return build(explain(settings, path))
 
 
 def default(settings: Settings) -> Policy:
-    """The shipped policy for these settings."""
+    """Returns the policy of `defaults.policy` for these settings."""
     return load(settings)
--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -1,6 +1,6 @@
-"""The operators' settings: a small expression language, checked before evaluation.
+"""The language of policy files: settings as expressions, checked before they are evaluated.
 
-    file      = { NAME "=" expr NEWLINE }            "#": comment; lines may go on in brackets
+    file      = { NAME "=" expr NEWLINE }            "#": comment; an open "(" continues the line
     expr      = "if" sum COMPARE sum "then" expr "else" expr | sum
     sum       = term { ("+" | "-") term }
     term      = factor { ("*" | "/") factor }
@@ -9,8 +9,8 @@
               | "-" factor | "(" expr ")"
     COMPARE   = "<" | "<=" | ">" | ">=" | "=="
 
-A parser of our own: the one library that was measured (lark 1.3.1) adds 0.17 s and 12 MB to each
-start of a controller, on a share of a core, just when a dead one is to be replaced.
+The parser is hand-written: a library (lark 1.3.1) adds 0.17 s and 12 MB to each start of a
+controller on a fraction of a core, which delays the replacement of a controller that died.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class Unit(NamedTuple):
-    """Powers of seconds and of GB; a share or a count is a plain number."""
+    """The exponents of seconds and of GB; a fraction or a count is a plain number."""
 
     seconds: int = 0
     gigabytes: int = 0
@@ -40,7 +40,8 @@
 
 PLAIN, TIME, SIZE, RATE = Unit(), Unit(1), Unit(0, 1), Unit(-1)
 UNITS = {"ms": (TIME, 0.001), "s": (TIME, 1.0), "GB": (SIZE, 1.0), "share": (PLAIN, 1.0)}
-COMPARE: dict[str, Callable[[float, float], bool]] = {
+"""By its name in a policy file: the unit, and the factor that converts a number to it."""
+COMPARISONS: dict[str, Callable[[float, float], bool]] = {
     "<": operator.lt,
     "<=": operator.le,
     ">": operator.gt,
@@ -54,12 +55,12 @@
     "/": operator.truediv,
 }
 KEYWORDS = {"if", "then", "else", "min", "max", *UNITS}
-DEEPEST = 20
-LONGEST = 60
+MAX_NESTING_DEPTH = 20
+MAX_TOKENS_PER_STATEMENT = 60
 
 
 class Fault(NamedTuple):
-    """What is wrong, and where."""
+    """An error in a policy file and its place; line 0 stands for the file as a whole."""
 
     file: str
     line: int
@@ -70,7 +71,7 @@
 
 
 class PolicyError(Exception):
-    """One or more faults."""
+    """A policy is invalid; `faults` lists every error that was found."""
 
     def __init__(self, faults: list[Fault]) -> None:
         super().__init__("\n".join(map(str, faults)))
@@ -87,36 +88,36 @@
 
 @dataclass(frozen=True)
 class Name:
-    """A reference to a setting, or to a figure of the platform's file."""
+    """A reference to a setting, or to a value of the platform's settings file."""
 
     name: str
 
 
 @dataclass(frozen=True)
 class Call:
-    """Arithmetic, `min` or `max`."""
+    """An arithmetic operation, `min` or `max`."""
 
     function: str
     arguments: tuple[Expression, ...]
 
 
 @dataclass(frozen=True)
-class Choice:
-    """`if … then … else …`."""
+class Conditional:
+    """A conditional expression: `if … then … else …`."""
 
-    compare: str
+    comparison: str
     left: Expression
     right: Expression
     then: Expression
     otherwise: Expression
 
 
-Expression = Number | Name | Call | Choice
+Expression = Number | Name | Call | Conditional
 
 
 @dataclass(frozen=True)
 class Statement:
-    """One setting of a file, and where it stands."""
+    """The definition of one setting, with its file, line and source text."""
 
     name: str
     expression: Expression
@@ -126,99 +127,105 @@
 
 
 @dataclass(frozen=True)
-class Known:
-    """What a setting must be: its unit and its range."""
+class SettingConstraint:
+    """The unit and the range that the value of a setting must have."""
 
     unit: Unit
-    least: float
-    most: float = math.inf
-    whole: bool = False
+    minimum: float
+    maximum: float = math.inf
+    is_integer: bool = False
 
 
 class _SyntaxError(Exception):
     pass
 
 
-_token = re.compile(
+_TOKEN = re.compile(
     r"(?P<number>\d+(?:\.\d+)?)|(?P<name>[A-Za-z_][A-Za-z_0-9]*(?:\.[A-Za-z_][A-Za-z_0-9]*)*)"
     r"|(?P<sign><=|>=|==|[-+*/()<>=,])|(?P<space>[ \t\n]+)|(?P<bad>.)"
 )
 
 
 class _Parser:
-    """One statement."""
+    """A recursive-descent parser for one statement."""
 
     def __init__(self, text: str) -> None:
         self._tokens: list[tuple[str, str]] = []
-        for match in _token.finditer(text):
+        for match in _TOKEN.finditer(text):
             kind = str(match.lastgroup)
             if kind == "bad":
-                raise _SyntaxError(f"{match.group()!r} has no place here")
+                raise _SyntaxError(f"unexpected character {match.group()!r}")
             if kind != "space":
                 self._tokens.append((kind, match.group()))
-        if len(self._tokens) > LONGEST:
-            raise _SyntaxError(f"longer than {LONGEST} words and signs")
-        self._at = 0
+        if len(self._tokens) > MAX_TOKENS_PER_STATEMENT:
+            raise _SyntaxError(
+                f"the statement has {len(self._tokens)} tokens, "
+                f"at most {MAX_TOKENS_PER_STATEMENT} are allowed"
+            )
+        self._position = 0
         self._depth = 0
 
     def _peek(self) -> str:
-        return self._tokens[self._at][1] if self._at < len(self._tokens) else "the end"
+        return self._tokens[self._position][1] if self._position < len(self._tokens) else "the end"
 
     def _next(self) -> tuple[str, str]:
-        if self._at >= len(self._tokens):
-            raise _SyntaxError("the expression ends too early")
-        self._at += 1
-        return self._tokens[self._at - 1]
+        if self._position >= len(self._tokens):
+            raise _SyntaxError("unexpected end of the expression")
+        self._position += 1
+        return self._tokens[self._position - 1]
 
     def _expect(self, text: str) -> None:
         if self._peek() != text:
             raise _SyntaxError(f"expected {text!r}, found {self._peek()!r}")
-        self._at += 1
+        self._position += 1
 
-    def statement(self) -> tuple[str, Expression]:
+    def parse_statement(self) -> tuple[str, Expression]:
         kind, name = self._next()
         if kind != "name" or name in KEYWORDS:
             raise _SyntaxError(f"expected the name of a setting, found {name!r}")
         self._expect("=")
-        expression = self._expression()
-        if self._at < len(self._tokens):
-            raise _SyntaxError(f"{self._peek()!r} is left over")
+        expression = self._parse_expression()
+        if self._position < len(self._tokens):
+            raise _SyntaxError(f"unexpected {self._peek()!r} after the expression")
         return name, expression
 
-    def _expression(self) -> Expression:
+    def _parse_expression(self) -> Expression:
         self._depth += 1
-        if self._depth > DEEPEST:
-            raise _SyntaxError("nested too deeply")
+        if self._depth > MAX_NESTING_DEPTH:
+            raise _SyntaxError(f"nested more than {MAX_NESTING_DEPTH} levels deep")
         try:
             if self._peek() != "if":
-                return self._sum()
-            self._at += 1
-            left = self._sum()
-            _, compare = self._next()
-            if compare not in COMPARE:
-                raise _SyntaxError(f"expected a comparison, found {compare!r}")
-            right = self._sum()
+                return self._parse_sum()
+            self._position += 1
+            left = self._parse_sum()
+            _, comparison = self._next()
+            if comparison not in COMPARISONS:
+                raise _SyntaxError(f"expected a comparison operator, found {comparison!r}")
+            right = self._parse_sum()
             self._expect("then")
-            then = self._expression()
+            then = self._parse_expression()
             self._expect("else")
-            return Choice(compare, left, right, then, self._expression())
+            return Conditional(comparison, left, right, then, self._parse_expression())
         finally:
             self._depth -= 1
 
-    def _sum(self) -> Expression:
-        return self._chain(("+", "-"), self._term)
+    def _parse_sum(self) -> Expression:
+        return self._parse_chain(("+", "-"), self._parse_term)
 
-    def _term(self) -> Expression:
-        return self._chain(("*", "/"), self._factor)
+    def _parse_term(self) -> Expression:
+        return self._parse_chain(("*", "/"), self._parse_factor)
 
-    def _chain(self, signs: tuple[str, str], part: Callable[[], Expression]) -> Expression:
-        found = part()
+    def _parse_chain(
+        self, signs: tuple[str, str], parse_operand: Callable[[], Expression]
+    ) -> Expression:
+        """Parses operands that are joined by any of the signs, associating to the left."""
+        result = parse_operand()
         while self._peek() in signs:
             _, sign = self._next()
-            found = Call(sign, (found, part()))
-        return found
+            result = Call(sign, (result, parse_operand()))
+        return result
 
-    def _factor(self) -> Expression:
+    def _parse_factor(self) -> Expression:
         kind, text = self._next()
         if kind == "number":
             unit, scale = PLAIN, 1.0
@@ -227,232 +234,266 @@
             return Number(float(text) * scale, unit)
         if text == "-":
             self._depth += 1
-            if self._depth > DEEPEST:
-                raise _SyntaxError("nested too deeply")
-            negative = Call("*", (Number(-1.0, PLAIN), self._factor()))
+            if self._depth > MAX_NESTING_DEPTH:
+                raise _SyntaxError(f"nested more than {MAX_NESTING_DEPTH} levels deep")
+            negated = Call("*", (Number(-1.0, PLAIN), self._parse_factor()))
             self._depth -= 1
-            return negative
+            return negated
         if text == "(":
-            found = self._expression()
+            inner = self._parse_expression()
             self._expect(")")
-            return found
+            return inner
         if text in ("min", "max"):
             self._expect("(")
-            arguments = [self._expression()]
+            arguments = [self._parse_expression()]
             while self._peek() == ",":
-                self._at += 1
-                arguments.append(self._expression())
+                self._position += 1
+                arguments.append(self._parse_expression())
             self._expect(")")
             return Call(text, tuple(arguments))
         if kind == "name" and text not in KEYWORDS:
             return Name(text)
-        raise _SyntaxError(f"{text!r} has no place here")
+        raise _SyntaxError(f"expected a number, a name or an expression, found {text!r}")
 
 
 def parse(text: str, file: str) -> list[Statement]:
-    """The statements of a file; raises PolicyError with all that can't be read."""
+    """Parses the text of a policy file; raises `PolicyError` with every syntax error."""
     statements: list[Statement] = []
     faults: list[Fault] = []
-    pending, began = "", 0
+    pending, first_line = "", 0
     lines = text.split("\n")
     for number, line in enumerate(lines, 1):
         line = line.partition("#")[0].rstrip("\r")
         if not pending and not line.strip():
             continue
-        began = began if pending else number
+        first_line = first_line if pending else number
         pending += line + "\n"
         if pending.count("(") > pending.count(")") and number < len(lines):
             continue
         try:
-            name, expression = _Parser(pending).statement()
+            name, expression = _Parser(pending).parse_statement()
             statements.append(
                 Statement(
-                    name, expression, file, began, " ".join(pending.partition("=")[2].split())
+                    name, expression, file, first_line, " ".join(pending.partition("=")[2].split())
                 )
             )
-        except _SyntaxError as fault:
-            faults.append(Fault(file, began, str(fault)))
+        except _SyntaxError as error:
+            faults.append(Fault(file, first_line, str(error)))
         pending = ""
     if faults:
         raise PolicyError(faults)
     return statements
 
 
-def _nearest(name: str, names: list[str]) -> str:
-    close = difflib.get_close_matches(name, names, 1, 0.5)
-    return f"; did you mean {close[0]!r}?" if close else ""
+def _suggest_name(name: str, names: list[str]) -> str:
+    matches = difflib.get_close_matches(name, names, 1, 0.5)
+    return f"; did you mean {matches[0]!r}?" if matches else ""
 
 
-class _Check:
-    """Units and names of one set of statements, without evaluating anything."""
+class _Checker:
+    """Checks the names, units and references of a set of statements without evaluating them."""
 
     def __init__(
         self,
         statements: dict[str, Statement],
-        known: Mapping[str, Known],
+        constraints: Mapping[str, SettingConstraint],
         platform: Mapping[str, Unit],
     ) -> None:
-        self._statements, self._known, self._platform = statements, known, platform
+        self._statements, self._constraints, self._platform = statements, constraints, platform
         self.faults: list[Fault] = []
 
-    def all(self) -> None:
-        names = [*self._known, *self._platform]
+    def check_all(self) -> None:
+        """Checks every statement and adds each fault to `faults`."""
+        names = [*self._constraints, *self._platform]
         for statement in self._statements.values():
-            if statement.name not in self._known:
-                self._fault(
+            if statement.name not in self._constraints:
+                self._add_fault(
                     statement,
-                    f"no such setting: {statement.name!r}{_nearest(statement.name, names)}",
+                    f"unknown setting {statement.name!r}{_suggest_name(statement.name, names)}",
                 )
                 continue
-            unit = self._unit(statement.expression, statement)
-            wanted = self._known[statement.name].unit
-            if unit is not None and unit != wanted:
-                self._fault(statement, f"{statement.name} is in {unit}, it must be in {wanted}")
-        self._cycles()
+            unit = self._infer_unit(statement.expression, statement)
+            expected_unit = self._constraints[statement.name].unit
+            if unit is not None and unit != expected_unit:
+                self._add_fault(
+                    statement,
+                    f"{statement.name} has the wrong unit: got {unit}, expected {expected_unit}",
+                )
+        self._check_cycles()
 
-    def _fault(self, statement: Statement, reason: str) -> None:
+    def _add_fault(self, statement: Statement, reason: str) -> None:
         self.faults.append(Fault(statement.file, statement.line, reason))
 
-    def _unit(self, expression: Expression, where: Statement) -> Unit | None:
-        """The unit, or None after a fault was noted."""
+    def _infer_unit(self, expression: Expression, statement: Statement) -> Unit | None:
+        """Infers the unit of an expression; returns None if it added a fault."""
         match expression:
             case Number(_, unit):
                 return unit
             case Name(name):
-                if name in self._known:
+                if name in self._constraints:
                     if name not in self._statements:
-                        self._fault(where, f"{name} has no value")
-                    return self._known[name].unit
+                        self._add_fault(statement, f"{name} has no value")
+                    return self._constraints[name].unit
                 if name in self._platform:
                     return self._platform[name]
-                self._fault(
-                    where, f"unknown name {name!r}{_nearest(name, [*self._known, *self._platform])}"
+                self._add_fault(
+                    statement,
+                    f"unknown name {name!r}"
+                    f"{_suggest_name(name, [*self._constraints, *self._platform])}",
                 )
                 return None
-            case Choice(_, left, right, then, otherwise):
-                compared = self._same(left, right, where, "compared")
-                result = self._same(then, otherwise, where, "either result")
+            case Conditional(_, left, right, then, otherwise):
+                compared = self._find_common_unit(left, right, statement, "the compared values")
+                result = self._find_common_unit(
+                    then, otherwise, statement, "the results of 'then' and 'else'"
+                )
                 return result if compared is not None else None
             case Call("*" | "/" as sign, (left, right)):
-                one, two = self._unit(left, where), self._unit(right, where)
-                if one is None or two is None:
+                left_unit, right_unit = (
+                    self._infer_unit(left, statement),
+                    self._infer_unit(right, statement),
+                )
+                if left_unit is None or right_unit is None:
                     return None
-                way = 1 if sign == "*" else -1
-                return Unit(one.seconds + way * two.seconds, one.gigabytes + way * two.gigabytes)
+                exponent_sign = 1 if sign == "*" else -1
+                return Unit(
+                    left_unit.seconds + exponent_sign * right_unit.seconds,
+                    left_unit.gigabytes + exponent_sign * right_unit.gigabytes,
+                )
             case Call(name, arguments):
-                found = self._unit(arguments[0], where)
+                result = self._infer_unit(arguments[0], statement)
                 for argument in arguments[1:]:
-                    other = self._unit(argument, where)
-                    if found is not None and other is not None and other != found:
-                        self._fault(where, f"{name!r} of {found} and {other}")
+                    other = self._infer_unit(argument, statement)
+                    if result is not None and other is not None and other != result:
+                        self._add_fault(
+                            statement, f"{name!r} of different units: {result} and {other}"
+                        )
                         return None
-                    found = None if other is None else found
-                return found
+                    result = None if other is None else result
+                return result
         raise AssertionError(expression)
 
-    def _same(
-        self, left: Expression, right: Expression, where: Statement, what: str
+    def _find_common_unit(
+        self, left: Expression, right: Expression, statement: Statement, context: str
     ) -> Unit | None:
-        one, two = self._unit(left, where), self._unit(right, where)
-        if one is not None and two is not None and one != two:
-            self._fault(where, f"{what}: {one} and {two}")
+        """Infers the unit of both expressions; adds a fault and returns None if they differ."""
+        left_unit, right_unit = (
+            self._infer_unit(left, statement),
+            self._infer_unit(right, statement),
+        )
+        if left_unit is not None and right_unit is not None and left_unit != right_unit:
+            self._add_fault(
+                statement, f"{context} have different units: {left_unit} and {right_unit}"
+            )
             return None
-        return one if two is not None else None
+        return left_unit if right_unit is not None else None
 
-    def _cycles(self) -> None:
-        done: set[str] = set()
+    def _check_cycles(self) -> None:
+        """Adds a fault for each circular reference."""
+        visited: set[str] = set()
 
         def visit(name: str, path: tuple[str, ...]) -> None:
             if name in path:
-                loop = " -> ".join([*path[path.index(name) :], name])
-                self._fault(self._statements[name], f"goes round in circles: {loop}")
-                done.update(path)
-            if name in done or name not in self._statements:
+                cycle = " -> ".join([*path[path.index(name) :], name])
+                self._add_fault(self._statements[name], f"circular reference: {cycle}")
+                visited.update(path)
+            if name in visited or name not in self._statements:
                 return
-            for other in names_in(self._statements[name].expression):
+            for other in collect_names(self._statements[name].expression):
                 visit(other, (*path, name))
-            done.add(name)
+            visited.add(name)
 
         for name in self._statements:
             visit(name, ())
 
 
-def names_in(expression: Expression) -> list[str]:
-    """The names that an expression refers to."""
+def collect_names(expression: Expression) -> list[str]:
+    """Returns the names that an expression refers to."""
     match expression:
         case Name(name):
             return [name]
         case Call(_, arguments):
-            return [name for argument in arguments for name in names_in(argument)]
-        case Choice(_, left, right, then, otherwise):
-            return [name for part in (left, right, then, otherwise) for name in names_in(part)]
+            return [name for argument in arguments for name in collect_names(argument)]
+        case Conditional(_, left, right, then, otherwise):
+            return [name for part in (left, right, then, otherwise) for name in collect_names(part)]
         case _:
             return []
 
 
-def _value(expression: Expression, names: Callable[[str], float]) -> float:
+def _evaluate_expression(expression: Expression, look_up: Callable[[str], float]) -> float:
     match expression:
         case Number(value, _):
             return value
         case Name(name):
-            return names(name)
-        case Choice(compare, left, right, then, otherwise):
-            holds = COMPARE[compare](_value(left, names), _value(right, names))
-            return _value(then if holds else otherwise, names)
+            return look_up(name)
+        case Conditional(comparison, left, right, then, otherwise):
+            is_true = COMPARISONS[comparison](
+                _evaluate_expression(left, look_up), _evaluate_expression(right, look_up)
+            )
+            return _evaluate_expression(then if is_true else otherwise, look_up)
         case Call("min", arguments):
-            return min(_value(argument, names) for argument in arguments)
+            return min(_evaluate_expression(argument, look_up) for argument in arguments)
         case Call("max", arguments):
-            return max(_value(argument, names) for argument in arguments)
+            return max(_evaluate_expression(argument, look_up) for argument in arguments)
         case Call(sign, (left, right)):
-            return ARITHMETIC[sign](_value(left, names), _value(right, names))
+            return ARITHMETIC[sign](
+                _evaluate_expression(left, look_up), _evaluate_expression(right, look_up)
+            )
     raise AssertionError(expression)
 
 
 def evaluate(
     statements: dict[str, Statement],
-    known: Mapping[str, Known],
+    constraints: Mapping[str, SettingConstraint],
     platform: Mapping[str, tuple[float, Unit]],
 ) -> dict[str, float]:
-    """The value of each setting; raises PolicyError with every fault.
+    """Returns the value of each setting, or raises `PolicyError` with every fault.
 
-    Nothing is evaluated before all is checked.
+    Statements are evaluated only if all of them passed the checks of names and units.
     """
-    check = _Check(statements, known, {name: unit for name, (_, unit) in platform.items()})
-    check.all()
-    if check.faults:
-        raise PolicyError(sorted(check.faults))
+    checker = _Checker(
+        statements, constraints, {name: unit for name, (_, unit) in platform.items()}
+    )
+    checker.check_all()
+    if checker.faults:
+        raise PolicyError(sorted(checker.faults))
     values: dict[str, float] = {}
     faults: list[Fault] = []
 
-    def value(name: str) -> float:
+    def evaluate_name(name: str) -> float:
         if name in platform:
             return platform[name][0]
         if name not in values:
             try:
-                values[name] = _value(statements[name].expression, value)
+                values[name] = _evaluate_expression(statements[name].expression, evaluate_name)
             except ZeroDivisionError:
                 faults.append(
                     Fault(statements[name].file, statements[name].line, f"{name} divides by zero")
                 )
-                # What follows from it is no fault of its own.
+                # Settings that depend on this one become NaN too and are not reported again.
                 values[name] = math.nan
         return values[name]
 
     for name, statement in statements.items():
-        found, must = value(name), known[name]
-        if math.isnan(found):
+        value, constraint = evaluate_name(name), constraints[name]
+        if math.isnan(value):
             continue
-        if not math.isfinite(found) or not must.least <= found <= must.most:
+        if not math.isfinite(value) or not constraint.minimum <= value <= constraint.maximum:
             faults.append(
                 Fault(
                     statement.file,
                     statement.line,
-                    f"{name} is {found:g}, it must be between {must.least:g} and {must.most:g}",
+                    f"{name} is {value:g}, it must be between {constraint.minimum:g} "
+                    f"and {constraint.maximum:g}",
                 )
             )
-        elif must.whole and found != int(found):
+        elif constraint.is_integer and value != int(value):
             faults.append(
-                Fault(statement.file, statement.line, f"{name} is {found:g}, it must be whole")
+                Fault(
+                    statement.file,
+                    statement.line,
+                    f"{name} is {value:g}, it must be a whole number",
+                )
             )
     if faults:
         raise PolicyError(faults)
--- a/flaxtally/settings.py
+++ b/flaxtally/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, checked; fields that are not recognised are ignored."""
+"""Reads and checks the platform's settings file. Unknown fields are ignored."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     from .runtime.loop import Address
 
 MIN_VALUE_KB = 1.0
-"""The largest record that can't be divided, a job with long names, must fit into a value."""
+"""The largest record that can't be split, a job with long names, must fit into one value."""
 BYTES_PER_KB = 1024
 DEFAULT_MAX_SOCKETS = 512.0
 MAX_PORT = 65535
 
 
 class SettingsError(Exception):
-    """A setting is missing or wrong; the text names the field."""
+    """A setting is missing or invalid; the text names the field."""
 
 
 @dataclass(frozen=True)
 class Team:
-    """A team's quota (what it is guaranteed) and its hard limit; a limit of 0 means none."""
+    """A team's quota (what it is guaranteed) and its hard limits; a limit of 0 means none."""
 
     name: str
     cores: float
@@ -35,9 +35,9 @@
 
 @dataclass(frozen=True)
 class Objective:
-    """A service-level objective of the platform.
+    """A service-level objective of the platform for a job class.
 
-    What is to happen to a job class within a time, or within so many times its deadline.
+    It is a time in seconds (`within`), or a multiple of each job's deadline (`times`).
     """
 
     kind: str
@@ -49,16 +49,16 @@
 
 @dataclass(frozen=True)
 class StateLimits:
-    """What the key-value store accepts."""
+    """The limits of the key-value store."""
 
     write_rps: float
-    """Puts and deletes a second."""
+    """Puts and deletes per second."""
     value_bytes: int
     txn_ops: int
-    """Puts and deletes a transaction."""
+    """Puts and deletes per transaction."""
 
-    def lower(self, other: StateLimits) -> StateLimits:
-        """What both limits allow."""
+    def minimum_with(self, other: StateLimits) -> StateLimits:
+        """Returns the smaller of each limit."""
         return StateLimits(
             min(self.write_rps, other.write_rps),
             min(self.value_bytes, other.value_bytes),
@@ -68,7 +68,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that the platform's file says."""
+    """The content of the platform's settings file; times are in seconds."""
 
     node: str
     zone: str
@@ -83,14 +83,14 @@
     report_s: float
     lease_s: float
     gang_wait_s: float
-    """A waiting task of a gang exits when its gang was not complete for so long."""
+    """A waiting task of a gang exits if its gang is not complete within this time."""
     gang_peer_s: float
-    """Within this time the tasks of a gang notice that one is gone, and must be told to stop."""
+    """Within this time the tasks of a gang notice that one is lost, and must be sent a stop."""
     cancel_s: float
     state_rps: float
     state_limits: StateLimits
-    """What the key-value store accepts from the start to the end: limits that it will lower later
-    hold from the start.
+    """The strictest limits of the key-value store over time: limits that it announces to lower
+    later hold from the start.
     """
     cloud_rps: float
     list_lag_s: float
@@ -98,7 +98,7 @@
 
 
 def address(text: str) -> Address | None:
-    """HOST:PORT, or None if the text is not that."""
+    """Parses a text of the form HOST:PORT; returns None if it has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         return None
@@ -106,71 +106,87 @@
 
 
 class _Table:
-    """A table of the file, asked by field, with errors that name the field in full."""
+    """A table of the file; the error of a missing or invalid field has the field's full name."""
 
     def __init__(self, data: Any, path: str) -> None:
-        """`path`: the table's name in full; empty for the whole file."""
+        """`path`: the full name of the table; empty for the whole file."""
         if not isinstance(data, dict):
-            raise SettingsError(f"{path or 'settings'}: not a table")
+            raise SettingsError(f"{path or 'settings'}: expected a table, got {data!r}")
         self._data = data
         self._path = path
 
     def has(self, field: str) -> bool:
-        """Whether the field is there."""
+        """Whether the table has the field."""
         return field in self._data
 
     def text(self, field: str) -> str:
-        """A text that is not empty."""
+        """Returns the value of a field that must be a non-empty string."""
         value = self._get(field)
         if not isinstance(value, str) or not value:
-            raise SettingsError(f"{self._name(field)}: not a text")
+            raise SettingsError(
+                f"{self._full_name(field)}: expected a non-empty string, got {value!r}"
+            )
         return value
 
     def texts(self, field: str) -> tuple[str, ...]:
-        """A list of texts."""
+        """Returns the value of a field that must be a list of strings."""
         value = self._get(field)
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            raise SettingsError(f"{self._name(field)}: not a list of texts")
+            raise SettingsError(
+                f"{self._full_name(field)}: expected a list of strings, got {value!r}"
+            )
         return tuple(value)
 
     def number_above(self, field: str, bound: float = 0.0, default: float | None = None) -> float:
-        """A number larger than the bound; without the field, the default if there is one."""
+        """Returns a number that must be larger than the bound; a missing field has the default."""
         value = self._number(field, default)
         if value <= bound:
-            raise SettingsError(f"{self._name(field)}: {value} is too small")
+            raise SettingsError(
+                f"{self._full_name(field)}: {value} is too small, expected more than {bound:g}"
+            )
         return float(value)
 
-    def number_from(self, field: str, bound: float = 0.0, default: float | None = None) -> float:
-        """A number of at least the bound; without the field, the default if there is one."""
+    def number_at_least(
+        self, field: str, bound: float = 0.0, default: float | None = None
+    ) -> float:
+        """Returns a number that must be at least the bound; a missing field has the default."""
         value = self._number(field, default)
         if value < bound:
-            raise SettingsError(f"{self._name(field)}: {value} is too small")
+            raise SettingsError(
+                f"{self._full_name(field)}: {value} is too small, expected at least {bound:g}"
+            )
         return float(value)
 
     def address(self, field: str) -> Address:
-        """A text of the form HOST:PORT."""
-        found = address(self.text(field))
-        if found is None:
-            raise SettingsError(f"{self._name(field)}: not HOST:PORT")
-        return found
+        """Returns the address in a field of the form HOST:PORT."""
+        parsed = address(self.text(field))
+        if parsed is None:
+            raise SettingsError(
+                f"{self._full_name(field)}: expected HOST:PORT, got {self._data[field]!r}"
+            )
+        return parsed
 
     def table(self, field: str) -> _Table:
-        """A table within this one."""
-        return _Table(self._get(field), self._name(field))
+        """Returns the table in a field."""
+        return _Table(self._get(field), self._full_name(field))
 
     def tables(self, field: str) -> list[_Table]:
-        """An array of tables; none if the field is missing."""
+        """Returns the tables of an array; empty if the field is missing."""
         value = self._data.get(field, [])
         if not isinstance(value, list):
-            raise SettingsError(f"{self._name(field)}: not an array of tables")
-        return [_Table(item, f"{self._name(field)}[{index}]") for index, item in enumerate(value)]
-
-    def _name(self, field: str) -> str:
+            raise SettingsError(
+                f"{self._full_name(field)}: expected an array of tables, got {value!r}"
+            )
+        return [
+            _Table(item, f"{self._full_name(field)}[{index}]") for index, item in enumerate(value)
+        ]
+
+    def _full_name(self, field: str) -> str:
         return f"{self._path}.{field}" if self._path else field
 
     def _get(self, field: str) -> Any:
         if field not in self._data:
-            raise SettingsError(f"{self._name(field)}: missing")
+            raise SettingsError(f"{self._full_name(field)}: missing")
         return self._data[field]
 
     def _number(self, field: str, default: float | None) -> int | float:
@@ -179,26 +195,26 @@
         value = self._get(field)
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if not is_number or math.isnan(value):
-            raise SettingsError(f"{self._name(field)}: not a number")
+            raise SettingsError(f"{self._full_name(field)}: expected a number, got {value!r}")
         return cast("int | float", value)
 
 
 def parse(data: dict[str, Any]) -> Settings:
-    """Settings from the file's content, or `SettingsError` for the first fault."""
+    """Builds the settings from the file's content; raises `SettingsError` for the first fault."""
     top = _Table(data, "")
     params = top.table("params")
     endpoints = top.table("endpoints")
     workers, state, cloud = params.table("workers"), params.table("state"), params.table("cloud")
-    state_limits = _lowest_state_limits(state)
+    state_limits = _parse_lowest_state_limits(state)
     limits = params.table("limits")
-    teams = _teams(params)
-    objectives = _objectives(params)
+    teams = _parse_teams(params)
+    objectives = _parse_objectives(params)
     settings = Settings(
         node=top.text("node_name"),
         zone=top.text("site"),
         listen=top.address("listen"),
         peer_listen=top.address("cluster_listen"),
-        peers=_peers(top),
+        peers=_parse_peers(top),
         cloud=endpoints.address("cloud"),
         state=endpoints.address("state"),
         zones=params.texts("zones"),
@@ -212,70 +228,76 @@
         state_rps=state.number_above("rps"),
         state_limits=state_limits,
         cloud_rps=cloud.number_above("rps"),
-        list_lag_s=cloud.number_from("list_lag_s"),
+        list_lag_s=cloud.number_at_least("list_lag_s"),
         max_sockets=int(limits.number_above("max_sockets", default=DEFAULT_MAX_SOCKETS)),
     )
     if settings.node in settings.peers:
-        raise SettingsError("others: names this node itself")
+        raise SettingsError(
+            f"others: lists this node itself, {settings.node!r}; expected only other controllers"
+        )
     return settings
 
 
-def _teams(params: _Table) -> dict[str, Team]:
+def _parse_teams(params: _Table) -> dict[str, Team]:
     teams = {}
     for entry in params.tables("teams"):
         name = entry.text("name")
         teams[name] = Team(
             name,
-            entry.number_from("cpus", default=0.0),
-            entry.number_from("cpus_max", default=0.0),
-            entry.number_from("gpus", default=0.0),
-            entry.number_from("gpus_max", default=0.0),
+            entry.number_at_least("cpus", default=0.0),
+            entry.number_at_least("cpus_max", default=0.0),
+            entry.number_at_least("gpus", default=0.0),
+            entry.number_at_least("gpus_max", default=0.0),
         )
     return teams
 
 
-def _objectives(params: _Table) -> tuple[Objective, ...]:
+def _parse_objectives(params: _Table) -> tuple[Objective, ...]:
     return tuple(
         Objective(
             entry.text("kind"),
             entry.text("class") if entry.has("class") else None,
-            entry.number_from("within_s", default=0.0),
-            entry.number_from("share", default=0.0),
+            entry.number_at_least("within_s", default=0.0),
+            entry.number_at_least("share", default=0.0),
             entry.number_above("times", default=1.0),
         )
         for entry in params.tables("objectives")
     )
 
 
-def _peers(top: _Table) -> dict[str, tuple[str, Address]]:
-    """Zone and address of each other controller, by name."""
+def _parse_peers(top: _Table) -> dict[str, tuple[str, Address]]:
+    """Returns the zone and the address of each other controller, by name."""
     return {
         entry.text("node_name"): (entry.text("site"), entry.address("peer_addr"))
         for entry in top.tables("others")
     }
 
 
-def _lowest_state_limits(state: _Table) -> StateLimits:
-    """The limits that hold now and, where they are announced, after the next change."""
-    limits = _state_limits(state)
-    return limits.lower(_state_limits(state.table("next"))) if state.has("next") else limits
+def _parse_lowest_state_limits(state: _Table) -> StateLimits:
+    """Returns the smaller of the present limits and those announced for the next change, if any."""
+    limits = _parse_state_limits(state)
+    return (
+        limits.minimum_with(_parse_state_limits(state.table("next")))
+        if state.has("next")
+        else limits
+    )
 
 
-def _state_limits(table: _Table) -> StateLimits:
+def _parse_state_limits(table: _Table) -> StateLimits:
     return StateLimits(
         write_rps=table.number_above("write_rps"),
-        value_bytes=int(table.number_from("value_kb", MIN_VALUE_KB) * BYTES_PER_KB),
-        txn_ops=int(table.number_from("txn_ops", 1.0)),
+        value_bytes=int(table.number_at_least("value_kb", MIN_VALUE_KB) * BYTES_PER_KB),
+        txn_ops=int(table.number_at_least("txn_ops", 1.0)),
     )
 
 
 def load(path: str) -> Settings:
-    """Settings from a file, or `SettingsError`."""
+    """Reads the settings from a file; raises `SettingsError` if it is invalid."""
     return parse(read_toml(path))
 
 
 def read_toml(path: str) -> dict[str, Any]:
-    """What a TOML file holds, or `SettingsError` with its path."""
+    """Returns the content of a TOML file; raises `SettingsError` with its path."""
     try:
         return tomllib.loads(Path(path).read_text(encoding="utf-8"))
     except OSError as error:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The operators' settings: the language, its checker, the shipped values; and the command line."""
+"""Policy files: the language, its checker, the default values and the command line's errors."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 
 import pytest
 from hypothesis import example, given
-from hypothesis import settings as tries
+from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
 from flaxtally import policy
 from flaxtally.cli import main
 from flaxtally.fakes import demo
-from flaxtally.policy.language import PLAIN, TIME, Known, PolicyError, evaluate, parse
+from flaxtally.policy.language import PLAIN, TIME, PolicyError, SettingConstraint, evaluate, parse
 from flaxtally.settings import load
 
 if TYPE_CHECKING:
     from pathlib import Path
 
 NAMES = {
-    "a": Known(TIME, 0.0, 100.0),
-    "b": Known(TIME, 0.0),
-    "c": Known(PLAIN, 0.0, 9.0, whole=True),
+    "a": SettingConstraint(TIME, 0.0, 100.0),
+    "b": SettingConstraint(TIME, 0.0),
+    "c": SettingConstraint(PLAIN, 0.0, 9.0, is_integer=True),
 }
 PLATFORM = {"workers.lease_s": (10.0, TIME), "params.nodes": (3.0, PLAIN)}
 
@@ -37,6 +37,7 @@
 
 
 def test_expressions_follow_precedence_units_and_other_settings() -> None:
+    # Also covers a reference to a setting that is defined further down, and a continued line.
     text = """
     b = a * 2 - 500 ms      # a follows below
     a = max(workers.lease_s / 4,
@@ -53,28 +54,30 @@
             "a = workers.leas_s",
             "x:1: unknown name 'workers.leas_s'; did you mean 'workers.lease_s'?",
         ),
-        ("a = 3", "x:1: a is in a plain number, it must be in s"),
-        ("a = 3 s + 2 GB", "x:1: '+' of s and GB"),
+        ("a = 3", "x:1: a has the wrong unit: got a plain number, expected s"),
+        ("a = 3 s + 2 GB", "x:1: '+' of different units: s and GB"),
         ("\na = 1 s / (params.nodes - 3)", "x:2: a divides by zero"),
-        ("a = b\nb = a", "x:1: goes round in circles: a -> b -> a"),
+        ("a = b\nb = a", "x:1: circular reference: a -> b -> a"),
         ("a = 200 s", "x:1: a is 200, it must be between 0 and 100"),
-        ("c = 1 / 2", "x:1: c is 0.5, it must be whole"),
-        ("a = 3 s +", "x:1: the expression ends too early"),
-        ("a = 3 s; b = 2 s", "x:1: ';' has no place here"),
-        ("z = 1", "x:1: no such setting: 'z'"),
-        ("a = " + "(" * 25 + "1 s" + ")" * 25, "x:1: nested too deeply"),
-        ("a = 1 s" + " + 1 s" * 40, "x:1: longer than 60 words and signs"),
+        ("c = 1 / 2", "x:1: c is 0.5, it must be a whole number"),
+        ("a = 3 s +", "x:1: unexpected end of the expression"),
+        ("a = 3 s; b = 2 s", "x:1: unexpected character ';'"),
+        ("z = 1", "x:1: unknown setting 'z'"),
+        ("a = " + "(" * 25 + "1 s" + ")" * 25, "x:1: nested more than 20 levels deep"),
+        ("a = 1 s" + " + 1 s" * 40, "x:1: the statement has 124 tokens, at most 60 are allowed"),
     ],
 )
-def test_each_fault_is_named_with_its_line(text: str, fault: str) -> None:
+def test_each_fault_is_reported_with_its_line(text: str, fault: str) -> None:
+    # An operator must find the place of an error; a wrong unit must not pass as a plain number.
     assert faults(text) == [fault]
 
 
-def test_all_faults_of_a_file_are_listed_and_what_follows_from_one_is_not() -> None:
+def test_all_faults_of_a_file_are_listed_without_their_consequences() -> None:
+    # A setting that refers to a faulty one must not be reported as a fault of its own.
     assert faults("a = 4 GB\nc = nodes\nq = 1") == [
-        "x:1: a is in GB, it must be in s",
+        "x:1: a has the wrong unit: got GB, expected s",
         "x:2: unknown name 'nodes'; did you mean 'params.nodes'?",
-        "x:3: no such setting: 'q'",
+        "x:3: unknown setting 'q'",
     ]
     assert faults("a = b / 0\nb = 1 s") == ["x:1: a divides by zero"]
     assert faults("a = b") == ["x:1: b has no value"]
@@ -82,8 +85,10 @@
 
 @given(st.text("abc=+-*/()<>, 0123.sG#\nifthenelsemxw_", max_size=80))
 @example("a=b")
-@tries(derandomize=True, max_examples=600, deadline=None)
-def test_no_text_makes_the_checker_fail_otherwise(text: str) -> None:
+@hypothesis_settings(derandomize=True, max_examples=600, deadline=None)
+def test_any_invalid_text_raises_only_policy_errors(text: str) -> None:
+    # Guards against a crash of the parser or the checker on arbitrary input: whatever an operator
+    # writes must give errors with a line and a reason.
     found = []
     try:
         values(text)
@@ -107,9 +112,10 @@
     return path
 
 
-def test_an_operators_file_changes_a_setting_and_what_refers_to_it(
+def test_an_operators_file_overrides_a_setting_and_its_dependents(
     config: Path, tmp_path: Path
 ) -> None:
+    # `very_late` is defined by `late` and must follow its override; others keep their value.
     shipped = policy.default(load(str(config)))
     assert (shipped.plan_step, shipped.sample, shipped.unattended) == (3.0, 24, 36.0)
     own = tmp_path / "own.policy"
@@ -119,17 +125,18 @@
     assert changed.plan_step == shipped.plan_step
 
 
-def test_faulty_files_give_messages_and_exit_2(
+def test_invalid_files_give_messages_and_exit_code_2(
     config: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    # A typing error in a file or an argument must end the command with a message, not a traceback.
     own = tmp_path / "own.policy"
     own.write_text("cool_dwon = 90 s\nlate = 1 s\n")
     for command in (["check"], ["policy", "show"], ["serve"]):
         assert main([*command, "--config", str(config), "--policy", str(own)]) == 2
-        told = capsys.readouterr()
-        assert f"{own}:1: no such setting: 'cool_dwon'; did you mean 'cool_down'?" in told.err
-        assert f"{own}:2: late is in s" in told.err
-        assert told.out == ""
+        captured = capsys.readouterr()
+        assert f"{own}:1: unknown setting 'cool_dwon'; did you mean 'cool_down'?" in captured.err
+        assert f"{own}:2: late has the wrong unit: got s" in captured.err
+        assert captured.out == ""
     assert main(["check", "--config", str(config), "--policy", str(tmp_path / "absent")]) == 2
     assert main(["submit", str(tmp_path / "absent.json"), "--to", "127.0.0.1:1"]) == 2
     (tmp_path / "job.json").write_text("[1")
@@ -141,7 +148,8 @@
     assert "cool_down = 36 s  # workers.lease_s * 3  (defaults.policy:" in capsys.readouterr().out
 
 
-def test_the_demos_settings_are_sound_and_know_each_other(tmp_path: Path) -> None:
+def test_the_demos_settings_are_valid_and_list_each_other(tmp_path: Path) -> None:
+    # Guards against a demo in which a controller lists another with a wrong zone or address.
     loaded = []
     for number in range(len(demo.NODES)):
         path = tmp_path / f"{number}.toml"
