--- a/flaxtally/features.py
+++ b/flaxtally/features.py
@@ -1,8 +1,8 @@
-"""Features that a deployment enables by a file: `serve --features FILE`, a table a feature.
+"""Features that a deployment enables by a file, `serve --features FILE`, with a table for each.
 
-Each feature checks its own table; a table or a field that no feature knows is refused, since a
-typing error would otherwise leave the feature off unseen. Imported only when the option is given;
-a feature's package, with its libraries, only when its table is there.
+Each feature checks its own table. An unknown table or field is an error: otherwise a typing error
+would leave the feature disabled without notice. This module is imported only if the option is
+given, and a feature's package, with its libraries, only if the file has its table.
 """
 
 from __future__ import annotations
@@ -15,43 +15,46 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ["KNOWN", "Feature", "FeatureError", "read_file"]
+__all__ = ["FEATURE_FACTORIES", "Feature", "FeatureError", "read_file"]
 
 
-def _lending(table: Table) -> Feature:
+def _create_lending(table: Table) -> Feature:
     from .lending.feature import LendingFeature
 
     return LendingFeature.from_table(table)
 
 
-def _tracing(table: Table) -> Feature:
+def _create_tracing(table: Table) -> Feature:
     try:
         from .tracing import Tracing
-    except ModuleNotFoundError as fault:
+    except ModuleNotFoundError as error:
         raise FeatureError(
-            f"{table.path}: {table.name}: {fault.name} is missing: "
+            f"{table.path}: {table.name}: {error.name} is missing: "
             "pip install -r requirements-tracing.txt"
         ) from None
     return Tracing.of(table)
 
 
-KNOWN: dict[str, Callable[[Table], Feature]] = {
-    "lending": _lending,
-    "tracing": _tracing,
+FEATURE_FACTORIES: dict[str, Callable[[Table], Feature]] = {
+    "lending": _create_lending,
+    "tracing": _create_tracing,
 }
+"""By the name of a feature's table: the function that checks the table and creates the feature."""
 
 
 def read_file(path: str) -> list[Feature]:
-    """The features that a file enables, or `FeatureError` for the first fault."""
+    """Returns the features that a file enables; raises `FeatureError` for the first fault."""
     try:
         content = read_toml(path)
-    except SettingsError as fault:
-        raise FeatureError(str(fault)) from None
-    found = []
+    except SettingsError as error:
+        raise FeatureError(str(error)) from None
+    features = []
     for name, fields in content.items():
-        if name not in KNOWN:
-            raise FeatureError(f"{path}: {name}: not known; there are {', '.join(KNOWN)}")
+        if name not in FEATURE_FACTORIES:
+            raise FeatureError(
+                f"{path}: {name}: unknown feature, expected one of: {', '.join(FEATURE_FACTORIES)}"
+            )
         if not isinstance(fields, dict):
-            raise FeatureError(f"{path}: {name}: not a table")
-        found.append(KNOWN[name](Table(path, name, fields)))
-    return found
+            raise FeatureError(f"{path}: {name}: expected a table, got {fields!r}")
+        features.append(FEATURE_FACTORIES[name](Table(path, name, fields)))
+    return features
--- a/flaxtally/leader/reclaim/__init__.py
+++ b/flaxtally/leader/reclaim/__init__.py
@@ -1,5 +1,5 @@
-"""Reclaim of quota that teams lent to each other, where the feature `lending` is enabled.
+"""Reclaim of quota that teams lent to each other, if the feature `lending` is enabled.
 
-`open_reclaims` holds the state, `quota_accounting` and `reclaim_admission` decide whether a reclaim
-may start, and `quota_reclaim` carries it out: start there.
+Start with `quota_reclaim`, which carries reclaims out. `open_reclaims` holds their state, and
+`quota_accounting` and `reclaim_admission` decide whether one may start.
 """
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -1,4 +1,4 @@
-"""What the teams borrow and lend, summed up over time, and the operators' page of it."""
+"""Accumulates what the teams borrow and lend over time, and serves the operators' page of loans."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 
 class LoanAccounts(TermActor):
-    """Owns what was borrowed and lent since the accounts were last stored in the ledger."""
+    """Owns the amounts borrowed and lent since the accounts were last stored in the ledger."""
 
     def __init__(
         self, term: Term, jobs: JobRegistry, quota: QuotaAccounting, store_interval_s: float
     ) -> None:
-        """`store_interval_s`: how often what was summed up is stored."""
+        """`store_interval_s`: interval at which the accounts are stored in the ledger."""
         super().__init__(term)
         self._jobs = jobs
         self._quota = quota
@@ -39,20 +39,20 @@
     # Accounting
 
     def sample(self) -> None:
-        """Adds what is borrowed and lent now, for the time since the last sample."""
+        """Adds the present loans to the accounts, for the time since the last sample."""
         if not self._quota.is_enabled:
             return
         now = self.runtime.now()
         elapsed_s = now - self._sampled_at if self._sampled_at is not None else 0.0
         self._sampled_at = now
-        for account in compute_team_accounts(self._team_uses({})).values():
-            self._add(account, elapsed_s)
+        for account in compute_team_accounts(self._collect_team_usages({})).values():
+            self._accumulate(account, elapsed_s)
         if now - self._stored_at >= self._store_interval_s:
             self._stored_at = now
-            self._store()
+            self._propose_accounts()
 
-    def _add(self, account: TeamAccount, elapsed_s: float) -> None:
-        before = self._current(account.team)
+    def _accumulate(self, account: TeamAccount, elapsed_s: float) -> None:
+        before = self._get_account(account.team)
         is_borrowing = any(account.borrows)
         if not (is_borrowing or any(account.lends) or before.borrows_since):
             return
@@ -68,21 +68,21 @@
             lent_gpu_seconds=before.lent_gpu_seconds + lent.gpus,
         )
 
-    def _current(self, team: str) -> LoanAccount:
-        """The account as of the last sample; reclaims are counted in the ledger at once."""
+    def _get_account(self, team: str) -> LoanAccount:
+        """Returns the account as of the last sample, with the ledger's counts of reclaims."""
         stored = self.ledger.state.loan_state.accounts.get(team) or LoanAccount(team)
         unstored = self._unstored.get(team)
         if unstored is None:
             return stored
         return replace(unstored, met=stored.met, late=stored.late)
 
-    def _store(self) -> None:
-        """Proposes what changed; it is committed together with whatever else is."""
+    def _propose_accounts(self) -> None:
+        """Proposes the changed accounts; they are committed together with other pending records."""
         for team in self._unstored:
-            self.ledger.propose(self._current(team).record())
+            self.ledger.propose(self._get_account(team).record())
         self._unstored = {}
 
-    def _team_uses(self, waiting: dict[str, Amounts]) -> list[TeamUsage]:
+    def _collect_team_usages(self, waiting: dict[str, Amounts]) -> list[TeamUsage]:
         return [
             TeamUsage(
                 team,
@@ -96,29 +96,29 @@
     # The operators' page
 
     def send_page(self, on_reply: OnReply) -> None:
-        """Replies with the page of loans, after leadership is confirmed."""
+        """Replies with the page of loans once leadership is confirmed, otherwise with 503."""
 
         def on_confirmed(is_leader: bool) -> None:
             if is_leader and self.term.active:
-                on_reply(200, msgspec.to_builtins(self._page()))
+                on_reply(200, msgspec.to_builtins(self._build_page()))
             else:
                 on_reply(503, None)
 
         self.ledger.confirm_leadership(on_confirmed)
 
-    def _page(self) -> LoansPage:
+    def _build_page(self) -> LoansPage:
         state = self.ledger.state
         reclaims = [
             (reclaim, state.jobs[reclaim.job].spec.ref)
             for reclaim in state.loan_state.reclaims.values()
             if reclaim.job in state.jobs
         ]
-        accounts = compute_team_accounts(self._team_uses(self._waiting_amounts()))
-        current = {team: self._current(team) for team in accounts}
+        accounts = compute_team_accounts(self._collect_team_usages(self._sum_waiting_amounts()))
+        current = {team: self._get_account(team) for team in accounts}
         return build_page(self.term.number, accounts, current, reclaims)
 
-    def _waiting_amounts(self) -> dict[str, Amounts]:
-        """What the pending tasks ask for, by team."""
+    def _sum_waiting_amounts(self) -> dict[str, Amounts]:
+        """Returns the resources that pending tasks request, by team."""
         waiting: dict[str, Amounts] = {}
         for job in self._jobs.queue.pending_jobs():
             team = job.spec.team
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -1,4 +1,4 @@
-"""The reclaims that have not ended: by job and by machine, with their victims.
+"""The open reclaims, by job and by machine, with their victims.
 
 A *reclaim* takes lent capacity back for a job of the lender. Its *victims* are the tasks of
 borrowers that it stops.
@@ -23,26 +23,26 @@
 
 
 class OpenReclaim:
-    """A reclaim that has not ended, and what this leader did about it."""
+    """An open reclaim, and what this leader has done for it."""
 
     __slots__ = ("is_committed", "is_forced", "is_late", "promised", "reclaim", "stops_sent_at")
 
     def __init__(self, reclaim: Reclaim, *, is_committed: bool) -> None:
-        """`is_committed`: its record is stored, so its victims may be stopped."""
+        """`is_committed`: whether its record is stored, so that its victims may be stopped."""
         self.reclaim = reclaim
         self.is_committed = is_committed
         self.promised = NO_RESOURCES
-        """What it will give its lender."""
+        """The resources that the lender will get from it."""
         self.stops_sent_at: float | None = None
-        """When the victims were last sent a stop in this term."""
+        """The time at which the victims were last sent a stop in this term."""
         self.is_forced = False
-        """The last stop gave no grace period."""
+        """Whether the last stop was sent without a grace period."""
         self.is_late = False
-        """Its deadline has passed."""
+        """Whether its deadline has passed."""
 
 
 class OpenReclaims:
-    """Owns the open reclaims. Their victims count as leaving before a stop is sent to them."""
+    """Owns the open reclaims. Their victims count as leaving even before they are sent a stop."""
 
     def __init__(self, ledger: WriteAheadLog) -> None:
         """`ledger`: its state says which victims still have a placement."""
@@ -52,28 +52,28 @@
         self._by_machine: dict[str, list[OpenReclaim]] = {}
         self._promised: dict[str, Amounts] = {}
         self._unsent: dict[int, OpenReclaim] = {}
-        """Reclaims whose victims were not sent a stop yet."""
+        """Reclaims whose victims have not been sent a stop, by number."""
         self._chosen: set[Borrowed] = set()
-        """The victims of these."""
+        """The victims of these reclaims that are not already stopping."""
         self._chosen_usage: dict[str, Amounts] = {}
-        """What the chosen tasks take, by team."""
+        """The resources that the chosen tasks use, by team."""
 
     def __len__(self) -> int:
-        """How many reclaims are open."""
+        """The number of open reclaims."""
         return len(self._by_number)
 
     def __iter__(self) -> Iterator[OpenReclaim]:
-        """The open reclaims; they may be added and removed meanwhile."""
+        """Iterates over a copy: reclaims may be added and removed meanwhile."""
         return iter(list(self._by_number.values()))
 
     def is_open(self, entry: OpenReclaim) -> bool:
-        """Whether the reclaim has not ended."""
+        """Whether the reclaim is still open."""
         return self._by_number.get(entry.reclaim.number) is entry
 
     # Changes
 
     def add(self, entry: OpenReclaim) -> None:
-        """Adds a reclaim that started, or was moved to another machine."""
+        """Adds a reclaim that was started, or moved to another machine."""
         reclaim = entry.reclaim
         job = self._ledger.state.jobs.get(reclaim.job)
         entry.promised = (
@@ -87,7 +87,7 @@
         self._recount_chosen()
 
     def remove(self, entry: OpenReclaim) -> None:
-        """Removes a reclaim that ended, or leaves its machine."""
+        """Removes a reclaim that is finished, or is being moved to another machine."""
         reclaim = entry.reclaim
         del self._by_number[reclaim.number]
         self._promised[reclaim.lender] = self.get_promised(reclaim.lender).minus(entry.promised)
@@ -96,7 +96,7 @@
         self.mark_stops_sent(entry)
 
     def mark_stops_sent(self, entry: OpenReclaim) -> None:
-        """The victims were sent a stop: from now on they count as stopping."""
+        """Records that the victims were sent a stop: they now count as stopping, not as chosen."""
         if self._unsent.pop(entry.reclaim.number, None) is not None:
             self._recount_chosen()
 
@@ -115,7 +115,7 @@
     # Queries
 
     def find_remaining_victims(self, reclaim: Reclaim) -> list[Placement]:
-        """The victims that are not proven to have ended."""
+        """Returns the victims that are not proven to be terminated."""
         remaining = []
         for victim in reclaim.borrowed:
             job = self._ledger.state.jobs.get(victim.job)
@@ -125,16 +125,16 @@
         return remaining
 
     def get_promised(self, team: str) -> Amounts:
-        """What the reclaims will give a lender."""
+        """Returns the resources that a lender will get from its open reclaims."""
         return self._promised.get(team, NO_RESOURCES)
 
     def get_chosen_usage(self, team: str) -> Amounts:
-        """What the tasks of a team take that were chosen and not sent a stop."""
+        """Returns the usage of a team's tasks that are chosen and have not been sent a stop."""
         return self._chosen_usage.get(team, NO_RESOURCES)
 
     @property
     def chosen_count(self) -> int:
-        """How many tasks were chosen and not sent a stop."""
+        """The number of tasks that are chosen and have not been sent a stop."""
         return len(self._chosen)
 
     def is_chosen(self, placed: Placement) -> bool:
@@ -142,15 +142,15 @@
         return (placed.job.number, placed.task, placed.attempt) in self._chosen
 
     def is_leaving(self, placed: Placement) -> bool:
-        """Whether the task was sent a stop, or will be by a reclaim."""
+        """Whether the task was sent a stop, or will be sent one by a reclaim."""
         return placed.stopping_at is not None or self.is_chosen(placed)
 
     def for_job(self, job: Job) -> list[OpenReclaim]:
-        """The reclaims for a job, the oldest first."""
+        """Returns the reclaims for a job, the oldest first."""
         return list(self._by_job.get(job.number, ()))
 
     def count_tasks_for(self, job: Job) -> int:
-        """For how many tasks of the job capacity is being reclaimed."""
+        """Returns the number of the job's tasks for which capacity is being reclaimed."""
         return sum(entry.reclaim.tasks for entry in self._by_job.get(job.number, ()))
 
     def is_served(self, job: Job) -> bool:
@@ -158,16 +158,16 @@
         return self.count_tasks_for(job) >= job.pending_count
 
     def count_tasks_before(self, entry: OpenReclaim) -> int:
-        """For how many tasks of the same job capacity was reclaimed before this one."""
+        """Returns the number of tasks that older reclaims for the same job serve."""
         entries = self._by_job[entry.reclaim.job]
         return sum(other.reclaim.tasks for other in entries[: entries.index(entry)])
 
     def by_machine(self) -> dict[str, list[OpenReclaim]]:
-        """The reclaims by machine; for reading only."""
+        """Returns the reclaims by machine; callers must not change the result."""
         return self._by_machine
 
     def get_reserved_specs(self, entries: list[OpenReclaim]) -> list[wire.Spec]:
-        """The spec of each task for which these reclaims reserve capacity."""
+        """Returns the spec of each task for which these reclaims reserve capacity."""
         jobs = self._ledger.state.jobs
         return [
             jobs[entry.reclaim.job].spec
--- a/flaxtally/leader/reclaim/preemption_plan.py
+++ b/flaxtally/leader/reclaim/preemption_plan.py
@@ -1,4 +1,4 @@
-"""A machine on which capacity can be made by stopping tasks."""
+"""The plan of a preemption on one machine."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class PreemptionPlan(NamedTuple):
-    """Which tasks to stop on a machine so that tasks of a job fit there."""
+    """The tasks to stop on a machine so that tasks of a job fit there."""
 
     machine: Machine
     victims: list[Placement]
     cost: float
-    """Seconds of work that are lost."""
+    """The work that is lost, in seconds."""
     task_count: int = 1
-    """How many tasks of the job then fit."""
+    """The number of the job's tasks that then fit."""
--- a/flaxtally/leader/reclaim/quota_accounting.py
+++ b/flaxtally/leader/reclaim/quota_accounting.py
@@ -1,4 +1,4 @@
-"""Which team uses less than its quota, and which one borrows."""
+"""Determines which teams are within their quota and which ones borrow."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class QuotaAccounting(TermActor):
-    """Compares the teams' usage with their quotas, counting what open reclaims will move."""
+    """Compares the teams' usage with their quotas, including what open reclaims will change."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         open_reclaims: OpenReclaims,
         feature: LendingFeature | None,
     ) -> None:
-        """`feature`: None where lending is not configured."""
+        """`feature`: None if lending is not configured."""
         super().__init__(term)
         self._commands = commands
         self._open_reclaims = open_reclaims
@@ -33,7 +33,7 @@
 
     @property
     def is_configured(self) -> bool:
-        """Whether this controller's features file has lending."""
+        """Whether this controller's features file enables lending."""
         return self._feature is not None
 
     @property
@@ -42,24 +42,24 @@
         return self._feature is not None and self.ledger.state.format >= formats.LENDING
 
     def reclaim_budget(self) -> ReclaimBudget:
-        """What may be taken from the teams now, in one decision."""
-        return ReclaimBudget(self.term.quota, self._staying_usage)
+        """Returns the budget of one decision: what may be taken from the teams now."""
+        return ReclaimBudget(self.term.quota, self._compute_staying_usage)
 
     def find_borrowers(self) -> frozenset[str]:
-        """The teams that use more than their quota: nothing may be taken from others."""
+        """Returns the teams that use more than their quota: only they can lose capacity."""
         return frozenset(
             team
             for team in self.ledger.state.usage_by_team
-            if not self.term.quota(team).covers(self._staying_usage(team))
+            if not self.term.quota(team).covers(self._compute_staying_usage(team))
         )
 
-    def _staying_usage(self, team: str) -> Amounts:
-        """What a team's tasks take that were neither sent a stop nor chosen for one."""
+    def _compute_staying_usage(self, team: str) -> Amounts:
+        """Returns the usage of a team's tasks that were neither sent a stop nor chosen for one."""
         not_stopping = self._commands.usage_not_stopping(team)
         return not_stopping.minus(self._open_reclaims.get_chosen_usage(team))
 
     def is_entitled(self, job: Job) -> bool:
-        """Whether one more task of the job, or the gang, is within its team's quota."""
+        """Whether one more task of the job, or its whole gang, is within its team's quota."""
         spec = job.spec
         lenders = self._feature.lenders if self._feature is not None else frozenset()
         if lenders and spec.team not in lenders:
@@ -70,5 +70,5 @@
         return self.term.quota(spec.team).covers(usage.plus(compute_amounts(spec, task_count)))
 
     def is_within_quota(self, team: str, added: Amounts) -> bool:
-        """Whether the team's usage with that much more is within its quota."""
+        """Whether the team's usage plus the added amount is within its quota."""
         return self.term.quota(team).covers(self.term.team_usage(team).plus(added))
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -1,7 +1,8 @@
-"""Carries reclaims out: started, victims stopped, moved to another machine, ended.
+"""Carries reclaims out: starts them, stops their victims, moves and finishes them.
 
-A reclaim is a record of the ledger before any task is stopped for it, and the record of its end is
-proposed together with the placement that it was for: neither costs a transaction of its own.
+The record of a reclaim is committed to the ledger before any task is stopped for it. The record of
+its end is proposed together with the placement that it was for. Neither costs a transaction of its
+own.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 from ...ledger.reclaims import Borrowed, LoanAccount, Reclaim
 from ...lending.entitlement import compute_amounts
-from ...lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
+from ...lending.reclaim import ReclaimSituation, ReclaimTimes, Step, choose_next_step
 from ...protocol import wire
 from ..term import Term, TermActor
 from .open_reclaims import OpenReclaim, OpenReclaims
@@ -30,19 +31,19 @@
 
 log = logging.getLogger(__name__)
 
-PROPOSAL_KEYS = "term=%d id=%s lender=%s borrowers=%s job=%s machine=%s stops=%d within=%.1f"
-"""What a log event tells of a reclaim that is proposed."""
+PROPOSAL_LOG_FORMAT = "term=%d id=%s lender=%s borrowers=%s job=%s machine=%s stops=%d within=%.1f"
+"""The keys of the log events of a reclaim that is proposed."""
 
 
 class PlanSearch(Protocol):
-    """Searches the fleet for tasks whose stop makes room."""
+    """Searches the fleet for tasks whose stop frees enough capacity."""
 
     def find_plan(self, job: Job) -> PreemptionPlan | None:
-        """Where tasks can be stopped for a task of a job that is entitled to capacity."""
+        """Returns which tasks to stop for a job that is entitled to capacity, if any suffice."""
 
 
 class QuotaReclaim(TermActor):
-    """Drives the open reclaims to their end.
+    """Owns the progress of the open reclaims.
 
     Without the feature it starts none, and finishes those of earlier leaders.
     """
@@ -58,7 +59,7 @@
         capacity: ReclaimedCapacity,
         plan_search: PlanSearch,
     ) -> None:
-        """`plan_search` finds another machine where the first one can't make room."""
+        """`plan_search`: finds another machine if the first one can't provide the capacity."""
         super().__init__(term)
         self.open_reclaims = open_reclaims
         self._commands = commands
@@ -74,7 +75,7 @@
         )
 
     def restore(self) -> None:
-        """Adds the reclaims of earlier leaders: their deadlines and victims stand."""
+        """Adds the reclaims of earlier leaders, with their deadlines and victims unchanged."""
         for reclaim in self.ledger.state.loan_state.reclaims.values():
             self.open_reclaims.add(OpenReclaim(reclaim, is_committed=True))
         if self.open_reclaims:
@@ -82,15 +83,15 @@
                 "event=reclaims_restored term=%d open=%d lending=%s",
                 self.term.number,
                 len(self.open_reclaims),
-                "enabled" if self._accounting.is_configured else "not enabled: none begins",
+                "enabled" if self._accounting.is_configured else "not enabled: no reclaim starts",
             )
 
     # Starting
 
     def try_start(self, job: Job, *plans: PreemptionPlan) -> bool:
-        """Reclaims capacity by these plans, if that is due; False: too many stops this minute.
+        """Starts a reclaim for each plan, if it is time; False: too many stops within this minute.
 
-        If all victims have a lower rank, it doesn't wait for what could be provisioned.
+        If all victims have a lower rank, it doesn't wait for a machine that could be provisioned.
         """
         rank = wire.RANKS[job.spec.rank]
         victims = [placed for plan in plans for placed in plan.victims]
@@ -113,16 +114,18 @@
             round(wall, 2),
             round(wall + self._admission.compute_time_left_s(job), 2),
             plan.task_count,
-            _victims_of(plan),
+            _list_victims(plan),
         )
         entry = OpenReclaim(reclaim, is_committed=False)
         self.open_reclaims.add(entry)
-        log.info("event=reclaim_started " + PROPOSAL_KEYS, *self._proposal_values(reclaim))
+        log.info(
+            "event=reclaim_started " + PROPOSAL_LOG_FORMAT, *self._get_proposal_values(reclaim)
+        )
         self._propose(entry)
         self.term.request_pass()
 
     def _propose(self, entry: OpenReclaim) -> None:
-        """Proposes the reclaim as it is now; its victims are stopped once that is committed."""
+        """Proposes the reclaim's present record; its victims are stopped once it is committed."""
         reclaim = entry.reclaim
         entry.is_committed = False
         entry.stops_sent_at = None
@@ -135,8 +138,8 @@
 
         self.ledger.propose(reclaim.record(), on_committed)
 
-    def _proposal_values(self, reclaim: Reclaim) -> tuple[object, ...]:
-        """The values of `PROPOSAL_KEYS`."""
+    def _get_proposal_values(self, reclaim: Reclaim) -> tuple[object, ...]:
+        """Returns the values for `PROPOSAL_LOG_FORMAT`."""
         victims = self.open_reclaims.find_remaining_victims(reclaim)
         return (
             self.term.number,
@@ -152,35 +155,35 @@
     # Advancing
 
     def watch(self) -> None:
-        """Takes the next step of each reclaim, and asks for a pass while demand has none."""
+        """Advances each reclaim, and requests a pass while some entitled demand has no reclaim."""
         for entry in self.open_reclaims:
             self._advance(entry)
         if self._admission.has_unserved_demand():
-            # Where all tasks are long, nothing else asks for a pass.
+            # If all running tasks are long, nothing else requests a pass.
             self.term.request_pass()
         self._admission.expire()
 
     def _advance(self, entry: OpenReclaim) -> None:
         if not entry.is_committed or not self.term.may_act:
             return
-        until_deadline = entry.reclaim.deadline - self.runtime.wall()
-        if until_deadline < 0 and not entry.is_late:
+        until_deadline_s = entry.reclaim.deadline - self.runtime.wall()
+        if until_deadline_s < 0 and not entry.is_late:
             entry.is_late = True
             log.warning(
                 "event=reclaim_deadline_missed term=%d id=%s", self.term.number, entry.reclaim.id
             )
-        step = next_step(self._situation(entry, until_deadline), self._times)
+        step = choose_next_step(self._observe_situation(entry, until_deadline_s), self._times)
         if step is Step.MOVE and entry.reclaim.tasks > 1:
-            # Capacity for a gang is searched for as a whole.
+            # Capacity for a gang is searched for as a whole, not one machine at a time.
             step = Step.GIVE_UP
         if step in (Step.STOP, Step.FORCE):
             self._stop_victims(entry, is_forced=step is Step.FORCE)
         elif step is Step.MOVE:
             self._move(entry)
         elif step in (Step.WITHDRAW, Step.GIVE_UP):
-            self._end(entry, step.value)
+            self._finish(entry, step.value)
 
-    def _situation(self, entry: OpenReclaim, until_deadline: float) -> ReclaimSituation:
+    def _observe_situation(self, entry: OpenReclaim, until_deadline_s: float) -> ReclaimSituation:
         victims = self.open_reclaims.find_remaining_victims(entry.reclaim)
         sent_at = entry.stops_sent_at
         return ReclaimSituation(
@@ -189,12 +192,12 @@
             remaining_victim_count=len(victims),
             since_stop_s=None if sent_at is None else self.runtime.now() - sent_at,
             is_forced=entry.is_forced,
-            until_deadline_s=until_deadline,
-            longest_save_s=max((_grace_period_s(placed) for placed in victims), default=0.0),
+            until_deadline_s=until_deadline_s,
+            longest_save_s=max((_get_grace_period_s(placed) for placed in victims), default=0.0),
         )
 
     def _is_wanted(self, entry: OpenReclaim) -> bool:
-        """Whether a task waits for this capacity and, before victims stop, is entitled to it."""
+        """Whether a task waits for this capacity and, until stops are sent, is entitled to it."""
         reclaim = entry.reclaim
         job = self.ledger.state.jobs.get(reclaim.job)
         if job is None or self.open_reclaims.count_tasks_before(entry) >= job.pending_count:
@@ -207,14 +210,14 @@
         )
 
     def _stop_victims(self, entry: OpenReclaim, *, is_forced: bool) -> None:
-        """Stops the remaining victims; forced: with no time to save."""
+        """Stops the remaining victims; `is_forced`: without a grace period to save a checkpoint."""
         for placed in self.open_reclaims.find_remaining_victims(entry.reclaim):
             if placed.stopping_at is None:
                 self._admission.record_stop(placed)
             if placed.job.spec.job_kind == wire.GANG:
                 self._gang_scheduler.stop_gang(placed.job, entry.reclaim.id)
             else:
-                grace_period_s = 0.0 if is_forced else _grace_period_s(placed)
+                grace_period_s = 0.0 if is_forced else _get_grace_period_s(placed)
                 self._commands.stop_task(placed, grace_period_s)
         entry.stops_sent_at = self.runtime.now()
         entry.is_forced = is_forced
@@ -231,31 +234,34 @@
             return
         self.open_reclaims.remove(entry)
         entry.reclaim = replace(
-            entry.reclaim, machine=plan.machine.name, borrowed=_victims_of(plan)
+            entry.reclaim, machine=plan.machine.name, borrowed=_list_victims(plan)
         )
         self.open_reclaims.add(entry)
-        log.info("event=reclaim_moved " + PROPOSAL_KEYS, *self._proposal_values(entry.reclaim))
+        log.info(
+            "event=reclaim_moved " + PROPOSAL_LOG_FORMAT, *self._get_proposal_values(entry.reclaim)
+        )
         self._propose(entry)
 
-    # Ending
+    # Finishing
 
     def on_task_placed(self, job: Job, machine: Machine) -> None:
-        """A task of the job was placed on the machine: a reclaim for it ends."""
+        """Finishes a reclaim for the job, a task of which was placed on the machine."""
         entries = self.open_reclaims.for_job(job)
-        here = [entry for entry in entries if entry.reclaim.machine == machine.name]
-        # Capacity that was found elsewhere does as well; victims not yet stopped then stay.
+        on_machine = [entry for entry in entries if entry.reclaim.machine == machine.name]
+        # The task was placed elsewhere: a reclaim that has sent no stops is no longer needed, and
+        # its victims keep running.
         surplus = [entry for entry in entries if entry.stops_sent_at is None and entry.is_committed]
-        if here:
-            self._end(here[0], "met")
+        if on_machine:
+            self._finish(on_machine[0], "met")
         elif len(entries) > job.pending_count and surplus:
-            self._end(surplus[0], Step.WITHDRAW.value)
+            self._finish(surplus[0], Step.WITHDRAW.value)
 
     def on_gang_placed(self, job: Job) -> None:
-        """All tasks of the gang were placed: the reclaims for it end."""
+        """Finishes the reclaims for a gang, all tasks of which were placed."""
         for entry in self.open_reclaims.for_job(job):
-            self._end(entry, "met")
+            self._finish(entry, "met")
 
-    def _end(self, entry: OpenReclaim, outcome: str) -> None:
+    def _finish(self, entry: OpenReclaim, outcome: str) -> None:
         reclaim = entry.reclaim
         self.open_reclaims.remove(entry)
         is_late = self.runtime.wall() > reclaim.deadline
@@ -274,11 +280,11 @@
         )
 
 
-def _victims_of(plan: PreemptionPlan) -> tuple[Borrowed, ...]:
+def _list_victims(plan: PreemptionPlan) -> tuple[Borrowed, ...]:
     return tuple(Borrowed(each.job.number, each.task, each.attempt) for each in plan.victims)
 
 
-def _grace_period_s(placed: Placement) -> float:
-    """How long the task needs to save a checkpoint."""
+def _get_grace_period_s(placed: Placement) -> float:
+    """Returns the time that the task needs to save a checkpoint."""
     spec = placed.job.spec
     return spec.checkpoint_save_s if spec.checkpoint_interval_s else 0.0
--- a/flaxtally/leader/reclaim/reclaim_admission.py
+++ b/flaxtally/leader/reclaim/reclaim_admission.py
@@ -1,4 +1,4 @@
-"""Whether a reclaim may start: how long the demand has waited, and how many stops are allowed."""
+"""Decides whether a reclaim may start: by the time left, other capacity, and the rate of stops."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 
 MINUTE_S = 60.0
 MIN_STOPS_PER_MINUTE = 16
-"""Tasks that reclaims may always stop in a minute, however few are placed."""
+"""Tasks that reclaims may stop per minute even if few are placed."""
 BOOT_TIME_FACTOR = 1.5
-"""Times the usual boot time: a machine that must be up in time for a demand."""
+"""Safety factor on the usual boot time of a machine that must be up in time for a demand."""
 
 
 class PoolAvailability(Protocol):
-    """Tells which instance pools are not worth asking now."""
+    """Tells which instance pools are in back-off."""
 
     def is_in_backoff(self, pool: Pool) -> bool:
-        """Whether the pool refused a short while ago."""
+        """Whether the pool recently refused a request."""
 
 
 class ReclaimAdmission(TermActor):
-    """Owns the demand that waits for lent capacity, and the rate of stops by reclaims."""
+    """Owns the demand that waits for lent capacity, and limits the rate of stops by reclaims."""
 
     def __init__(
         self,
@@ -43,23 +43,23 @@
         pools: PoolAvailability,
         feature: LendingFeature | None,
     ) -> None:
-        """`feature`: None where lending is not configured, which admits no reclaim."""
+        """`feature`: None if lending is not configured; then no reclaim is admitted."""
         super().__init__(term)
         self._jobs = jobs
         self._open_reclaims = open_reclaims
         self._pools = pools
         self._feature = feature
         self._waiting_since: dict[int, float] = {}
-        """Jobs that are entitled to capacity and found none, and since when."""
+        """The time since which a job that is entitled to capacity has found none, by job number."""
         self._stop_times: deque[float] = deque()
-        """When reclaims stopped tasks, in the last minute."""
+        """The times at which reclaims stopped tasks, within the last minute."""
         self._reclaimed_at: dict[tuple[int, int], float] = {}
-        """Tasks that reclaims stopped, and when, for as long as a checkpoint interval."""
+        """When a reclaim stopped a task, by (job, task); kept for a checkpoint interval."""
 
     # Demand
 
     def record_demand(self, job: Job) -> None:
-        """The job is entitled to capacity and found none: from now on the recall time runs."""
+        """Starts the recall time of a job that is entitled to capacity and found none."""
         self._waiting_since.setdefault(job.number, self.runtime.now())
 
     def has_unserved_demand(self) -> bool:
@@ -72,15 +72,15 @@
         )
 
     def compute_time_left_s(self, job: Job) -> float:
-        """How much of the recall time is left, which runs from now on at the latest."""
+        """Returns what is left of the job's recall time; starts it if it is not running."""
         now = self.runtime.now()
         return self.policy.recall - (now - self._waiting_since.setdefault(job.number, now))
 
     def may_start(self, job: Job) -> bool:
-        """Whether capacity is to be reclaimed for the job now.
+        """Whether capacity should be reclaimed for the job now.
 
-        Not while a machine can be provisioned that is up in time and costs no more than the
-        autoscaler pays: that takes nothing from anybody.
+        It should not while a machine can be provisioned that is up in time and costs no more than
+        the autoscaler pays: no team loses capacity by that.
         """
         return not self._can_provision(job.spec, self.compute_time_left_s(job))
 
@@ -102,7 +102,7 @@
     # Stops
 
     def allows_stops(self, victims: list[Placement]) -> bool:
-        """Whether reclaims may stop these tasks, too, within this minute."""
+        """Whether the limit of stops per minute allows reclaims to stop these tasks too."""
         now = self.runtime.now()
         while self._stop_times and now - self._stop_times[0] > MINUTE_S:
             self._stop_times.popleft()
@@ -110,22 +110,22 @@
             return False
         placed_count = sum(len(job.placements) for job in self._jobs.live_jobs.values())
         max_stops = max(MIN_STOPS_PER_MINUTE, self._feature.stops_per_minute * placed_count)
-        added = sum(not self._open_reclaims.is_leaving(victim) for victim in victims)
-        return len(self._stop_times) + self._open_reclaims.chosen_count + added <= max_stops
+        added_count = sum(not self._open_reclaims.is_leaving(victim) for victim in victims)
+        return len(self._stop_times) + self._open_reclaims.chosen_count + added_count <= max_stops
 
     def record_stop(self, placed: Placement) -> None:
-        """A reclaim stops the task now."""
+        """Records that a reclaim stops the task now."""
         now = self.runtime.now()
         self._stop_times.append(now)
         self._reclaimed_at[placed.job.number, placed.task] = now
 
     def was_reclaimed(self, placed: Placement) -> bool:
-        """Whether a reclaim stopped the task within its checkpoint interval."""
+        """Whether a reclaim stopped the task less than its checkpoint interval ago."""
         stopped_at = self._reclaimed_at.get((placed.job.number, placed.task), float("-inf"))
         return self.runtime.now() - stopped_at < placed.job.spec.checkpoint_interval_s
 
     def expire(self) -> None:
-        """Forgets jobs that have no pending task, and stops before the last checkpoint."""
+        """Drops jobs without pending tasks, and stops older than a checkpoint interval."""
         now = self.runtime.now()
         live = self._jobs.live_jobs
         self._waiting_since = {
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity that open reclaims reserve for the tasks they are for."""
+"""The capacity that open reclaims reserve for the tasks that they serve."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class MachineStatus(Protocol):
-    """Tells which machines take new work."""
+    """Tells which machines accept new work."""
 
     def is_schedulable(self, machine: Machine) -> bool:
-        """Whether something may be placed on the machine."""
+        """Whether tasks may be placed on the machine."""
 
 
 class ReclaimedCapacity(TermActor):
-    """Tells where reclaimed capacity may be used, and by whom."""
+    """Tells which reclaimed capacity a job may use, and keeps it free of other jobs."""
 
     def __init__(
         self,
@@ -36,14 +36,14 @@
         open_reclaims: OpenReclaims,
         machine_status: MachineStatus,
     ) -> None:
-        """`jobs`: say in which zones a job may have no more tasks."""
+        """`jobs`: says in which zones a job may have no more tasks."""
         super().__init__(term)
         self._jobs = jobs
         self._open_reclaims = open_reclaims
         self._machine_status = machine_status
 
     def find_freed_machine(self, job: Job) -> Machine | None:
-        """A machine on which a reclaim has made room for a task of the job."""
+        """Returns a machine on which a reclaim has freed capacity for a task of the job."""
         for entry in self._open_reclaims.for_job(job):
             machine = self.fleet.machines.get(entry.reclaim.machine)
             if (
@@ -55,9 +55,9 @@
         return None
 
     def can_machine_take_task(self, reclaim: Reclaim) -> bool:
-        """Whether the machine of a reclaim can take the task that it is for.
+        """Whether the machine of a reclaim can take the task that the reclaim serves.
 
-        One that has sent this term no heartbeat yet can, as long as that is nothing unusual.
+        A machine without a heartbeat in this term can, until the term is old enough to suspect it.
         """
         machine = self.fleet.machines.get(reclaim.machine)
         job = self.ledger.state.jobs.get(reclaim.job)
@@ -68,17 +68,17 @@
         return self._machine_status.is_schedulable(machine)
 
     def make_reservation_filter(self, job: Job) -> Callable[[Machine], bool] | None:
-        """Which machines hold the job beside what is reserved; None: nothing is reserved."""
+        """Returns which machines hold the job beside reserved capacity; None: none is reserved."""
         by_machine = self._open_reclaims.by_machine()
         if not by_machine:
             return None
 
         def accepts(machine: Machine) -> bool:
-            return machine.name not in by_machine or self._holds_beside_others(machine, job)
+            return machine.name not in by_machine or self._has_capacity_beside_others(machine, job)
 
         return accepts
 
-    def _holds_beside_others(self, machine: Machine, job: Job) -> bool:
+    def _has_capacity_beside_others(self, machine: Machine, job: Job) -> bool:
         machine_type = self.term.machine_types.get(machine.machine_type)
         if machine_type is None:
             return False
@@ -97,12 +97,12 @@
         return expected.holds(job.spec)
 
     def get_reserved_specs_on(self, machine: str) -> list[wire.Spec]:
-        """The spec of each task for which reclaims reserve capacity on a machine."""
+        """Returns the spec of each task for which reclaims reserve capacity on a machine."""
         entries = self._open_reclaims.by_machine().get(machine, [])
         return self._open_reclaims.get_reserved_specs(entries)
 
     def excluded_zones(self, job: Job) -> frozenset[str]:
-        """The zones in which no more capacity may be reclaimed for the job."""
+        """Returns the zones in which no more capacity may be reclaimed for the job."""
         spec = job.spec
         entries = self._open_reclaims.for_job(job)
         excluded = self._jobs.excluded_zones(job)
--- a/flaxtally/lending/__init__.py
+++ b/flaxtally/lending/__init__.py
@@ -1,4 +1,4 @@
 """Lending decisions, without I/O: teams borrow unused quota and return it when it is reclaimed.
 
-`leader/reclaim/` carries out what is decided here. Start with `entitlement`, then `reclaim`.
+The package `leader/reclaim/` carries these decisions out. Start with `entitlement`, then `reclaim`.
 """
--- a/flaxtally/lending/accounts.py
+++ b/flaxtally/lending/accounts.py
@@ -1,7 +1,7 @@
-"""What the teams use, borrow and lend, and what they owe each other. No I/O.
+"""Computes what the teams use, borrow and lend, and what they owe each other. No I/O.
 
-No loan is stored: all of this follows from placements and settings. What is borrowed in total is
-lent by the teams with unused quota, each in proportion to what it leaves unused.
+Loans are not stored: they follow from placements and settings. The teams with unused quota lend
+what is borrowed in total, each in proportion to its unused quota.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class TeamUsage(NamedTuple):
-    """What a team's account is computed from."""
+    """The figures from which a team's account is computed."""
 
     team: str
     quota: Quota
-    use: Amounts
+    usage: Amounts
     waiting: Amounts
 
 
@@ -30,52 +30,54 @@
 
     team: str
     quota: Quota
-    use: Amounts
+    usage: Amounts
     waiting: Amounts
     lends: Amounts
     borrows: Amounts
 
 
-class Pair(NamedTuple):
-    """A lender and a borrower."""
+class LoanParties(NamedTuple):
+    """The lender and the borrower of a loan."""
 
     lender: str
     borrower: str
 
 
 def compute_team_accounts(teams: Iterable[TeamUsage]) -> dict[str, TeamAccount]:
-    """The account of each team."""
+    """Returns the account of each team, by name."""
     teams = list(teams)
-    borrowed = {entry.team: entry.quota.borrowed(entry.use) for entry in teams}
-    unused = {entry.team: entry.quota.unused(entry.use) for entry in teams}
-    lent_share = _lent_share(_total(borrowed.values()), _total(unused.values()))
+    borrowed = {entry.team: entry.quota.borrowed(entry.usage) for entry in teams}
+    unused = {entry.team: entry.quota.unused(entry.usage) for entry in teams}
+    lent_fraction = _compute_lent_fraction(
+        _sum_amounts(borrowed.values()), _sum_amounts(unused.values())
+    )
     return {
         entry.team: TeamAccount(
             entry.team,
             entry.quota,
-            entry.use,
+            entry.usage,
             entry.waiting,
-            _scaled(unused[entry.team], lent_share),
+            _scale_amounts(unused[entry.team], lent_fraction),
             borrowed[entry.team],
         )
         for entry in teams
     }
 
 
-def compute_loans(accounts: dict[str, TeamAccount]) -> dict[Pair, Amounts]:
-    """What each borrower owes to each lender; pairs that owe nothing are left out."""
-    total = _total(account.borrows for account in accounts.values())
-    loans: dict[Pair, Amounts] = {}
+def compute_loans(accounts: dict[str, TeamAccount]) -> dict[LoanParties, Amounts]:
+    """Returns what each borrower owes to each lender; pairs without a loan are left out."""
+    total = _sum_amounts(account.borrows for account in accounts.values())
+    loans: dict[LoanParties, Amounts] = {}
     for lender in accounts.values():
         for borrower in accounts.values():
-            owed = _owed(lender.lends, borrower.borrows, total)
+            owed = _compute_owed(lender.lends, borrower.borrows, total)
             if any(owed):
-                loans[Pair(lender.team, borrower.team)] = owed
+                loans[LoanParties(lender.team, borrower.team)] = owed
     return loans
 
 
-def _owed(lends: Amounts, borrows: Amounts, total_borrowed: Amounts) -> Amounts:
-    """The part of what is lent that falls to a borrower, by its share of all that is borrowed."""
+def _compute_owed(lends: Amounts, borrows: Amounts, total_borrowed: Amounts) -> Amounts:
+    """Returns a borrower's part of what a team lends, in proportion to its part of all loans."""
     return Amounts(
         *(
             lent * borrowed / total if total else 0.0
@@ -84,17 +86,17 @@
     )
 
 
-def _total(amounts: Iterable[Amounts]) -> Amounts:
+def _sum_amounts(amounts: Iterable[Amounts]) -> Amounts:
     total = NO_RESOURCES
-    for each in amounts:
-        total = total.plus(each)
+    for amount in amounts:
+        total = total.plus(amount)
     return total
 
 
-def _lent_share(borrowed: Amounts, unused: Amounts) -> Amounts:
-    """Which part of the unused quotas is lent."""
+def _compute_lent_fraction(borrowed: Amounts, unused: Amounts) -> Amounts:
+    """Returns the fraction of the unused quotas that is lent, for each resource."""
     return Amounts(*(min(1.0, b / u) if u else 0.0 for b, u in zip(borrowed, unused, strict=True)))
 
 
-def _scaled(amounts: Amounts, share: Amounts) -> Amounts:
-    return Amounts(amounts.cores * share.cores, amounts.gpus * share.gpus)
+def _scale_amounts(amounts: Amounts, fraction: Amounts) -> Amounts:
+    return Amounts(amounts.cores * fraction.cores, amounts.gpus * fraction.gpus)
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -1,4 +1,4 @@
-"""The table `lending` of a features file, checked."""
+"""Reads and checks the table `lending` of a features file."""
 
 from __future__ import annotations
 
@@ -15,26 +15,27 @@
 
 NAME = "lending"
 DEFAULT_STOPS_PER_MINUTE = 2.0
+"""As a multiple of the number of placed tasks."""
 DEFAULT_ACCOUNT_INTERVAL_S = 60.0
-START_OBJECTIVES = ("wait", "guarantee")
-"""The kinds of objectives that say within what time work is to start."""
+START_OBJECTIVE_KINDS = ("wait", "guarantee")
+"""The kinds of objectives that set a time within which work must start."""
 
 
 @dataclass(frozen=True)
 class LendingFeature:
-    """How the operators configured lending."""
+    """The operators' configuration of lending."""
 
     table: Table
     lenders: frozenset[str]
-    """The teams whose demand starts reclaims; none: all that have a quota."""
+    """The teams whose demand starts reclaims; empty: all teams that have a quota."""
     stops_per_minute: float
-    """The tasks that reclaims may stop in a minute, as a share of those that are placed."""
+    """Tasks that reclaims may stop per minute, as a multiple of the number of placed tasks."""
     account_interval_s: float
-    """How often the accounts are stored; a change of leader loses as much of them."""
+    """Interval at which accounts are stored; a change of leader loses at most this much of them."""
 
     @classmethod
     def from_table(cls, table: Table) -> LendingFeature:
-        """The table's values, or `FeatureError`."""
+        """Returns the configuration in the table; raises `FeatureError` if it is invalid."""
         table.refuse_unknown_fields("lenders", "stops_a_minute", "accounts_every_s")
         return cls(
             table,
@@ -44,13 +45,14 @@
         )
 
     def start(self, loop: Loop, settings: Settings) -> None:
-        """Nothing to start: the leader uses it, see `leader.reclaim.quota_accounting`."""
+        """Does nothing: the leader reads the table, see `leader.reclaim.quota_accounting`."""
 
     def check(self, settings: Settings, policy: Policy, *, has_cells: bool) -> None:
-        """Raises `FeatureError` if the other files don't go with it."""
+        """Raises `FeatureError` if settings, policy or cells are incompatible with lending."""
         if has_cells:
             raise FeatureError(
-                f"{self.table.path}: {NAME}: guarantees don't hold over cells (--cells)"
+                f"{self.table.path}: {NAME}: can't be used with --cells: "
+                "guarantees don't hold across cells"
             )
         self._check_lenders(settings)
         self._check_objectives(settings, policy)
@@ -58,16 +60,19 @@
     def _check_lenders(self, settings: Settings) -> None:
         for team in sorted(self.lenders):
             if not Quota.from_settings(settings.teams.get(team)).is_granted:
-                raise self.table.error("lenders", f"{team} is no team with a guarantee")
+                raise self.table.error(
+                    "lenders", f"{team} is not a team with a guarantee in the settings"
+                )
 
     def _check_objectives(self, settings: Settings, policy: Policy) -> None:
         for objective in settings.objectives:
-            if objective.kind not in START_OBJECTIVES:
+            if objective.kind not in START_OBJECTIVE_KINDS:
                 continue
-            # What is to start sooner than a lease lasts is served from reserves, not by reclaims.
+            # Objectives shorter than a lease are met by spare capacity, not by reclaims.
             if objective.within >= settings.lease_s and 0 < objective.within < policy.recall:
                 job_class = objective.job_class or "work within a guarantee"
                 raise FeatureError(
                     f"{self.table.path}: {NAME}: the policy's recall of {policy.recall:g} s is "
-                    f"over the aim of {job_class} to start within {objective.within:g} s"
+                    f"longer than the objective of {job_class} "
+                    f"to start within {objective.within:g} s"
                 )
--- a/flaxtally/lending/page.py
+++ b/flaxtally/lending/page.py
@@ -1,4 +1,4 @@
-"""The operators' page of loans: what a leader replies, and how it is printed. No I/O."""
+"""The operators' page of loans: its content as the leader replies it, and as text. No I/O."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from .entitlement import Amounts
 
 MAX_ROWS = 100
-"""Of each list: the page must fit into a response of 64 KiB."""
+"""Rows of each list: the page must fit into a response of 64 KiB."""
 
 
 class TeamRow(msgspec.Struct):
-    """What a team has, in cores and GPUs. `guarantee`: its quota; null is unbounded."""
+    """A team's amounts as (cores, GPUs). `guarantee`: its quota; null means no limit."""
 
     team: str
     guarantee: tuple[float | None, float | None]
@@ -35,7 +35,7 @@
 
 
 class LoanRow(msgspec.Struct):
-    """What a borrower owes a lender, in cores and GPUs."""
+    """The cores and GPUs that a borrower owes a lender."""
 
     lender: str
     borrower: str
@@ -44,7 +44,7 @@
 
 
 class ReclaimRow(msgspec.Struct):
-    """A reclaim that has not ended. Times are in seconds since the epoch."""
+    """An open reclaim. Times are in seconds since the epoch."""
 
     id: str
     lender: str
@@ -56,14 +56,14 @@
 
 
 class LoansPage(msgspec.Struct):
-    """The whole page; each list is cut to its most important rows."""
+    """The page; each list has at most `MAX_ROWS` rows, the most important ones."""
 
     term: int
     teams: list[TeamRow]
     loans: list[LoanRow]
     recalls: list[ReclaimRow]
     left_out: int = 0
-    """Rows that did not fit."""
+    """The number of rows that did not fit."""
 
 
 def build_page(
@@ -72,12 +72,17 @@
     stored: dict[str, LoanAccount],
     reclaims: Iterable[tuple[Reclaim, str]],
 ) -> LoansPage:
-    """The page, from the teams' accounts, those in the ledger, and reclaims with their job's id."""
-    teams = [_team_row(account, stored.get(team)) for team, account in accounts.items()]
+    """Builds the page.
+
+    `accounts`: as computed now; `stored`: the totals over time; `reclaims`: with their job's id.
+    """
+    teams = [_build_team_row(account, stored.get(team)) for team, account in accounts.items()]
     teams.sort(key=lambda row: (-row.borrows[1], -row.borrows[0], row.team))
-    loans = [LoanRow(*pair, *_rounded(owed)) for pair, owed in compute_loans(accounts).items()]
+    loans = [
+        LoanRow(*pair, *_round_amounts(owed)) for pair, owed in compute_loans(accounts).items()
+    ]
     loans.sort(key=lambda row: (-row.gpus, -row.cores, row.lender, row.borrower))
-    open_reclaims = [_reclaim_row(reclaim, job_id) for reclaim, job_id in reclaims]
+    open_reclaims = [_build_reclaim_row(reclaim, job_id) for reclaim, job_id in reclaims]
     open_reclaims.sort(key=lambda row: row.deadline)
     return LoansPage(
         term,
@@ -88,16 +93,16 @@
     )
 
 
-def _team_row(account: TeamAccount, stored: LoanAccount | None) -> TeamRow:
+def _build_team_row(account: TeamAccount, stored: LoanAccount | None) -> TeamRow:
     totals = stored or LoanAccount(account.team)
     cores, gpus = account.quota.amounts
     return TeamRow(
         team=account.team,
-        guarantee=(_finite(cores), _finite(gpus)),
-        use=_rounded(account.use),
-        waiting=_rounded(account.waiting),
-        lends=_rounded(account.lends),
-        borrows=_rounded(account.borrows),
+        guarantee=(_finite_or_none(cores), _finite_or_none(gpus)),
+        use=_round_amounts(account.usage),
+        waiting=_round_amounts(account.waiting),
+        lends=_round_amounts(account.lends),
+        borrows=_round_amounts(account.borrows),
         borrows_since=totals.borrows_since or None,
         borrowed_gpu_s=round(totals.borrowed_gpu_seconds, 1),
         lent_gpu_s=round(totals.lent_gpu_seconds, 1),
@@ -106,7 +111,7 @@
     )
 
 
-def _reclaim_row(reclaim: Reclaim, job_id: str) -> ReclaimRow:
+def _build_reclaim_row(reclaim: Reclaim, job_id: str) -> ReclaimRow:
     return ReclaimRow(
         reclaim.id,
         reclaim.lender,
@@ -118,16 +123,16 @@
     )
 
 
-def _finite(amount: float) -> float | None:
+def _finite_or_none(amount: float) -> float | None:
     return amount if amount < float("inf") else None
 
 
-def _rounded(amounts: Amounts) -> tuple[float, float]:
+def _round_amounts(amounts: Amounts) -> tuple[float, float]:
     return round(amounts.cores, 2), round(amounts.gpus, 2)
 
 
 def format_page(page: LoansPage) -> str:
-    """The page as the command line prints it."""
+    """Formats the page as the command line prints it."""
     lines = ["GPUs: team  guarantee       use   waiting     lends   borrows  recalls met/late"]
     lines += [_format_team(row) for row in page.teams]
     lines += [
--- a/flaxtally/lending/reclaim.py
+++ b/flaxtally/lending/reclaim.py
@@ -1,8 +1,8 @@
-"""The life of a reclaim, and its next step. No I/O.
+"""The states of a reclaim, and its next step. No I/O.
 
-A *reclaim* makes room for pending tasks that are entitled to it, by stopping borrowed tasks (its
-*victims*) on one machine before a deadline. `ledger.reclaims` says what is stored of it; all else
-follows from what the leader observes, so that the next leader finds each reclaim in its state.
+A *reclaim* frees capacity for pending tasks that are entitled to it, by stopping borrowed tasks
+(its *victims*) on one machine before a deadline. `ledger.reclaims` defines what is stored of it.
+Everything else is derived from what the leader observes, so that the next leader can continue it.
 """
 
 from __future__ import annotations
@@ -12,55 +12,55 @@
 
 
 class Step(enum.Enum):
-    """What the leader does next about a reclaim."""
+    """The next action of the leader for a reclaim."""
 
     WAIT = "wait"
     STOP = "stop"
     """Stop the victims, with the grace period that they need to save a checkpoint."""
     FORCE = "force"
-    """Stop them without a grace period: the deadline is near."""
+    """Stop the victims without a grace period: the deadline is near."""
     MOVE = "move"
-    """The machine can't give the capacity: find another one, with the same deadline."""
+    """The machine can't provide the capacity: find another one, with the same deadline."""
     WITHDRAW = "withdraw"
-    """Nobody needs the capacity any more: victims that were not sent a stop stay."""
+    """The capacity is no longer needed: victims that were not sent a stop keep running."""
     GIVE_UP = "give up"
-    """It is long overdue: the demand is considered as if it were new."""
+    """The reclaim is long overdue: it is dropped, and the demand is treated as new."""
 
 
 @dataclass(frozen=True)
 class ReclaimTimes:
-    """Durations that decide about the steps."""
+    """The durations on which the choice of a step depends."""
 
     resend_after_s: float
-    """A stop without an effect is sent again after that."""
+    """The time after which a stop without effect is sent again."""
     stop_s: float
-    """From a stop without a grace period until the task is proven to have ended."""
+    """The time from a stop without a grace period until the task is proven to be terminated."""
     give_up_after_s: float
-    """From the deadline until the reclaim is given up."""
+    """The time from the deadline until the reclaim is given up."""
 
 
 @dataclass(frozen=True)
 class ReclaimSituation:
-    """What the leader observes of a reclaim that is committed."""
+    """The leader's observations of a committed reclaim."""
 
     is_wanted: bool
-    """The demand still waits for this capacity, and is entitled to it."""
+    """Whether the demand still waits for this capacity and is entitled to it."""
     can_machine_serve: bool
-    """New work can be placed on the machine."""
+    """Whether new work can be placed on the machine."""
     remaining_victim_count: int
-    """Victims that are not proven to have ended."""
+    """The number of victims that are not proven to be terminated."""
     since_stop_s: float | None
-    """Time since the last stop was sent in this term; None: none was."""
+    """The time since the last stop was sent in this term; None: no stop was sent."""
     is_forced: bool
-    """The last stop gave no grace period."""
+    """Whether the last stop was sent without a grace period."""
     until_deadline_s: float
-    """Negative once the deadline has passed."""
+    """The time until the deadline; negative once it has passed."""
     longest_save_s: float
-    """Of the remaining victims."""
+    """The longest time that a remaining victim needs to save a checkpoint."""
 
 
-def next_step(situation: ReclaimSituation, times: ReclaimTimes) -> Step:
-    """The next step of a reclaim."""
+def choose_next_step(situation: ReclaimSituation, times: ReclaimTimes) -> Step:
+    """Returns the next step of a reclaim."""
     if not situation.is_wanted:
         return Step.WITHDRAW
     if situation.until_deadline_s < -times.give_up_after_s:
@@ -69,11 +69,11 @@
         return Step.MOVE
     if not situation.remaining_victim_count:
         return Step.WAIT
-    return _next_stop(situation, times)
+    return _choose_stop(situation, times)
 
 
-def _next_stop(situation: ReclaimSituation, times: ReclaimTimes) -> Step:
-    """Whether the victims are to be sent a stop now, and which."""
+def _choose_stop(situation: ReclaimSituation, times: ReclaimTimes) -> Step:
+    """Returns whether to send the victims a stop now, and with or without a grace period."""
     since_stop_s = situation.since_stop_s
     if since_stop_s is None:
         can_save = situation.longest_save_s + times.stop_s <= situation.until_deadline_s
--- a/flaxtally/lending/victim_selection.py
+++ b/flaxtally/lending/victim_selection.py
@@ -1,4 +1,4 @@
-"""Chooses the tasks of one machine to stop so that another task fits there. No I/O."""
+"""Selects the tasks to stop on one machine so that another task fits there. No I/O."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     spec_of: Callable[[Task], wire.Spec],
     try_take: Callable[[Task], bool],
 ) -> tuple[Room, list[Task]]:
-    """The tasks to stop, in the order given, and the capacity that is free without them.
+    """Returns the capacity that is free after the stops, and the tasks to stop, in the given order.
 
-    `try_take`: whether a task may be stopped beside those before it; then it counts as stopped. The
-    capacity may still be too small: then all that may be stopped is not enough.
+    `try_take`: whether a task may be stopped in addition to the earlier ones; if so, it counts as
+    stopped. If the returned capacity is too small, no permitted selection is sufficient.
     """
     victims: list[Task] = []
     for candidate in candidates:
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -20,7 +20,7 @@
     ReclaimBudget,
     compute_amounts,
 )
-from flaxtally.lending.reclaim import ReclaimSituation, ReclaimTimes, Step, next_step
+from flaxtally.lending.reclaim import ReclaimSituation, ReclaimTimes, Step, choose_next_step
 from flaxtally.lending.victim_selection import select_victims
 from flaxtally.planning.placement import Room
 from flaxtally.settings import Team
@@ -142,7 +142,7 @@
 
     def go_on(self, recall: ModelRecall) -> None:
         left = [task for task in recall.borrowed if task.machine == recall.machine]
-        step = next_step(
+        step = choose_next_step(
             ReclaimSituation(
                 is_wanted=recall.task in self.tasks and recall.task.machine is None,
                 can_machine_serve=recall.machine in self.up,
@@ -284,7 +284,7 @@
     ],
 )
 def test_the_next_step_of_a_recall(changes: dict[str, float], step: Step) -> None:
-    assert next_step(replace(WANTED, **changes), TIMES) is step  # type: ignore[arg-type]
+    assert choose_next_step(replace(WANTED, **changes), TIMES) is step  # type: ignore[arg-type]
 
 
 # Guarantees
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -32,13 +32,19 @@
 @pytest.mark.parametrize(
     ("text", "said"),
     [
-        ("[tracking]\n", "tracking: not known; there are lending, tracing"),
-        ("tracing = 3\n", "tracing: not a table"),
-        ("[tracing]\n", "tracing.file: missing, or not a text"),
-        ("[tracing]\nfile = 3\n", "tracing.file: missing, or not a text"),
-        ('[tracing]\nfile = "x"\nleast_ms = "fast"\n', "tracing.least_ms: not a number"),
+        ("[tracking]\n", "tracking: unknown feature, expected one of: lending, tracing"),
+        ("tracing = 3\n", "tracing: expected a table, got 3"),
+        ("[tracing]\n", "tracing.file: missing, or not a non-empty string: got None"),
+        ("[tracing]\nfile = 3\n", "tracing.file: missing, or not a non-empty string: got 3"),
+        (
+            '[tracing]\nfile = "x"\nleast_ms = "fast"\n',
+            "tracing.least_ms: expected a number, got 'fast'",
+        ),
         ('[tracing]\nfile = "x"\nleast_ms = 0\n', "tracing.least_ms: 0 is not within"),
-        ('[tracing]\nfile = "x"\nleast = 3\n', "tracing.least: not known; there are file"),
+        (
+            '[tracing]\nfile = "x"\nleast = 3\n',
+            "tracing.least: unknown field, expected one of: file",
+        ),
         ("[tracing\n", "Expected"),
     ],
 )
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -193,12 +193,18 @@
 @pytest.mark.parametrize(
     ("table", "said"),
     [
-        ('lenders = ["guests"]', "lending.lenders: guests is no team with a guarantee"),
-        ('lenders = ["nobody"]', "lending.lenders: nobody is no team with a guarantee"),
-        ('lenders = "crew"', "lending.lenders: not a list of texts"),
+        (
+            'lenders = ["guests"]',
+            "lending.lenders: guests is not a team with a guarantee in the settings",
+        ),
+        (
+            'lenders = ["nobody"]',
+            "lending.lenders: nobody is not a team with a guarantee in the settings",
+        ),
+        ('lenders = "crew"', "lending.lenders: expected a list of strings, got 'crew'"),
         ("stops_a_minute = -1", "lending.stops_a_minute: -1 is not within"),
         ("accounts_every_s = 0", "lending.accounts_every_s: 0 is not within"),
-        ("recall = 3", "lending.recall: not known; there are lenders"),
+        ("recall = 3", "lending.recall: unknown field, expected one of: lenders"),
     ],
 )
 def test_a_faulty_table_is_one_line(
@@ -224,7 +230,7 @@
     assert main(["check", "--config", config(tmp_path, aims[1:]), *usual]) == 0
     assert main(["check", "--config", config(tmp_path, aims), *usual]) == 2
     told = capsys.readouterr().err
-    assert "recall of 12.5 s is over the aim of gate to start within 11 s" in told
+    assert "recall of 12.5 s is longer than the objective of gate to start within 11 s" in told
     cells = tmp_path / "cells.toml"
     cells.write_text('[cells]\nversion = 1\n[[cells.cell]]\nname = "one"\nzones = ["a", "b"]\n')
     words = ["check", "--config", config(tmp_path), *usual, "--cells", str(cells)]
