--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -32,7 +32,7 @@
 log = logging.getLogger(__name__)
 
 PROPOSAL_LOG_FORMAT = "term=%d id=%s lender=%s borrowers=%s job=%s machine=%s stops=%d within=%.1f"
-"""The keys of the log events of a reclaim that is proposed."""
+"""The keys and formats of the log events of a proposed reclaim."""
 
 
 class PlanSearch(Protocol):
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -298,6 +298,7 @@
 def test_the_next_step_of_a_reclaim_in_each_situation(
     changes: dict[str, float], step: Step
 ) -> None:
+    # Each case changes one or two observations of a committed reclaim whose victims still run.
     assert choose_next_step(replace(SITUATION, **changes), TIMES) is step  # type: ignore[arg-type]
 
 
@@ -336,6 +337,8 @@
 def test_lent_amounts_equal_borrowed_amounts_up_to_the_unused_quotas(
     gpus: dict[str, float],
 ) -> None:
+    # What is lent must be owed by someone: no amount may appear or vanish between the accounts and
+    # the loans, and no team may owe itself.
     usages = [
         TeamUsage(name, QUOTAS[name], Amounts(0.0, amount), NO_RESOURCES)
         for name, amount in gpus.items()
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -70,6 +70,7 @@
 
 
 def test_settings_are_read_and_unknown_fields_ignored() -> None:
+    # The platform may add fields to its file (here `novelty`): the controller must still start.
     found = parse(tomllib.loads(SETTINGS))
     assert (found.node, found.listen, found.state_limits.value_bytes) == (
         "n0",
