--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -298,7 +298,7 @@
 def test_the_next_step_of_a_reclaim_in_each_situation(
     changes: dict[str, float], step: Step
 ) -> None:
-    # Each case changes one or two observations of a committed reclaim whose victims still run.
+    # Each case changes some observations of a committed reclaim whose victims still run.
     assert choose_next_step(replace(SITUATION, **changes), TIMES) is step  # type: ignore[arg-type]
 
 
