--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -17,7 +17,7 @@
 POLLS_PER_S = 150
 
 
-def start_busy_cluster(seed: int) -> SimulatedCluster:
+def start_loaded_cluster(seed: int) -> SimulatedCluster:
     return busy(seed, services=SERVICES, arrays=1, run_time=40.0)
 
 
@@ -52,7 +52,7 @@
 def test_slow_processor_recovers_from_a_poll_storm(which: str) -> None:
     # Polls make a slow controller fall seconds behind: afterwards its queue must drain, leadership
     # must not go back and forth, and new jobs must start.
-    world = start_busy_cluster(seed=5)
+    world = start_loaded_cluster(seed=5)
     leader = leader_of(world)
     follower = next(name for name in world.names if name != leader)
     slow = {"leader": [leader], "a follower": [follower], "all": list(world.names)}[which]
@@ -80,7 +80,7 @@
 def test_slow_processors_when_all_controllers_restart() -> None:
     # After a restart of all controllers, polls and the replay of the log compete for slow
     # processors: a leader must still be found within a few terms, and cancellations must work.
-    world = start_busy_cluster(seed=6)
+    world = start_loaded_cluster(seed=6)
     for name in world.names:
         world.crash(name, back_after=2.0)
     world.run(2.1)
