--- a/flaxtally/runtime/token_bucket.py
+++ b/flaxtally/runtime/token_bucket.py
@@ -15,21 +15,21 @@
         self._runtime, self._rate, self._burst = runtime, rate, burst
         self._level, self._at = burst, runtime.now()
 
-    def wait(self, cost: float) -> float:
+    def seconds_until_available(self, cost: float) -> float:
         """Seconds until `cost` can be taken (0: now)."""
         now = self._runtime.now()
         self._level = min(self._burst, self._level + (now - self._at) * self._rate)
         self._at = now
-        wait = (min(cost, self._burst) - self._level) / self._rate
+        seconds_until_available = (min(cost, self._burst) - self._level) / self._rate
         # Below what a clock can tell apart it would be waited for without end.
-        return wait if wait > 1e-6 else 0.0
+        return seconds_until_available if seconds_until_available > 1e-6 else 0.0
 
     def take(self, cost: float) -> None:
         self._level -= cost
 
     def try_take(self, cost: float) -> bool:
         """Takes `cost` if it can be taken now."""
-        if self.wait(cost):
+        if self.seconds_until_available(cost):
             return False
         self.take(cost)
         return True
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -29,33 +29,33 @@
     def __init__(self, host: Host, far: str) -> None:
         self.host, self.far = host, far
         self.other: SimStream | None = None
-        self.opened = self.dead = False
+        self.opened = self.is_closed = False
         self.pending: list[bytes] = []
         self.arrives_at = 0.0
         self.on_data: Callable[[bytes], None] = nothing
         self.on_close: Callable[[], None] = nothing
 
     def send(self, data: bytes) -> None:
-        if self.dead:
+        if self.is_closed:
             return
         if not self.opened:
             self.pending.append(bytes(data))
         else:
-            self.host.sim.carry(self, bytes(data))
+            self.host.sim.transmit(self, bytes(data))
 
     def close(self) -> None:
         self.on_close = self.on_data = nothing
-        if not self.dead:
-            self.dead = True
+        if not self.is_closed:
+            self.is_closed = True
             if self.opened:
-                self.host.sim.carry(self, None)
+                self.host.sim.transmit(self, None)
 
     def deliver(self, data: bytes) -> None:
         self.on_data(data)
 
     def ended(self) -> None:
-        if not self.dead:
-            self.dead = True
+        if not self.is_closed:
+            self.is_closed = True
             told, self.on_close, self.on_data = self.on_close, nothing, nothing
             self.host.call(told)
 
@@ -180,9 +180,9 @@
         self._order = itertools.count()
         self.hosts: dict[str, Host] = {}
         self.cuts: set[frozenset[str]] = set()
-        self.filters: set[frozenset[str]] = set()
+        self.refused_pairs: set[frozenset[str]] = set()
         """Pairs of hosts between which connections are refused, those that stand are reset."""
-        self.slow: dict[frozenset[str], float] = {}
+        self.extra_delay_s: dict[frozenset[str], float] = {}
         """Pairs of hosts between which everything takes that many seconds longer."""
         self._held: dict[frozenset[str], list[tuple[SimStream, bytes | None]]] = {}
 
@@ -212,13 +212,13 @@
 
     def _dialled(self, stream: SimStream, ip: str, port: int) -> None:
         host = self.hosts.get(ip)
-        if stream.dead:
+        if stream.is_closed:
             return
         if (
             host is None
             or not host.alive
             or port not in host.listening
-            or frozenset((stream.host.ip, ip)) in self.filters
+            or frozenset((stream.host.ip, ip)) in self.refused_pairs
         ):
             stream.ended()
             return
@@ -228,22 +228,22 @@
         host.streams.append(far)
         host.call(host.listening[port], far)
         for data in stream.pending:
-            self.carry(stream, data)
+            self.transmit(stream, data)
 
-    def carry(self, stream: SimStream, data: bytes | None) -> None:
+    def transmit(self, stream: SimStream, data: bytes | None) -> None:
         """Bytes, or with None the end of the stream, to the far end, in order."""
         pair = frozenset((stream.host.ip, stream.far))
         if pair in self.cuts:
             self._held.setdefault(pair, []).append((stream, data))
             return
         stream.arrives_at = max(
-            self.time + self.delay() + self.slow.get(pair, 0.0), stream.arrives_at
+            self.time + self.delay() + self.extra_delay_s.get(pair, 0.0), stream.arrives_at
         )
         self.at(stream.arrives_at, self._arrive, stream.other, data)
 
     @staticmethod
     def _arrive(far: SimStream | None, data: bytes | None) -> None:
-        if far is None or far.dead:
+        if far is None or far.is_closed:
             return
         if data is None:
             far.host.call(far.ended)
@@ -258,20 +258,20 @@
         pair = frozenset((one, other))
         self.cuts.discard(pair)
         for stream, data in self._held.pop(pair, []):
-            self.carry(stream, data)
+            self.transmit(stream, data)
 
     def refuse(self, one: str, other: str) -> None:
-        """Puts a packet filter between two hosts; `filters.discard` takes it away."""
-        self.filters.add(frozenset((one, other)))
+        """Puts a packet filter between two hosts; `refused_pairs.discard` takes it away."""
+        self.refused_pairs.add(frozenset((one, other)))
         for ip, far in ((one, other), (other, one)):
             for stream in self.hosts[ip].streams:
-                if stream.far == far and stream.opened and not stream.dead:
+                if stream.far == far and stream.opened and not stream.is_closed:
                     stream.ended()
 
     def crash(self, ip: str) -> None:
         host = self.hosts[ip]
         host.alive = False
         for stream in host.streams:
-            if not stream.dead and stream.opened:
-                stream.dead = True
-                self.carry(stream, None)
+            if not stream.is_closed and stream.opened:
+                stream.is_closed = True
+                self.transmit(stream, None)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -18,16 +18,16 @@
 
 
 def create_idle_cluster() -> SimulatedCluster:
-    world = SimulatedCluster()
-    world.submit(spec("j-000001", tasks=2))
-    world.run(15.0)
-    assert world.count("j-000001") == 2
-    return world
+    cluster = SimulatedCluster()
+    cluster.submit(spec("j-000001", tasks=2))
+    cluster.run(15.0)
+    assert cluster.count("j-000001") == 2
+    return cluster
 
 
-def count_store_changes(world: SimulatedCluster) -> int:
+def count_store_changes(cluster: SimulatedCluster) -> int:
     """Returns the number of changes to the key-value store; each raises the revision by one."""
-    return max(stamp for _, stamp, _ in world.state.rows.values())
+    return max(stamp for _, stamp, _ in cluster.state.rows.values())
 
 
 @pytest.mark.parametrize(
@@ -42,29 +42,31 @@
 )
 def test_malformed_requests_are_rejected_at_once(path: str, body: object, expected: int) -> None:
     # Malformed requests that were forwarded or stored would load the leader and the store.
-    world = create_idle_cluster()
-    before, initial_term = count_store_changes(world), term(world)
+    cluster = create_idle_cluster()
+    before, initial_term = count_store_changes(cluster), term(cluster)
     replies: list[int] = []
     delays: list[float] = []
 
     def send_request(node: str) -> None:
-        sent_at = world.sim.time
+        sent_at = cluster.sim.time
 
         def on_reply(status: int, _: object) -> None:
             replies.append(status)
-            delays.append(world.sim.time - sent_at)
+            delays.append(cluster.sim.time - sent_at)
 
-        world.call(node, "POST", path, body, on_reply)
+        cluster.call(node, "POST", path, body, on_reply)
 
     for number in range(2 * REQUESTS_PER_S):
-        world.after(number / REQUESTS_PER_S, send_request, world.names[number % len(world.names)])
-    world.run(4.0)
+        cluster.after(
+            number / REQUESTS_PER_S, send_request, cluster.names[number % len(cluster.names)]
+        )
+    cluster.run(4.0)
     assert replies == [expected] * (2 * REQUESTS_PER_S)
     assert max(delays) < 0.5
-    assert term(world) == initial_term
+    assert term(cluster) == initial_term
     # Only the leader's own lease is written meanwhile.
-    assert count_store_changes(world) - before <= 8
-    assert world.ask("j-000001")[1]["running"] == 2
+    assert count_store_changes(cluster) - before <= 8
+    assert cluster.query_job("j-000001")[1]["running"] == 2
 
 
 @pytest.mark.parametrize(
@@ -80,17 +82,17 @@
 )
 def test_malformed_frames_close_only_their_connection(data: bytes) -> None:
     # Frames from an unknown sender, or without a valid form, must not affect any other connection.
-    world = create_idle_cluster()
-    initial_term, closed = term(world), list[int]()
+    cluster = create_idle_cluster()
+    initial_term, closed = term(cluster), list[int]()
     for number in range(200):
 
         def dial(number: int = number) -> None:
-            stream = world.user.connect((world.ip("hearth-0"), 8081))
+            stream = cluster.user.connect((cluster.ip("hearth-0"), 8081))
             stream.on_close = lambda: closed.append(number)
             stream.send(data)
 
-        world.after(number * 0.01, dial)
-    world.run(6.0)
+        cluster.after(number * 0.01, dial)
+    cluster.run(6.0)
     assert len(closed) == 200
-    assert term(world) == initial_term
-    assert world.ask("j-000001")[1]["running"] == 2
+    assert term(cluster) == initial_term
+    assert cluster.query_job("j-000001")[1]["running"] == 2
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -34,14 +34,14 @@
     # twice if none had capacity; a leader with a fraction of a core fell seconds behind at the
     # start. The cluster checks at each start of a task: it runs once, is committed first, is on an
     # allowed machine, and is within quota.
-    world = SimulatedCluster(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
+    cluster = SimulatedCluster(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
     job_count = 0
     for number in range(90):
         job_count += 1
-        world.submit(spec(f"j-{job_count:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
+        cluster.submit(spec(f"j-{job_count:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
     for number in range(14):
         job_count += 1
-        world.submit(
+        cluster.submit(
             spec(
                 f"j-{job_count:06d}",
                 tasks=2,
@@ -54,24 +54,24 @@
         )
     for number in range(20):
         job_count += 1
-        world.submit(batch(f"j-{job_count:06d}", 60), run_time=6.0, node=number)
-    world.run(26)
-    assert len(world.workers) > 200
-    leader = world.leader()
+        cluster.submit(batch(f"j-{job_count:06d}", 60), run_time=6.0, node=number)
+    cluster.run(26)
+    assert len(cluster.workers) > 200
+    leader = cluster.leader()
     assert leader
-    start_count = sum(" start " in line for line in world.trace)
-    examined_count = world.nodes[leader].leader.duties.scheduler.examined_count
+    start_count = sum(" start " in line for line in cluster.trace)
+    examined_count = cluster.nodes[leader].leader.duties.scheduler.examined_count
     assert start_count > 1000
-    assert examined_count < start_count * len(world.workers) / 2, (examined_count, start_count)
-    world.crash(leader, back_after=5.0)
-    world.cancel("j-000001", node=1)
-    world.run(9)
-    assert "j-000001" in world.told_cancelled
-    assert world.ask("j-000002")[1]["stage"] == "running"
-    assert len(world.accepted) == job_count
+    assert examined_count < start_count * len(cluster.workers) / 2, (examined_count, start_count)
+    cluster.crash(leader, back_after=5.0)
+    cluster.cancel("j-000001", node=1)
+    cluster.run(9)
+    assert "j-000001" in cluster.reported_cancelled_at
+    assert cluster.query_job("j-000002")[1]["stage"] == "running"
+    assert len(cluster.accepted) == job_count
     assert all(
-        world.count(ref) == job.tasks
-        for ref, job in world.specs.items()
+        cluster.count(ref) == job.tasks
+        for ref, job in cluster.specs.items()
         if job.job_kind == wire.SERVICE and ref != "j-000001"
     )
 
@@ -119,12 +119,12 @@
 def test_idle_machines_are_checked_together(monkeypatch: pytest.MonkeyPatch) -> None:
     # Checking fifty idle machines one by one blocked the leader's event loop for longer than the
     # peers' heartbeat timeout.
-    world = SimulatedCluster()
-    world.submit(spec("j-000001", tasks=2))
-    assert world.until(lambda: world.count("j-000001") == 2, 60)
-    used_machines = {world.machine_of(f"j-000001/{task}") for task in range(2)}
+    cluster = SimulatedCluster()
+    cluster.submit(spec("j-000001", tasks=2))
+    assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
+    used_machines = {cluster.find_machine(f"j-000001/{task}") for task in range(2)}
     idle_machines = {
-        world.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)
+        cluster.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)
     }
     pack_calls: list[int] = []
     count_unplaced = Forecast._count_unplaced
@@ -134,10 +134,10 @@
     max_calls = 0
     for _ in range(60):
         pack_calls.clear()
-        world.run(1.0)
+        cluster.run(1.0)
         max_calls = max(max_calls, len(pack_calls))
-    assert not idle_machines & set(world.workers)
-    assert used_machines <= set(world.workers)
+    assert not idle_machines & set(cluster.workers)
+    assert used_machines <= set(cluster.workers)
     # For each of two forecast steps: one call for the baseline and one per check; and the same
     # again for the consolidation.
     assert 0 < max_calls <= 2 * 2 * (1 + MAX_SCALE_IN_CHECKS)
@@ -192,42 +192,42 @@
     # running tasks must keep running, and no controller may exceed its socket limit. The cluster
     # checks the invariants at each start and end of a task. (Only the bench runs this with half as
     # many machines again: here that would take half of the suite's time.)
-    world = SimulatedCluster(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
+    cluster = SimulatedCluster(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
     for number in range(150):
-        world.submit(spec(f"j-{number:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
+        cluster.submit(spec(f"j-{number:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
     for number in range(150, 178):
-        world.submit(batch(f"j-{number:06d}", 120), run_time=25.0, node=number)
-    world.run(28)
-    assert len(world.workers) > 500
-    assert len(world.accepted) == 178
-    before = dict(world.running)
+        cluster.submit(batch(f"j-{number:06d}", 120), run_time=25.0, node=number)
+    cluster.run(28)
+    assert len(cluster.workers) > 500
+    assert len(cluster.accepted) == 178
+    before = dict(cluster.running)
     services = {task for task in before if int(task[2:8]) < 150}
     hung = sorted({before[task][0] for task in services})[:6]
     for name in hung:
-        world.workers[name].hung = True
+        cluster.workers[name].hung = True
     for number, name in enumerate(NAMES):
-        world.crash(name, back_after=(0.2, 5.0, 0.4)[number % 3])
+        cluster.crash(name, back_after=(0.2, 5.0, 0.4)[number % 3])
     max_streams = 0
     for _ in range(45):
-        world.run(1.0)
+        cluster.run(1.0)
         for name in NAMES:
-            streams = world.sim.hosts[world.ip(name)].streams
+            streams = cluster.sim.hosts[cluster.ip(name)].streams
             max_streams = max(
-                max_streams, sum(stream.opened and not stream.dead for stream in streams)
+                max_streams, sum(stream.opened and not stream.is_closed for stream in streams)
             )
     assert max_streams <= 500
-    assert not set(hung) & set(world.workers)
-    assert not any(" end lapsed " in line for line in world.trace)
-    ended = [line for line in world.trace if " end " in line and " end done " not in line]
+    assert not set(hung) & set(cluster.workers)
+    assert not any(" end lapsed " in line for line in cluster.trace)
+    ended = [line for line in cluster.trace if " end " in line and " end done " not in line]
     assert {line.split(" end ")[1].split()[0] for line in ended} <= {"gone", "halted"}
     # Tasks of hung machines are placed again, and a few replicas are moved off expensive machines;
     # the others stay.
-    moved = {task for task in services if world.running.get(task) != before[task]}
+    moved = {task for task in services if cluster.running.get(task) != before[task]}
     assert len(moved) <= sum(before[task][0] in hung for task in services) + len(services) / 20
-    assert services <= set(world.running)
+    assert services <= set(cluster.running)
     for number in range(0, 178, 11):
-        assert world.ask(f"j-{number:06d}")[0] == 200
-    assert len(world.accepted) == 178
+        assert cluster.query_job(f"j-{number:06d}")[0] == 200
+    assert len(cluster.accepted) == 178
 
 
 def test_replica_moves_off_a_gpu_machine_to_a_cheap_one_without_its_image() -> None:
@@ -253,34 +253,34 @@
     # More submissions arrive at once than the state service's rate limit allows: each gets a reply
     # in time, accepted or 503, no worker loses its lease, the leader keeps its term, and the limit
     # on changes is kept.
-    world = SimulatedCluster(nodes=NAMES, capacity=20)
+    cluster = SimulatedCluster(nodes=NAMES, capacity=20)
     for number in range(4):
-        world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
-    assert world.until(lambda: len(world.running) == 8, 60)
-    world.run(3)
-    before, term = dict(world.running), world.nodes[NAMES[0]].election.term
+        cluster.submit(spec(f"j-{number:06d}", tasks=2), node=number)
+    assert cluster.run_until(lambda: len(cluster.running) == 8, 60)
+    cluster.run(3)
+    before, term = dict(cluster.running), cluster.nodes[NAMES[0]].election.term
     replies: list[tuple[float, int]] = []
 
     def submit(number: int) -> None:
-        submitted_at = world.sim.time
+        submitted_at = cluster.sim.time
         job = batch(f"j-{number:06d}", 3, image=f"img-{number % 9}")
-        world.specs[job.ref] = job
-        world.call(
+        cluster.specs[job.ref] = job
+        cluster.call(
             NAMES[number % 7],
             "POST",
             wire.JOBS,
             wire.build_submission(job),
-            lambda status, _: replies.append((world.sim.time - submitted_at, status)),
+            lambda status, _: replies.append((cluster.sim.time - submitted_at, status)),
         )
 
-    start, changes_before = world.sim.time, world.state.changes
+    start, changes_before = cluster.sim.time, cluster.state.changes
     for number in range(3000):
-        world.sim.at(start + number / 1500, submit, 1000 + number)
-    world.run(8)
+        cluster.sim.at(start + number / 1500, submit, 1000 + number)
+    cluster.run(8)
     assert len(replies) == 3000
     assert {status for _, status in replies} <= {201, 503}
     assert sum(status == 201 for _, status in replies) > 1000
     assert max(wait_s for wait_s, _ in replies) < 4.0
-    assert world.state.changes - changes_before <= 8 * 40 + 40
-    assert {node.election.term for node in world.nodes.values()} == {term}
-    assert {task: world.running.get(task) for task in before} == before
+    assert cluster.state.changes - changes_before <= 8 * 40 + 40
+    assert {node.election.term for node in cluster.nodes.values()} == {term}
+    assert {task: cluster.running.get(task) for task in before} == before
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -358,9 +358,9 @@
     # A frame that fits into no batch must be dropped, or frames queued behind it are never sent.
     noise = random.Random(1).randbytes(9000)
     assert encode_batch([{"k": "ord", "o": noise}], 7000, 1.0)[1] == 0
-    world = SimulatedCluster()
-    assert world.until(lambda: world.leader() is not None, 10)
-    sender = world.nodes["hearth-0"].peers.relay
+    cluster = SimulatedCluster()
+    assert cluster.run_until(lambda: cluster.leader() is not None, 10)
+    sender = cluster.nodes["hearth-0"].peers.relay
     assert sender is not None
     sender.enqueue("hearth-1", {"k": "ord", "o": noise})
     sender.enqueue("hearth-1", {"k": "rep", "m": "n-1", "b": b"new"})
@@ -372,7 +372,7 @@
     sender._write("hearth-1", relay)
     assert [frame.get("b") for frame in relay.queue.list_by_urgency()] == [b"newer"]
     sender.enqueue("hearth-1", {"k": "ask", "i": 1})
-    relay.queue.drop_queued_before(world.sim.time + 1.0)
+    relay.queue.drop_queued_before(cluster.sim.time + 1.0)
     assert [frame["k"] for frame in relay.queue.list_by_urgency()] == ["rep"]
     relay.queue.clear()
     assert not relay.queue.has_frames
@@ -385,21 +385,21 @@
     # With 6,000 machines, a list takes twelve calls and longer than the interval between two lists,
     # so that lists were requested faster than they completed. The next one must start only after as
     # much time as the last one took, so that other calls get half of the rate.
-    world = SimulatedCluster()
-    world.submit(spec("j-000001", tasks=2))
-    assert world.until(lambda: world.count("j-000001") == 2, 60)
-    reconciler = world.nodes[world.leader() or ""].leader.duties.reconciler
+    cluster = SimulatedCluster()
+    cluster.submit(spec("j-000001", tasks=2))
+    assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
+    reconciler = cluster.nodes[cluster.leader() or ""].leader.duties.reconciler
     list_calls: list[tuple[float, Callable[[object], None]]] = []
-    reconciler.cloud.list_machines = lambda on_done: list_calls.append((world.sim.time, on_done))
-    world.run(30.0)
+    reconciler.cloud.list_machines = lambda on_done: list_calls.append((cluster.sim.time, on_done))
+    cluster.run(30.0)
     assert len(list_calls) == 1
     called_at, done = list_calls[0]
-    duration_s = world.sim.time - called_at
+    duration_s = cluster.sim.time - called_at
     done(None)
-    finished_at = world.sim.time
-    world.run(duration_s - 1.0)
+    finished_at = cluster.sim.time
+    cluster.run(duration_s - 1.0)
     assert len(list_calls) == 1
-    world.run(8.0)
+    cluster.run(8.0)
     assert len(list_calls) == 2
     assert list_calls[1][0] >= finished_at + duration_s
 
@@ -409,8 +409,8 @@
 
 def test_settings_file_of_the_largest_deployment_is_valid(tmp_path: Path) -> None:
     # Guards against limits of the settings parser that the largest deployment exceeds.
-    world = SimulatedCluster(nodes=tuple(f"hearth-{number}" for number in range(27)))
-    settings_of_one = world.settings_of("hearth-0")
+    cluster = SimulatedCluster(nodes=tuple(f"hearth-{number}" for number in range(27)))
+    settings_of_one = cluster.build_settings("hearth-0")
     teams = {f"t-{n}": Team(f"t-{n}", 10.0, 20.0, 1.0, 2.0) for n in range(750)}
     zones = tuple(f"zone-{number}" for number in range(23))
     large = dataclasses.replace(
@@ -427,9 +427,9 @@
 
 
 def write_settings(folder: Path, sockets: int) -> str:
-    world = SimulatedCluster()
+    cluster = SimulatedCluster()
     path = folder / "node.toml"
-    settings = dataclasses.replace(world.settings_of("hearth-0"), max_sockets=sockets)
+    settings = dataclasses.replace(cluster.build_settings("hearth-0"), max_sockets=sockets)
     path.write_text(settings_text(settings))
     return str(path)
 
@@ -462,10 +462,10 @@
     assert open_files.raise_limit(900) == 900
     assert limits[0] == 900
     assert open_files.raise_limit(5000) == 1024
-    settings = dataclasses.replace(SimulatedCluster().settings_of("hearth-0"), max_sockets=5000)
+    settings = dataclasses.replace(SimulatedCluster().build_settings("hearth-0"), max_sockets=5000)
     assert (
         controller_commands._limit_sockets_to_open_files(settings).max_sockets
-        == 1024 - open_files.OTHER_FILES
+        == 1024 - open_files.NON_SOCKET_FILES
     )
     assert (
         controller_commands._limit_sockets_to_open_files(
@@ -483,10 +483,10 @@
 ) -> None:
     # Reconciling each unchanged report costs time in proportion to the fleet; skipping one while a
     # stop command is open would lose the stop.
-    world = SimulatedCluster()
-    world.submit(spec("j-000001", tasks=2))
-    assert world.until(lambda: world.count("j-000001") == 2, 60)
-    world.run(5.0)
+    cluster = SimulatedCluster()
+    cluster.submit(spec("j-000001", tasks=2))
+    assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
+    cluster.run(5.0)
     compared: list[str] = []
     reconcile = Reconciler.reconcile
 
@@ -497,18 +497,18 @@
         reconcile(reconciler, machine, tasks)
 
     monkeypatch.setattr(Reconciler, "reconcile", record_reconcile)
-    world.run(10.0)
+    cluster.run(10.0)
     assert compared == []
     # The stop command is lost: the reports stay the same, and the command must be sent again.
-    machine = world.machine_of("j-000001/0")
-    world.machine_trouble("deaf", [machine], 4.0)
-    world.cancel("j-000001")
-    world.run(2.0)
-    assert "j-000001" not in world.told_cancelled
+    machine = cluster.find_machine("j-000001/0")
+    cluster.inject_machine_fault("deaf", [machine], 4.0)
+    cluster.cancel("j-000001")
+    cluster.run(2.0)
+    assert "j-000001" not in cluster.reported_cancelled_at
     assert machine in compared
-    assert world.until(lambda: "j-000001" in world.told_cancelled, 20)
-    assert world.count("j-000001") == 0
-    assert "j-000001/0" not in world.running
+    assert cluster.run_until(lambda: "j-000001" in cluster.reported_cancelled_at, 20)
+    assert cluster.count("j-000001") == 0
+    assert "j-000001/0" not in cluster.running
 
 
 def test_open_connection_count_follows_connects_and_disconnects() -> None:
@@ -525,7 +525,7 @@
     clients = [Client(host, (f"10.1.0.{number}", 9000), 2, connections) for number in range(6)]
 
     def count_open_streams() -> int:
-        return sum(stream.opened and not stream.dead for stream in host.streams)
+        return sum(stream.opened and not stream.is_closed for stream in host.streams)
 
     for client in clients:
         for _ in range(3):
@@ -611,10 +611,10 @@
 
 def test_request_for_an_unknown_job_id_returns_404() -> None:
     # A text that is no id, or resembles the id of a finished job, must not raise or match.
-    world = SimulatedCluster()
-    world.submit(batch("j-000001", 1), run_time=1.0)
-    world.run(40.0)
-    assert world.ask("j-000001")[1]["stage"] == "done"
+    cluster = SimulatedCluster()
+    cluster.submit(batch("j-000001", 1), run_time=1.0)
+    cluster.run(40.0)
+    assert cluster.query_job("j-000001")[1]["stage"] == "done"
     for text in ("j-1_0", "j-1", "j-0000001", "nothing"):
-        assert world.ask(text)[0] == 404
-    assert world.ask("j-000001")[1]["stage"] == "done"
+        assert cluster.query_job(text)[0] == 404
+    assert cluster.query_job("j-000001")[1]["stage"] == "done"
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -9,152 +9,152 @@
 from flaxtally.ledger.records import JobCancelled
 from flaxtally.protocol import wire
 
-from .scenarios import serving
+from .scenarios import start_serving_cluster
 from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
 
 def test_fresh_deployment_elects_one_leader_and_finishes_an_array() -> None:
     # A fresh deployment must elect one leader, provision machines, place tasks, and report an array
     # as done.
-    world = serving()
-    world.submit(batch("j-000100", 10), run_time=5.0)
-    assert world.until(lambda: world.count("j-000100") > 0, 60)
-    world.run(30)
-    assert world.ask("j-000100") == (
+    cluster = start_serving_cluster()
+    cluster.submit(batch("j-000100", 10), run_time=5.0)
+    assert cluster.run_until(lambda: cluster.count("j-000100") > 0, 60)
+    cluster.run(30)
+    assert cluster.query_job("j-000100") == (
         200,
         {"ref": "j-000100", "stage": "done", "done": 10, "running": 0},
     )
-    assert world.ask("j-000000")[1]["stage"] == "running"
-    assert world.ask("j-999999")[0] == 404
-    assert sum(node.election.is_leader for node in world.nodes.values()) == 1
+    assert cluster.query_job("j-000000")[1]["stage"] == "running"
+    assert cluster.query_job("j-999999")[0] == 404
+    assert sum(node.election.is_leader for node in cluster.nodes.values()) == 1
 
 
 def test_leader_crash_leaves_running_tasks_in_place() -> None:
     # A new leader must restore the placements from the ledger and leave running tasks alone.
-    world = serving()
-    before = dict(world.running)
-    old_leader = world.leader()
+    cluster = start_serving_cluster()
+    before = dict(cluster.running)
+    old_leader = cluster.leader()
     assert old_leader
-    world.crash(old_leader, back_after=5.0)
-    assert world.until(lambda: world.leader() not in (None, old_leader), 5), world.trace
-    world.run(30)
-    assert world.running == before
+    cluster.crash(old_leader, back_after=5.0)
+    assert cluster.run_until(lambda: cluster.leader() not in (None, old_leader), 5), cluster.trace
+    cluster.run(30)
+    assert cluster.running == before
 
 
 def test_leader_crash_between_commit_and_launch_places_tasks_again() -> None:
     # A task that was placed in the ledger but never launched must be proven not to run, and then be
     # placed again.
-    world = serving()
-    leader = world.leader()
+    cluster = start_serving_cluster()
+    leader = cluster.leader()
     assert leader
-    node = world.nodes[leader]
+    node = cluster.nodes[leader]
     node.leader.duties.commands._send_batch = lambda *_: None  # type: ignore[method-assign]  drops the commands
-    world.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
-    assert world.until(lambda: "j-000050" in world.accepted, 5)
-    world.run(0.5)
+    cluster.submit(spec("j-000050", tasks=2), node=NODES.index(leader))
+    assert cluster.run_until(lambda: "j-000050" in cluster.accepted, 5)
+    cluster.run(0.5)
     assert [
         placed.attempt for placed in node.leader.state.jobs_by_ref["j-000050"].placements.values()
     ] == [
         1,
         1,
     ]
-    world.crash(leader, back_after=5.0)
-    assert world.until(lambda: world.count("j-000050") == 2, 30), world.trace
+    cluster.crash(leader, back_after=5.0)
+    assert cluster.run_until(lambda: cluster.count("j-000050") == 2, 30), cluster.trace
     assert {
-        attempt for task, (_, attempt) in world.running.items() if task.startswith("j-000050")
+        attempt for task, (_, attempt) in cluster.running.items() if task.startswith("j-000050")
     } == {2}
 
 
 def test_crash_of_all_controllers_loses_no_accepted_job() -> None:
     # An accepted job must survive a crash of all controllers, and no task may run twice after it.
-    world = serving()
-    world.submit(batch("j-000100", 8), run_time=20.0)
-    assert world.until(lambda: world.count("j-000100") == 8, 60)
+    cluster = start_serving_cluster()
+    cluster.submit(batch("j-000100", 8), run_time=20.0)
+    assert cluster.run_until(lambda: cluster.count("j-000100") == 8, 60)
     for name in NODES:
-        world.crash(name, back_after=5.0)
-    world.run(6)
-    assert world.until(lambda: world.leader() is not None, 5)
-    world.run(40)
-    assert world.ask("j-000100")[1]["stage"] == "done"
-    assert all(world.count(f"j-{number:06d}") == 2 for number in range(4))
+        cluster.crash(name, back_after=5.0)
+    cluster.run(6)
+    assert cluster.run_until(lambda: cluster.leader() is not None, 5)
+    cluster.run(40)
+    assert cluster.query_job("j-000100")[1]["stage"] == "done"
+    assert all(cluster.count(f"j-{number:06d}") == 2 for number in range(4))
 
 
 def test_partitioned_leader_is_deposed_and_replies_503() -> None:
     # Two controllers that both believe they lead: the partitioned one can commit nothing, and must
     # not answer requests.
-    world = serving()
-    old_leader = world.leader()
+    cluster = start_serving_cluster()
+    old_leader = cluster.leader()
     assert old_leader
-    for other in [*(world.ip(name) for name in NODES if name != old_leader), STATE[0]]:
-        world.sim.cut(world.ip(old_leader), other)
-    assert world.until(lambda: world.leader() not in (None, old_leader), 15), world.trace
+    for other in [*(cluster.ip(name) for name in NODES if name != old_leader), STATE[0]]:
+        cluster.sim.cut(cluster.ip(old_leader), other)
+    assert cluster.run_until(lambda: cluster.leader() not in (None, old_leader), 15), cluster.trace
     replies: list[int] = []
-    world.call(
+    cluster.call(
         old_leader, "GET", f"{wire.JOBS}/j-000000", None, lambda status, _: replies.append(status)
     )
-    world.submit(spec("j-000060", tasks=2), node=(NODES.index(old_leader) + 1) % 3)
-    assert world.until(lambda: world.count("j-000060") == 2, 30)
-    world.run(2)
+    cluster.submit(spec("j-000060", tasks=2), node=(NODES.index(old_leader) + 1) % 3)
+    assert cluster.run_until(lambda: cluster.count("j-000060") == 2, 30)
+    cluster.run(2)
     assert replies == [503]
-    for other in [*(world.ip(name) for name in NODES if name != old_leader), STATE[0]]:
-        world.sim.heal(world.ip(old_leader), other)
-    world.run(20)
-    assert sum(node.election.is_leader for node in world.nodes.values()) == 1
-    assert all(world.count(f"j-{number:06d}") == 2 for number in range(4))
+    for other in [*(cluster.ip(name) for name in NODES if name != old_leader), STATE[0]]:
+        cluster.sim.heal(cluster.ip(old_leader), other)
+    cluster.run(20)
+    assert sum(node.election.is_leader for node in cluster.nodes.values()) == 1
+    assert all(cluster.count(f"j-{number:06d}") == 2 for number in range(4))
 
 
 def test_tasks_keep_running_during_an_outage_of_the_key_value_store() -> None:
     # Tasks must keep running, and no job may be accepted or lost. Requests must get 503 at once,
     # instead of waiting.
-    world = serving()
-    before = dict(world.running)
-    world.state.down = True
-    world.run(3)
+    cluster = start_serving_cluster()
+    before = dict(cluster.running)
+    cluster.state.down = True
+    cluster.run(3)
     replies: list[tuple[float, int]] = []
-    sent_at = world.sim.time
-    world.call(
+    sent_at = cluster.sim.time
+    cluster.call(
         "hearth-0",
         "POST",
         wire.JOBS,
         wire.build_submission(spec("j-000061")),
-        lambda status, _: replies.append((world.sim.time - sent_at, status)),
+        lambda status, _: replies.append((cluster.sim.time - sent_at, status)),
     )
-    world.run(20)
+    cluster.run(20)
     assert replies[0][1] == 503
     assert replies[0][0] < 2.0
-    world.state.recover()
-    world.run(15)
-    assert world.running == before
-    assert world.ask("j-000000")[1]["stage"] == "running"
+    cluster.state.recover()
+    cluster.run(15)
+    assert cluster.running == before
+    assert cluster.query_job("j-000000")[1]["stage"] == "running"
 
 
 def test_late_transaction_of_a_deposed_leader_fails() -> None:
     # A write that the network delays until another controller has taken over must not be applied.
-    world = serving()
-    old_leader = world.leader()
+    cluster = start_serving_cluster()
+    old_leader = cluster.leader()
     assert old_leader
-    world.sim.cut(world.ip(old_leader), STATE[0])
-    world.submit(spec("j-000062", tasks=2), node=NODES.index(old_leader))
-    assert world.until(lambda: world.leader() not in (None, old_leader), 15)
-    world.run(5)
-    world.sim.heal(world.ip(old_leader), STATE[0])
-    assert world.until(lambda: world.count("j-000062") == 2, 30), world.trace
-    world.run(10)
-    terms = {row.value["term"] for row in [get_row(world, "lead")]}
-    assert terms == {world.nodes[world.leader() or ""].election.term}
-
-
-def get_row(world: SimulatedCluster, key: str) -> wire.Row:
-    value, version, _ = world.state.rows[key]
+    cluster.sim.cut(cluster.ip(old_leader), STATE[0])
+    cluster.submit(spec("j-000062", tasks=2), node=NODES.index(old_leader))
+    assert cluster.run_until(lambda: cluster.leader() not in (None, old_leader), 15)
+    cluster.run(5)
+    cluster.sim.heal(cluster.ip(old_leader), STATE[0])
+    assert cluster.run_until(lambda: cluster.count("j-000062") == 2, 30), cluster.trace
+    cluster.run(10)
+    terms = {row.value["term"] for row in [get_row(cluster, "lead")]}
+    assert terms == {cluster.nodes[cluster.leader() or ""].election.term}
+
+
+def get_row(cluster: SimulatedCluster, key: str) -> wire.Row:
+    value, version, _ = cluster.state.rows[key]
     return wire.Row(key, value, version)
 
 
 def test_commit_of_a_deposed_leader_fails_on_the_leader_key() -> None:
     # The commit must fail even if the pages that it writes still have the expected versions.
-    world = serving()
-    leader = world.nodes[world.leader() or ""]
-    value, _, _ = world.state.rows[LEADER_KEY]
-    world.state.transact(
+    cluster = start_serving_cluster()
+    leader = cluster.nodes[cluster.leader() or ""]
+    value, _, _ = cluster.state.rows[LEADER_KEY]
+    cluster.state.transact(
         wire.Transaction(
             expected_versions=[],
             changes=[
@@ -162,20 +162,20 @@
             ],
         )
     )
-    pages = {key: row for key, row in world.state.rows.items() if key.startswith("p/")}
+    pages = {key: row for key, row in cluster.state.rows.items() if key.startswith("p/")}
     leader.ledger.propose(JobCancelled(1))
-    assert world.until(lambda: not leader.election.is_leader, 2)
-    world.run(0.1)
-    assert {key: row for key, row in world.state.rows.items() if key.startswith("p/")} == pages
+    assert cluster.run_until(lambda: not leader.election.is_leader, 2)
+    cluster.run(0.1)
+    assert {key: row for key, row in cluster.state.rows.items() if key.startswith("p/")} == pages
 
 
 def test_takeover_counts_each_placement_once() -> None:
     # After a takeover, the placements on every machine that had reported recently were counted
     # twice.
-    world = serving()
-    world.crash(world.leader() or "", back_after=5.0)
-    world.run(15)
-    leader = world.nodes[world.leader() or ""].leader
+    cluster = start_serving_cluster()
+    cluster.crash(cluster.leader() or "", back_after=5.0)
+    cluster.run(15)
+    leader = cluster.nodes[cluster.leader() or ""].leader
     used = sum(machine.cores for machine in leader.term.fleet.machines.values())
     assert used == sum(usage.cores for usage in leader.state.usage_by_team.values()) == 16.0
 
@@ -183,77 +183,79 @@
 def test_old_pages_are_deleted_and_final_states_are_kept() -> None:
     # The ledger's pages must not grow with time, and the final states of jobs must be kept
     # indefinitely, also across takeovers.
-    world = SimulatedCluster(value_bytes=1024)
-    world.submit(spec("j-900000", tasks=2))
+    cluster = SimulatedCluster(value_bytes=1024)
+    cluster.submit(spec("j-900000", tasks=2))
     for number in range(120):
-        world.sim.at(number * 0.5, world.submit, batch(f"j-{number:06d}", 1), 1.0, number)
-    world.sim.at(40.0, world.cancel, "j-000119")
-    world.run(70)
-    running_before = dict(world.running)
-    newest_page = max(int(key[2:]) for key in world.state.rows if key.startswith("p/"))
-    page_count = sum(key.startswith("p/") for key in world.state.rows)
+        cluster.sim.at(number * 0.5, cluster.submit, batch(f"j-{number:06d}", 1), 1.0, number)
+    cluster.sim.at(40.0, cluster.cancel, "j-000119")
+    cluster.run(70)
+    running_before = dict(cluster.running)
+    newest_page = max(int(key[2:]) for key in cluster.state.rows if key.startswith("p/"))
+    page_count = sum(key.startswith("p/") for key in cluster.state.rows)
     assert page_count < newest_page / 2
     for name in NODES:
-        world.crash(name, back_after=1.0)
-    world.run(20)
+        cluster.crash(name, back_after=1.0)
+    cluster.run(20)
     assert {
         task: running_before[task] for task in running_before if task.startswith("j-9")
-    } == world.running
+    } == cluster.running
     for number in range(0, 119, 7):
-        assert world.ask(f"j-{number:06d}")[1]["stage"] == "done"
+        assert cluster.query_job(f"j-{number:06d}")[1]["stage"] == "done"
 
 
 def test_peer_that_restarts_during_a_partition_is_reconnected() -> None:
     # A controller restarted during a network partition. The leader's old connection to it was dead,
     # while its own connection to the leader worked: heartbeats arrived, but every command was lost.
-    world = serving()
-    leader = world.leader()
+    cluster = start_serving_cluster()
+    leader = cluster.leader()
     assert leader
     other = next(name for name in NODES if name != leader)
-    world.sim.cut(world.ip(leader), world.ip(other))
-    world.run(2)
-    world.crash(other, back_after=3.0)
-    world.run(6)
-    world.sim.heal(world.ip(leader), world.ip(other))
-    world.run(5)
-    assert world.nodes[leader].peers.is_directly_reachable(other)
-    assert world.nodes[other].peers.is_directly_reachable(leader)
+    cluster.sim.cut(cluster.ip(leader), cluster.ip(other))
+    cluster.run(2)
+    cluster.crash(other, back_after=3.0)
+    cluster.run(6)
+    cluster.sim.heal(cluster.ip(leader), cluster.ip(other))
+    cluster.run(5)
+    assert cluster.nodes[leader].peers.is_directly_reachable(other)
+    assert cluster.nodes[other].peers.is_directly_reachable(leader)
 
 
 def test_leadership_is_stable_while_all_controllers_refuse_connections() -> None:
     # A packet filter that refuses connections between controllers made them look like dead
     # processes. They took over from each other, 140 terms in 30 s, and no job was accepted. The
     # leader's frames through the store relay must show that it is alive.
-    world = serving()
-    terms = max(node.election.term for node in world.nodes.values())
-    pairs = [(world.ip(one), world.ip(other)) for one in NODES for other in NODES if one < other]
+    cluster = start_serving_cluster()
+    terms = max(node.election.term for node in cluster.nodes.values())
+    pairs = [
+        (cluster.ip(one), cluster.ip(other)) for one in NODES for other in NODES if one < other
+    ]
     for one, other in pairs:
-        world.sim.refuse(one, other)
-    world.run(20)
-    assert max(node.election.term for node in world.nodes.values()) <= terms + 2
-    world.submit(spec("j-000777"), node=1)
-    assert world.until(lambda: "j-000777" in world.accepted, 8)
+        cluster.sim.refuse(one, other)
+    cluster.run(20)
+    assert max(node.election.term for node in cluster.nodes.values()) <= terms + 2
+    cluster.submit(spec("j-000777"), node=1)
+    assert cluster.run_until(lambda: "j-000777" in cluster.accepted, 8)
     for one, other in pairs:
-        world.sim.filters.discard(frozenset((one, other)))
-    world.run(10)
-    leader = world.leader()
+        cluster.sim.refused_pairs.discard(frozenset((one, other)))
+    cluster.run(10)
+    leader = cluster.leader()
     assert leader
-    assert all(world.nodes[leader].peers.is_directly_reachable(name) for name in NODES)
+    assert all(cluster.nodes[leader].peers.is_directly_reachable(name) for name in NODES)
     # If both other controllers crash together, the remaining one still leads after some seconds.
     for name in NODES:
         if name != leader:
-            world.crash(name)
-    world.run(5)
-    assert world.leader() == leader
+            cluster.crash(name)
+    cluster.run(5)
+    assert cluster.leader() == leader
 
 
 def test_last_controller_takes_over_when_leader_and_another_crash_together() -> None:
     # All peers of the last controller refuse connections, as they do behind a packet filter; it
     # must not wait for long to find out that they are dead.
-    world = serving()
-    leader = world.leader() or ""
+    cluster = start_serving_cluster()
+    leader = cluster.leader() or ""
     survivor = next(name for name in NODES if name != leader)
     for name in NODES:
         if name != survivor:
-            world.crash(name)
-    assert world.until(lambda: world.leader() == survivor, 4), world.trace[-5:]
+            cluster.crash(name)
+    assert cluster.run_until(lambda: cluster.leader() == survivor, 4), cluster.trace[-5:]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
     request.reply(200, {"path": request.path})
 
 
-def play(sim: Simulation, seconds: float) -> None:
+def run_for(sim: Simulation, seconds: float) -> None:
     end = sim.time + seconds
     while sim.next_time() <= end:
         sim.step()
@@ -23,7 +23,7 @@
 
 
 def standing(host: Host) -> int:
-    return sum(stream.opened and not stream.dead for stream in host.streams)
+    return sum(stream.opened and not stream.is_closed for stream in host.streams)
 
 
 def test_more_workers_than_connections_are_all_answered() -> None:
@@ -99,9 +99,9 @@
 
     for number in range(6):
         ask(number)
-    play(sim, 5.0)
+    run_for(sim, 5.0)
     assert sorted(told) == list(range(6))
     assert all(at <= 2.01 for at, _ in told.values())
     sim.at(sim.time, ask, 5)
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert told[5][1] == 200
