--- a/flaxtally/cli/controller_commands.py
+++ b/flaxtally/cli/controller_commands.py
@@ -143,7 +143,7 @@
 
 def _limit_sockets_to_open_files(settings: Settings) -> Settings:
     """The settings with as many sockets as the process may open; a controller does with fewer."""
-    needed = open_files.files_needed(settings.max_sockets)
+    needed = open_files.compute_open_files_needed(settings.max_sockets)
     granted = open_files.raise_limit(needed)
     if granted >= needed:
         return settings
@@ -153,12 +153,12 @@
         needed,
         granted,
     )
-    return dataclasses.replace(settings, max_sockets=max(1, granted - open_files.OTHER_FILES))
+    return dataclasses.replace(settings, max_sockets=max(1, granted - open_files.NON_SOCKET_FILES))
 
 
 def _check_open_files(path: str, settings: Settings) -> None:
-    needed = open_files.files_needed(settings.max_sockets)
-    allowed = open_files.most_allowed()
+    needed = open_files.compute_open_files_needed(settings.max_sockets)
+    allowed = open_files.get_open_files_limit()
     if allowed is not None and needed > allowed:
         raise InvalidInputError(
             f"{path}: params.limits.max_sockets: {settings.max_sockets} sockets need {needed} open "
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -52,7 +52,7 @@
 
     def _release(self, request: Request, names: list[str]) -> None:
         for name in names:
-            self.take(name)
+            self.remove_machine(name)
         self._release_count += 1
         self._releases[self._release_count] = request, self._processes
         self._link.send(TakeMachines(self._release_count, names))
@@ -96,12 +96,12 @@
         return {
             "state_requests": sum(state.requests for state in states),
             "state_changes": sum(state.changes for state in states),
-            "state_limited": sum(state.limited for state in [*states, self._shared]),
-            "state_beyond_limits": sum(len(state.over_limit) for state in states),
+            "state_limited": sum(state.throttled_count for state in [*states, self._shared]),
+            "state_beyond_limits": sum(len(state.oversized_transactions) for state in states),
             "shared_requests": self._shared.requests,
             "shared_changes": self._shared.changes,
             "ledger_pages": len(pages),
             "machines": len(self._cloud.machines),
-            "cloud_changes": len(self._cloud.callers),
-            "cloud_limited": self._cloud.limited,
+            "cloud_changes": len(self._cloud.change_requests),
+            "cloud_limited": self._cloud.throttled_count,
         }
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -13,7 +13,7 @@
     import random
     from collections.abc import Callable
 
-    from ..fakes.held_task import Held
+    from ..fakes.held_task import HeldTask
     from ..runtime.loop import Address
     from .plan import Plan
 
@@ -64,8 +64,8 @@
 
     def restart(self) -> None:
         """The worker's process ends and begins again: its tasks are gone, its session is new."""
-        self._lapse()
-        self.changed()
+        self._expire_lease()
+        self.report_soon()
 
     def silence(self, seconds: float) -> None:
         """Nothing that it sends arrives, nothing sent to it reaches it, for so long."""
@@ -75,25 +75,25 @@
     def _hear_again(self) -> None:
         self.mute = self.deaf = False
 
-    def changed(self) -> None:
+    def report_soon(self) -> None:
         if self._busy:
             self._change_waits = True
             return
-        self._due(self._earliest())
+        self._schedule_heartbeat(self._earliest())
 
     def _earliest(self) -> float:
         """Seconds until a change may be reported."""
         return max(0.0, REPORT_GAP_S - (self._runtime.now() - self._reported_at))
 
-    def _due(self, delay: float) -> None:
+    def _schedule_heartbeat(self, delay: float) -> None:
         if self._change_waits and not self._busy:
             self._change_waits = False
             delay = min(delay, self._earliest())
-        super()._due(delay)
+        super()._schedule_heartbeat(delay)
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         self._reported_at = self._runtime.now()
-        super()._beat()
+        super()._send_heartbeat()
 
     def _launch(self, order: wire.Command) -> None:
         super()._launch(order)
@@ -103,7 +103,7 @@
             held.timer.cancel()
             held.timer = self._runtime.after(self._fetch_s(order.task), self._run, held)
 
-    def run_at_once(self, held: Held) -> None:
+    def run_at_once(self, held: HeldTask) -> None:
         """Starts a task that nobody ordered, for runs that plant a fault."""
         self._run(held)
 
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -194,7 +194,7 @@
     def _end_worker(self, name: str) -> None:
         worker = self._workers.pop(name, None)
         if worker is not None:
-            worker.gone()
+            worker.shut_down()
 
     def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
         now = self._now()
--- a/flaxtally/emulator/measured.py
+++ b/flaxtally/emulator/measured.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from ..runtime.http import Client, Done, Reply
+from ..runtime.http import Client, Reply, ReplyCallback
 from ..runtime.loop import Address, Loop, Stream
 
 if TYPE_CHECKING:
@@ -77,7 +77,9 @@
         super().__init__(runtime, address, most)
         self._clock, self._took = runtime.now, took
 
-    def request(self, method: str, path: str, body: Any, timeout: float, done: Done) -> None:
+    def request(
+        self, method: str, path: str, body: Any, timeout: float, done: ReplyCallback
+    ) -> None:
         began = self._clock()
 
         def told(reply: Reply) -> None:
--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from ..protocol import wire
-from ..runtime.http import Client, Done, Reply
+from ..runtime.http import Client, Reply, ReplyCallback
 from .load import Load, reference
 from .messages import (
     ANSWERED_CANCEL,
@@ -177,7 +177,9 @@
 
         self._ask("GET", f"{wire.WORK}/{ref}", None, POLL_TIMEOUT_S, told)
 
-    def _ask(self, method: str, path: str, body: object, timeout: float, told: Done) -> None:
+    def _ask(
+        self, method: str, path: str, body: object, timeout: float, told: ReplyCallback
+    ) -> None:
         self._asked += 1
         self._client().request(method, path, body, timeout, told)
 
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -5,7 +5,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from ..fakes.held_task import Held
+from ..fakes.held_task import HeldTask
 from ..protocol import wire
 from ..settings import address
 from .hollow_worker import HollowWorker
@@ -81,7 +81,7 @@
     def _start_twice(self, machine: str, task: str, attempt: int) -> None:
         """The planted fault: another worker starts the task of its own accord."""
         other = next(worker for name, worker in self._workers.items() if name != machine)
-        copy = other.tasks[task, attempt] = Held(task, attempt, wire.FETCHING)
+        copy = other.tasks[task, attempt] = HeldTask(task, attempt, wire.FETCHING)
         other.run_at_once(copy)
 
     def receive(self, message: Message) -> None:
@@ -91,7 +91,7 @@
             for name in message.machines:
                 worker = self._workers.pop(name, None)
                 if worker is not None:
-                    worker.gone()
+                    worker.shut_down()
             self._link.send(MachinesTaken(message.request))
         elif isinstance(message, RestartWorkers):
             names = sorted(self._workers)
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -57,20 +57,20 @@
         self.down = False
         self.limit: TokenBucket | None = None
         """PROTOCOL: above it requests are answered 429; None: unlimited."""
-        self.limited = 0
+        self.throttled_count = 0
         """Requests that were answered 429."""
         self.boots_fail = False
         self.boot: float | None = None
         """Seconds that every machine rented from now on takes to boot; None: about its type's boot
         time.
         """
-        self.lag = 0.0
+        self.list_lag_s = 0.0
         """The list is that much old, at times twice."""
         self._up_at: dict[str, float] = {}
         self._gone: dict[str, tuple[float, wire.Listed]] = {}
-        self.callers: list[tuple[str, str]] = []
+        self.change_requests: list[tuple[str, str]] = []
         """Host and path of each request that changes something, in order."""
-        self.asked: list[str] = []
+        self.provision_requests: list[str] = []
         """The rental requests that came, in order, repeats too."""
         self._count = 0
         Server(runtime, address, self._handle, 1000, 600.0, 1.0)
@@ -78,15 +78,15 @@
     def _handle(self, request: Request) -> None:
         path = request.path.partition("?")[0]
         if request.method == "POST":
-            self.callers.append((request.far, path))
+            self.change_requests.append((request.far, path))
         if path == wire.RENTALS and request.method == "POST":
-            self.asked.append(
+            self.provision_requests.append(
                 msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest).request
             )
         if self.down:
             request.reply(503, {"error": "trouble"})
         elif self.limit is not None and not self.limit.try_take(1):
-            self.limited += 1
+            self.throttled_count += 1
             request.reply(429, {"error": "too many"})
         elif path == wire.CATALOG:
             request.reply(200, wire.MachineTypeList(self._types))
@@ -101,7 +101,7 @@
 
     def _release(self, request: Request, names: list[str]) -> None:
         for name in names:
-            self.take(name)
+            self.remove_machine(name)
         request.reply(200, {})
 
     def _list_page(self, request: Request) -> None:
@@ -112,7 +112,9 @@
 
     def _list(self) -> list[wire.Listed]:
         """The machines as they were a while ago, in the order of their names."""
-        then = self._runtime.now() - (self.lag * self._rng.uniform(1, 2) if self.lag else 0.0)
+        then = self._runtime.now() - (
+            self.list_lag_s * self._rng.uniform(1, 2) if self.list_lag_s else 0.0
+        )
         known = dict(self.machines)
         known.update({name: machine for name, (at, machine) in self._gone.items() if at > then})
         listed = []
@@ -163,7 +165,7 @@
             self._up_at[name] = self._runtime.now()
             self._start(machine)
 
-    def take(self, name: str) -> None:
+    def remove_machine(self, name: str) -> None:
         """The machine and everything on it are gone."""
         machine = self.machines.pop(name, None)
         if machine is not None:
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -13,7 +13,7 @@
 from ..runtime.loop import Address, Loop
 from ..settings import Settings, StateLimits, Team
 from .cloud import Cloud, equal_pools
-from .gang_meeting import GangMeetings
+from .gang_rendezvous import GangRendezvous
 from .key_value_store import FakeKeyValueStore
 from .settings_text import settings_text
 from .worker import Worker
@@ -65,7 +65,7 @@
     return HOST, users(first, number)[1] + 1
 
 
-def page(first: int, number: int) -> str:
+def build_controller_settings(first: int, number: int) -> str:
     """The settings of one controller."""
     settings = Settings(
         node=NODES[number],
@@ -113,7 +113,7 @@
             self._rng,
         )
         self._workers: dict[str, Worker] = {}
-        self._gangs = GangMeetings(loop, GANG_WAIT_S, GANG_PEER_S, self._run_time)
+        self._gangs = GangRendezvous(loop, GANG_WAIT_S, GANG_PEER_S, self._run_time)
 
     def _start(self, machine: wire.Listed) -> None:
         kind = next(entry for entry in TYPES if entry.name == machine.machine_type)
@@ -142,7 +142,7 @@
     def _end(self, name: str) -> None:
         worker = self._workers.pop(name, None)
         if worker is not None:
-            worker.gone()
+            worker.shut_down()
         log.info("event=machine_gone machine=%s", name)
 
     def spec(self, ref: str) -> wire.Spec | None:
@@ -186,7 +186,9 @@
     loop = Loop()
     Demo(loop, first)
     for number, name in enumerate(NODES):
-        (folder / f"{name}.toml").write_text(page(first, number), encoding="utf-8")
+        (folder / f"{name}.toml").write_text(
+            build_controller_settings(first, number), encoding="utf-8"
+        )
     (folder / "job.json").write_bytes(msgspec.json.format(msgspec.json.encode(JOB)) + b"\n")
     host, port = users(first, 0)
     print(f"stand-ins run on {host}, ports from {first}; now, each in a terminal of its own:")
--- a/flaxtally/fakes/gang_meeting.py
+++ b/flaxtally/fakes/gang_rendezvous.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from ..runtime.loop import Runtime, Timer
-    from .held_task import Held
+    from .held_task import HeldTask
 
 log = logging.getLogger(__name__)
 
@@ -29,10 +29,10 @@
     hung: bool
     slowness: float
 
-    def set_state(self, held: Held, state: str) -> None:
+    def set_state(self, held: HeldTask, state: str) -> None:
         """The task goes on in that state, and this is reported."""
 
-    def exit(self, held: Held, cause: str) -> None:
+    def exit(self, held: HeldTask, cause: str) -> None:
         """The task exits."""
 
 
@@ -41,7 +41,7 @@
 
     def __init__(self, spec: wire.Spec) -> None:
         self.spec = spec
-        self.members: dict[str, tuple[Host, Held]] = {}
+        self.members: dict[str, tuple[Host, HeldTask]] = {}
         self.began_at: float | None = None
         self.stopped_at: float | None = None
         self.told: set[str] = set()
@@ -51,7 +51,7 @@
         self.completion: Timer | None = None
 
 
-class GangMeetings:
+class GangRendezvous:
     """Owns the meetings, and the progress of gangs that is safe."""
 
     def __init__(
@@ -64,14 +64,14 @@
         self._runtime, self._wait_s, self._peer_s = runtime, wait_s, peer_s
         self._run_time = run_time
         self._meetings: dict[tuple[str, int], _Meeting] = {}
-        self.safe: dict[str, float] = {}
+        self.saved_progress_s: dict[str, float] = {}
         """By job, its saved progress in seconds."""
-        self.begun: list[tuple[str, int]] = []
+        self.started_attempts: list[tuple[str, int]] = []
         """Jobs and attempts that began, in order."""
         self.exits: list[tuple[str, int, str]] = []
         """Tasks, attempts and causes, in order."""
 
-    def arrive(self, host: Host, held: Held, spec: wire.Spec) -> None:
+    def arrive(self, host: Host, held: HeldTask, spec: wire.Spec) -> None:
         """A task has its image."""
         ref = held.task.partition("/")[0]
         meeting = self._meetings.setdefault((ref, held.attempt), _Meeting(spec))
@@ -83,12 +83,12 @@
 
     def _begin(self, ref: str, attempt: int, meeting: _Meeting) -> None:
         meeting.began_at = self._runtime.now()
-        self.begun.append((ref, attempt))
+        self.started_attempts.append((ref, attempt))
         log.info(
             "event=gang_begins job=%s attempt=%d progress=%.1f",
             ref,
             attempt,
-            self.safe.get(ref, 0.0),
+            self.saved_progress_s.get(ref, 0.0),
         )
         for host, held in meeting.members.values():
             if held.timer is not None:
@@ -97,7 +97,7 @@
         length = self._run_time(ref)
         if length is not None:
             slowest = max(host.slowness for host, _ in meeting.members.values())
-            left = max(0.0, length - self.safe.get(ref, 0.0)) * slowest
+            left = max(0.0, length - self.saved_progress_s.get(ref, 0.0)) * slowest
             meeting.completion = self._runtime.after(left, self._complete, meeting)
         self._runtime.after(LOOK_S, self._look, meeting, None)
 
@@ -124,7 +124,7 @@
             return
         self._runtime.after(LOOK_S, self._look, meeting, hung_since)
 
-    def left(self, held: Held, cause: str) -> None:
+    def left(self, held: HeldTask, cause: str) -> None:
         """A task of a gang ended, or its machine did."""
         ref = held.task.partition("/")[0]
         meeting = self._meetings.get((ref, held.attempt))
@@ -146,8 +146,10 @@
         every, began_at = meeting.spec.checkpoint_interval_s, meeting.began_at
         if every and began_at is not None:
             until = meeting.stopped_at or self._runtime.now()
-            progress = self.safe.get(ref, 0.0) + until - began_at
-            self.safe[ref] = max(self.safe.get(ref, 0.0), progress // every * every)
+            progress = self.saved_progress_s.get(ref, 0.0) + until - began_at
+            self.saved_progress_s[ref] = max(
+                self.saved_progress_s.get(ref, 0.0), progress // every * every
+            )
 
     def _exit_all(self, meeting: _Meeting, cause: str) -> None:
         for host, held in list(meeting.members.values()):
@@ -156,7 +158,7 @@
             else:
                 host.exit(held, cause)
 
-    def stop(self, host: Host, held: Held, grace: float) -> None:
+    def stop(self, host: Host, held: HeldTask, grace: float) -> None:
         """A task of a gang is told to stop."""
         ref = held.task.partition("/")[0]
         meeting = self._meetings.get((ref, held.attempt))
@@ -185,7 +187,9 @@
         meeting.saved.add(task)
         if len(meeting.saved) == meeting.spec.tasks and meeting.stopped_at is not None:
             began_at = meeting.began_at or 0.0
-            self.safe[ref] = self.safe.get(ref, 0.0) + meeting.stopped_at - began_at
+            self.saved_progress_s[ref] = (
+                self.saved_progress_s.get(ref, 0.0) + meeting.stopped_at - began_at
+            )
             meeting.is_over = True
             for _, held in meeting.members.values():
                 held.kept = True
--- a/flaxtally/fakes/held_task.py
+++ b/flaxtally/fakes/held_task.py
@@ -8,7 +8,7 @@
     from ..runtime.loop import Timer
 
 
-class Held:
+class HeldTask:
     """A task on the worker."""
 
     def __init__(self, task: str, attempt: int, state: str) -> None:
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -28,18 +28,18 @@
         self.down = False
         self.refused: set[str] = set()
         """Hosts that get 503 while all others are served."""
-        self.lost_share = 0.0
-        """Of the transactions: that share gets no answer, and is carried out `lost_delay` seconds
+        self.lost_fraction = 0.0
+        """Of the transactions: that share gets no answer, and is carried out `lost_delay_s` seconds
         later.
         """
-        self.lost_delay = (2.0, 12.0)
-        self.late: list[int] = []
+        self.lost_delay_s = (2.0, 12.0)
+        self.late_statuses: list[int] = []
         """How those came out that got no answer."""
         self.extra_delay_s = 0.0
         """How much later everything is carried out and answered."""
         self.refuse_changes = False
         self.requests = 0
-        self.over_limit: list[str] = []
+        self.oversized_transactions: list[str] = []
         """Transactions beyond `txn_ops` or `value_bytes`, said in words.
 
         They are carried out unless the limits are enforced.
@@ -50,7 +50,7 @@
         """PROTOCOL: above it requests are answered 429; None: unlimited."""
         self.change_limit: TokenBucket | None = None
         """The same for puts and drops, those of failed transactions too."""
-        self.limited = 0
+        self.throttled_count = 0
         """Requests that were answered 429."""
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 1
@@ -133,9 +133,9 @@
 
     def _txn(self, request: Request) -> None:
         txn = msgspec.msgpack.decode(request.body, type=wire.Transaction)
-        before = len(self.over_limit)
+        before = len(self.oversized_transactions)
         if len(txn.changes) > self.txn_ops or len(txn.expected_versions) > 4 * self.txn_ops:
-            self.over_limit.append(
+            self.oversized_transactions.append(
                 f"{len(txn.changes)} changes, {len(txn.expected_versions)} guards"
             )
         for change in txn.changes:
@@ -143,12 +143,12 @@
                 continue
             size = len(msgspec.json.encode(change.value))
             if size > self.value_bytes:
-                self.over_limit.append(f"{change.put}: {size} bytes")
-        if self._enforced and len(self.over_limit) > before:
+                self.oversized_transactions.append(f"{change.put}: {size} bytes")
+        if self._enforced and len(self.oversized_transactions) > before:
             request.reply(400, {"error": "too large"})
             return
-        if self.lost_share and self._rng.random() < self.lost_share:
-            self._runtime.after(self._rng.uniform(*self.lost_delay), self._late, txn)
+        if self.lost_fraction and self._rng.random() < self.lost_fraction:
+            self._runtime.after(self._rng.uniform(*self.lost_delay_s), self._late, txn)
             return
         if self.change_limit is not None and not self.change_limit.try_take(len(txn.changes)):
             self._refuse(request)
@@ -157,11 +157,11 @@
         request.reply(status, body)
 
     def _refuse(self, request: Request) -> None:
-        self.limited += 1
+        self.throttled_count += 1
         request.reply(429, {"error": "too many"})
 
     def _late(self, txn: wire.Transaction) -> None:
-        self.late.append(self.transact(txn)[0])
+        self.late_statuses.append(self.transact(txn)[0])
 
     def transact(self, txn: wire.Transaction) -> tuple[int, Any]:
         if any(
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -8,14 +8,14 @@
 
 from ..protocol import wire
 from ..runtime.http import Client, Reply, Request, Server
-from .held_task import Held
+from .held_task import HeldTask
 
 if TYPE_CHECKING:
     import random
     from collections.abc import Callable
 
     from ..runtime.loop import Address, Runtime, Timer
-    from .gang_meeting import GangMeetings
+    from .gang_rendezvous import GangRendezvous
 
 
 class Worker:
@@ -39,14 +39,14 @@
         run_time: Callable[[str], float | None],
         watch: Callable[[str, str, str, int], None],
         rng: random.Random,
-        gangs: GangMeetings | None = None,
+        gangs: GangRendezvous | None = None,
     ) -> None:
         """`gangs`: where the tasks of gangs meet; None: they run like those of arrays."""
         self._gangs = gangs
         self._runtime, self.machine, self._kind, self._address = runtime, machine, kind, address
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
         self._spec, self._run_time, self._watch, self._rng = spec, run_time, watch, rng
-        self.tasks: dict[tuple[str, int], Held] = {}
+        self.tasks: dict[tuple[str, int], HeldTask] = {}
         self.session, self._sequence, self.token = 1, 0, 0
         self.notice: float | None = None
         self.hung = self._off = False
@@ -56,7 +56,7 @@
         """It reaches no controller; direct orders reach it."""
         self.fails: Callable[[str], bool] = lambda _: False
         """Whether a job's tasks fail here."""
-        self.copy: Callable[[str, wire.Heartbeat], None] = lambda *_: None
+        self.on_heartbeat_sent: Callable[[str, wire.Heartbeat], None] = lambda *_: None
         """Sees each report that is sent, and to which node."""
         self.slowness = 1.0
         self.saves = False
@@ -67,8 +67,8 @@
         self._clients = {name: Client(runtime, where) for name, where in nodes.items()}
         self._busy = False
         self._next: Timer | None = None
-        self._server = Server(runtime, address, self._direct, 50, 600.0, 1.0)
-        self._due(rng.uniform(0, report_s / 2))
+        self._server = Server(runtime, address, self._handle_request, 50, 600.0, 1.0)
+        self._schedule_heartbeat(rng.uniform(0, report_s / 2))
 
     # Reports
 
@@ -91,24 +91,24 @@
             self.notice,
         )
 
-    def _due(self, delay: float) -> None:
+    def _schedule_heartbeat(self, delay: float) -> None:
         if self._next is not None:
             self._next.cancel()
         if self._off:
             return
-        self._next = self._runtime.after(delay, self._beat)
+        self._next = self._runtime.after(delay, self._send_heartbeat)
 
-    def changed(self) -> None:
+    def report_soon(self) -> None:
         if not self._busy:
-            self._due(min(0.5, self._report_s))
+            self._schedule_heartbeat(min(0.5, self._report_s))
 
-    def _beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         if self.hung:
-            self._due(self._report_s)
+            self._schedule_heartbeat(self._report_s)
             return
         now, session = self._runtime.now(), self.session
         if now - self._renewed > self._lease_s:
-            self._lapse()
+            self._expire_lease()
             session = self.session
         self._busy = True
         node = self._at
@@ -131,44 +131,44 @@
                 delay = self._rng.uniform(0, 0.5) if known else 1.0
             elif reply.status != 200:
                 self._at, delay = self._other(node), 1.0
-            self._due(delay)
+            self._schedule_heartbeat(delay)
 
         if self.mute:
             self._runtime.after(1.0, told, Reply(0))
             return
         report = self.report()
-        self.copy(node, report)
+        self.on_heartbeat_sent(node, report)
         self._clients[node].request("POST", wire.BEAT, report, 4.0, told)
 
     def _other(self, node: str) -> str:
         names = sorted(self._nodes)
         return names[(names.index(node) + 1) % len(names)]
 
-    def _lapse(self) -> None:
+    def _expire_lease(self) -> None:
         for held in list(self.tasks.values()):
             self._end(held, "lapsed")
         self.tasks.clear()
         self.session += 1
         self._renewed = self._runtime.now()
 
-    def gone(self) -> None:
+    def shut_down(self) -> None:
         for held in self.tasks.values():
             self._end(held, "gone")
         self.tasks.clear()
         self._off = True
-        self._due(0.0)
+        self._schedule_heartbeat(0.0)
 
     # Orders
 
-    def _direct(self, request: Request) -> None:
+    def _handle_request(self, request: Request) -> None:
         if self._off or self.deaf:
             return
         if self.hung:
             # The order waits in the hung machine and is executed when it goes on.
-            self._runtime.after(0.5, self._direct, request)
+            self._runtime.after(0.5, self._handle_request, request)
             return
         if self._runtime.now() - self._renewed > self._lease_s:
-            self._lapse()
+            self._expire_lease()
         if request.path == wire.STATUS:
             request.reply(200, self.report())
             return
@@ -181,7 +181,7 @@
         self._execute(orders.commands)
         request.reply(200, self.report())
         if raised:
-            self.changed()
+            self.report_soon()
 
     def _execute(self, orders: list[wire.Command]) -> None:
         for order in orders:
@@ -197,11 +197,11 @@
             elif order.verb == wire.FORGET and held is not None and held.state == wire.EXITED:
                 del self.tasks[order.task, order.attempt]
 
-    def _is_gang(self, held: Held) -> bool:
+    def _is_gang(self, held: HeldTask) -> bool:
         spec = self._spec(held.task.partition("/")[0])
         return spec is not None and spec.job_kind == wire.GANG
 
-    def _begins_to_save(self, held: Held, grace: float) -> bool:
+    def _begins_to_save(self, held: HeldTask, grace: float) -> bool:
         """Whether the task saves, or goes on saving, in place of exiting at once."""
         spec = self._spec(held.task.partition("/")[0])
         if held.state == wire.FLUSHING:
@@ -216,12 +216,12 @@
         self.set_state(held, wire.FLUSHING)
         return True
 
-    def _saved(self, held: Held) -> None:
+    def _saved(self, held: HeldTask) -> None:
         held.kept = True
         self.exit(held, wire.CAUSE_HALTED)
 
     def _launch(self, order: wire.Command) -> None:
-        held = self.tasks[order.task, order.attempt] = Held(
+        held = self.tasks[order.task, order.attempt] = HeldTask(
             order.task, order.attempt, wire.FETCHING
         )
         spec = self._spec(order.task.partition("/")[0])
@@ -250,9 +250,9 @@
             delay = 0.0 if spec.image in self._images else spec.image_gb / kind.fetch_gb_per_s
             self._images.add(spec.image)
             held.timer = self._runtime.after(delay, self._run, held)
-        self.changed()
+        self.report_soon()
 
-    def _run(self, held: Held) -> None:
+    def _run(self, held: HeldTask) -> None:
         if held.state != wire.FETCHING:
             return
         ref = held.task.partition("/")[0]
@@ -267,29 +267,29 @@
             held.timer = self._runtime.after(0.5, self.exit, held, wire.CAUSE_ERROR)
         elif length is not None:
             held.timer = self._runtime.after(length * self.slowness, self._complete, held)
-        self.changed()
+        self.report_soon()
 
-    def _complete(self, held: Held) -> None:
+    def _complete(self, held: HeldTask) -> None:
         if self.hung:
             # What hangs gets nothing done.
             held.timer = self._runtime.after(0.5, self._complete, held)
         else:
             self.exit(held, wire.CAUSE_DONE)
 
-    def set_state(self, held: Held, state: str) -> None:
+    def set_state(self, held: HeldTask, state: str) -> None:
         """A gang's task goes on in that state."""
         held.state = state
-        self.changed()
+        self.report_soon()
 
-    def exit(self, held: Held, cause: str) -> None:
+    def exit(self, held: HeldTask, cause: str) -> None:
         """The task ends, unless it has already."""
         if held.state == wire.EXITED:
             return
         self._end(held, cause)
         held.state, held.cause = wire.EXITED, cause
-        self.changed()
+        self.report_soon()
 
-    def _end(self, held: Held, why: str) -> None:
+    def _end(self, held: HeldTask, why: str) -> None:
         if held.timer is not None:
             held.timer.cancel()
         if held.state in (wire.WAITING, wire.RUNNING, wire.FLUSHING):
--- a/flaxtally/runtime/http.py
+++ b/flaxtally/runtime/http.py
@@ -287,13 +287,13 @@
         self.status, self.body = status, body
 
 
-Done = Callable[[Reply], None]
+ReplyCallback = Callable[[Reply], None]
 
 
 class _Call:
     __slots__ = ("data", "done", "timer")
 
-    def __init__(self, data: bytes, done: Done) -> None:
+    def __init__(self, data: bytes, done: ReplyCallback) -> None:
         self.data, self.done = data, done
         self.timer: Timer | None = None
 
@@ -325,7 +325,9 @@
         self._waiting: deque[_Call] = deque()
         self._busy: dict[Stream, _Call] = {}
 
-    def request(self, method: str, path: str, body: Any, timeout: float, done: Done) -> None:
+    def request(
+        self, method: str, path: str, body: Any, timeout: float, done: ReplyCallback
+    ) -> None:
         payload = b"" if body is None else pack(body)
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {self._host}\r\nContent-Length: {len(payload)}\r\n"
--- a/flaxtally/runtime/open_files.py
+++ b/flaxtally/runtime/open_files.py
@@ -4,16 +4,16 @@
 
 import resource
 
-OTHER_FILES = 32
+NON_SOCKET_FILES = 32
 """Beside a controller's sockets: standard streams, the selector, listeners, modules being read."""
 
 
-def files_needed(sockets: int) -> int:
+def compute_open_files_needed(sockets: int) -> int:
     """Open files of a controller that uses so many sockets."""
-    return sockets + OTHER_FILES
+    return sockets + NON_SOCKET_FILES
 
 
-def most_allowed() -> int | None:
+def get_open_files_limit() -> int | None:
     """As many as the process may have after `raise_limit`; None: there is no bound."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     return None if hard == resource.RLIM_INFINITY else hard
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -13,7 +13,7 @@
 from flaxtally.controller import Controller
 from flaxtally.emulator.rules import Rules
 from flaxtally.fakes.cloud import Cloud, equal_pools
-from flaxtally.fakes.gang_meeting import GangMeetings
+from flaxtally.fakes.gang_rendezvous import GangRendezvous
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.fakes.worker import Worker
 from flaxtally.ledger.records import (
@@ -159,7 +159,7 @@
             self.rng,
         )
         self.user = self.sim.host(USER)
-        self.gangs = GangMeetings(
+        self.gangs = GangRendezvous(
             self.sim.host(GANGS), GANG_WAIT_S, GANG_PEER_S, self.run_times.get
         )
         self._clients: dict[str, Client] = {}
@@ -266,13 +266,13 @@
             self.rng,
             self.gangs,
         )
-        worker.copy = self._copied
+        worker.on_heartbeat_sent = self._copied
         worker.fails = lambda ref: ref in self.broken or machine.machine in self.faulty_machines
 
     def _end_worker(self, name: str) -> None:
         worker = self.workers.pop(name, None)
         if worker is not None:
-            worker.gone()
+            worker.shut_down()
             self.sim.crash(worker._address[0])
         self.add_trace_line(f"{name} gone")
 
@@ -365,7 +365,10 @@
         """That share of transactions gets no answer; each is carried out 2 to 12 s later, or at
         once.
         """
-        self.state.lost_share, self.state.lost_delay = share, (0.0, 0.0) if at_once else (2.0, 12.0)
+        self.state.lost_fraction, self.state.lost_delay_s = (
+            share,
+            (0.0, 0.0) if at_once else (2.0, 12.0),
+        )
         self.after(for_s, setattr, self.state, "lost_share", 0.0)
 
     def freeze(self, node: str, for_s: float) -> None:
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -168,12 +168,12 @@
     cluster.run(3.0)
     cluster.south.needed = Amount(10.0, 6.0)
     cluster.until(lambda: bool(cluster.row().wants))
-    cluster.state.lost_share, cluster.state.lost_delay = 1.0, (20.0, 20.0)
+    cluster.state.lost_fraction, cluster.state.lost_delay_s = 1.0, (20.0, 20.0)
     cluster.run(2.0)
     # Written, unanswered, and carried out only in twenty seconds.
     assert cluster.row().share("north").gpus == 4.0
     assert cluster.north.gpus < 4.0
-    cluster.state.lost_share = 0.0
+    cluster.state.lost_fraction = 0.0
     cluster.run(4.0)
     assert cluster.south.gpus > 5.5, "it was written again"
     given = cluster.row()
@@ -192,7 +192,7 @@
     cluster.run(4.0)
     assert cluster.row().wants["south"].gpus == 4.0
     assert cluster.north.gpus == 4.0
-    cluster.state.lost_share, cluster.state.lost_delay = 1.0, (20.0, 20.0)
+    cluster.state.lost_fraction, cluster.state.lost_delay_s = 1.0, (20.0, 20.0)
     cluster.north.used = ZERO
     cluster.run(2.5)
     assert cluster.row().share("north").gpus == 4.0
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -165,7 +165,7 @@
         cluster.after(number, cluster.submit, batch(f"j-{300 + number:06d}", 1), 2.0, number)
     cluster.run(30)
     assert MAX_PLACEMENTS / 2 < max(placed.values()) <= MAX_PLACEMENTS
-    assert not cluster.state.over_limit
+    assert not cluster.state.oversized_transactions
     assert cluster.state.changes < 40 * cluster.sim.time
     assert all(f"j-{300 + number:06d}" in cluster.accepted for number in range(20))
     assert sum(bool(cluster.rules.jobs[f"j-{300 + number:06d}"].done) for number in range(20)) > 12
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -160,7 +160,7 @@
     assert all(0.7 * PLAN.report_s < gap < 1.3 * PLAN.report_s for gap in gaps(controller)[1:])
     before = len(controller.reports)
     for number in range(60):
-        sim.at(sim.time + number * 0.05, worker.changed)
+        sim.at(sim.time + number * 0.05, worker.report_soon)
     began = sim.time
     play(sim, 3.0)
     changes = controller.reports[before:]
@@ -243,7 +243,7 @@
         user.ask("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
     play(sim, 1.0)
     assert (user.statuses.count(200), user.statuses.count(429)) == (10, 5)
-    assert service.limited == 5
+    assert service.throttled_count == 5
     assert len(service.rows) == 10
     play(sim, 1.0)
     user.ask("POST", wire.TXN, wire.Transaction.build({}, {"k/late": 1}, []))
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -222,7 +222,7 @@
     for turn in range(3):
         for task in [f"j-{turn:06d}/0", f"j-{100 + turn:06d}/0"]:
             if task in cluster.running:
-                cluster.cloud.take(cluster.machine_of(task))
+                cluster.cloud.remove_machine(cluster.machine_of(task))
         if turn == 1:
             cluster.crash(wait_for_leader(cluster), back_after=2.0)
         cluster.run(8)
@@ -323,7 +323,7 @@
     cluster = start_busy_cluster(
         seed, services=6, arrays=3, run_time=40.0, value_bytes=rng.choice([768, 8192]), team=team
     )
-    cluster.cloud.lag, cluster.cloud.boot = rng.choice([0.0, 3.0]), rng.choice([None, 1.0])
+    cluster.cloud.list_lag_s, cluster.cloud.boot = rng.choice([0.0, 3.0]), rng.choice([None, 1.0])
     submit_steady_load(cluster, 60.0, every=0.6)
     for _ in range(12):
         mixed(cluster, rng)
@@ -364,7 +364,7 @@
         cluster.after(for_s, setattr, cluster.cloud, "down", False)
     elif drawn == 14:
         for name in some:
-            cluster.cloud.take(name)
+            cluster.cloud.remove_machine(name)
     elif drawn == 15:
         cluster.slow_down_links(0.3, for_s)
     elif drawn in (16, 17):
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from flaxtally.fakes.held_task import Held
+from flaxtally.fakes.held_task import HeldTask
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
@@ -15,9 +15,9 @@
 from .simulated_cluster import SimulatedCluster, batch, gang, spec
 
 
-def begun(cluster: SimulatedCluster, ref: str) -> list[int]:
+def started_attempts(cluster: SimulatedCluster, ref: str) -> list[int]:
     """The attempts of the gang that began."""
-    return [attempt for started, attempt in cluster.gangs.begun if started == ref]
+    return [attempt for started, attempt in cluster.gangs.started_attempts if started == ref]
 
 
 def running_gang(
@@ -26,7 +26,7 @@
     """A world in which the gang j-000001 runs."""
     cluster = SimulatedCluster(seed)
     cluster.submit(gang("j-000001", tasks, **changes), run_time=run_time)
-    assert cluster.run_until(lambda: bool(begun(cluster, "j-000001")), 90), cluster.trace
+    assert cluster.run_until(lambda: bool(started_attempts(cluster, "j-000001")), 90), cluster.trace
     cluster.run(1.0)
     return cluster
 
@@ -47,7 +47,7 @@
     zones = {cluster.workers[name].machine.zone for name in machines_of(cluster, "j-000001")}
     assert len(zones) == 1
     ends_done(cluster, "j-000001")
-    assert begun(cluster, "j-000001") == [1]
+    assert started_attempts(cluster, "j-000001") == [1]
     assert cluster.query_job("j-000001")[1] == {
         "ref": "j-000001",
         "stage": "done",
@@ -64,7 +64,9 @@
     cluster.run(25.0)
     cluster.submit(gang("j-000001", 390, cores=0.5, memory_gb=0.5), run_time=5.0)
     # A plan, a boot of 8 s (at most 1.5 times that), an image.
-    assert cluster.run_until(lambda: begun(cluster, "j-000001") == [1], 18.0), cluster.trace[-5:]
+    assert cluster.run_until(lambda: started_attempts(cluster, "j-000001") == [1], 18.0), (
+        cluster.trace[-5:]
+    )
 
 
 def test_a_lost_machine_restarts_the_whole_gang_from_its_checkpoint() -> None:
@@ -74,16 +76,20 @@
     assert len(machines_of(cluster, "j-000001")) > 1
     cluster.run(11.0)
     lost = sorted(machines_of(cluster, "j-000001"))[0]
-    cluster.cloud.take(lost)
-    assert cluster.run_until(lambda: begun(cluster, "j-000001") == [1, 2], 90), cluster.trace[-40:]
-    assert cluster.gangs.safe["j-000001"] == pytest.approx(10.0)
+    cluster.cloud.remove_machine(lost)
+    assert cluster.run_until(lambda: started_attempts(cluster, "j-000001") == [1, 2], 90), (
+        cluster.trace[-40:]
+    )
+    assert cluster.gangs.saved_progress_s["j-000001"] == pytest.approx(10.0)
     ends_done(cluster, "j-000001")
 
 
 def test_a_hung_machine_ends_the_attempt_and_nothing_runs_twice() -> None:
     cluster = running_gang(tasks=12, cores=8.0)
     cluster.inject_machine_fault("hung", sorted(machines_of(cluster, "j-000001"))[:1], 25.0)
-    assert cluster.run_until(lambda: len(begun(cluster, "j-000001")) == 2, 120), cluster.trace[-40:]
+    assert cluster.run_until(lambda: len(started_attempts(cluster, "j-000001")) == 2, 120), (
+        cluster.trace[-40:]
+    )
     ends_done(cluster, "j-000001")
 
 
@@ -105,9 +111,9 @@
         for name, worker in cluster.workers.items()
         if any(held.state == wire.WAITING for held in worker.tasks.values())
     )
-    cluster.cloud.take(waiting[0])
+    cluster.cloud.remove_machine(waiting[0])
     ends_done(cluster, "j-000001")
-    assert len(begun(cluster, "j-000001")) == 1
+    assert len(started_attempts(cluster, "j-000001")) == 1
 
 
 def test_a_cancelled_gang_is_gone_in_every_phase() -> None:
@@ -146,7 +152,7 @@
         cluster.run(after)
         change_leader(cluster)
         ends_done(cluster, "j-000001", 200)
-        assert not cluster.state.over_limit
+        assert not cluster.state.oversized_transactions
 
 
 def test_two_gangs_that_want_the_last_room_never_hold_half_each() -> None:
@@ -155,19 +161,19 @@
         cluster.submit(gang(f"j-{number:06d}", 6, cores=4.0), run_time=6.0, node=number)
     for number in range(4):
         ends_done(cluster, f"j-{number:06d}", 200)
-    assert all(attempt == 1 for _, attempt in cluster.gangs.begun)
+    assert all(attempt == 1 for _, attempt in cluster.gangs.started_attempts)
 
 
 def test_critical_work_stops_a_gang_as_a_whole_and_its_progress_is_kept() -> None:
     cluster = SimulatedCluster(capacity=1)
     cluster.submit(gang("j-000001", 8, cores=8.0, memory_gb=1.0, one_zone=False), run_time=60.0)
-    assert cluster.run_until(lambda: bool(begun(cluster, "j-000001")), 90), cluster.trace
+    assert cluster.run_until(lambda: bool(started_attempts(cluster, "j-000001")), 90), cluster.trace
     cluster.run(12.0)
     cluster.submit(spec("j-000002", tasks=2, cores=14.0), node=1)
     assert cluster.run_until(lambda: cluster.count("j-000002") == 2, 90), cluster.trace[-30:]
     causes = [cause for _, attempt, cause in cluster.gangs.exits if attempt == 1]
     assert causes == [wire.CAUSE_HALTED] * 8
-    assert cluster.gangs.safe["j-000001"] > 10.0
+    assert cluster.gangs.saved_progress_s["j-000001"] > 10.0
 
 
 def test_a_gang_that_no_zones_hold_is_refused() -> None:
@@ -196,7 +202,7 @@
     cluster.run(6.0)
     wait_for_leader(cluster)
     ends_done(cluster, "j-000001")
-    assert begun(cluster, "j-000001") == [1]
+    assert started_attempts(cluster, "j-000001") == [1]
 
 
 # Two troubles at once
@@ -215,12 +221,12 @@
     cluster.run(8.0)
     for name in sorted(machines_of(cluster, "j-000001"))[:2]:
         cluster.workers[name].notice = 12.0
-        cluster.workers[name].changed()
-        cluster.after(12.0, cluster.cloud.take, name)
+        cluster.workers[name].report_soon()
+        cluster.after(12.0, cluster.cloud.remove_machine, name)
     ends_done(cluster, "j-000001")
     assert exits(cluster, "j-000001", 1) == [wire.CAUSE_HALTED] * 12
-    assert begun(cluster, "j-000001") == [1, 2]
-    assert cluster.gangs.safe["j-000001"] > 8.0
+    assert started_attempts(cluster, "j-000001") == [1, 2]
+    assert cluster.gangs.saved_progress_s["j-000001"] > 8.0
 
 
 def test_one_task_is_done_as_the_machine_of_another_dies() -> None:
@@ -229,10 +235,10 @@
     # All complete together; what the others' machines would have reported is lost with them.
     for name in sorted(cluster.workers)[1:]:
         if any(held.state == wire.EXITED for held in cluster.workers[name].tasks.values()):
-            cluster.cloud.take(name)
+            cluster.cloud.remove_machine(name)
     ends_done(cluster, "j-000001")
     cluster.run(30.0)
-    assert begun(cluster, "j-000001") == [1]
+    assert started_attempts(cluster, "j-000001") == [1]
     assert cluster.query_job("j-000001")[1]["stage"] == wire.DONE
 
 
@@ -241,7 +247,7 @@
     cluster.run(13.0)
     machines = sorted(machines_of(cluster, "j-000001"))
     cluster.workers[machines[0]].notice = 15.0
-    cluster.workers[machines[0]].changed()
+    cluster.workers[machines[0]].report_soon()
 
     def saving() -> bool:
         return any(
@@ -252,11 +258,11 @@
 
     assert cluster.run_until(saving, 10.0)
     cluster.run(0.5)
-    cluster.cloud.take(machines[1])
+    cluster.cloud.remove_machine(machines[1])
     ends_done(cluster, "j-000001")
-    assert begun(cluster, "j-000001") == [1, 2]
+    assert started_attempts(cluster, "j-000001") == [1, 2]
     # Checkpoints are at multiples of 5 s.
-    assert cluster.gangs.safe["j-000001"] == pytest.approx(10.0)
+    assert cluster.gangs.saved_progress_s["j-000001"] == pytest.approx(10.0)
 
 
 @pytest.mark.parametrize("after", [0.2, 1.5, 3.2, 4.5])
@@ -264,7 +270,7 @@
     cluster = running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=2.0)
     name = sorted(machines_of(cluster, "j-000001"))[0]
     cluster.workers[name].notice = 15.0
-    cluster.workers[name].changed()
+    cluster.workers[name].report_soon()
     cluster.run(1.0 + after)
     cluster.cancel("j-000001")
     assert cluster.run_until(lambda: "j-000001" in cluster.reported_cancelled_at, 30.0), (
@@ -284,7 +290,7 @@
     cluster.inject_machine_fault("deaf", [deaf], for_s)
     cluster.submit(gang("j-000001", 12, cores=2.0, one_zone=False), run_time=4.0)
     ends_done(cluster, "j-000001", 150.0)
-    assert len(begun(cluster, "j-000001")) == 1
+    assert len(started_attempts(cluster, "j-000001")) == 1
 
 
 def test_every_controller_restarts_while_a_gang_waits_for_its_last_image() -> None:
@@ -335,7 +341,7 @@
         if trouble == "crash":
             cluster.crash(wait_for_leader(cluster), back_after=rng.uniform(0.2, 5.0))
         elif trouble == "take":
-            cluster.cloud.take(rng.choice(machines))
+            cluster.cloud.remove_machine(rng.choice(machines))
         elif trouble == "refuse":
             cluster.refuse(wait_for_leader(cluster), rng.uniform(2.0, 8.0))
         elif trouble == "lose":
@@ -366,7 +372,9 @@
     cluster.cancel("j-000001")
     cluster.run(5.0)
     cluster.submit(gang("j-000002", 6, rank="high", cores=4.0), run_time=3.0)
-    assert cluster.run_until(lambda: begun(cluster, "j-000002") == [1], 12.0), cluster.trace[-30:]
+    assert cluster.run_until(lambda: started_attempts(cluster, "j-000002") == [1], 12.0), (
+        cluster.trace[-30:]
+    )
     ends_done(cluster, "j-000002")
 
 
@@ -388,7 +396,9 @@
         cluster.after(0.5 * number, cluster.submit, job, 5.0 + number % 4, number)
     cluster.run(60.0)
     cluster.submit(gang("j-000001", 5, cores=6.0), run_time=3.0)
-    assert cluster.run_until(lambda: begun(cluster, "j-000001") == [1], 130.0), cluster.trace[-30:]
+    assert cluster.run_until(lambda: started_attempts(cluster, "j-000001") == [1], 130.0), (
+        cluster.trace[-30:]
+    )
 
 
 def test_an_unknown_reason_is_one_log_line_and_the_other_tasks_count(
@@ -400,7 +410,7 @@
     worker = cluster.workers[cluster.machine_of("j-000001/0")]
     worker.exit(worker.tasks["j-000001/0", 1], "novelty")
     worker.tasks["j-000001/1", 1].state = "pondering"
-    worker.changed()
+    worker.report_soon()
     assert cluster.run_until(lambda: cluster.running.get("j-000001/0", ("", 0))[1] == 2, 20)
     unknown = [entry.message for entry in caplog.records if "event=unknown" in entry.message]
     assert sorted(line.split()[0] for line in unknown) == [
@@ -413,14 +423,14 @@
     # `SimulatedCluster` checks the limit at every start.
     cluster = SimulatedCluster(team=Team("crew", 0.0, 20.0, 0.0, 8.0), capacity=6)
     cluster.submit(gang("j-000001", 8, cores=2.0), run_time=60.0)
-    assert cluster.run_until(lambda: begun(cluster, "j-000001") == [1], 90)
+    assert cluster.run_until(lambda: started_attempts(cluster, "j-000001") == [1], 90)
     cluster.submit(gang("j-000002", 6, cores=2.0), run_time=3.0)
     silent = sorted(machines_of(cluster, "j-000001"))[:1]
     cluster.run(5.0)
     cluster.inject_machine_fault("hung", silent, 12.0)
     cluster.cancel("j-000001")
     cluster.run(2.0)
-    assert begun(cluster, "j-000002") == []
+    assert started_attempts(cluster, "j-000002") == []
     ends_done(cluster, "j-000002")
 
 
@@ -435,7 +445,7 @@
     )
     cluster.state.enforce(2048, 4, 15.0)
     ends_done(cluster, "j-000001", 150.0)
-    assert begun(cluster, "j-000001") in ([1], [2])
+    assert started_attempts(cluster, "j-000001") in ([1], [2])
 
 
 def test_copies_of_a_gangs_submission_at_several_nodes_are_one_gang() -> None:
@@ -445,7 +455,7 @@
     for node in range(3):
         cluster.submit(gang("j-000001", 4), run_time=4.0, node=node)
     ends_done(cluster, "j-000001")
-    assert begun(cluster, "j-000001") == [1]
+    assert started_attempts(cluster, "j-000001") == [1]
     assert len(cluster.gangs.exits) == 4
 
 
@@ -454,9 +464,9 @@
     cluster.cloud.add("c16", "a", False, boot=1.0)
     cluster.run(6.0)
     worker = cluster.workers[min(set(cluster.workers) - machines_of(cluster, "j-000001"))]
-    stray = Held("j-000777/0", 3, wire.WAITING)
+    stray = HeldTask("j-000777/0", 3, wire.WAITING)
     worker.tasks["j-000777/0", 3] = stray
-    worker.changed()
+    worker.report_soon()
     assert cluster.run_until(lambda: ("j-000777/0", 3) not in worker.tasks, 20.0)
     assert stray.state == wire.EXITED
-    assert begun(cluster, "j-000001") == [1]
+    assert started_attempts(cluster, "j-000001") == [1]
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -408,7 +408,7 @@
     settings = dataclasses.replace(SimulatedCluster().settings_of("hearth-0"), max_sockets=5000)
     assert (
         controller_commands._limit_sockets_to_open_files(settings).max_sockets
-        == 1024 - open_files.OTHER_FILES
+        == 1024 - open_files.NON_SOCKET_FILES
     )
     assert (
         controller_commands._limit_sockets_to_open_files(
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -312,7 +312,7 @@
 
 
 TROUBLES: dict[str, Callable[[SimulatedLendingCluster, str], None]] = {
-    "dies": lambda cluster, name: cluster.cloud.take(name),
+    "dies": lambda cluster, name: cluster.cloud.remove_machine(name),
     "hangs": lambda cluster, name: cluster.inject_machine_fault("hung", [name], 25.0),
     "is cut": lambda cluster, name: cluster.inject_machine_fault("cut", [name], 25.0),
     "is cut off with its zone": lambda cluster, name: cluster.after(
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -106,12 +106,12 @@
 
 def hold_orders(worker: Worker, seconds: float) -> None:
     """Orders reach the worker that much later; its reports are not held."""
-    direct = worker._direct
+    direct = worker._handle_request
 
     def late(request: Request) -> None:
         worker._runtime.after(seconds, direct, request)
 
-    worker._direct = late  # type: ignore[method-assign]
+    worker._handle_request = late  # type: ignore[method-assign]
     worker._server.handler = late
 
 
@@ -173,7 +173,7 @@
     cluster.submit(batch("j-000100", 24), run_time=12.0)
     assert cluster.run_until(lambda: cluster.count("j-000100") >= 20, 60)
     for name in [name for name, worker in cluster.workers.items() if worker.machine.spot]:
-        cluster.cloud.take(name)
+        cluster.cloud.remove_machine(name)
     assert cluster.run_until(
         lambda: len(cluster.nodes) > 0 and cluster.query_job("j-000100")[1]["stage"] == "done", 120
     ), cluster.trace
@@ -347,11 +347,15 @@
     cluster.cloud.down = True
     cluster.submit(spec("j-000001", tasks=2))
     cluster.run(30)
-    assert len(cluster.cloud.asked) == len(set(cluster.cloud.asked)) <= 30 / 2.5 + 8
+    assert (
+        len(cluster.cloud.provision_requests)
+        == len(set(cluster.cloud.provision_requests))
+        <= 30 / 2.5 + 8
+    )
     cluster.cloud.down = False
-    before = len(cluster.cloud.asked)
+    before = len(cluster.cloud.provision_requests)
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 25)
-    assert len(cluster.cloud.asked) - before <= 4
+    assert len(cluster.cloud.provision_requests) - before <= 4
     assert len(cluster.cloud.machines) <= 3
 
 
@@ -363,7 +367,7 @@
     lost = cluster.machine_of("j-000000/0")
     for name in NODES:
         cluster.crash(name, back_after=4.0)
-    cluster.cloud.take(lost)
+    cluster.cloud.remove_machine(lost)
     assert cluster.run_until(lambda: cluster.leader() is not None, 8)
     cluster.run(2.5)
     leader = cluster.nodes[cluster.leader() or ""].leader
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -64,8 +64,8 @@
         )
     running = dict(cluster.running)
     cluster.run(22)
-    asked = 30 * 200
-    assert answers[200] > asked * (0.99 if what == "nothing" else 0.6), answers
+    provision_requests = 30 * 200
+    assert answers[200] > provision_requests * (0.99 if what == "nothing" else 0.6), answers
     assert set(answers) <= {200, 503, 0}
     # Two fifths of what the state service allows, however many ask.
     assert cluster.state.requests - before < 0.4 * 250 * 32, cluster.state.requests - before
@@ -90,14 +90,14 @@
     leader = cluster.nodes[wait_for_leader(cluster)].leader
     assert len(leader.duties.jobs.suspects) == len(refs)
     assert not any(machine.is_cordoned for machine in leader.term.fleet.machines.values())
-    rented = len(cluster.cloud.asked)
+    rented = len(cluster.cloud.provision_requests)
     cluster.submit(batch("j-000300", 8), run_time=8.0)
     cluster.run(60)
     assert len(cluster.rules.jobs["j-000300"].done) == 8
     again = sum(" end error" in line for line in cluster.trace) - failed
     # One task at a time, with a growing pause between.
     assert 0 < again <= 6 * len(refs), again
-    assert len(cluster.cloud.asked) <= rented + 2, cluster.cloud.asked
+    assert len(cluster.cloud.provision_requests) <= rented + 2, cluster.cloud.provision_requests
     for number, ref in enumerate(refs):
         cluster.cancel(ref, number)
     cluster.run(3)
@@ -139,14 +139,16 @@
     if boot is None:
         assert not cluster.workers
         cluster.after(25.0, setattr, cluster.cloud, "boots_fail", False)
-    asked = len(cluster.cloud.asked)
+    provision_requests = len(cluster.cloud.provision_requests)
 
     def begun(ref: str) -> bool:
         return cluster.count(ref) + len(cluster.rules.jobs[ref].done) == 4
 
     refs = [f"j-{100 + number:06d}" for number in range(6)]
     assert cluster.run_until(lambda: all(begun(ref) for ref in refs), 120), cluster.trace[-10:]
-    assert len(cluster.cloud.asked) - asked < 40, "no endless renting and returning"
+    assert len(cluster.cloud.provision_requests) - provision_requests < 40, (
+        "no endless renting and returning"
+    )
     cluster.run(80)
     stuck = [name for name in cluster.cloud.machines if name not in cluster.workers]
     assert len(stuck) <= 2, stuck
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -115,10 +115,10 @@
     assert set(spare) & {machine for machine, _ in cluster.running.values()}
     running, asked = (
         dict(cluster.running),
-        cluster.cloud.callers.count((cluster.ip(old), wire.RELEASE)),
+        cluster.cloud.change_requests.count((cluster.ip(old), wire.RELEASE)),
     )
     cluster.run(12)
-    assert cluster.cloud.callers.count((cluster.ip(old), wire.RELEASE)) == asked
+    assert cluster.cloud.change_requests.count((cluster.ip(old), wire.RELEASE)) == asked
     assert cluster.running == running, cluster.trace[-20:]
     check_final_state(cluster, 40)
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -93,7 +93,7 @@
 
 
 PAGE = (
-    demo.page(21000, 0)
+    demo.build_controller_settings(21000, 0)
     .replace("report_s = 1.5", "report_s = 2.0")
     .replace("lease_s = 10.0", "lease_s = 12.0")
     .replace("cancel_s = 30.0", "cancel_s = 42.0")
@@ -145,7 +145,7 @@
     loaded = []
     for number in range(len(demo.NODES)):
         path = tmp_path / f"{number}.toml"
-        path.write_text(demo.page(23000, number))
+        path.write_text(demo.build_controller_settings(23000, number))
         loaded.append(load(str(path)))
     for settings in loaded:
         others = {
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -84,9 +84,9 @@
     before = term(cluster)
     cluster.after(15.0, cluster.crash, wait_for_leader(cluster), 3.0)
     cluster.run(60)
-    assert len(cluster.state.late) > 10
+    assert len(cluster.state.late_statuses) > 10
     if at_once:
-        assert 200 in cluster.state.late
+        assert 200 in cluster.state.late_statuses
         assert term(cluster) <= before + 3, cluster.trace
     check_final_state(cluster)
 
@@ -163,7 +163,7 @@
 def test_new_machines_get_work_at_once_while_writes_lag_and_the_leader_ends(seed: int) -> None:
     # Found: the next leader released machines that worked and were not listed yet.
     cluster = SimulatedCluster(seed)
-    cluster.cloud.boot, cluster.cloud.lag = 1.0, 4.0
+    cluster.cloud.boot, cluster.cloud.list_lag_s = 1.0, 4.0
     cluster.run(3)
     cluster.slow_down_state_service(0.3, 30.0)
     for number in range(4):
@@ -224,7 +224,7 @@
             number,
         )
     cluster.run(30)
-    assert cluster.state.late.count(200) > 5
+    assert cluster.state.late_statuses.count(200) > 5
     assert leader.term is before
     check_final_state(cluster, 20)
 
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -182,7 +182,7 @@
 def test_a_thousandfold_boot_is_not_found_twice_while_the_list_lags() -> None:
     # Machines that report before they are listed, and a list of several pages that is older still.
     cluster = Crowd()
-    cluster.cloud.lag = 6.0
+    cluster.cloud.list_lag_s = 6.0
     booted = [
         cluster.cloud.add(TYPES[0].name, "ab"[number % 2], False, boot=0.01 * number)
         for number in range(MACHINES // 4)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -47,7 +47,7 @@
     cluster.submit(gang("j-000200", 4), run_time=3.0)
     check_final_state(cluster)
     assert cluster.query_job("j-000200")[1]["stage"] == wire.DONE
-    assert not cluster.state.over_limit
+    assert not cluster.state.oversized_transactions
 
 
 def test_a_gang_is_answered_503_until_every_controller_knows_gangs() -> None:
@@ -155,7 +155,7 @@
     work_goes_on(cluster)
     cluster.roll_out_upgrade(every=5.0)
     cluster.run(20.0)
-    assert cluster.state.late
+    assert cluster.state.late_statuses
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 20.0)
     check_final_state(cluster)
 
@@ -180,7 +180,7 @@
     cluster.submit(gang("j-000200", 6), run_time=5.0)
     check_final_state(cluster)
     assert cluster.query_job("j-000200")[1]["stage"] == wire.DONE
-    assert not cluster.state.over_limit
+    assert not cluster.state.oversized_transactions
 
 
 def test_limits_that_fall_unannounced_end_a_term_and_nothing_else() -> None:
@@ -194,7 +194,7 @@
     for number in range(30):
         cluster.submit(batch(f"j-{200 + number:06d}", 4), run_time=5.0, node=number)
     cluster.run(40.0)
-    assert cluster.state.over_limit
+    assert cluster.state.oversized_transactions
     assert {task: where for task, where in cluster.running.items() if task < "j-000100"} == before
     check_final_state(cluster)
     for number in range(30):
@@ -268,7 +268,7 @@
     cluster.submit(gang("j-000200", 3, cores=2.0), run_time=25.0)
     assert cluster.run_until(lambda: cluster.count("j-000200") == 3, 60)
     if loses:
-        cluster.cloud.take(cluster.machine_of("j-000200/0"))
+        cluster.cloud.remove_machine(cluster.machine_of("j-000200/0"))
         cluster.run(3.0)
     cluster.roll_out_upgrade(every=6.0)
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 20.0)
@@ -312,7 +312,7 @@
     assert {cluster.rules.jobs[f"j-{1000 + number:06d}"].told for number in range(200)} == {
         wire.DONE
     }
-    assert not cluster.state.over_limit
+    assert not cluster.state.oversized_transactions
 
 
 def test_the_limits_fall_while_pages_are_cleaned() -> None:
@@ -335,4 +335,4 @@
     cluster.lower_limits()
     change_leader(cluster)
     check_final_state(cluster, 150.0)
-    assert not cluster.state.over_limit
+    assert not cluster.state.oversized_transactions
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -72,5 +72,5 @@
     # Silent for longer a machine is probed and gets no work, and then it is released.
     assert oldest < policy.default(cluster.settings_of("hearth-0")).machine_suspect
     assert {task for task in before if cluster.running.get(task) != before[task]} == set()
-    assert not cluster.state.over_limit
+    assert not cluster.state.oversized_transactions
     check_final_state(cluster, 60.0)
