--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -369,7 +369,7 @@
             share,
             (0.0, 0.0) if at_once else (2.0, 12.0),
         )
-        self.after(for_s, setattr, self.state, "lost_share", 0.0)
+        self.after(for_s, setattr, self.state, "lost_fraction", 0.0)
 
     def freeze(self, node: str, for_s: float) -> None:
         """The controller stands still while its clocks run on."""
@@ -385,7 +385,7 @@
 
     def slow_down_state_service(self, seconds: float, for_s: float) -> None:
         self.state.extra_delay_s = seconds
-        self.after(for_s, setattr, self.state, "slow", 0.0)
+        self.after(for_s, setattr, self.state, "extra_delay_s", 0.0)
 
     def duplicate_heartbeats(self, share: float, for_s: float, for_next: bool = False) -> None:
         """A copy of that share of reports arrives again: 2 s to 1.6 leases later, at any
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -51,7 +51,7 @@
         max_reclaim_s: float = RECLAIM_DEADLINE_S,
         nodes_without_lending: tuple[str, ...] = (),
     ) -> None:
-        """`max_reclaim_s`: the audit's bound; `nodes_without_lending`: controllers without the feature."""
+        """`max_reclaim_s`: the audit's bound; `nodes_without_lending` lack the feature."""
         self.nodes_without_lending = set(nodes_without_lending)
         self.stopped_tasks: list[tuple[float, str, int]] = []
         """Tasks that were told to stop, and did."""
