--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -189,7 +189,7 @@
             self._watch,
             self._rng,
         )
-        worker.saves = True
+        worker.saves_checkpoints = True
 
     def _end_worker(self, name: str) -> None:
         worker = self._workers.pop(name, None)
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -59,7 +59,7 @@
         self.on_heartbeat_sent: Callable[[str, wire.Heartbeat], None] = lambda *_: None
         """Sees each report that is sent, and to which node."""
         self.slowness = 1.0
-        self.saves = False
+        self.saves_checkpoints = False
         """Whether tasks that are stopped with a grace period take their time to save."""
         self._renewed = runtime.now()
         self._images: set[str] = set()
@@ -206,7 +206,7 @@
         spec = self._spec(held.task.partition("/")[0])
         if held.state == wire.FLUSHING:
             return bool(grace)
-        if not self.saves or spec is None or held.state != wire.RUNNING:
+        if not self.saves_checkpoints or spec is None or held.state != wire.RUNNING:
             return False
         if not spec.checkpoint_interval_s or grace < spec.checkpoint_save_s:
             return False
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -387,11 +387,13 @@
         self.state.extra_delay_s = seconds
         self.after(for_s, setattr, self.state, "extra_delay_s", 0.0)
 
-    def duplicate_heartbeats(self, share: float, for_s: float, for_next: bool = False) -> None:
+    def duplicate_heartbeats(
+        self, share: float, for_s: float, deliver_in_next_term: bool = False
+    ) -> None:
         """A copy of that share of reports arrives again: 2 s to 1.6 leases later, at any
         controller; or at every controller when the next leader has begun.
         """
-        self._copy_share, self._copy_for_next = share, for_next
+        self._copy_share, self._copy_for_next = share, deliver_in_next_term
         self.after(for_s, setattr, self, "_copy_share", 0.0)
 
     def _copied(self, node: str, report: wire.Heartbeat) -> None:
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -66,7 +66,7 @@
 
     def _start_worker(self, machine: wire.Listed) -> None:
         super()._start_worker(machine)
-        self.workers[machine.machine].saves = True
+        self.workers[machine.machine].saves_checkpoints = True
 
     def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
         if event != "start":
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -29,14 +29,14 @@
     def __init__(self, host: Host, far: str) -> None:
         self.host, self.far = host, far
         self.other: SimStream | None = None
-        self.opened = self.dead = False
+        self.opened = self.is_closed = False
         self.pending: list[bytes] = []
         self.arrives_at = 0.0
         self.on_data: Callable[[bytes], None] = nothing
         self.on_close: Callable[[], None] = nothing
 
     def send(self, data: bytes) -> None:
-        if self.dead:
+        if self.is_closed:
             return
         if not self.opened:
             self.pending.append(bytes(data))
@@ -45,8 +45,8 @@
 
     def close(self) -> None:
         self.on_close = self.on_data = nothing
-        if not self.dead:
-            self.dead = True
+        if not self.is_closed:
+            self.is_closed = True
             if self.opened:
                 self.host.sim.transmit(self, None)
 
@@ -54,8 +54,8 @@
         self.on_data(data)
 
     def ended(self) -> None:
-        if not self.dead:
-            self.dead = True
+        if not self.is_closed:
+            self.is_closed = True
             told, self.on_close, self.on_data = self.on_close, nothing, nothing
             self.host.call(told)
 
@@ -180,7 +180,7 @@
         self._order = itertools.count()
         self.hosts: dict[str, Host] = {}
         self.cuts: set[frozenset[str]] = set()
-        self.filters: set[frozenset[str]] = set()
+        self.refused_pairs: set[frozenset[str]] = set()
         """Pairs of hosts between which connections are refused, those that stand are reset."""
         self.extra_delay_s: dict[frozenset[str], float] = {}
         """Pairs of hosts between which everything takes that many seconds longer."""
@@ -212,13 +212,13 @@
 
     def _dialled(self, stream: SimStream, ip: str, port: int) -> None:
         host = self.hosts.get(ip)
-        if stream.dead:
+        if stream.is_closed:
             return
         if (
             host is None
             or not host.alive
             or port not in host.listening
-            or frozenset((stream.host.ip, ip)) in self.filters
+            or frozenset((stream.host.ip, ip)) in self.refused_pairs
         ):
             stream.ended()
             return
@@ -243,7 +243,7 @@
 
     @staticmethod
     def _arrive(far: SimStream | None, data: bytes | None) -> None:
-        if far is None or far.dead:
+        if far is None or far.is_closed:
             return
         if data is None:
             far.host.call(far.ended)
@@ -261,17 +261,17 @@
             self.transmit(stream, data)
 
     def refuse(self, one: str, other: str) -> None:
-        """Puts a packet filter between two hosts; `filters.discard` takes it away."""
-        self.filters.add(frozenset((one, other)))
+        """Puts a packet filter between two hosts; `refused_pairs.discard` takes it away."""
+        self.refused_pairs.add(frozenset((one, other)))
         for ip, far in ((one, other), (other, one)):
             for stream in self.hosts[ip].streams:
-                if stream.far == far and stream.opened and not stream.dead:
+                if stream.far == far and stream.opened and not stream.is_closed:
                     stream.ended()
 
     def crash(self, ip: str) -> None:
         host = self.hosts[ip]
         host.alive = False
         for stream in host.streams:
-            if not stream.dead and stream.opened:
-                stream.dead = True
+            if not stream.is_closed and stream.opened:
+                stream.is_closed = True
                 self.transmit(stream, None)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -349,7 +349,7 @@
     elif drawn == 4:
         cluster.slow_down_state_service(0.5, for_s)
     elif drawn in (5, 6):
-        cluster.duplicate_heartbeats(0.5, for_s, for_next=drawn == 6)
+        cluster.duplicate_heartbeats(0.5, for_s, deliver_in_next_term=drawn == 6)
     elif drawn in (7, 8, 9):
         cluster.inject_machine_fault(("hung", "deaf", "mute")[drawn - 7], some, for_s)
     elif drawn == 10 and cluster.sim.hosts[ip].alive:
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -196,7 +196,7 @@
         cluster.run(1.0)
         for name in NAMES:
             streams = cluster.sim.hosts[cluster.ip(name)].streams
-            most = max(most, sum(stream.opened and not stream.dead for stream in streams))
+            most = max(most, sum(stream.opened and not stream.is_closed for stream in streams))
     assert most <= 500
     assert not set(hung) & set(cluster.workers)
     assert not any(" end lapsed " in line for line in cluster.trace)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -464,7 +464,7 @@
     clients = [Client(host, (f"10.1.0.{number}", 9000), 2, opened) for number in range(6)]
 
     def standing() -> int:
-        return sum(stream.opened and not stream.dead for stream in host.streams)
+        return sum(stream.opened and not stream.is_closed for stream in host.streams)
 
     for client in clients:
         for _ in range(3):
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -229,7 +229,7 @@
     cluster.submit(spec("j-000777"), node=1)
     assert cluster.run_until(lambda: "j-000777" in cluster.accepted, 8)
     for one, other in pairs:
-        cluster.sim.filters.discard(frozenset((one, other)))
+        cluster.sim.refused_pairs.discard(frozenset((one, other)))
     cluster.run(10)
     leader = cluster.leader()
     assert leader
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -28,7 +28,7 @@
 def test_a_report_is_held_back_until_a_new_leader_has_acted(crash: bool) -> None:
     # It reaches every controller just as the new leader begins, and proves nothing there.
     cluster = start_busy_cluster()
-    cluster.duplicate_heartbeats(1.0, 30.0, for_next=True)
+    cluster.duplicate_heartbeats(1.0, 30.0, deliver_in_next_term=True)
     submit_steady_load(cluster, 25.0)
     cluster.run(6)
     for _ in range(3):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -23,7 +23,7 @@
 
 
 def standing(host: Host) -> int:
-    return sum(stream.opened and not stream.dead for stream in host.streams)
+    return sum(stream.opened and not stream.is_closed for stream in host.streams)
 
 
 def test_more_workers_than_connections_are_all_answered() -> None:
