--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -84,14 +84,14 @@
         "leader.reconciliation.stragglers:Stragglers.check_running_tasks",
     ],
     "http server": [
-        "runtime.http:ServerConn._data",
-        "runtime.http:ServerConn.answer",
+        "runtime.http:ServerConn._on_data",
+        "runtime.http:ServerConn.send_reply",
         "runtime.http:Server._accept",
     ],
     "http client": [
         "runtime.http:Client.request",
-        "runtime.http:Client._data",
-        "runtime.http:Client._expired",
+        "runtime.http:Client._on_data",
+        "runtime.http:Client._on_timeout",
     ],
 }
 LOOP = "other"
