--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -208,7 +208,7 @@
     def _send_queued(self) -> None:
         self._is_send_scheduled = False
         while self._queue and not self._is_paused:
-            wait_s = self._bucket.wait(1.0)
+            wait_s = self._bucket.seconds_until_available(1.0)
             if wait_s > 0:
                 self._is_send_scheduled = True
                 self._runtime.after(wait_s, self._send_scheduled)
--- a/flaxtally/ledger/group_commit.py
+++ b/flaxtally/ledger/group_commit.py
@@ -112,7 +112,7 @@
         """Commits soon what waits; more may come until then."""
         if not self._is_scheduled and not self.is_busy:
             self._is_scheduled = True
-            delay_s = max(self._timings.gather_s / 2, self._bucket.wait(1.0))
+            delay_s = max(self._timings.gather_s / 2, self._bucket.seconds_until_available(1.0))
             self.later(delay_s, self._commit)
 
     def _commit(self) -> None:
@@ -122,7 +122,7 @@
         if self.is_busy or not self._has_work():
             return
         commit = self._plan()
-        wait_s = self._bucket.wait(commit.cost)
+        wait_s = self._bucket.seconds_until_available(commit.cost)
         if wait_s > 0:
             self._is_scheduled = True
             self.later(wait_s, self._commit)
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -108,7 +108,9 @@
     def _send_again(self, transaction: Transaction, outcome: Outcome) -> None:
         """The store did not carry this copy out, or it is not known whether it did."""
         self._bucket.take(transaction.change_count)
-        delay_s = max(self._retry_s / 4, self._bucket.wait(transaction.change_count))
+        delay_s = max(
+            self._retry_s / 4, self._bucket.seconds_until_available(transaction.change_count)
+        )
         if outcome is Outcome.INDETERMINATE:
             self._may_be_applied = True
         self.later(delay_s, self._send_copy, transaction)
--- a/flaxtally/runtime/token_bucket.py
+++ b/flaxtally/runtime/token_bucket.py
@@ -15,21 +15,21 @@
         self._runtime, self._rate_per_s, self._burst = runtime, rate_per_s, burst
         self._tokens, self._refilled_at = burst, runtime.now()
 
-    def wait(self, cost: float) -> float:
+    def seconds_until_available(self, cost: float) -> float:
         """Returns the seconds until `cost` tokens can be taken (0: now)."""
         now = self._runtime.now()
         self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate_per_s)
         self._refilled_at = now
-        wait = (min(cost, self._burst) - self._tokens) / self._rate_per_s
+        seconds_until_available = (min(cost, self._burst) - self._tokens) / self._rate_per_s
         # A wait shorter than the clock's resolution would be repeated indefinitely.
-        return wait if wait > 1e-6 else 0.0
+        return seconds_until_available if seconds_until_available > 1e-6 else 0.0
 
     def take(self, cost: float) -> None:
         self._tokens -= cost
 
     def try_take(self, cost: float) -> bool:
         """Takes `cost` tokens if there are that many now; returns whether it did."""
-        if self.wait(cost):
+        if self.seconds_until_available(cost):
             return False
         self.take(cost)
         return True
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -26,7 +26,7 @@
 from flaxtally.settings import Team
 
 from .simulation import Simulation
-from .test_sockets import play
+from .test_sockets import run_for
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -129,7 +129,7 @@
     def run(self, seconds: float) -> None:
         """Plays; at every moment what both may use is within the limit."""
         for _ in range(round(seconds / 0.01)):
-            play(self.sim, 0.01)
+            run_for(self.sim, 0.01)
             assert self.north.gpus + self.south.gpus <= TEAM.gpus_max + TOLERANCE
             assert self.row().total.within(limit_of(TEAM))
 
@@ -138,7 +138,7 @@
         end = self.sim.time + most
         while not condition():
             assert self.sim.time < end, "it never came to that"
-            play(self.sim, 0.01)
+            run_for(self.sim, 0.01)
 
     def row(self) -> TeamShares:
         stored = self.state.rows.get(SHARES + "crew")
@@ -237,7 +237,7 @@
     cluster.until(lambda: cluster.north.gpus < 3.9)
     cluster.put(SHARES + "crew", msgspec.to_builtins(newer))
     for _ in range(400):
-        play(cluster.sim, 0.01)
+        run_for(cluster.sim, 0.01)
         assert cluster.row().total.within(limit_of(TEAM))
         assert cluster.row().share("north").gpus <= 1.0, "what was given came back"
 
@@ -248,7 +248,7 @@
     other = Team("other crew", 0.0, 10.0, 0.0, 2.0)
     cluster = Shares(other)
     cluster.put(SHARES + "crew", {"of": "everything"})
-    play(cluster.sim, 6.0)
+    run_for(cluster.sim, 6.0)
     assert cluster.north.gpus < TOLERANCE
     damaged = [line for line in caplog.messages if "shares_damaged team=crew" in line]
     assert len(damaged) == 2, "one line a leader"
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -51,7 +51,7 @@
 from flaxtally.settings import parse
 
 from .simulation import Host, Simulation
-from .test_sockets import play
+from .test_sockets import run_for
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -156,13 +156,13 @@
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
-    play(sim, 10.0)
+    run_for(sim, 10.0)
     assert all(0.7 * PLAN.report_s < gap < 1.3 * PLAN.report_s for gap in gaps(controller)[1:])
     before = len(controller.reports)
     for number in range(60):
         sim.at(sim.time + number * 0.05, worker.report_soon)
     began = sim.time
-    play(sim, 3.0)
+    run_for(sim, 3.0)
     changes = controller.reports[before:]
     assert changes[0][0] - began < REPORT_GAP_S + 0.1
     # Changes that follow each other fast don't put the report off: one comes every half second.
@@ -176,12 +176,12 @@
     worker = hollow(sim, events)
     task = f"{reference(1)}/0"
     controller.commands = [wire.launch(task, 1)]
-    play(sim, 10.0)
+    run_for(sim, 10.0)
     assert events == [f"start {task} 1"]
     worker.silence(1.5 * PLAN.lease_s)
-    play(sim, 1.4 * PLAN.lease_s)
+    run_for(sim, 1.4 * PLAN.lease_s)
     assert events == [f"start {task} 1", f"end lapsed {task} 1"]
-    play(sim, PLAN.lease_s)
+    run_for(sim, PLAN.lease_s)
     assert controller.reports[-1][1].incarnation == 2
     assert controller.reports[-1][1].tasks == []
 
@@ -191,9 +191,9 @@
     controller = Controller(sim, PLAN)
     worker = hollow(sim, events)
     controller.commands = [wire.launch(f"{reference(1)}/0", 1)]
-    play(sim, 10.0)
+    run_for(sim, 10.0)
     worker.restart()
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     report = controller.reports[-1][1]
     assert (report.incarnation, report.tasks) == (2, [])
 
@@ -206,11 +206,11 @@
     spec = Load(PLAN).job(1).spec
     controller.commands = [wire.launch(f"{spec.ref}/{task}", 1) for task in range(2)]
     while controller.commands:
-        play(sim, 0.02)
+        run_for(sim, 0.02)
     usual = spec.image_gb / PLAN.types[0].fetch_gb_per_s
-    play(sim, usual * 0.6)
+    run_for(sim, usual * 0.6)
     assert events == [], "a task started before its image was there"
-    play(sim, usual)
+    run_for(sim, usual)
     assert len(events) == 2
 
 
@@ -241,13 +241,13 @@
     user = Answers(sim.host("10.3.0.1"), where)
     for number in range(15):
         user.ask("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert (user.statuses.count(200), user.statuses.count(429)) == (10, 5)
     assert service.throttled_count == 5
     assert len(service.rows) == 10
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     user.ask("POST", wire.TXN, wire.Transaction.build({}, {"k/late": 1}, []))
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert user.statuses[-1] == 200
 
 
@@ -267,13 +267,13 @@
     cloud = RemoteCloud(sim.host(HOST), plan, told)  # type: ignore[arg-type]
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
     user.ask("POST", wire.RELEASE, wire.TerminateRequest(["n-000000", "n-000001"]))
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert told.messages == [TakeMachines(1, ["n-000000", "n-000001"])]
     cloud.taken(1)
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert user.statuses == []
     cloud.taken(1)
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert user.statuses == [200]
     assert len(cloud.machines) == 58
 
@@ -285,7 +285,7 @@
     user = Answers(sim.host("10.3.0.1"), plan.cloud)
     user.ask("GET", wire.list_machines_path(None, 500))
     user.ask("GET", wire.list_machines_path("n-000499", 500))
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     first, second = (msgspec.msgpack.decode(body, type=wire.MachineList) for body in user.bodies)
     assert [len(first.machines), first.more] == [500, True]
     assert [len(second.machines), second.more] == [200, False]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -15,7 +15,7 @@
     request.reply(200, {"path": request.path})
 
 
-def play(sim: Simulation, seconds: float) -> None:
+def run_for(sim: Simulation, seconds: float) -> None:
     end = sim.time + seconds
     while sim.next_time() <= end:
         sim.step()
@@ -99,9 +99,9 @@
 
     for number in range(6):
         query(number)
-    play(sim, 5.0)
+    run_for(sim, 5.0)
     assert sorted(replies) == list(range(6))
     assert all(at <= 2.01 for at, _ in replies.values())
     sim.at(sim.time, query, 5)
-    play(sim, 1.0)
+    run_for(sim, 1.0)
     assert replies[5][1] == 200
