--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -50,7 +50,7 @@
         for machine in plan.machines:
             self.add_running(machine)
 
-    def _release(self, request: Request, names: list[str]) -> None:
+    def _terminate(self, request: Request, names: list[str]) -> None:
         for name in names:
             self.remove_machine(name)
         self._release_count += 1
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -114,7 +114,7 @@
             return 0.0
         now = self._runtime.now()
         if spec.image not in self._fetched_at:
-            usual = spec.image_gb / self._kind.fetch_gb_per_s
+            usual = spec.image_gb / self._machine_type.fetch_gb_per_s
             drawn = usual * self._rng.uniform(1 - FETCH_VARIATION, 1 + FETCH_VARIATION)
             self._fetched_at[spec.image] = now + drawn
         return max(0.0, self._fetched_at[spec.image] - now)
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -91,7 +91,7 @@
         elif path == wire.CATALOG:
             request.reply(200, wire.MachineTypeList(self._types))
         elif path == wire.RELEASE:
-            self._release(
+            self._terminate(
                 request, msgspec.msgpack.decode(request.body, type=wire.TerminateRequest).machines
             )
         elif request.method == "POST":
@@ -99,7 +99,7 @@
         else:
             self._list_page(request)
 
-    def _release(self, request: Request, names: list[str]) -> None:
+    def _terminate(self, request: Request, names: list[str]) -> None:
         for name in names:
             self.remove_machine(name)
         request.reply(200, {})
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -43,7 +43,12 @@
     ) -> None:
         """`gangs`: where the tasks of gangs meet; None: they run like those of arrays."""
         self._gangs = gangs
-        self._runtime, self.machine, self._kind, self._address = runtime, machine, kind, address
+        self._runtime, self.machine, self._machine_type, self._address = (
+            runtime,
+            machine,
+            kind,
+            address,
+        )
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
         self._spec, self._run_time, self._watch, self._rng = spec, run_time, watch, rng
         self.tasks: dict[tuple[str, int], HeldTask] = {}
@@ -63,7 +68,7 @@
         """Whether tasks that are stopped with a grace period take their time to save."""
         self._renewed = runtime.now()
         self._images: set[str] = set()
-        self._at = rng.choice(sorted(nodes))
+        self._controller = rng.choice(sorted(nodes))
         self._clients = {name: Client(runtime, where) for name, where in nodes.items()}
         self._busy = False
         self._next: Timer | None = None
@@ -111,7 +116,7 @@
             self._expire_lease()
             session = self.session
         self._busy = True
-        node = self._at
+        node = self._controller
 
         def told(reply: Reply) -> None:
             self._busy = False
@@ -127,10 +132,10 @@
             elif reply.status == 421:
                 target = msgspec.msgpack.decode(reply.body, type=wire.Redirect).controller
                 known = target in self._nodes and target != node
-                self._at = target if known and target else self._other(node)
+                self._controller = target if known and target else self._other(node)
                 delay = self._rng.uniform(0, 0.5) if known else 1.0
             elif reply.status != 200:
-                self._at, delay = self._other(node), 1.0
+                self._controller, delay = self._other(node), 1.0
             self._schedule_heartbeat(delay)
 
         if self.mute:
@@ -235,7 +240,7 @@
             for other in live
             if (found := self._spec(other.task.partition("/")[0])) is not None
         ]
-        kind = self._kind
+        kind = self._machine_type
         if spec is None:
             held.state, held.cause = wire.EXITED, wire.CAUSE_UNKNOWN
         elif any(other.task == order.task for other in live):
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -157,7 +157,7 @@
     cluster.run(20.0)
     for worker in cluster.workers.values():
         cell = NORTH if worker.machine.zone == "a" else SOUTH
-        assert worker._at.startswith(cell), (worker.machine, worker._at)
+        assert worker._controller.startswith(cell), (worker.machine, worker._controller)
     for name, node in cluster.nodes.items():
         zones = {machine.zone for machine in node.leader.term.fleet.machines.values()}
         assert zones <= {"a" if name.startswith(NORTH) else "b"}
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -103,7 +103,7 @@
     # through the next.
     cluster = start_busy_cluster(services=8, run_time=100.0)
     old = wait_for_leader(cluster)
-    served = [name for name, worker in cluster.workers.items() if worker._at == old]
+    served = [name for name, worker in cluster.workers.items() if worker._controller == old]
     cluster.isolate(old, 30.0)
     assert cluster.run_until(lambda: wait_for_leader(cluster) != old, 15)
     cluster.run(1)
