--- a/flaxtally/fakes/__init__.py
+++ b/flaxtally/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the outside systems, for the simulated world and the demo.
+"""Fakes of the external systems (cloud, state service, workers) for tests, emulator and demo.
 
-They run on any `Runtime`, so the same ones serve on a simulated network and on loopback.
+They run on any `Runtime`, so the same fakes work on a simulated network and on loopback.
 """
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -1,4 +1,4 @@
-"""A stand-in for the cloud: capacity by pool, boot times, a list, an outage."""
+"""A fake cloud: capacity by pool, boot times, a machine list that lags, outages."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from ..runtime.loop import Address, Runtime
     from ..runtime.token_bucket import TokenBucket
 
-MOST_LISTED = 500
-"""PROTOCOL: machines a page of the list."""
-OLDEST_S = 1e6
-"""The age of machines that were there before the stand-in began."""
+MAX_MACHINES_PER_PAGE = 500
+"""PROTOCOL: the most machines on a page of the list."""
+MAX_AGE_S = 1e6
+"""The largest age reported, also of machines that were running before the fake started."""
 
 
 def equal_pools(
     types: Iterable[wire.MachineType], zones: Iterable[str], machines: int
 ) -> dict[tuple[str, str, bool], int]:
-    """As many machines in each pool: by type and zone, spot and not."""
+    """Returns the same capacity for each pool: by machine type, zone, and spot or not."""
     return {
         (kind.name, zone, spot): machines
         for kind in types
@@ -36,7 +36,7 @@
 
 
 class Cloud:
-    """`start(machine)` is called when a machine is up and `end(machine)` when it is gone."""
+    """Calls `on_start(machine)` when a machine has booted, `on_end(name)` when it is removed."""
 
     def __init__(
         self,
@@ -44,35 +44,34 @@
         address: Address,
         types: list[wire.MachineType],
         capacity: dict[tuple[str, str, bool], int],
-        place: Callable[[int], str],
-        start: Callable[[wire.Listed], None],
-        end: Callable[[str], None],
+        make_address: Callable[[int], str],
+        on_start: Callable[[wire.Listed], None],
+        on_end: Callable[[str], None],
         rng: random.Random,
     ) -> None:
         self._runtime, self._types, self._capacity, self._rng = runtime, types, capacity, rng
-        self._place, self._start, self._end = place, start, end
+        self._make_address, self._on_start, self._on_end = make_address, on_start, on_end
         self.machines: dict[str, wire.Listed] = {}
-        self._asked_at: dict[str, float] = {}
-        self._answers: dict[str, list[str]] = {}
+        self._requested_at: dict[str, float] = {}
+        self._granted: dict[str, list[str]] = {}
         self.down = False
         self.limit: TokenBucket | None = None
-        """PROTOCOL: above it requests are answered 429; None: unlimited."""
+        """PROTOCOL: requests above this rate get status 429; None: unlimited."""
         self.throttled_count = 0
-        """Requests that were answered 429."""
+        """Number of requests that got status 429."""
         self.boots_fail = False
+        """Whether machines provisioned from now on never finish booting."""
         self.boot: float | None = None
-        """Seconds that every machine rented from now on takes to boot; None: about its type's boot
-        time.
-        """
+        """Boot time in seconds of machines provisioned from now on; None: about their type's."""
         self.list_lag_s = 0.0
-        """The list is that much old, at times twice."""
-        self._up_at: dict[str, float] = {}
-        self._gone: dict[str, tuple[float, wire.Listed]] = {}
+        """Seconds by which the list is outdated: drawn for each between once and twice this."""
+        self._running_since: dict[str, float] = {}
+        self._removed: dict[str, tuple[float, wire.Listed]] = {}
         self.change_requests: list[tuple[str, str]] = []
-        """Host and path of each request that changes something, in order."""
+        """Host and path of each request that changes machines, in order."""
         self.provision_requests: list[str] = []
-        """The rental requests that came, in order, repeats too."""
-        self._count = 0
+        """Identifiers of the provisioning requests received, in order, with repeats."""
+        self._machine_count = 0
         Server(runtime, address, self._handle, 1000, 600.0, 1.0)
 
     def _handle(self, request: Request) -> None:
@@ -95,7 +94,9 @@
                 request, msgspec.msgpack.decode(request.body, type=wire.TerminateRequest).machines
             )
         elif request.method == "POST":
-            self._rent(request, msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest))
+            self._provision(
+                request, msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest)
+            )
         else:
             self._list_page(request)
 
@@ -106,68 +107,79 @@
 
     def _list_page(self, request: Request) -> None:
         query = parse_qs(request.path.partition("?")[2])
-        after, most = query.get("after", [""])[0], int(query.get("most", [str(MOST_LISTED)])[0])
-        machines = [machine for machine in self._list() if machine.machine > after]
-        request.reply(200, wire.MachineList(machines[:most], len(machines) > most))
+        after, max_count = (
+            query.get("after", [""])[0],
+            int(query.get("most", [str(MAX_MACHINES_PER_PAGE)])[0]),
+        )
+        machines = [machine for machine in self._list_machines() if machine.machine > after]
+        request.reply(200, wire.MachineList(machines[:max_count], len(machines) > max_count))
 
-    def _list(self) -> list[wire.Listed]:
-        """The machines as they were a while ago, in the order of their names."""
-        then = self._runtime.now() - (
+    def _list_machines(self) -> list[wire.Listed]:
+        """Returns the machines as they were `list_lag_s` ago or earlier, ordered by name."""
+        listed_at = self._runtime.now() - (
             self.list_lag_s * self._rng.uniform(1, 2) if self.list_lag_s else 0.0
         )
         known = dict(self.machines)
-        known.update({name: machine for name, (at, machine) in self._gone.items() if at > then})
+        known.update(
+            {name: machine for name, (at, machine) in self._removed.items() if at > listed_at}
+        )
         listed = []
         for name, machine in sorted(known.items()):
-            if self._asked_at[name] <= then:
-                up = self._up_at.get(name, float("inf")) <= then
-                state = machine.state if up or machine.state == wire.FAILED else wire.BOOTING
-                age = min(then - self._asked_at[name], OLDEST_S)
+            if self._requested_at[name] <= listed_at:
+                is_running = self._running_since.get(name, float("inf")) <= listed_at
+                state = (
+                    machine.state if is_running or machine.state == wire.FAILED else wire.BOOTING
+                )
+                age = min(listed_at - self._requested_at[name], MAX_AGE_S)
                 listed.append(msgspec.structs.replace(machine, age_s=age, state=state))
         return listed
 
-    def _rent(self, request: Request, rental: wire.ProvisionRequest) -> None:
-        if rental.request not in self._answers:
-            pool = (rental.machine_type, rental.zone, rental.spot)
+    def _provision(self, request: Request, provision: wire.ProvisionRequest) -> None:
+        if provision.request not in self._granted:
+            pool = (provision.machine_type, provision.zone, provision.spot)
             used = sum((m.machine_type, m.zone, m.spot) == pool for m in self.machines.values())
-            count = min(rental.count, self._capacity.get(pool, 0) - used)
+            count = min(provision.count, self._capacity.get(pool, 0) - used)
             if count <= 0:
                 request.reply(503, {"error": "no capacity"})
                 return
-            self._answers[rental.request] = [self.add(*pool) for _ in range(count)]
-        request.reply(200, wire.ProvisionReply(self._answers[rental.request]))
+            self._granted[provision.request] = [self.add(*pool) for _ in range(count)]
+        request.reply(200, wire.ProvisionReply(self._granted[provision.request]))
 
     def add_running(self, machine: wire.Listed) -> None:
-        """A machine that is up already, with its worker, and was rented long ago."""
-        self._count += 1
+        """Adds a machine that was provisioned long ago and already runs its worker."""
+        self._machine_count += 1
         self.machines[machine.machine] = machine
-        self._asked_at[machine.machine] = self._up_at[machine.machine] = float("-inf")
+        self._requested_at[machine.machine] = self._running_since[machine.machine] = float("-inf")
 
     def add(self, kind: str, zone: str, spot: bool, boot: float | None = None) -> str:
-        """A machine that boots from now on."""
-        name = f"n-{self._count:06d}"
-        machine = wire.Listed(name, kind, zone, spot, wire.BOOTING, 0.0, self._place(self._count))
-        self._count += 1
+        """Adds a machine that starts to boot now; returns its name."""
+        name = f"n-{self._machine_count:06d}"
+        machine = wire.Listed(
+            name, kind, zone, spot, wire.BOOTING, 0.0, self._make_address(self._machine_count)
+        )
+        self._machine_count += 1
         self.machines[name] = machine
-        self._asked_at[name] = self._runtime.now()
+        self._requested_at[name] = self._runtime.now()
         if not self.boots_fail:
-            nominal = next(entry.boot_s for entry in self._types if entry.name == kind)
+            usual_boot_s = next(entry.boot_s for entry in self._types if entry.name == kind)
             boot = self.boot if boot is None else boot
             self._runtime.after(
-                nominal * self._rng.uniform(0.6, 1.5) if boot is None else boot, self._up, name
+                usual_boot_s * self._rng.uniform(0.6, 1.5) if boot is None else boot,
+                self._finish_boot,
+                name,
             )
         return name
 
-    def _up(self, name: str) -> None:
+    def _finish_boot(self, name: str) -> None:
         machine = self.machines.get(name)
         if machine is not None:
             machine.state = "running"
-            self._up_at[name] = self._runtime.now()
-            self._start(machine)
+            self._running_since[name] = self._runtime.now()
+            self._on_start(machine)
 
     def remove_machine(self, name: str) -> None:
-        """The machine and everything on it are gone."""
+        """Removes the machine with everything on it."""
         machine = self.machines.pop(name, None)
         if machine is not None:
-            self._gone[name] = self._runtime.now(), machine
-            self._end(name)
+            self._removed[name] = self._runtime.now(), machine
+            self._on_end(name)
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -1,4 +1,4 @@
-"""The stand-ins on loopback, with settings for three controllers: a service to try things on."""
+"""The fakes on loopback, with settings for three controllers: a deployment for trying things."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 HOST = "127.0.0.1"
 NODES = ("controller-0", "controller-1", "controller-2")
 ZONES = ("a", "b")
-CAPACITY = 3
-TYPES = [
+MACHINES_PER_POOL = 3
+MACHINE_TYPES = [
     wire.MachineType("c16", 16.0, 0.0, 64.0, 40.0, 2.0, 1.0, 0.4, 5.0, list(ZONES)),
     wire.MachineType("g8", 32.0, 8.0, 256.0, 200.0, 4.0, 12.0, 4.0, 8.0, list(ZONES)),
 ]
@@ -55,30 +55,30 @@
 )
 
 
-def users(first: int, number: int) -> Address:
-    """Where a controller listens to users."""
-    return HOST, first + 2 + 2 * number
+def user_address(first_port: int, number: int) -> Address:
+    """Returns the address on which a controller listens to users."""
+    return HOST, first_port + 2 + 2 * number
 
 
-def peers(first: int, number: int) -> Address:
-    """Where a controller listens to the others."""
-    return HOST, users(first, number)[1] + 1
+def peer_address(first_port: int, number: int) -> Address:
+    """Returns the address on which a controller listens to its peers."""
+    return HOST, user_address(first_port, number)[1] + 1
 
 
-def build_controller_settings(first: int, number: int) -> str:
-    """The settings of one controller."""
+def build_controller_settings(first_port: int, number: int) -> str:
+    """Returns the text of one controller's settings file."""
     settings = Settings(
         node=NODES[number],
         zone=ZONES[number % 2],
-        listen=users(first, number),
-        peer_listen=peers(first, number),
+        listen=user_address(first_port, number),
+        peer_listen=peer_address(first_port, number),
         peers={
-            name: (ZONES[other % 2], peers(first, other))
+            name: (ZONES[other % 2], peer_address(first_port, other))
             for other, name in enumerate(NODES)
             if other != number
         },
-        cloud=(HOST, first + 1),
-        state=(HOST, first),
+        cloud=(HOST, first_port + 1),
+        state=(HOST, first_port),
         zones=ZONES,
         teams={TEAM.name: TEAM},
         objectives=(),
@@ -97,40 +97,40 @@
 
 
 class Demo:
-    """State service, cloud and workers on one loop; ports follow each other from the first."""
+    """State service, cloud and workers on one loop, on consecutive ports from `first_port`."""
 
-    def __init__(self, loop: Loop, first: int) -> None:
-        self._loop, self._first, self._rng = loop, first, random.Random()
-        self.state = FakeKeyValueStore(loop, (HOST, first))
+    def __init__(self, loop: Loop, first_port: int) -> None:
+        self._loop, self._first_port, self._rng = loop, first_port, random.Random()
+        self.state = FakeKeyValueStore(loop, (HOST, first_port))
         self.cloud = Cloud(
             loop,
-            (HOST, first + 1),
-            TYPES,
-            equal_pools(TYPES, ZONES, CAPACITY),
-            lambda count: f"{HOST}:{first + 20 + count}",
+            (HOST, first_port + 1),
+            MACHINE_TYPES,
+            equal_pools(MACHINE_TYPES, ZONES, MACHINES_PER_POOL),
+            lambda count: f"{HOST}:{first_port + 20 + count}",
             self._start,
             self._end,
             self._rng,
         )
         self._workers: dict[str, Worker] = {}
-        self._gangs = GangRendezvous(loop, GANG_WAIT_S, GANG_PEER_S, self._run_time)
+        self._gang_rendezvous = GangRendezvous(loop, GANG_WAIT_S, GANG_PEER_S, self._run_time)
 
     def _start(self, machine: wire.Listed) -> None:
-        kind = next(entry for entry in TYPES if entry.name == machine.machine_type)
+        machine_type = next(entry for entry in MACHINE_TYPES if entry.name == machine.machine_type)
         host, _, port = str(machine.address).partition(":")
         self._workers[machine.machine] = Worker(
             self._loop,
             machine,
-            kind,
+            machine_type,
             (host, int(port)),
-            {name: users(self._first, n) for n, name in enumerate(NODES)},
+            {name: user_address(self._first_port, n) for n, name in enumerate(NODES)},
             REPORT_S,
             LEASE_S,
             self.spec,
             self._run_time,
             self._watch,
             self._rng,
-            self._gangs,
+            self._gang_rendezvous,
         )
         log.info(
             "event=machine_up machine=%s type=%s zone=%s",
@@ -146,9 +146,9 @@
         log.info("event=machine_gone machine=%s", name)
 
     def spec(self, ref: str) -> wire.Spec | None:
-        """What the workers know of a job.
+        """Returns a job's spec for the workers.
 
-        Users hand it to them on a way of their own, which the demo has not; its workers look into
+        Real users upload it to the workers directly. The demo has no such path; its workers read
         the ledger instead.
         """
         for key, (value, _, _) in self.state.rows.items():
@@ -180,18 +180,18 @@
         )
 
 
-def run(folder: Path, first: int) -> int:
-    """Writes the settings and a job, says what to do with them, and plays until it is stopped."""
+def run(folder: Path, first_port: int) -> int:
+    """Writes settings and a job, prints the commands to use them, and runs until it is stopped."""
     folder.mkdir(parents=True, exist_ok=True)
     loop = Loop()
-    Demo(loop, first)
+    Demo(loop, first_port)
     for number, name in enumerate(NODES):
         (folder / f"{name}.toml").write_text(
-            build_controller_settings(first, number), encoding="utf-8"
+            build_controller_settings(first_port, number), encoding="utf-8"
         )
     (folder / "job.json").write_bytes(msgspec.json.format(msgspec.json.encode(JOB)) + b"\n")
-    host, port = users(first, 0)
-    print(f"stand-ins run on {host}, ports from {first}; now, each in a terminal of its own:")
+    host, port = user_address(first_port, 0)
+    print(f"stand-ins run on {host}, ports from {first_port}; now, each in a terminal of its own:")
     for name in NODES:
         print(f"  python3 -m flaxtally serve --config {folder / name}.toml")
     print(f"  python3 -m flaxtally submit {folder / 'job.json'} --to {host}:{port}")
--- a/flaxtally/fakes/gang_rendezvous.py
+++ b/flaxtally/fakes/gang_rendezvous.py
@@ -1,7 +1,7 @@
-"""How the tasks of a gang find each other on the stand-in workers of one deployment.
+"""The rendezvous of a gang's tasks on the fake workers of one deployment.
 
-They meet by their attempt number, start when the last has its image, complete together, notice when
-one is gone, and save together.
+The tasks of an attempt start when the last one has its image, complete together, detect when one of
+them is lost, and save together.
 """
 
 from __future__ import annotations
@@ -19,40 +19,40 @@
 
 log = logging.getLogger(__name__)
 
-LOOK_S = 0.5
-"""How often hung machines are looked for, and what waits for one is tried again."""
+CHECK_INTERVAL_S = 0.5
+"""Seconds between checks for hung machines, and between tries of what waits for one."""
 
 
 class Host(Protocol):
-    """What a meeting needs of a worker."""
+    """The part of a worker that a rendezvous uses."""
 
     hung: bool
     slowness: float
 
     def set_state(self, held: HeldTask, state: str) -> None:
-        """The task goes on in that state, and this is reported."""
+        """Puts the task into that state and reports it."""
 
     def exit(self, held: HeldTask, cause: str) -> None:
-        """The task exits."""
+        """Ends the task."""
 
 
-class _Meeting:
-    """The tasks of one attempt that are on machines with their image."""
+class _Rendezvous:
+    """The tasks of one attempt whose machines have their image."""
 
     def __init__(self, spec: wire.Spec) -> None:
         self.spec = spec
         self.members: dict[str, tuple[Host, HeldTask]] = {}
-        self.began_at: float | None = None
+        self.started_at: float | None = None
         self.stopped_at: float | None = None
-        self.told: set[str] = set()
-        """Tasks that were told to save."""
+        self.stopping: set[str] = set()
+        """Tasks that have received a stop command and save."""
         self.saved: set[str] = set()
-        self.is_over = False
+        self.is_finished = False
         self.completion: Timer | None = None
 
 
 class GangRendezvous:
-    """Owns the meetings, and the progress of gangs that is safe."""
+    """Owns the rendezvous of all attempts and the saved progress of gangs."""
 
     def __init__(
         self,
@@ -63,26 +63,26 @@
     ) -> None:
         self._runtime, self._wait_s, self._peer_s = runtime, wait_s, peer_s
         self._run_time = run_time
-        self._meetings: dict[tuple[str, int], _Meeting] = {}
+        self._rendezvous_by_attempt: dict[tuple[str, int], _Rendezvous] = {}
         self.saved_progress_s: dict[str, float] = {}
-        """By job, its saved progress in seconds."""
+        """Saved progress in seconds, by job."""
         self.started_attempts: list[tuple[str, int]] = []
-        """Jobs and attempts that began, in order."""
+        """Jobs and attempts whose tasks all started, in order."""
         self.exits: list[tuple[str, int, str]] = []
-        """Tasks, attempts and causes, in order."""
+        """Tasks, attempts and causes of exits, in order."""
 
     def arrive(self, host: Host, held: HeldTask, spec: wire.Spec) -> None:
-        """A task has its image."""
+        """Adds a task that has its image; the last one of the attempt starts all."""
         ref = held.task.partition("/")[0]
-        meeting = self._meetings.setdefault((ref, held.attempt), _Meeting(spec))
-        meeting.members[held.task] = host, held
+        rendezvous = self._rendezvous_by_attempt.setdefault((ref, held.attempt), _Rendezvous(spec))
+        rendezvous.members[held.task] = host, held
         host.set_state(held, wire.WAITING)
         held.timer = self._runtime.after(self._wait_s, host.exit, held, wire.CAUSE_ALONE)
-        if len(meeting.members) == spec.tasks and meeting.began_at is None:
-            self._begin(ref, held.attempt, meeting)
+        if len(rendezvous.members) == spec.tasks and rendezvous.started_at is None:
+            self._start(ref, held.attempt, rendezvous)
 
-    def _begin(self, ref: str, attempt: int, meeting: _Meeting) -> None:
-        meeting.began_at = self._runtime.now()
+    def _start(self, ref: str, attempt: int, rendezvous: _Rendezvous) -> None:
+        rendezvous.started_at = self._runtime.now()
         self.started_attempts.append((ref, attempt))
         log.info(
             "event=gang_begins job=%s attempt=%d progress=%.1f",
@@ -90,115 +90,119 @@
             attempt,
             self.saved_progress_s.get(ref, 0.0),
         )
-        for host, held in meeting.members.values():
+        for host, held in rendezvous.members.values():
             if held.timer is not None:
                 held.timer.cancel()
             host.set_state(held, wire.RUNNING)
-        length = self._run_time(ref)
-        if length is not None:
-            slowest = max(host.slowness for host, _ in meeting.members.values())
-            left = max(0.0, length - self.saved_progress_s.get(ref, 0.0)) * slowest
-            meeting.completion = self._runtime.after(left, self._complete, meeting)
-        self._runtime.after(LOOK_S, self._look, meeting, None)
-
-    def _complete(self, meeting: _Meeting) -> None:
-        if meeting.is_over or meeting.stopped_at is not None:
+        run_time_s = self._run_time(ref)
+        if run_time_s is not None:
+            max_slowness = max(host.slowness for host, _ in rendezvous.members.values())
+            remaining_s = max(0.0, run_time_s - self.saved_progress_s.get(ref, 0.0)) * max_slowness
+            rendezvous.completion = self._runtime.after(remaining_s, self._complete, rendezvous)
+        self._runtime.after(CHECK_INTERVAL_S, self._check_hung_machines, rendezvous, None)
+
+    def _complete(self, rendezvous: _Rendezvous) -> None:
+        if rendezvous.is_finished or rendezvous.stopped_at is not None:
             return
-        if any(host.hung for host, _ in meeting.members.values()):
-            meeting.completion = self._runtime.after(LOOK_S, self._complete, meeting)
+        if any(host.hung for host, _ in rendezvous.members.values()):
+            rendezvous.completion = self._runtime.after(
+                CHECK_INTERVAL_S, self._complete, rendezvous
+            )
             return
-        meeting.is_over = True
-        self._exit_all(meeting, wire.CAUSE_DONE)
+        rendezvous.is_finished = True
+        self._exit_all(rendezvous, wire.CAUSE_DONE)
 
-    def _look(self, meeting: _Meeting, hung_since: float | None) -> None:
-        """A hung machine is noticed like one that is gone."""
-        if meeting.is_over:
+    def _check_hung_machines(self, rendezvous: _Rendezvous, hung_since: float | None) -> None:
+        """Fails the attempt when a machine hangs for longer than `peer_s`, as if it were lost."""
+        if rendezvous.is_finished:
             return
         now = self._runtime.now()
-        if not any(host.hung for host, _ in meeting.members.values()):
+        if not any(host.hung for host, _ in rendezvous.members.values()):
             hung_since = None
         elif hung_since is None:
             hung_since = now
         elif now - hung_since > self._peer_s:
-            self._break(meeting)
+            self._fail(rendezvous)
             return
-        self._runtime.after(LOOK_S, self._look, meeting, hung_since)
+        self._runtime.after(CHECK_INTERVAL_S, self._check_hung_machines, rendezvous, hung_since)
 
-    def left(self, held: HeldTask, cause: str) -> None:
-        """A task of a gang ended, or its machine did."""
+    def leave(self, held: HeldTask, cause: str) -> None:
+        """Removes a task that ended, or whose machine was lost; the others exit after `peer_s`."""
         ref = held.task.partition("/")[0]
-        meeting = self._meetings.get((ref, held.attempt))
-        if meeting is None or meeting.members.pop(held.task, None) is None:
+        rendezvous = self._rendezvous_by_attempt.get((ref, held.attempt))
+        if rendezvous is None or rendezvous.members.pop(held.task, None) is None:
             return
         self.exits.append((held.task, held.attempt, cause))
-        if meeting.began_at is not None and not meeting.is_over:
-            self._note_progress(meeting, ref)
-            meeting.is_over = True
-            self._runtime.after(self._peer_s, self._exit_all, meeting, wire.CAUSE_PEERS)
-
-    def _break(self, meeting: _Meeting) -> None:
-        self._note_progress(meeting, next(iter(meeting.members)).partition("/")[0])
-        meeting.is_over = True
-        self._exit_all(meeting, wire.CAUSE_PEERS)
-
-    def _note_progress(self, meeting: _Meeting, ref: str) -> None:
-        """The gang falls back to its last checkpoint."""
-        every, began_at = meeting.spec.checkpoint_interval_s, meeting.began_at
-        if every and began_at is not None:
-            until = meeting.stopped_at or self._runtime.now()
-            progress = self.saved_progress_s.get(ref, 0.0) + until - began_at
+        if rendezvous.started_at is not None and not rendezvous.is_finished:
+            self._save_progress(rendezvous, ref)
+            rendezvous.is_finished = True
+            self._runtime.after(self._peer_s, self._exit_all, rendezvous, wire.CAUSE_PEERS)
+
+    def _fail(self, rendezvous: _Rendezvous) -> None:
+        self._save_progress(rendezvous, next(iter(rendezvous.members)).partition("/")[0])
+        rendezvous.is_finished = True
+        self._exit_all(rendezvous, wire.CAUSE_PEERS)
+
+    def _save_progress(self, rendezvous: _Rendezvous, ref: str) -> None:
+        """Sets the saved progress to the gang's last checkpoint."""
+        interval_s, started_at = rendezvous.spec.checkpoint_interval_s, rendezvous.started_at
+        if interval_s and started_at is not None:
+            ended_at = rendezvous.stopped_at or self._runtime.now()
+            progress = self.saved_progress_s.get(ref, 0.0) + ended_at - started_at
             self.saved_progress_s[ref] = max(
-                self.saved_progress_s.get(ref, 0.0), progress // every * every
+                self.saved_progress_s.get(ref, 0.0), progress // interval_s * interval_s
             )
 
-    def _exit_all(self, meeting: _Meeting, cause: str) -> None:
-        for host, held in list(meeting.members.values()):
+    def _exit_all(self, rendezvous: _Rendezvous, cause: str) -> None:
+        for host, held in list(rendezvous.members.values()):
             if host.hung:
-                self._runtime.after(LOOK_S, self._exit_all, meeting, cause)
+                self._runtime.after(CHECK_INTERVAL_S, self._exit_all, rendezvous, cause)
             else:
                 host.exit(held, cause)
 
-    def stop(self, host: Host, held: HeldTask, grace: float) -> None:
-        """A task of a gang is told to stop."""
+    def stop(self, host: Host, held: HeldTask, grace_s: float) -> None:
+        """Stops a gang's task; it saves first if the attempt runs and the grace period allows."""
         ref = held.task.partition("/")[0]
-        meeting = self._meetings.get((ref, held.attempt))
-        saves = (
-            meeting is not None
-            and meeting.began_at is not None
-            and not meeting.is_over
-            and meeting.spec.checkpoint_interval_s > 0
-            and grace >= meeting.spec.checkpoint_save_s
+        rendezvous = self._rendezvous_by_attempt.get((ref, held.attempt))
+        can_save = (
+            rendezvous is not None
+            and rendezvous.started_at is not None
+            and not rendezvous.is_finished
+            and rendezvous.spec.checkpoint_interval_s > 0
+            and grace_s >= rendezvous.spec.checkpoint_save_s
         )
-        if meeting is None or not saves:
+        if rendezvous is None or not can_save:
             host.exit(held, wire.CAUSE_HALTED)
             return
-        if held.task in meeting.told:
+        if held.task in rendezvous.stopping:
             return
-        if meeting.stopped_at is None:
-            meeting.stopped_at = self._runtime.now()
-            self._runtime.after(self._peer_s, self._end_of_stop, meeting)
-        meeting.told.add(held.task)
+        if rendezvous.stopped_at is None:
+            rendezvous.stopped_at = self._runtime.now()
+            self._runtime.after(self._peer_s, self._exit_tasks_not_stopped, rendezvous)
+        rendezvous.stopping.add(held.task)
         host.set_state(held, wire.FLUSHING)
-        self._runtime.after(meeting.spec.checkpoint_save_s, self._saved, meeting, ref, held.task)
+        self._runtime.after(
+            rendezvous.spec.checkpoint_save_s, self._saved, rendezvous, ref, held.task
+        )
 
-    def _saved(self, meeting: _Meeting, ref: str, task: str) -> None:
-        if meeting.is_over or task not in meeting.members:
+    def _saved(self, rendezvous: _Rendezvous, ref: str, task: str) -> None:
+        if rendezvous.is_finished or task not in rendezvous.members:
             return
-        meeting.saved.add(task)
-        if len(meeting.saved) == meeting.spec.tasks and meeting.stopped_at is not None:
-            began_at = meeting.began_at or 0.0
+        rendezvous.saved.add(task)
+        if len(rendezvous.saved) == rendezvous.spec.tasks and rendezvous.stopped_at is not None:
+            started_at = rendezvous.started_at or 0.0
             self.saved_progress_s[ref] = (
-                self.saved_progress_s.get(ref, 0.0) + meeting.stopped_at - began_at
+                self.saved_progress_s.get(ref, 0.0) + rendezvous.stopped_at - started_at
             )
-            meeting.is_over = True
-            for _, held in meeting.members.values():
+            rendezvous.is_finished = True
+            for _, held in rendezvous.members.values():
                 held.kept = True
-            self._exit_all(meeting, wire.CAUSE_HALTED)
-
-    def _end_of_stop(self, meeting: _Meeting) -> None:
-        """Tasks that were not told in time exit, and the save fails."""
-        late = [task for task in meeting.members if task not in meeting.told]
-        for task in late:
-            if not meeting.is_over and task in meeting.members:
-                host, held = meeting.members[task]
+            self._exit_all(rendezvous, wire.CAUSE_HALTED)
+
+    def _exit_tasks_not_stopped(self, rendezvous: _Rendezvous) -> None:
+        """Ends tasks that received no stop command within `peer_s`; then the save fails."""
+        not_stopped = [task for task in rendezvous.members if task not in rendezvous.stopping]
+        for task in not_stopped:
+            if not rendezvous.is_finished and task in rendezvous.members:
+                host, held = rendezvous.members[task]
                 host.exit(held, wire.CAUSE_PEERS)
--- a/flaxtally/fakes/held_task.py
+++ b/flaxtally/fakes/held_task.py
@@ -1,4 +1,4 @@
-"""A task on a stand-in worker."""
+"""A task on a fake worker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HeldTask:
-    """A task on the worker."""
+    """A task on the worker, with its attempt, state and cause of exit; `kept`: it has saved."""
 
     def __init__(self, task: str, attempt: int, state: str) -> None:
         self.task, self.attempt, self.state = task, attempt, state
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the state service, in memory."""
+"""A fake state service, in memory."""
 
 from __future__ import annotations
 
@@ -17,48 +17,48 @@
 
 
 class FakeKeyValueStore:
-    """Keys with versions, transactions, leases. `down` answers 503 to everything."""
+    """Keys with versions, transactions, leases. While `down`, every request gets status 503."""
 
     def __init__(
         self, runtime: Runtime, address: Address, rng: random.Random | None = None
     ) -> None:
         self._runtime, self._rng = runtime, rng or random.Random()
         self.rows: dict[str, tuple[Any, int, int | None]] = {}
+        """Value, version and lease (or None), by key."""
         self.revision = 0
         self.down = False
-        self.refused: set[str] = set()
-        """Hosts that get 503 while all others are served."""
+        self.refused_hosts: set[str] = set()
+        """Hosts whose requests get status 503 while all others are served."""
         self.lost_fraction = 0.0
-        """Of the transactions: that share gets no answer, and is carried out `lost_delay_s` seconds
-        later.
-        """
+        """Fraction of transactions that get no reply and are executed `lost_delay_s` later."""
         self.lost_delay_s = (2.0, 12.0)
+        """Range from which the delay of those transactions is drawn."""
         self.late_statuses: list[int] = []
-        """How those came out that got no answer."""
+        """Statuses of the transactions that got no reply."""
         self.extra_delay_s = 0.0
-        """How much later everything is carried out and answered."""
+        """Mean delay of every request in seconds, drawn between 0.5 and 1.5 times this."""
         self.refuse_changes = False
         self.requests = 0
         self.oversized_transactions: list[str] = []
-        """Transactions beyond `txn_ops` or `value_bytes`, said in words.
+        """Descriptions of transactions that exceed `txn_ops` or `value_bytes`.
 
-        They are carried out unless the limits are enforced.
+        They are executed unless the limits are enforced.
         """
         self._enforced = False
         self.txn_ops, self.value_bytes = 32, 8 * 1024
         self.request_limit: TokenBucket | None = None
-        """PROTOCOL: above it requests are answered 429; None: unlimited."""
+        """PROTOCOL: requests above this rate get status 429; None: unlimited."""
         self.change_limit: TokenBucket | None = None
-        """The same for puts and drops, those of failed transactions too."""
+        """The same for puts and drops, including those of failed transactions."""
         self.throttled_count = 0
-        """Requests that were answered 429."""
+        """Number of requests that got status 429."""
         self._leases: dict[int, tuple[float, float]] = {}
         self._next_lease = 1
         self.changes = 0
         Server(runtime, address, self._handle, 1000, 600.0, 1.0)
 
     def enforce(self, value_bytes: int, txn_ops: int, write_rps: float | None = None) -> None:
-        """Answers 400 to what is larger from now on, and 429 to more changes than that a second."""
+        """From now on refuses larger transactions with 400, more changes a second with 429."""
         self.value_bytes, self.txn_ops, self._enforced = value_bytes, txn_ops, True
         if write_rps is not None:
             self.change_limit = TokenBucket(self._runtime, write_rps, write_rps)
@@ -72,17 +72,17 @@
             self._serve(request)
 
     def _serve(self, request: Request) -> None:
-        if self.down or request.far in self.refused:
+        if self.down or request.far in self.refused_hosts:
             request.reply(503, {"error": "trouble"})
             return
-        self._expire()
+        self._expire_leases()
         self.requests += 1
         if self.request_limit is not None and not self.request_limit.try_take(1):
-            self._refuse(request)
+            self._reject_over_limit(request)
             return
         path, _, query = request.path.partition("?")
         if path == wire.TXN:
-            self._txn(request)
+            self._execute_transaction(request)
         elif path == wire.STORE:
             self._list(request, {name: values[0] for name, values in parse_qs(query).items()})
         elif path.startswith(wire.STORE + "/"):
@@ -93,27 +93,30 @@
             else:
                 request.reply(200, wire.Row(key, row[0], row[1]))
         elif path == wire.HOLDS:
-            life = msgspec.msgpack.decode(request.body, type=wire.LeaseRequest).milliseconds / 1000
+            duration_s = (
+                msgspec.msgpack.decode(request.body, type=wire.LeaseRequest).milliseconds / 1000
+            )
             lease, self._next_lease = self._next_lease, self._next_lease + 1
-            self._leases[lease] = (life, self._runtime.now() + life)
+            self._leases[lease] = (duration_s, self._runtime.now() + duration_s)
             request.reply(200, wire.Lease(lease))
         else:
             lease = int(path.split("/")[2])
             if lease not in self._leases:
                 request.reply(404, {"error": "no such lease"})
                 return
-            life = self._leases[lease][0]
-            self._leases[lease] = (life, self._runtime.now() + life)
+            duration_s = self._leases[lease][0]
+            self._leases[lease] = (duration_s, self._runtime.now() + duration_s)
             request.reply(200, {"tenure": lease})
 
     def recover(self) -> None:
-        """Ends an outage: all leases have their full time again."""
+        """Ends an outage; all leases get their full duration again."""
         self.down = False
         self._leases = {
-            lease: (life, self._runtime.now() + life) for lease, (life, _) in self._leases.items()
+            lease: (duration_s, self._runtime.now() + duration_s)
+            for lease, (duration_s, _) in self._leases.items()
         }
 
-    def _expire(self) -> None:
+    def _expire_leases(self) -> None:
         now = self._runtime.now()
         for lease in [lease for lease, (_, until) in self._leases.items() if until <= now]:
             del self._leases[lease]
@@ -122,23 +125,26 @@
                 del self.rows[key]
 
     def _list(self, request: Request, query: dict[str, str]) -> None:
-        prefix, after, most = (
+        prefix, after, max_count = (
             query.get("starts", ""),
             query.get("after", ""),
             int(query.get("most", "1000")),
         )
         keys = sorted(key for key in self.rows if key.startswith(prefix) and key > after)
-        found = [wire.Row(key, self.rows[key][0], self.rows[key][1]) for key in keys[:most]]
-        request.reply(200, wire.Rows(found, len(keys) > most))
+        found = [wire.Row(key, self.rows[key][0], self.rows[key][1]) for key in keys[:max_count]]
+        request.reply(200, wire.Rows(found, len(keys) > max_count))
 
-    def _txn(self, request: Request) -> None:
-        txn = msgspec.msgpack.decode(request.body, type=wire.Transaction)
+    def _execute_transaction(self, request: Request) -> None:
+        transaction = msgspec.msgpack.decode(request.body, type=wire.Transaction)
         before = len(self.oversized_transactions)
-        if len(txn.changes) > self.txn_ops or len(txn.expected_versions) > 4 * self.txn_ops:
+        if (
+            len(transaction.changes) > self.txn_ops
+            or len(transaction.expected_versions) > 4 * self.txn_ops
+        ):
             self.oversized_transactions.append(
-                f"{len(txn.changes)} changes, {len(txn.expected_versions)} guards"
+                f"{len(transaction.changes)} changes, {len(transaction.expected_versions)} guards"
             )
-        for change in txn.changes:
+        for change in transaction.changes:
             if change.put is None:
                 continue
             size = len(msgspec.json.encode(change.value))
@@ -148,37 +154,41 @@
             request.reply(400, {"error": "too large"})
             return
         if self.lost_fraction and self._rng.random() < self.lost_fraction:
-            self._runtime.after(self._rng.uniform(*self.lost_delay_s), self._late, txn)
+            self._runtime.after(
+                self._rng.uniform(*self.lost_delay_s), self._execute_late, transaction
+            )
             return
-        if self.change_limit is not None and not self.change_limit.try_take(len(txn.changes)):
-            self._refuse(request)
+        if self.change_limit is not None and not self.change_limit.try_take(
+            len(transaction.changes)
+        ):
+            self._reject_over_limit(request)
             return
-        status, body = self.transact(txn)
+        status, body = self.transact(transaction)
         request.reply(status, body)
 
-    def _refuse(self, request: Request) -> None:
+    def _reject_over_limit(self, request: Request) -> None:
         self.throttled_count += 1
         request.reply(429, {"error": "too many"})
 
-    def _late(self, txn: wire.Transaction) -> None:
-        self.late_statuses.append(self.transact(txn)[0])
+    def _execute_late(self, transaction: wire.Transaction) -> None:
+        self.late_statuses.append(self.transact(transaction)[0])
 
-    def transact(self, txn: wire.Transaction) -> tuple[int, Any]:
+    def transact(self, transaction: wire.Transaction) -> tuple[int, Any]:
         if any(
             change.put and change.lease is not None and change.lease not in self._leases
-            for change in txn.changes
+            for change in transaction.changes
         ):
             return 400, {"error": "no such lease"}
         failed = [
-            guard.key
-            for guard in txn.expected_versions
-            if self.rows.get(guard.key, (None, 0))[1] != guard.version
+            expected.key
+            for expected in transaction.expected_versions
+            if self.rows.get(expected.key, (None, 0))[1] != expected.version
         ]
         if failed:
             return 409, {"failed": failed, "ledger": self.revision}
-        if txn.changes:
+        if transaction.changes:
             self.revision += 1
-        for change in txn.changes:
+        for change in transaction.changes:
             self.changes += 1
             if change.put is not None:
                 self.rows[change.put] = (change.value, self.revision, change.lease)
--- a/flaxtally/fakes/settings_text.py
+++ b/flaxtally/fakes/settings_text.py
@@ -1,4 +1,4 @@
-"""Writes settings files, as `flaxtally.settings.parse` reads them, for emulated controllers."""
+"""Writes settings files that `flaxtally.settings.parse` reads, for emulated controllers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     from ..settings import Objective, Settings, Team
 
 
-def _address(where: Address) -> str:
-    return f'"{where[0]}:{where[1]}"'
+def _address(address: Address) -> str:
+    return f'"{address[0]}:{address[1]}"'
 
 
 def _team(team: Team) -> list[str]:
@@ -24,20 +24,20 @@
     ]
 
 
-def _objective(aim: Objective) -> list[str]:
-    job_class = [f'class = "{aim.job_class}"'] if aim.job_class is not None else []
+def _objective(objective: Objective) -> list[str]:
+    job_class = [f'class = "{objective.job_class}"'] if objective.job_class is not None else []
     return [
         "[[params.objectives]]",
-        f'kind = "{aim.kind}"',
+        f'kind = "{objective.kind}"',
         *job_class,
-        f"within_s = {aim.within}",
-        f"share = {aim.share}",
-        f"times = {aim.times}",
+        f"within_s = {objective.within}",
+        f"share = {objective.share}",
+        f"times = {objective.times}",
     ]
 
 
 def settings_text(settings: Settings) -> str:
-    """The settings as TOML."""
+    """Returns the settings as TOML."""
     zones = ", ".join(f'"{zone}"' for zone in settings.zones)
     lines = [
         f'node_name = "{settings.node}"',
@@ -45,13 +45,13 @@
         f"listen = {_address(settings.listen)}",
         f"cluster_listen = {_address(settings.peer_listen)}",
     ]
-    for name, (zone, where) in settings.peers.items():
+    for name, (zone, address) in settings.peers.items():
         lines += [
             "",
             "[[others]]",
             f'node_name = "{name}"',
             f'site = "{zone}"',
-            f"peer_addr = {_address(where)}",
+            f"peer_addr = {_address(address)}",
         ]
     lines += [
         "",
@@ -64,8 +64,8 @@
     ]
     for team in settings.teams.values():
         lines += ["", *_team(team)]
-    for aim in settings.objectives:
-        lines += ["", *_objective(aim)]
+    for objective in settings.objectives:
+        lines += ["", *_objective(objective)]
     lines += [
         "",
         "[params.workers]",
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A stand-in for a worker: reports, leases, tokens, sessions, tasks."""
+"""A fake worker: heartbeats, lease, fencing token, sessions, tasks."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 class Worker:
     """A worker and its machine.
 
-    `run_time(ref)` is how long a job's tasks run (None: until stopped); `spec(ref)` is what was
-    uploaded; `watch(event, machine, task, attempt)` sees `start` and `end` of everything on the
-    machine.
+    `run_time(ref)` returns the seconds that a job's tasks run (None: until stopped); `spec(ref)`
+    returns the uploaded spec; `watch(event, machine, task, attempt)` is called with `start` and
+    `end ...` of every task on the machine.
     """
 
     def __init__(
         self,
         runtime: Runtime,
         machine: wire.Listed,
-        kind: wire.MachineType,
+        machine_type: wire.MachineType,
         address: Address,
         nodes: dict[str, Address],
         report_s: float,
@@ -41,12 +41,12 @@
         rng: random.Random,
         gangs: GangRendezvous | None = None,
     ) -> None:
-        """`gangs`: where the tasks of gangs meet; None: they run like those of arrays."""
+        """`gangs`: the rendezvous of gangs' tasks; None: these run like those of arrays."""
         self._gangs = gangs
         self._runtime, self.machine, self._machine_type, self._address = (
             runtime,
             machine,
-            kind,
+            machine_type,
             address,
         )
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
@@ -54,28 +54,30 @@
         self.tasks: dict[tuple[str, int], HeldTask] = {}
         self.session, self._sequence, self.token = 1, 0, 0
         self.notice: float | None = None
-        self.hung = self._off = False
+        """Seconds until the cloud takes the machine, as reported; None: no preemption notice."""
+        self.hung = self._is_shut_down = False
         self.deaf = False
-        """Its reports arrive; answers and direct orders to it are lost."""
+        """Whether replies and direct commands to it are lost; its heartbeats arrive."""
         self.mute = False
-        """It reaches no controller; direct orders reach it."""
-        self.fails: Callable[[str], bool] = lambda _: False
-        """Whether a job's tasks fail here."""
+        """Whether its heartbeats are lost; direct commands reach it."""
+        self.does_job_fail: Callable[[str], bool] = lambda _: False
+        """Returns whether a job's tasks fail on this machine."""
         self.on_heartbeat_sent: Callable[[str, wire.Heartbeat], None] = lambda *_: None
-        """Sees each report that is sent, and to which node."""
+        """Called with each heartbeat that is sent, after the name of the receiving controller."""
         self.slowness = 1.0
+        """Factor by which tasks run longer here."""
         self.saves_checkpoints = False
-        """Whether tasks that are stopped with a grace period take their time to save."""
-        self._renewed = runtime.now()
+        """Whether tasks that are stopped with a grace period save before they exit."""
+        self._lease_renewed_at = runtime.now()
         self._images: set[str] = set()
         self._controller = rng.choice(sorted(nodes))
         self._clients = {name: Client(runtime, where) for name, where in nodes.items()}
         self._busy = False
-        self._next: Timer | None = None
+        self._heartbeat_timer: Timer | None = None
         self._server = Server(runtime, address, self._handle_request, 50, 600.0, 1.0)
         self._schedule_heartbeat(rng.uniform(0, report_s / 2))
 
-    # Reports
+    # Heartbeats
 
     def report(self) -> wire.Heartbeat:
         self._sequence += 1
@@ -97,11 +99,11 @@
         )
 
     def _schedule_heartbeat(self, delay: float) -> None:
-        if self._next is not None:
-            self._next.cancel()
-        if self._off:
+        if self._heartbeat_timer is not None:
+            self._heartbeat_timer.cancel()
+        if self._is_shut_down:
             return
-        self._next = self._runtime.after(delay, self._send_heartbeat)
+        self._heartbeat_timer = self._runtime.after(delay, self._send_heartbeat)
 
     def report_soon(self) -> None:
         if not self._busy:
@@ -112,40 +114,40 @@
             self._schedule_heartbeat(self._report_s)
             return
         now, session = self._runtime.now(), self.session
-        if now - self._renewed > self._lease_s:
+        if now - self._lease_renewed_at > self._lease_s:
             self._expire_lease()
             session = self.session
         self._busy = True
         node = self._controller
 
-        def told(reply: Reply) -> None:
+        def on_reply(reply: Reply) -> None:
             self._busy = False
             if self.deaf:
                 reply = Reply(0)
             delay = self._report_s * self._rng.uniform(0.75, 1.25)
             if reply.status == 200 and not self.hung:
-                answer = msgspec.msgpack.decode(reply.body, type=wire.HeartbeatReply)
-                if answer.fencing_token >= self.token and session == self.session:
-                    delay = 0.5 if answer.fencing_token > self.token else delay
-                    self.token, self._renewed = answer.fencing_token, now
-                    self._execute(answer.commands)
+                heartbeat_reply = msgspec.msgpack.decode(reply.body, type=wire.HeartbeatReply)
+                if heartbeat_reply.fencing_token >= self.token and session == self.session:
+                    delay = 0.5 if heartbeat_reply.fencing_token > self.token else delay
+                    self.token, self._lease_renewed_at = heartbeat_reply.fencing_token, now
+                    self._execute(heartbeat_reply.commands)
             elif reply.status == 421:
                 target = msgspec.msgpack.decode(reply.body, type=wire.Redirect).controller
                 known = target in self._nodes and target != node
-                self._controller = target if known and target else self._other(node)
+                self._controller = target if known and target else self._next_controller(node)
                 delay = self._rng.uniform(0, 0.5) if known else 1.0
             elif reply.status != 200:
-                self._controller, delay = self._other(node), 1.0
+                self._controller, delay = self._next_controller(node), 1.0
             self._schedule_heartbeat(delay)
 
         if self.mute:
-            self._runtime.after(1.0, told, Reply(0))
+            self._runtime.after(1.0, on_reply, Reply(0))
             return
         report = self.report()
         self.on_heartbeat_sent(node, report)
-        self._clients[node].request("POST", wire.BEAT, report, 4.0, told)
+        self._clients[node].request("POST", wire.BEAT, report, 4.0, on_reply)
 
-    def _other(self, node: str) -> str:
+    def _next_controller(self, node: str) -> str:
         names = sorted(self._nodes)
         return names[(names.index(node) + 1) % len(names)]
 
@@ -154,66 +156,66 @@
             self._end(held, "lapsed")
         self.tasks.clear()
         self.session += 1
-        self._renewed = self._runtime.now()
+        self._lease_renewed_at = self._runtime.now()
 
     def shut_down(self) -> None:
         for held in self.tasks.values():
             self._end(held, "gone")
         self.tasks.clear()
-        self._off = True
+        self._is_shut_down = True
         self._schedule_heartbeat(0.0)
 
-    # Orders
+    # Commands
 
     def _handle_request(self, request: Request) -> None:
-        if self._off or self.deaf:
+        if self._is_shut_down or self.deaf:
             return
         if self.hung:
-            # The order waits in the hung machine and is executed when it goes on.
+            # The request waits in the hung machine and is executed once the machine continues.
             self._runtime.after(0.5, self._handle_request, request)
             return
-        if self._runtime.now() - self._renewed > self._lease_s:
+        if self._runtime.now() - self._lease_renewed_at > self._lease_s:
             self._expire_lease()
         if request.path == wire.STATUS:
             request.reply(200, self.report())
             return
-        orders = msgspec.msgpack.decode(request.body, type=wire.CommandBatch)
-        if orders.fencing_token < self.token or orders.incarnation != self.session:
+        batch = msgspec.msgpack.decode(request.body, type=wire.CommandBatch)
+        if batch.fencing_token < self.token or batch.incarnation != self.session:
             request.reply(409, self.report())
             return
-        raised = orders.fencing_token > self.token
-        self.token = orders.fencing_token
-        self._execute(orders.commands)
+        is_token_raised = batch.fencing_token > self.token
+        self.token = batch.fencing_token
+        self._execute(batch.commands)
         request.reply(200, self.report())
-        if raised:
+        if is_token_raised:
             self.report_soon()
 
-    def _execute(self, orders: list[wire.Command]) -> None:
-        for order in orders:
-            held = self.tasks.get((order.task, order.attempt))
-            if order.verb == wire.LAUNCH and held is None:
-                self._launch(order)
-            elif order.verb == wire.STOP and held is not None and held.state != wire.EXITED:
+    def _execute(self, commands: list[wire.Command]) -> None:
+        for command in commands:
+            held = self.tasks.get((command.task, command.attempt))
+            if command.verb == wire.LAUNCH and held is None:
+                self._launch(command)
+            elif command.verb == wire.STOP and held is not None and held.state != wire.EXITED:
                 is_gang = held.state in (wire.WAITING, wire.RUNNING) and self._is_gang(held)
                 if self._gangs is not None and is_gang:
-                    self._gangs.stop(self, held, order.grace_s or 0.0)
-                elif not self._begins_to_save(held, order.grace_s or 0.0):
+                    self._gangs.stop(self, held, command.grace_s or 0.0)
+                elif not self._try_save(held, command.grace_s or 0.0):
                     self.exit(held, wire.CAUSE_HALTED)
-            elif order.verb == wire.FORGET and held is not None and held.state == wire.EXITED:
-                del self.tasks[order.task, order.attempt]
+            elif command.verb == wire.FORGET and held is not None and held.state == wire.EXITED:
+                del self.tasks[command.task, command.attempt]
 
     def _is_gang(self, held: HeldTask) -> bool:
         spec = self._spec(held.task.partition("/")[0])
         return spec is not None and spec.job_kind == wire.GANG
 
-    def _begins_to_save(self, held: HeldTask, grace: float) -> bool:
-        """Whether the task saves, or goes on saving, in place of exiting at once."""
+    def _try_save(self, held: HeldTask, grace_s: float) -> bool:
+        """Starts to save, or continues, if it can; returns False if the task is to exit at once."""
         spec = self._spec(held.task.partition("/")[0])
         if held.state == wire.FLUSHING:
-            return bool(grace)
+            return bool(grace_s)
         if not self.saves_checkpoints or spec is None or held.state != wire.RUNNING:
             return False
-        if not spec.checkpoint_interval_s or grace < spec.checkpoint_save_s:
+        if not spec.checkpoint_interval_s or grace_s < spec.checkpoint_save_s:
             return False
         if held.timer is not None:
             held.timer.cancel()
@@ -225,34 +227,37 @@
         held.kept = True
         self.exit(held, wire.CAUSE_HALTED)
 
-    def _launch(self, order: wire.Command) -> None:
-        held = self.tasks[order.task, order.attempt] = HeldTask(
-            order.task, order.attempt, wire.FETCHING
+    def _launch(self, command: wire.Command) -> None:
+        held = self.tasks[command.task, command.attempt] = HeldTask(
+            command.task, command.attempt, wire.FETCHING
         )
-        spec = self._spec(order.task.partition("/")[0])
-        live = [
+        spec = self._spec(command.task.partition("/")[0])
+        unfinished = [
             other
             for other in self.tasks.values()
             if other.state != wire.EXITED and other is not held
         ]
         specs = [
             found
-            for other in live
+            for other in unfinished
             if (found := self._spec(other.task.partition("/")[0])) is not None
         ]
-        kind = self._machine_type
+        machine_type = self._machine_type
         if spec is None:
             held.state, held.cause = wire.EXITED, wire.CAUSE_UNKNOWN
-        elif any(other.task == order.task for other in live):
+        elif any(other.task == command.task for other in unfinished):
             held.state, held.cause = wire.EXITED, wire.CAUSE_IN_USE
         elif (
-            sum(each.cores for each in specs) + spec.cores > kind.cores + 1e-6
-            or sum(each.gpus for each in specs) + spec.gpus > kind.gpus + 1e-6
-            or sum(each.memory_gb for each in specs) + spec.memory_gb > kind.memory_gb + 1e-6
+            sum(each.cores for each in specs) + spec.cores > machine_type.cores + 1e-6
+            or sum(each.gpus for each in specs) + spec.gpus > machine_type.gpus + 1e-6
+            or sum(each.memory_gb for each in specs) + spec.memory_gb
+            > machine_type.memory_gb + 1e-6
         ):
             held.state, held.cause = wire.EXITED, wire.CAUSE_FULL
         else:
-            delay = 0.0 if spec.image in self._images else spec.image_gb / kind.fetch_gb_per_s
+            delay = (
+                0.0 if spec.image in self._images else spec.image_gb / machine_type.fetch_gb_per_s
+            )
             self._images.add(spec.image)
             held.timer = self._runtime.after(delay, self._run, held)
         self.report_soon()
@@ -267,27 +272,27 @@
             self._gangs.arrive(self, held, spec)
             return
         held.state = wire.RUNNING
-        length = self._run_time(ref)
-        if self.fails(ref):
+        run_time_s = self._run_time(ref)
+        if self.does_job_fail(ref):
             held.timer = self._runtime.after(0.5, self.exit, held, wire.CAUSE_ERROR)
-        elif length is not None:
-            held.timer = self._runtime.after(length * self.slowness, self._complete, held)
+        elif run_time_s is not None:
+            held.timer = self._runtime.after(run_time_s * self.slowness, self._complete, held)
         self.report_soon()
 
     def _complete(self, held: HeldTask) -> None:
         if self.hung:
-            # What hangs gets nothing done.
+            # A hung machine makes no progress.
             held.timer = self._runtime.after(0.5, self._complete, held)
         else:
             self.exit(held, wire.CAUSE_DONE)
 
     def set_state(self, held: HeldTask, state: str) -> None:
-        """A gang's task goes on in that state."""
+        """Puts a gang's task into that state and reports it."""
         held.state = state
         self.report_soon()
 
     def exit(self, held: HeldTask, cause: str) -> None:
-        """The task ends, unless it has already."""
+        """Ends the task, unless it has exited already."""
         if held.state == wire.EXITED:
             return
         self._end(held, cause)
@@ -301,4 +306,4 @@
             held.state = wire.EXITED
             self._watch("end " + why, self.machine.machine, held.task, held.attempt)
             if self._gangs is not None:
-                self._gangs.left(held, why)
+                self._gangs.leave(held, why)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -267,7 +267,9 @@
             self.gangs,
         )
         worker.on_heartbeat_sent = self._copied
-        worker.fails = lambda ref: ref in self.broken or machine.machine in self.faulty_machines
+        worker.does_job_fail = lambda ref: (
+            ref in self.broken or machine.machine in self.faulty_machines
+        )
 
     def _end_worker(self, name: str) -> None:
         worker = self.workers.pop(name, None)
@@ -352,8 +354,8 @@
     def refuse(self, node: str, for_s: float) -> None:
         """The state service answers 503 to this controller alone; its leases run out."""
         self.add_trace_line(f"the state service refuses {node}")
-        self.state.refused.add(self.ip(node))
-        self.after(for_s, self.state.refused.discard, self.ip(node))
+        self.state.refused_hosts.add(self.ip(node))
+        self.after(for_s, self.state.refused_hosts.discard, self.ip(node))
 
     def start_state_outage(self, for_s: float) -> None:
         """The state service answers 503 to all."""
