--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -1,4 +1,4 @@
-"""What many tests begin with, do and end with: busy worlds, changes of leader, the final checks."""
+"""Steps shared by many tests: busy clusters, changes of leader, network cuts, final checks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     run_time: float = 25.0,
     **cluster_options: object,
 ) -> SimulatedCluster:
-    """A world whose services run and whose arrays have begun."""
+    """Returns a cluster whose services run and whose arrays have started."""
     cluster = SimulatedCluster(seed, **cluster_options)  # type: ignore[arg-type]
     for number in range(services):
         cluster.submit(spec(f"j-{number:06d}", tasks=2), node=number)
@@ -31,13 +31,13 @@
     return cluster
 
 
-def wait_for_leader(cluster: SimulatedCluster, most: float = 15.0) -> str:
-    assert cluster.run_until(lambda: cluster.leader() is not None, most), cluster.trace
+def wait_for_leader(cluster: SimulatedCluster, timeout_s: float = 15.0) -> str:
+    assert cluster.run_until(lambda: cluster.leader() is not None, timeout_s), cluster.trace
     return cluster.leader() or ""
 
 
 def change_leader(cluster: SimulatedCluster, back_after: float = 2.0) -> str:
-    """Ends the leader's process; the next leader, once it is ready."""
+    """Crashes the leader; returns the next leader once it is ready."""
     cluster.crash(wait_for_leader(cluster), back_after=back_after)
     assert cluster.run_until(
         lambda: (new := cluster.leader()) is not None and cluster.nodes[new].leader.term.active, 20
@@ -50,7 +50,7 @@
 
 
 def submit_steady_load(cluster: SimulatedCluster, for_s: float, every: float = 0.5) -> None:
-    """Small jobs come; each third is cancelled a little later."""
+    """Submits small jobs all the time; every third one is cancelled a little later."""
     for number in range(int(for_s / every)):
         ref = f"j-{5000 + number:06d}"
         cluster.after(
@@ -61,27 +61,27 @@
 
 
 def check_final_state(cluster: SimulatedCluster, for_s: float = 110.0) -> None:
-    """Once all is over every accepted job is known, arrays are done or run, services run."""
+    """After all faults: every accepted job is known, arrays are done or run, services run."""
     cluster.run_without_faults(for_s)
     for ref, job in cluster.specs.items():
-        known = cluster.rules.jobs[ref]
-        if not known.accepted:
+        checked = cluster.rules.jobs[ref]
+        if not checked.accepted:
             continue
-        if known.told == wire.ABORTED:
+        if checked.told == wire.ABORTED:
             assert cluster.count(ref) == 0
         elif job.job_kind in (wire.ARRAY, wire.GANG):
-            ends = known.told == wire.DONE or known.asked_to_cancel
-            assert ends or len(known.done) + cluster.count(ref) == job.tasks, (
+            has_ended = checked.told == wire.DONE or checked.asked_to_cancel
+            assert has_ended or len(checked.done) + cluster.count(ref) == job.tasks, (
                 ref,
                 cluster.query_job(ref),
                 cluster.trace[-40:],
             )
-        elif not known.asked_to_cancel:
+        elif not checked.asked_to_cancel:
             assert cluster.count(ref) == job.tasks, (ref, cluster.query_job(ref))
 
 
 def cut_zone(cluster: SimulatedCluster, zone: str) -> Callable[[], None]:
-    """Cuts a zone's controllers and machines off from everything; gives what heals it."""
+    """Cuts a zone's controllers and machines off from the rest; returns a function to heal it."""
     inside = {
         cluster.ip(name) for number, name in enumerate(cluster.names) if "ab"[number % 2] == zone
     }
@@ -97,7 +97,7 @@
 
 
 def cut_controllers(cluster: SimulatedCluster) -> Callable[[], None]:
-    """Cuts all controllers off from each other, not from anything else; gives what heals it."""
+    """Cuts the controllers off from each other only; returns a function to heal it."""
     pairs = [(a, b) for a in cluster.names for b in cluster.names if a < b]
     for a, b in pairs:
         cluster.sim.cut(cluster.ip(a), cluster.ip(b))
@@ -110,7 +110,7 @@
 
 
 def start_serving_cluster(jobs: int = 4, seed: int = 1) -> SimulatedCluster:
-    """A world with a few services of two replicas running."""
+    """Returns a cluster with a few running services of two replicas."""
     cluster = SimulatedCluster(seed)
     for number in range(jobs):
         cluster.submit(spec(f"j-{number:06d}", tasks=2), node=number)
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -1,4 +1,4 @@
-"""A small deployment in simulation that is divided into two cells, one a zone."""
+"""A small simulated deployment divided into two cells, one per zone."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def cell_map(version: int = 1, **closed: bool) -> CellMap:
-    """The two cells; `north=False` closes one."""
+    """The map of the two cells; `north=False` closes that cell."""
     cells = []
     for name, zone in ((NORTH, "a"), (SOUTH, "b")):
         controllers = tuple(node for node in CELL_NODES if node.startswith(name))
@@ -32,7 +32,7 @@
 
 
 class SimulatedCells(SimulatedCluster):
-    """Six controllers, three a cell, on one state service. Audits ledgers and shares all along."""
+    """Six controllers, three per cell, on one state service; ledgers and shares are audited."""
 
     def __init__(self, seed: int = 1, team: Team = TEAM, **more: Any) -> None:
         super().__init__(seed, team=team, nodes=CELL_NODES, **more)
@@ -57,20 +57,20 @@
         return [name for name in CELL_NODES if name.startswith(cell)]
 
     def cut_off(self, nodes: list[str], for_s: float) -> None:
-        """The controllers reach neither state service nor others; their workers reach them."""
+        """Cuts controllers from state service and the others; their workers still reach them."""
         for node in nodes:
             others = [self.ip(name) for name in self.names if name not in nodes]
             self.cut(self.ip(node), [STATE[0], *others], for_s)
 
     def put(self, key: str, value: Any) -> None:
-        """Writes to the state service as an operator, or a fault, might."""
+        """Writes to the state service, like an operator or a fault."""
         assert self.state.transact(wire.Transaction.build({}, {key: value}, []))[0] == 200
 
     def put_map(self, newer: CellMap) -> None:
         self.put(MAP_KEY, msgspec.to_builtins(newer))
 
     def map_versions(self) -> dict[str, int]:
-        """Which map each live controller has."""
+        """The version of the cell map that each running controller has."""
         return {
             name: node.membership.keeper.index.version
             for name, node in self.nodes.items()
@@ -97,7 +97,7 @@
         return found
 
     def _audit(self) -> None:
-        """No job is in two ledgers, and no team's shares are above its limit."""
+        """Checks that no job is in two ledgers and that no team's shares exceed its limit."""
         self.after(0.5, self._audit)
         for ref in self.specs:
             cells = self.find_cells_with_job(ref)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -1,5 +1,7 @@
-"""A small deployment in simulation: the real controllers against the stand-ins, with the rules
-checked at every start and end of a task, and a trace that people read."""
+"""A small simulated deployment: the real controllers with fakes of the external systems.
+
+The rules are checked at every start and end of a task; a readable trace is kept.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +51,7 @@
 
 
 def spec(ref: str, **changes: Any) -> wire.Spec:
-    """A submission: by default one small critical service replica."""
+    """A job: by default a critical service with one small replica."""
     base = wire.Spec(
         ref,
         "gate",
@@ -76,6 +78,7 @@
 
 
 def batch(ref: str, tasks: int, **changes: Any) -> wire.Spec:
+    """An array of GPU tasks that may run on spot machines."""
     return spec(
         ref,
         job_class="batch",
@@ -93,8 +96,8 @@
 
 
 def gang(ref: str, tasks: int = 4, **changes: Any) -> wire.Spec:
-    """A gang that saves, in one zone by default."""
-    usual: dict[str, Any] = {
+    """A gang that saves checkpoints, by default in one zone."""
+    defaults: dict[str, Any] = {
         "job_class": "gang",
         "job_kind": wire.GANG,
         "rank": "standard",
@@ -104,7 +107,7 @@
         "checkpoint_interval_s": 5.0,
         "checkpoint_save_s": 1.0,
     }
-    return spec(ref, tasks=tasks, **(usual | changes))
+    return spec(ref, tasks=tasks, **(defaults | changes))
 
 
 class SimulatedCluster:
@@ -134,16 +137,16 @@
         self.rules = Rules(self.teams, TYPES, CANCEL_S)
         self.calm_since = float("inf")
         self.delivered_copies = 0
-        self._copy_share, self._copy_for_next = 0.0, False
-        self._kept: list[tuple[int, wire.Heartbeat]] = []
+        self._duplicate_fraction, self._duplicate_in_next_term = 0.0, False
+        self._kept_heartbeats: list[tuple[int, wire.Heartbeat]] = []
         self.broken: set[str] = set()
-        """Jobs submitted with a mistake: they fail on every machine."""
+        """Jobs submitted with an error: their tasks fail on every machine."""
         self.faulty_machines: set[str] = set()
         """Machines on which every task fails."""
         self.unanswered_cancellations: list[str] = []
-        """Cancellations that got no answer of use within 60 s."""
+        """Jobs whose cancellation got no 200 within 60 s."""
         self._pages: dict[str, tuple[int, set[tuple[str, int, str]], list[StoredRecord]]] = {}
-        self._refs: dict[tuple[str, int], str] = {}
+        self._refs_by_number: dict[tuple[str, int], str] = {}
         self.reported_cancelled_at: dict[str, float] = {}
         self.accepted: set[str] = set()
         self.nodes: dict[str, Controller] = {}
@@ -165,17 +168,17 @@
         self._clients: dict[str, Client] = {}
         for name in nodes:
             self.start(name)
-        self.sim.at(1.0, self._look)
-        self.sim.at(0.0, self._deliver_kept)
+        self.sim.at(1.0, self._check_rules)
+        self.sim.at(0.0, self._deliver_kept_heartbeats)
 
     @property
     def running(self) -> dict[str, tuple[str, int]]:
-        """Where each task is, and its attempt."""
+        """Machine and attempt of each running task."""
         return {
             task: (machine.machine, attempt) for task, (machine, attempt) in self.rules.on.items()
         }
 
-    # The service
+    # Controllers
 
     def ip(self, node: str) -> str:
         return f"10.0.0.{self.names.index(node) + 1}"
@@ -210,15 +213,15 @@
 
     @staticmethod
     def with_limits(settings: Settings, limits: StateLimits) -> Settings:
-        """The same with other limits of the state service."""
+        """Returns the settings with other limits of the state service."""
         return dataclasses.replace(settings, state_limits=limits)
 
     def cells_of(self, settings: Settings) -> CellSetup | None:
-        """Which cell the controller is of; None: the fleet is not divided."""
+        """The controller's cell; None: the fleet is not divided into cells."""
         return None
 
     def lending_of(self, node: str) -> LendingFeature | None:
-        """Whether the controller recalls loans between teams."""
+        """The lending feature of a controller that reclaims loans between teams; None: without."""
         return None
 
     def start(self, node: str) -> None:
@@ -266,7 +269,7 @@
             self.rng,
             self.gangs,
         )
-        worker.on_heartbeat_sent = self._copied
+        worker.on_heartbeat_sent = self._duplicate_at_random
         worker.does_job_fail = lambda ref: (
             ref in self.broken or machine.machine in self.faulty_machines
         )
@@ -287,19 +290,19 @@
     def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
         self.add_trace_line(f"{task} try {attempt} {event} on {machine}")
         if event == "start":
-            # Its user may hear of it a little later, but it and the placement must be committed.
+            # The user may be notified a little later, but job and placement must be committed.
             assert self._is_committed(task, attempt, machine), (
-                f"started before its record was committed: {task}"
+                f"task started before its placement was committed: {task}"
             )
             self.rules.starts(task, attempt, self.workers[machine].machine, self.sim.time)
         else:
             self.rules.ends(task, attempt, machine, event == "end done")
 
-    def _look(self) -> None:
-        self.sim.at(self.sim.time + 1.0, self._look)
+    def _check_rules(self) -> None:
+        self.sim.at(self.sim.time + 1.0, self._check_rules)
         self.rules.look(self.sim.time)
         if self.sim.time > self.calm_since:
-            up = [
+            healthy_machines = [
                 (
                     worker.machine,
                     {held.task for held in worker.tasks.values() if held.state != wire.EXITED},
@@ -307,101 +310,109 @@
                 for worker in self.workers.values()
                 if worker.notice is None
             ]
-            self.rules.look_when_calm(self.sim.time, self.calm_since, up)
+            self.rules.look_when_calm(self.sim.time, self.calm_since, healthy_machines)
 
     def _is_committed(self, task: str, attempt: int, machine: str) -> bool:
-        """Whether the state service's pages hold the placement. Pages are read on change; what
-        stands in batches counts only if the batch is whole.
+        """Whether the state service's pages hold the placement.
+
+        Pages are decoded when they change; records in batches count only if the batch is complete.
         """
-        held = False
+        is_committed = False
         in_batches: dict[str, list[StoredRecord]] = {}
-        for key, (value, stamp, _) in sorted(self.state.rows.items()):
+        for key, (value, version, _) in sorted(self.state.rows.items()):
             ledger, page, _ = key.rpartition("p/")
             if not page or not (ledger == "" or ledger.startswith("cell/")):
                 continue
-            if key not in self._pages or self._pages[key][0] != stamp:
+            if key not in self._pages or self._pages[key][0] != version:
                 records = [decode_record(stored) for stored in value["r"]]
-                self._pages[key] = stamp, self._placed_by(ledger, records), records
+                self._pages[key] = version, self._placements_in(ledger, records), records
             _, placed, records = self._pages[key]
             if any(isinstance(record, BatchPiece) for record in records):
                 in_batches.setdefault(ledger, []).extend(records)
                 continue
-            held = held or (task, attempt, machine) in placed
+            is_committed = is_committed or (task, attempt, machine) in placed
         for ledger, pieces in in_batches.items():
-            placed = self._placed_by(ledger, certain_records(pieces))
-            held = held or (task, attempt, machine) in placed
-        return held
+            placed = self._placements_in(ledger, certain_records(pieces))
+            is_committed = is_committed or (task, attempt, machine) in placed
+        return is_committed
 
-    def _placed_by(self, ledger: str, records: Sequence[StoredRecord]) -> set[tuple[str, int, str]]:
-        """The placements that the records say; who reads further records knows the jobs of these.
+    def _placements_in(
+        self, ledger: str, records: Sequence[StoredRecord]
+    ) -> set[tuple[str, int, str]]:
+        """The placements in the records; also remembers their jobs for records on later pages.
 
-        What stands in batches says nothing here but the jobs: they may be placed in later pages.
+        Of records in batches only the jobs are used here: they may be placed on later pages.
         """
-        self._refs.update(
+        self._refs_by_number.update(
             {(ledger, each.number): each.ref for each in records if isinstance(each, JobAccepted)}
         )
         return {
-            (f"{self._refs.get((ledger, each.job))}/{each.task}", each.attempt, each.machine)
+            (
+                f"{self._refs_by_number.get((ledger, each.job))}/{each.task}",
+                each.attempt,
+                each.machine,
+            )
             for each in records
             if isinstance(each, TaskPlaced)
         }
 
-    # Troubles, one way to say each. Each ends by itself.
+    # Faults; each ends by itself
 
-    def after(self, seconds: float, fn: Callable[..., None], *args: Any) -> None:
-        self.sim.at(self.sim.time + seconds, fn, *args)
+    def after(self, seconds: float, callback: Callable[..., None], *args: Any) -> None:
+        self.sim.at(self.sim.time + seconds, callback, *args)
 
     def refuse(self, node: str, for_s: float) -> None:
-        """The state service answers 503 to this controller alone; its leases run out."""
+        """The state service replies 503 to this controller only; its leases expire."""
         self.add_trace_line(f"the state service refuses {node}")
         self.state.refused_hosts.add(self.ip(node))
         self.after(for_s, self.state.refused_hosts.discard, self.ip(node))
 
     def start_state_outage(self, for_s: float) -> None:
-        """The state service answers 503 to all."""
+        """The state service replies 503 to every request."""
         self.add_trace_line("the state service has trouble")
         self.state.down = True
         self.after(for_s, self.state.recover)
 
-    def lose_writes(self, share: float, for_s: float, at_once: bool = False) -> None:
-        """That share of transactions gets no answer; each is carried out 2 to 12 s later, or at
+    def lose_writes(self, fraction: float, for_s: float, at_once: bool = False) -> None:
+        """That fraction of transactions gets no reply; each is executed 2 to 12 s later, or at
         once.
         """
         self.state.lost_fraction, self.state.lost_delay_s = (
-            share,
+            fraction,
             (0.0, 0.0) if at_once else (2.0, 12.0),
         )
         self.after(for_s, setattr, self.state, "lost_fraction", 0.0)
 
     def freeze(self, node: str, for_s: float) -> None:
-        """The controller stands still while its clocks run on."""
+        """Pauses the controller's process while its clocks continue."""
         self.add_trace_line(f"{node} stands still")
         self.sim.hosts[self.ip(node)].freeze(for_s)
 
-    def slow_down_processor(self, node: str, call_seconds: float, for_s: float) -> None:
-        """Each call of the controller's takes that long; what comes meanwhile waits its turn."""
+    def slow_down_processor(self, node: str, call_duration_s: float, for_s: float) -> None:
+        """Each callback of the controller takes that long; others wait in a queue meanwhile."""
         self.add_trace_line(f"{node} has a slow processor")
         host = self.sim.hosts[self.ip(node)]
-        host.call_seconds = call_seconds
-        self.after(for_s, setattr, host, "call_seconds", 0.0)
+        host.call_duration_s = call_duration_s
+        self.after(for_s, setattr, host, "call_duration_s", 0.0)
 
     def slow_down_state_service(self, seconds: float, for_s: float) -> None:
         self.state.extra_delay_s = seconds
         self.after(for_s, setattr, self.state, "extra_delay_s", 0.0)
 
     def duplicate_heartbeats(
-        self, share: float, for_s: float, deliver_in_next_term: bool = False
+        self, fraction: float, for_s: float, deliver_in_next_term: bool = False
     ) -> None:
-        """A copy of that share of reports arrives again: 2 s to 1.6 leases later, at any
-        controller; or at every controller when the next leader has begun.
+        """A copy of that fraction of heartbeats arrives 2 to 16 s later, at any controller.
+
+        With `deliver_in_next_term`: at every controller once the next leader's term is active.
         """
-        self._copy_share, self._copy_for_next = share, deliver_in_next_term
-        self.after(for_s, setattr, self, "_copy_share", 0.0)
+        self._duplicate_fraction, self._duplicate_in_next_term = fraction, deliver_in_next_term
+        self.after(for_s, setattr, self, "_duplicate_fraction", 0.0)
 
-    def _copied(self, node: str, report: wire.Heartbeat) -> None:
-        if self._copy_share and self.rng.random() < self._copy_share:
-            if self._copy_for_next:
-                self._kept.append((self._term_active(), report))
+    def _duplicate_at_random(self, node: str, report: wire.Heartbeat) -> None:
+        if self._duplicate_fraction and self.rng.random() < self._duplicate_fraction:
+            if self._duplicate_in_next_term:
+                self._kept_heartbeats.append((self._term_active(), report))
             else:
                 self.after(
                     self.rng.uniform(2.0, 16.0),
@@ -416,11 +427,11 @@
             default=0,
         )
 
-    def _deliver_kept(self) -> None:
-        self.after(0.05, self._deliver_kept)
+    def _deliver_kept_heartbeats(self) -> None:
+        self.after(0.05, self._deliver_kept_heartbeats)
         term = self._term_active()
-        due = [report for kept_in, report in self._kept if kept_in < term]
-        self._kept = [entry for entry in self._kept if entry[0] >= term]
+        due = [report for kept_in_term, report in self._kept_heartbeats if kept_in_term < term]
+        self._kept_heartbeats = [entry for entry in self._kept_heartbeats if entry[0] >= term]
         for report in due:
             for name in self.names:
                 self._deliver_copy(name, report)
@@ -432,8 +443,10 @@
         )
 
     def inject_machine_fault(self, what: str, machines: list[str], for_s: float) -> None:
-        """`what`: hung, deaf (answers and orders lost, reports arrive), mute (reaches no
-        controller) or cut (from all controllers: what is sent is held).
+        """Applies a fault to the machines.
+
+        `what`: hung; deaf (receives no replies or commands, its heartbeats arrive); mute (its
+        heartbeats are lost); or cut (from all controllers; packets are held until the end).
         """
         for name in machines:
             self.add_trace_line(f"{name} is {what}")
@@ -444,13 +457,13 @@
             self.after(for_s, setattr, self.workers[name], what, False)
 
     def cut(self, one: str, others: list[str], for_s: float) -> None:
-        """Between these hosts all is held, and then delivered in order."""
+        """Holds all packets between these hosts, and then delivers them in order."""
         for other in others:
             self.sim.cut(one, other)
             self.after(for_s, self.sim.heal, one, other)
 
     def slow_down_links(self, seconds: float, for_s: float) -> None:
-        """Between controllers, and between these and the state service."""
+        """Delays packets between controllers, and between these and the state service."""
         hosts = [*(self.ip(name) for name in self.names), STATE[0]]
         self.sim.extra_delay_s = {
             frozenset((one, other)): seconds for one in hosts for other in hosts if one != other
@@ -458,8 +471,9 @@
         self.after(for_s, self.sim.extra_delay_s.clear)
 
     def isolate(self, node: str, for_s: float) -> None:
-        """The controller loses the state service and the other controllers, not its workers or
-        users.
+        """Cuts the controller from the state service and the other controllers.
+
+        Its workers and users still reach it.
         """
         self.add_trace_line(f"{node} is cut from the state service and its peers")
         self.cut(
@@ -469,8 +483,9 @@
         )
 
     def run_without_faults(self, for_s: float = 110.0) -> None:
-        """All troubles are over: now the rules count how long questions and waiting jobs are left
-        alone.
+        """Runs after all faults have ended, while users poll their jobs.
+
+        From now on the rules limit how long requests and pending jobs may wait.
         """
         self.calm_since = self.sim.time
         for _ in range(int(for_s / 5)):
@@ -483,11 +498,11 @@
     # Users
 
     def call(
-        self, node: str, method: str, path: str, body: Any, done: Callable[[int, Any], None]
+        self, node: str, method: str, path: str, body: Any, on_done: Callable[[int, Any], None]
     ) -> None:
-        """A user's request. The rules see all that are asked and answered."""
+        """Sends a user's request. The rules record all requests and replies."""
         client = self._clients.setdefault(node, Client(self.user, (self.ip(node), 8080), 8))
-        asked_at = self.sim.time
+        requested_at = self.sim.time
         if path == wire.WORK:
             what, ref = (
                 "submit",
@@ -501,22 +516,24 @@
             if what == "cancel":
                 self.rules.asks_to_cancel(ref)
 
-        def told(reply: Reply) -> None:
-            answer = msgspec.msgpack.decode(reply.body) if reply.body else None
+        def on_reply(reply: Reply) -> None:
+            body_of_reply = msgspec.msgpack.decode(reply.body) if reply.body else None
             if path.startswith(wire.WORK) and ref:
-                self.rules.answered(what, ref, asked_at, self.sim.time, reply.status, answer)
-            done(reply.status, answer)
+                self.rules.answered(
+                    what, ref, requested_at, self.sim.time, reply.status, body_of_reply
+                )
+            on_done(reply.status, body_of_reply)
 
-        client.request(method, path, body, 5.0, told)
+        client.request(method, path, body, 5.0, on_reply)
 
     def submit(self, job: wire.Spec, run_time: float | None = None, node: int = 0) -> None:
-        """Submits until it is answered for good, like the users do."""
+        """Submits a job; like users, retries until it is accepted or rejected."""
         self.specs[job.ref] = job
         if run_time is not None:
             self.run_times[job.ref] = run_time
         name = self.names[node % len(self.names)]
 
-        def done(status: int, _: Any) -> None:
+        def on_done(status: int, _: Any) -> None:
             if status in (200, 201):
                 self.accepted.add(job.ref)
                 self.add_trace_line(f"user: {job.ref} accepted ({status})")
@@ -525,13 +542,13 @@
             else:
                 self.sim.at(self.sim.time + 1.0, self.submit, job, run_time, node + 1)
 
-        self.call(name, "POST", wire.WORK, wire.submission(job), done)
+        self.call(name, "POST", wire.WORK, wire.submission(job), on_done)
 
     def cancel(self, ref: str, node: int = 0, since: float | None = None) -> None:
-        """Asks until it is told the end, like the users do: for 60 s."""
+        """Cancels a job; like users, retries for 60 s until the reply is 200."""
         first = self.sim.time if since is None else since
 
-        def done(status: int, body: Any) -> None:
+        def on_done(status: int, body: Any) -> None:
             if status == 200:
                 if body["stage"] == wire.ABORTED and ref not in self.reported_cancelled_at:
                     self.reported_cancelled_at[ref] = self.sim.time
@@ -542,16 +559,14 @@
                 self.unanswered_cancellations.append(ref)
 
         self.call(
-            self.names[node % len(self.names)], "POST", f"{wire.WORK}/{ref}/cancel", None, done
+            self.names[node % len(self.names)], "POST", f"{wire.WORK}/{ref}/cancel", None, on_done
         )
 
     def poll_repeatedly(self, ref: str) -> None:
-        """Its user asks at all nodes, again and again within milliseconds, and repeats the
-        submission.
-        """
-        for turn in range(4):
+        """Polls the job and repeats its submission at all controllers, every few milliseconds."""
+        for attempt_number in range(4):
             for number, name in enumerate(self.names):
-                delay = 0.004 * turn + 0.001 * number
+                delay = 0.004 * attempt_number + 0.001 * number
                 self.after(
                     delay, self.call, name, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None
                 )
@@ -559,20 +574,20 @@
                 self.after(delay, self.call, name, "POST", wire.WORK, body, lambda *_: None)
 
     def query_job(self, ref: str) -> tuple[int, Any]:
-        """Polls any node until one answers other than 503, at most 20 s."""
-        answers: list[tuple[int, Any]] = []
-        end = self.sim.time + 20
-        turn = 0
-        while self.sim.time < end:
-            answers.clear()
-            name = self.names[turn % len(self.names)]
-            self.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda s, b: answers.append((s, b)))
-            self.run_until(lambda: bool(answers), 6)
-            if answers and answers[0][0] in (200, 404):
-                return answers[0]
-            turn += 1
+        """Polls one controller after the other until a reply is 200 or 404, for at most 20 s."""
+        replies: list[tuple[int, Any]] = []
+        deadline = self.sim.time + 20
+        attempt_number = 0
+        while self.sim.time < deadline:
+            replies.clear()
+            name = self.names[attempt_number % len(self.names)]
+            self.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda s, b: replies.append((s, b)))
+            self.run_until(lambda: bool(replies), 6)
+            if replies and replies[0][0] in (200, 404):
+                return replies[0]
+            attempt_number += 1
             self.run(0.3)
-        raise AssertionError(f"nobody answers about {ref}")
+        raise AssertionError(f"no controller replied 200 or 404 about {ref} within 20 s")
 
     # Time
 
@@ -582,12 +597,12 @@
     def run(self, seconds: float) -> None:
         self.run_until(lambda: False, seconds)
 
-    def run_until(self, condition: Callable[[], bool], most: float) -> bool:
-        """Plays until the condition holds; False if it did not within the time."""
-        end = self.sim.time + most
+    def run_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
+        """Runs until the condition holds; returns False if it does not within the timeout."""
+        deadline = self.sim.time + timeout_s
         while not condition():
-            if self.sim.next_time() > end:
-                self.sim.time = end
+            if self.sim.next_time() > deadline:
+                self.sim.time = deadline
                 return condition()
             self.sim.step()
             assert not self.rules.broken, self.rules.broken
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -1,4 +1,4 @@
-"""Two teams and more on a fleet that is too small for both, with lending, and an audit of it."""
+"""A simulated deployment with lending: teams on a fleet that is too small for them, audited."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 OTHERS = Team("others", 0.0, 0.0, 8.0, 64.0)
 FIVE_NODES = tuple(f"hearth-{number}" for number in range(5))
 RECLAIM_DEADLINE_S = 12.5
-"""The policy's, for the world's lease of 10 s."""
+"""Seconds from a reclaim to its deadline under the default policy, for a worker lease of 10 s."""
 
 
 def gpu_array(ref: str, tasks: int, team: str = "crew", **changes: Any) -> wire.Spec:
-    """An array of GPU tasks on ordinary machines that saves every 5 s."""
-    usual: dict[str, Any] = {
+    """An array of GPU tasks on on-demand machines that saves every 5 s."""
+    defaults: dict[str, Any] = {
         "team": team,
         "checkpoint_interval_s": 5.0,
         "checkpoint_save_s": 1.0,
         "spot": False,
     }
-    return msgspec.structs.replace(batch(ref, tasks), **(usual | changes))
+    return msgspec.structs.replace(batch(ref, tasks), **(defaults | changes))
 
 
 class SimulatedLendingCluster(SimulatedCluster):
@@ -54,9 +54,9 @@
         """`max_reclaim_s`: the audit's bound; `nodes_without_lending` lack the feature."""
         self.nodes_without_lending = set(nodes_without_lending)
         self.stopped_tasks: list[tuple[float, str, int]] = []
-        """Tasks that were told to stop, and did."""
+        """Tasks that stopped on command: time, task and attempt."""
         self.deadlines: dict[int, float] = {}
-        """Of each recall that was seen in the ledger."""
+        """Deadline of each reclaim seen in the ledger."""
         self.seen: dict[int, Reclaim] = {}
         super().__init__(seed, team=teams[0], other_teams=teams[1:], nodes=nodes, capacity=capacity)
         self.audit = LoanAudit(self.rules, self.teams, max_reclaim_s)
@@ -78,26 +78,28 @@
             self.stopped_tasks.append((self.sim.time, task, attempt))
             self.audit.stopped(task, machine, self.sim.time)
 
-    def _look(self) -> None:
-        super()._look()
-        up = [w.machine for w in self.workers.values() if not w.hung and w.notice is None]
-        self.audit.look(self.sim.time, up)
-        for recall in self.recalls().values():
-            # Whoever leads: a deadline stands.
-            self.seen[recall.number] = recall
-            assert self.deadlines.setdefault(recall.number, recall.deadline) == recall.deadline
+    def _check_rules(self) -> None:
+        super()._check_rules()
+        healthy_machines = [
+            w.machine for w in self.workers.values() if not w.hung and w.notice is None
+        ]
+        self.audit.look(self.sim.time, healthy_machines)
+        for reclaim in self.recalls().values():
+            # A change of leader must not change a deadline.
+            self.seen[reclaim.number] = reclaim
+            assert self.deadlines.setdefault(reclaim.number, reclaim.deadline) == reclaim.deadline
         assert not self.audit.breaches, (self.audit.breaches, self.trace[-30:])
 
-    # What the ledger says
+    # Contents of the ledger
 
     def read_ledger(self) -> ClusterState:
-        """The ledger as a leader that begins now would read it."""
-        read_ledger = ClusterState()
+        """The cluster state that a new leader would replay from the ledger now."""
+        state = ClusterState()
         for key, (value, _, _) in sorted(self.state.rows.items()):
             if key.startswith("p/"):
                 for record in value["r"]:
-                    read_ledger.replay(record, int(key[2:]))
-        return read_ledger
+                    state.replay(record, int(key[2:]))
+        return state
 
     def recalls(self) -> dict[int, Reclaim]:
         return self.read_ledger().loan_state.reclaims
@@ -114,10 +116,10 @@
     cluster.submit(gpu_array("j-000100", 16, "others"), run_time=run_time)
     assert cluster.run_until(lambda: cluster.count("j-000100") == 16, 60), cluster.trace[-30:]
     assert cluster.run_until(lambda: cluster.read_ledger().format >= 3, 30)
-    # The pools' refusals and the machines' images are known by now.
+    # By then the leader knows which pools refuse and which images the machines have.
     cluster.run(5.0)
     return cluster
 
 
-def run_until(cluster: SimulatedCluster, condition: Callable[[], bool], most: float) -> None:
-    assert cluster.run_until(condition, most), cluster.trace[-40:]
+def run_until(cluster: SimulatedCluster, condition: Callable[[], bool], timeout_s: float) -> None:
+    assert cluster.run_until(condition, timeout_s), cluster.trace[-40:]
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -1,4 +1,4 @@
-"""A deployment whose controllers are of the version in production until each has its turn."""
+"""A simulated deployment whose controllers run the version in production until upgraded."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 
 
 class UpgradingCluster(SimulatedCluster):
-    """New controllers know the lower limits of the state service; it keeps the higher ones until
-    `lower_limits`.
+    """New controllers are configured with the lower limits of the state service.
+
+    The state service enforces the higher ones until `lower_limits`.
     """
 
     def __init__(
@@ -29,7 +30,7 @@
         self.state.enforce(CURRENT_LIMITS.value_bytes, CURRENT_LIMITS.txn_ops)
 
     def start(self, node: str) -> None:
-        """With the version that it has now: one that dies before its turn comes back old."""
+        """Starts the version that the controller has now: the old one until its upgrade."""
         if node in self.upgraded:
             super().start(node)
             return
@@ -48,18 +49,18 @@
         return self.with_limits(super().settings_of(node), limits)
 
     def upgrade(self, node: str, back_after: float = 1.0) -> None:
-        """The controller is killed and comes back with the new version."""
+        """Kills the controller; it restarts with the new version."""
         self.upgraded.add(node)
         self.crash(node, back_after)
 
     def roll_out_upgrade(self, every: float = 8.0, names: tuple[str, ...] = NODES) -> None:
-        """All controllers, one after the other."""
+        """Upgrades the controllers one after the other."""
         for name in names:
             self.upgrade(name)
             self.run(every)
 
     def lower_limits(self) -> None:
-        """The state service accepts less from now on."""
+        """The state service enforces the lower limits from now on."""
         self.add_trace_line("the state service has its new limits")
         self.state.enforce(
             LOWERED_LIMITS.value_bytes, LOWERED_LIMITS.txn_ops, LOWERED_LIMITS.write_rps
@@ -67,6 +68,6 @@
 
     @property
     def format(self) -> int:
-        """The format of the ledger, as the leader knows it."""
+        """The ledger's format according to the leader."""
         leader = self.leader()
         return getattr(self.nodes[leader].leader.state, "format", 1) if leader else 0
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,6 +1,6 @@
 """A simulated network and clock: hosts, streams with delays, cuts that hold packets back, crashes.
 
-Deterministic by its seed. Each host gets a `Runtime`; what runs on a crashed host never runs again.
+Deterministic for a seed. Each host is a `Runtime`; callbacks of a crashed host never run again.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
     from flaxtally.runtime.loop_delay import LoopDelay
 
 
-def nothing(*_: Any) -> None:
+def ignore(*_: Any) -> None:
     pass
 
 
 class SimStream:
-    """One end of a stream; `other` is the far end once it is there."""
+    """One end of a stream; `other` is the remote end, once connected."""
 
     def __init__(self, host: Host, far: str) -> None:
         self.host, self.far = host, far
@@ -32,8 +32,8 @@
         self.opened = self.is_closed = False
         self.pending: list[bytes] = []
         self.arrives_at = 0.0
-        self.on_data: Callable[[bytes], None] = nothing
-        self.on_close: Callable[[], None] = nothing
+        self.on_data: Callable[[bytes], None] = ignore
+        self.on_close: Callable[[], None] = ignore
 
     def send(self, data: bytes) -> None:
         if self.is_closed:
@@ -44,7 +44,7 @@
             self.host.sim.transmit(self, bytes(data))
 
     def close(self) -> None:
-        self.on_close = self.on_data = nothing
+        self.on_close = self.on_data = ignore
         if not self.is_closed:
             self.is_closed = True
             if self.opened:
@@ -53,15 +53,15 @@
     def deliver(self, data: bytes) -> None:
         self.on_data(data)
 
-    def ended(self) -> None:
+    def on_remote_close(self) -> None:
         if not self.is_closed:
             self.is_closed = True
-            told, self.on_close, self.on_data = self.on_close, nothing, nothing
-            self.host.call(told)
+            on_close, self.on_close, self.on_data = self.on_close, ignore, ignore
+            self.host.call(on_close)
 
 
 class Host:
-    """A host's runtime (see `flaxtally.loop.Runtime`), for one life of its process."""
+    """A host's `flaxtally.runtime.loop.Runtime`, for one incarnation of its process."""
 
     def __init__(self, sim: Simulation, ip: str) -> None:
         self.sim, self.ip, self.alive = sim, ip, True
@@ -69,13 +69,13 @@
         self.listening: dict[int, Callable[[Stream], None]] = {}
         self._pause_watchers: list[tuple[float, Callable[[float], None]]] = []
         self._frozen_at: float | None = None
-        self._held_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self._held_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.call_seconds = 0.0
-        """What each call takes: more than nothing for a host whose processor is slow."""
+        self._delayed_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self._delayed_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self.call_duration_s = 0.0
+        """Seconds that each call takes: over 0 on a host with a slow processor."""
         self._busy_until = 0.0
         self.queue: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
-        """Calls that wait for the processor."""
+        """Calls waiting for the processor."""
 
     def now(self) -> float:
         return self.sim.time
@@ -85,17 +85,17 @@
 
     def after(self, delay: float, callback: Callable[..., None], *args: Any) -> Timer:
         timer = Timer(self.sim.time + max(0.0, delay), callback, args)
-        self.sim.at(timer.when, self._fire, timer)
+        self.sim.at(timer.when, self._call_timer, timer)
         return timer
 
-    def _fire(self, timer: Timer) -> None:
+    def _call_timer(self, timer: Timer) -> None:
         if timer.live and self._frozen_at is not None:
-            self._held_calls.append((self._fire, (timer,)))
+            self._delayed_calls.append((self._call_timer, (timer,)))
         elif timer.live:
-            self.call(self._expire, timer)
+            self.call(self._run_timer, timer)
 
     @staticmethod
-    def _expire(timer: Timer) -> None:
+    def _run_timer(timer: Timer) -> None:
         if timer.live:
             callback, args = timer.take()
             callback(*args)
@@ -105,37 +105,37 @@
 
     def _call_soon(self, callback: Callable[..., None], *args: Any) -> None:
         if self._frozen_at is not None:
-            self._held_calls.append((callback, args))
+            self._delayed_calls.append((callback, args))
         else:
             self.call(callback, *args)
 
     def call(self, callback: Callable[..., None], *args: Any) -> None:
-        """What comes from outside: data, connections, their ends."""
+        """Makes a call that is due: a timer, data, a new connection or its end."""
         if self._frozen_at is not None:
-            self._held_events.append((callback, args))
+            self._delayed_events.append((callback, args))
             return
-        if not self.call_seconds and not self.queue:
+        if not self.call_duration_s and not self.queue:
             if self.alive:
                 callback(*args)
             return
         self.queue.append((callback, args))
         if len(self.queue) == 1:
-            self.sim.at(max(self.sim.time, self._busy_until), self._work)
+            self.sim.at(max(self.sim.time, self._busy_until), self._run_queued_calls)
 
-    def _work(self) -> None:
-        """Makes the calls that waited for the processor, in order, as it has time for them."""
+    def _run_queued_calls(self) -> None:
+        """Makes the calls that waited for the processor, in order, when it is free."""
         while self.queue and self._busy_until <= self.sim.time:
             if self._frozen_at is not None:
-                self._held_events += self.queue
+                self._delayed_events += self.queue
                 self.queue.clear()
                 return
             callback, args = self.queue[0]
-            self._busy_until = self.sim.time + self.call_seconds
+            self._busy_until = self.sim.time + self.call_duration_s
             if self.alive:
                 callback(*args)
             self.queue.popleft()
         if self.queue:
-            self.sim.at(self._busy_until, self._work)
+            self.sim.at(self._busy_until, self._run_queued_calls)
 
     def on_pause(self, threshold_s: float, notify: Callable[[float], None]) -> None:
         self._pause_watchers.append((threshold_s, notify))
@@ -143,23 +143,23 @@
     def on_delay(
         self, threshold_s: float, period_s: float, notify: Callable[[LoopDelay], None]
     ) -> None:
-        """Delays are for the operators of a real loop: here `queue` tells."""
+        """Reports nothing: a simulated host's delay shows in `queue`."""
 
     def freeze(self, for_s: float) -> None:
-        """The process stands still while its clocks run on; its kernel still takes packets."""
+        """Pauses the process while its clocks continue; its kernel still receives packets."""
         self._frozen_at = self.sim.time
         self.sim.at(self.sim.time + for_s, self._thaw)
 
     def _thaw(self) -> None:
-        """Goes on as `flaxtally.loop` does: the pause, then what arrived, then what fell due."""
+        """Continues like `Loop`: reports the pause, handles what arrived, then what became due."""
         assert self._frozen_at is not None
         lost_s, self._frozen_at = self.sim.time - self._frozen_at, None
         for threshold_s, notify in self._pause_watchers:
             if lost_s > threshold_s:
                 self.call(notify, lost_s)
-        held = self._held_events + self._held_calls
-        self._held_events, self._held_calls = [], []
-        for callback, args in held:
+        delayed = self._delayed_events + self._delayed_calls
+        self._delayed_events, self._delayed_calls = [], []
+        for callback, args in delayed:
             self.call(callback, *args)
 
     def listen(self, address: Address, accept: Callable[[Stream], None]) -> None:
@@ -173,7 +173,7 @@
 
 
 class Simulation:
-    """The clock, the events, the network."""
+    """The clock, the scheduled events and the network."""
 
     def __init__(self, seed: int) -> None:
         self.time = 0.0
@@ -183,10 +183,10 @@
         self.hosts: dict[str, Host] = {}
         self.cuts: set[frozenset[str]] = set()
         self.refused_pairs: set[frozenset[str]] = set()
-        """Pairs of hosts between which connections are refused, those that stand are reset."""
+        """Pairs of hosts between which new connections are refused."""
         self.extra_delay_s: dict[frozenset[str], float] = {}
-        """Pairs of hosts between which everything takes that many seconds longer."""
-        self._held: dict[frozenset[str], list[tuple[SimStream, bytes | None]]] = {}
+        """Additional delay in seconds of everything sent between a pair of hosts."""
+        self._held_packets: dict[frozenset[str], list[tuple[SimStream, bytes | None]]] = {}
 
     def host(self, ip: str) -> Host:
         self.hosts[ip] = Host(self, ip)
@@ -209,10 +209,10 @@
     def dial(self, stream: SimStream, address: Address) -> None:
         ip, port = address
         if frozenset((stream.host.ip, ip)) in self.cuts:
-            return  # an attempt under a cut hangs, and does not complete later
-        self.at(self.time + self.delay(), self._dialled, stream, ip, port)
+            return  # an attempt during a cut hangs, and does not complete later
+        self.at(self.time + self.delay(), self._on_dialled, stream, ip, port)
 
-    def _dialled(self, stream: SimStream, ip: str, port: int) -> None:
+    def _on_dialled(self, stream: SimStream, ip: str, port: int) -> None:
         host = self.hosts.get(ip)
         if stream.is_closed:
             return
@@ -222,7 +222,7 @@
             or port not in host.listening
             or frozenset((stream.host.ip, ip)) in self.refused_pairs
         ):
-            stream.ended()
+            stream.on_remote_close()
             return
         far = SimStream(host, stream.host.ip)
         far.opened = stream.opened = True
@@ -233,22 +233,22 @@
             self.transmit(stream, data)
 
     def transmit(self, stream: SimStream, data: bytes | None) -> None:
-        """Bytes, or with None the end of the stream, to the far end, in order."""
-        pair = frozenset((stream.host.ip, stream.far))
-        if pair in self.cuts:
-            self._held.setdefault(pair, []).append((stream, data))
+        """Sends bytes, or the end of the stream (None), to the remote end, in order."""
+        host_pair = frozenset((stream.host.ip, stream.far))
+        if host_pair in self.cuts:
+            self._held_packets.setdefault(host_pair, []).append((stream, data))
             return
         stream.arrives_at = max(
-            self.time + self.delay() + self.extra_delay_s.get(pair, 0.0), stream.arrives_at
+            self.time + self.delay() + self.extra_delay_s.get(host_pair, 0.0), stream.arrives_at
         )
-        self.at(stream.arrives_at, self._arrive, stream.other, data)
+        self.at(stream.arrives_at, self._deliver, stream.other, data)
 
     @staticmethod
-    def _arrive(far: SimStream | None, data: bytes | None) -> None:
+    def _deliver(far: SimStream | None, data: bytes | None) -> None:
         if far is None or far.is_closed:
             return
         if data is None:
-            far.host.call(far.ended)
+            far.host.call(far.on_remote_close)
         else:
             far.host.call(far.deliver, data)
 
@@ -256,19 +256,19 @@
         self.cuts.add(frozenset((one, other)))
 
     def heal(self, one: str, other: str) -> None:
-        """Held packets are delivered now, in order, also of streams that were given up."""
-        pair = frozenset((one, other))
-        self.cuts.discard(pair)
-        for stream, data in self._held.pop(pair, []):
+        """Ends a cut: held packets are delivered in order, also those of closed streams."""
+        host_pair = frozenset((one, other))
+        self.cuts.discard(host_pair)
+        for stream, data in self._held_packets.pop(host_pair, []):
             self.transmit(stream, data)
 
     def refuse(self, one: str, other: str) -> None:
-        """Puts a packet filter between two hosts; `refused_pairs.discard` takes it away."""
+        """Refuses and resets connections between two hosts, until `refused_pairs.discard`."""
         self.refused_pairs.add(frozenset((one, other)))
         for ip, far in ((one, other), (other, one)):
             for stream in self.hosts[ip].streams:
                 if stream.far == far and stream.opened and not stream.is_closed:
-                    stream.ended()
+                    stream.on_remote_close()
 
     def crash(self, ip: str) -> None:
         host = self.hosts[ip]
