--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -86,7 +86,7 @@
         cluster.ip(name) for number, name in enumerate(cluster.names) if "ab"[number % 2] == zone
     }
     inside |= {
-        cluster.ip_of(name)
+        cluster.get_machine_ip(name)
         for name, worker in cluster.workers.items()
         if worker.machine.zone == zone
     }
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -38,7 +38,7 @@
         super().__init__(seed, team=team, nodes=CELL_NODES, **more)
         self.after(0.5, self._audit)
 
-    def cells_of(self, settings: Settings) -> CellSetup:
+    def build_cell_setup(self, settings: Settings) -> CellSetup:
         return CellSetup(CellFile(cell_map(), None), settings)
 
     def find_cell_leader(self, cell: str) -> str | None:
@@ -53,7 +53,7 @@
     def both_cells_have_leaders(self) -> bool:
         return all(self.find_cell_leader(cell) for cell in (NORTH, SOUTH))
 
-    def nodes_of(self, cell: str) -> list[str]:
+    def list_cell_controllers(self, cell: str) -> list[str]:
         return [name for name in CELL_NODES if name.startswith(cell)]
 
     def cut_off(self, nodes: list[str], for_s: float) -> None:
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -183,7 +183,7 @@
     def ip(self, node: str) -> str:
         return f"10.0.0.{self.names.index(node) + 1}"
 
-    def settings_of(self, node: str) -> Settings:
+    def build_settings(self, node: str) -> Settings:
         return Settings(
             node=node,
             zone=ZONES[self.names.index(node) % 2],
@@ -216,7 +216,7 @@
         """Returns the settings with other limits of the state service."""
         return dataclasses.replace(settings, state_limits=limits)
 
-    def cells_of(self, settings: Settings) -> CellSetup | None:
+    def build_cell_setup(self, settings: Settings) -> CellSetup | None:
         """The controller's cell; None: the fleet is not divided into cells."""
         return None
 
@@ -225,13 +225,13 @@
         return None
 
     def start(self, node: str) -> None:
-        settings = self.settings_of(node)
+        settings = self.build_settings(node)
         self.nodes[node] = Controller(
             self.sim.host(self.ip(node)),
             settings,
             policy.default(settings),
             random.Random(self.rng.random()),
-            self.cells_of(settings),
+            self.build_cell_setup(settings),
             self.lending_of(node),
         )
 
@@ -281,10 +281,10 @@
             self.sim.crash(worker._address[0])
         self.add_trace_line(f"{name} gone")
 
-    def machine_of(self, task: str) -> str:
+    def find_machine(self, task: str) -> str:
         return self.rules.on[task][0].machine
 
-    def ip_of(self, machine: str) -> str:
+    def get_machine_ip(self, machine: str) -> str:
         return self.workers[machine]._address[0]
 
     def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
@@ -451,7 +451,7 @@
         for name in machines:
             self.add_trace_line(f"{name} is {what}")
             if what == "cut":
-                self.cut(self.ip_of(name), [self.ip(node) for node in self.names], for_s)
+                self.cut(self.get_machine_ip(name), [self.ip(node) for node in self.names], for_s)
                 continue
             setattr(self.workers[name], what, True)
             self.after(for_s, setattr, self.workers[name], what, False)
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -35,7 +35,7 @@
             super().start(node)
             return
         settings = production.module("settings").parse(
-            tomllib.loads(settings_text(self.settings_of(node, CURRENT_LIMITS)))
+            tomllib.loads(settings_text(self.build_settings(node, CURRENT_LIMITS)))
         )
         controller = production.module("node").Node(
             self.sim.host(self.ip(node)),
@@ -45,8 +45,8 @@
         )
         self.nodes[node] = production.under_present_names(controller)
 
-    def settings_of(self, node: str, limits: StateLimits = LOWERED_LIMITS) -> Any:
-        return self.with_limits(super().settings_of(node), limits)
+    def build_settings(self, node: str, limits: StateLimits = LOWERED_LIMITS) -> Any:
+        return self.with_limits(super().build_settings(node), limits)
 
     def upgrade(self, node: str, back_after: float = 1.0) -> None:
         """Kills the controller; it restarts with the new version."""
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -278,7 +278,7 @@
 
 def test_a_job_whose_cell_dies_before_it_kept_it_goes_to_another() -> None:
     cluster = ready()
-    dead = cluster.nodes_of(SOUTH)
+    dead = cluster.list_cell_controllers(SOUTH)
     # Sent to a cell that has not marked it: what an entry controller leaves that dies just then.
     cluster.put(JOBS + "j-000001", {"cell": SOUTH, "kept": False})
     for name in dead:
@@ -298,7 +298,7 @@
     cluster = busy_cells()
     lost = {ref for ref in cluster.specs if cluster.find_cells_with_job(ref) == {SOUTH}}
     assert lost
-    for name in cluster.nodes_of(SOUTH):
+    for name in cluster.list_cell_controllers(SOUTH):
         cluster.crash(name, back_after=6.0)
     statuses: dict[str, list[int]] = {ref: [] for ref in lost}
     cluster.run(2.0)
@@ -314,9 +314,11 @@
 
 def test_cells_that_cannot_reach_each_other_answer_and_run_on() -> None:
     cluster = busy_cells()
-    for north in cluster.nodes_of(NORTH):
+    for north in cluster.list_cell_controllers(NORTH):
         cluster.cut(
-            cluster.ip(north), [cluster.ip(south) for south in cluster.nodes_of(SOUTH)], 30.0
+            cluster.ip(north),
+            [cluster.ip(south) for south in cluster.list_cell_controllers(SOUTH)],
+            30.0,
         )
     for number in range(6):
         cluster.submit(batch(f"j-{300 + number:06d}", 2), run_time=5.0, node=number)
@@ -340,7 +342,7 @@
 
 def test_a_user_who_repeats_at_a_controller_with_an_older_map_has_one_job() -> None:
     cluster = ready()
-    old = cluster.nodes_of(SOUTH)[0]
+    old = cluster.list_cell_controllers(SOUTH)[0]
     cluster.cut(cluster.ip(old), ["10.2.0.1"], 12.0)
     cluster.put_map(cell_map(2, south=False))
     cluster.run(4.0)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -22,7 +22,7 @@
 
 from .simulated_cluster import NODES, SimulatedCluster
 
-POLICY = default(SimulatedCluster().settings_of(NODES[0]))
+POLICY = default(SimulatedCluster().build_settings(NODES[0]))
 
 
 def lost(**changes: Any) -> LostLeader:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -75,7 +75,7 @@
     )
     for number in range(200, 203):
         cluster.submit(batch(f"j-{number:06d}", 2), run_time=10.0, node=number)
-    there = sorted({cluster.machine_of("j-000100/0"), cluster.machine_of("j-000000/0")})
+    there = sorted({cluster.find_machine("j-000100/0"), cluster.find_machine("j-000000/0")})
     cluster.inject_machine_fault(what, there, 14.0)
     cluster.after(1.0, cluster.crash, wait_for_leader(cluster), 3.0)
     for number, ref in enumerate(["j-000100", "j-000101", "j-000000"]):
@@ -146,7 +146,7 @@
     else:
         cluster.isolate(old, 60.0)
     for name in spare:
-        cluster.sim.cut(cluster.ip(old), cluster.ip_of(name))
+        cluster.sim.cut(cluster.ip(old), cluster.get_machine_ip(name))
     assert cluster.run_until(lambda: wait_for_leader(cluster) != old, 30)
     cluster.run(2)
     refs = [f"j-{400 + number:06d}" for number in range(6)]
@@ -159,7 +159,7 @@
     assert cluster.nodes[old].election.is_leader
     assert cluster.running == before, cluster.trace[-20:]
     for name in spare:
-        cluster.sim.heal(cluster.ip(old), cluster.ip_of(name))
+        cluster.sim.heal(cluster.ip(old), cluster.get_machine_ip(name))
     check_final_state(cluster, 40)
 
 
@@ -171,10 +171,10 @@
     assert cluster.run_until(lambda: all(task in cluster.running for task in second), 60)
     for task in second:
         # Each job's second task is found to take much longer than its first.
-        held = cluster.workers[cluster.machine_of(task)].tasks[task, 1]
+        held = cluster.workers[cluster.find_machine(task)].tasks[task, 1]
         assert held.timer is not None
         held.timer.cancel()
-        cluster.after(40.0, cluster.workers[cluster.machine_of(task)].exit, held, wire.CAUSE_DONE)
+        cluster.after(40.0, cluster.workers[cluster.find_machine(task)].exit, held, wire.CAUSE_DONE)
     cluster.run(15)
     assert all(
         cluster.query_job(f"j-{200 + number:06d}")[1]["stage"] == "running" for number in range(6)
@@ -222,7 +222,7 @@
     for turn in range(3):
         for task in [f"j-{turn:06d}/0", f"j-{100 + turn:06d}/0"]:
             if task in cluster.running:
-                cluster.cloud.remove_machine(cluster.machine_of(task))
+                cluster.cloud.remove_machine(cluster.find_machine(task))
         if turn == 1:
             cluster.crash(wait_for_leader(cluster), back_after=2.0)
         cluster.run(8)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -46,7 +46,7 @@
     text: str, said: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config = tmp_path / "node.toml"
-    config.write_text(settings_text(SimulatedCluster().settings_of("hearth-0")))
+    config.write_text(settings_text(SimulatedCluster().build_settings("hearth-0")))
     path = write(tmp_path, text)
     for command in ("check", "serve"):
         assert main([command, "--config", str(config), "--features", path]) == 2
@@ -109,7 +109,9 @@
     trace = tmp_path / "trace.jsonl"
     features = read_file(write(tmp_path, f'[tracing]\nfile = "{trace}"\nleast_ms = 20\n'))
     loop = Loop()
-    controller_commands._start_features(features, loop, SimulatedCluster().settings_of("hearth-1"))
+    controller_commands._start_features(
+        features, loop, SimulatedCluster().build_settings("hearth-1")
+    )
     for _ in range(20):
         loop.soon(blink)
     loop.soon(nap)
@@ -134,7 +136,9 @@
         write(tmp_path, f'[tracing]\nfile = "{trace}"\nleast_ms = 0.1\nmost_mb = 0.001\n')
     )
     loop = Loop()
-    controller_commands._start_features(features, loop, SimulatedCluster().settings_of("hearth-1"))
+    controller_commands._start_features(
+        features, loop, SimulatedCluster().build_settings("hearth-1")
+    )
     for number in range(12):
         loop.after(0.002 * number, time.sleep, 0.001)
     loop.after(0.2, loop.stop)
@@ -160,7 +164,7 @@
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     config = tmp_path / "node.toml"
-    config.write_text(settings_text(SimulatedCluster().settings_of("hearth-0")))
+    config.write_text(settings_text(SimulatedCluster().build_settings("hearth-0")))
     path = write(tmp_path, '[tracing]\nfile = "/nowhere/trace.jsonl"\n')
     assert main(["serve", "--config", str(config), "--features", path]) == 2
     told = capsys.readouterr().err.splitlines()
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -407,7 +407,7 @@
     cluster = SimulatedCluster()
     cluster.submit(spec("j-000001", tasks=2, spread=False, cores=1.0))
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
-    worker = cluster.workers[cluster.machine_of("j-000001/0")]
+    worker = cluster.workers[cluster.find_machine("j-000001/0")]
     worker.exit(worker.tasks["j-000001/0", 1], "novelty")
     worker.tasks["j-000001/1", 1].state = "pondering"
     worker.report_soon()
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -111,7 +111,7 @@
     cluster = SimulatedCluster()
     cluster.submit(spec("j-000001", tasks=2))
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
-    used = {cluster.machine_of(f"j-000001/{task}") for task in range(2)}
+    used = {cluster.find_machine(f"j-000001/{task}") for task in range(2)}
     spare = {cluster.cloud.add("c16", "ab"[number % 2], False, boot=0.5) for number in range(40)}
     packed: list[int] = []
     count_unplaced = Forecast._count_unplaced
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -48,9 +48,9 @@
 def test_cancel_across_a_cut() -> None:
     # The machine can't be told: before `cancel_s` is over the cloud must have taken it back.
     cluster = start_serving_cluster()
-    machine = cluster.machine_of("j-000000/0")
+    machine = cluster.find_machine("j-000000/0")
     for name in NODES:
-        cluster.sim.cut(cluster.ip(name), cluster.ip_of(machine))
+        cluster.sim.cut(cluster.ip(name), cluster.get_machine_ip(machine))
     cluster.cancel("j-000000")
     assert cluster.run_until(lambda: "j-000000" in cluster.reported_cancelled_at, 10)
     cluster.run(35)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -356,7 +356,7 @@
 
 def test_a_settings_file_of_the_largest_deployment_is_sound(tmp_path: Path) -> None:
     cluster = SimulatedCluster(nodes=tuple(f"hearth-{number}" for number in range(27)))
-    settings_of_one = cluster.settings_of("hearth-0")
+    settings_of_one = cluster.build_settings("hearth-0")
     teams = {f"t-{n}": Team(f"t-{n}", 10.0, 20.0, 1.0, 2.0) for n in range(750)}
     zones = tuple(f"zone-{number}" for number in range(23))
     large = dataclasses.replace(
@@ -375,7 +375,7 @@
 def write_settings(folder: Path, sockets: int) -> str:
     cluster = SimulatedCluster()
     path = folder / "node.toml"
-    settings = dataclasses.replace(cluster.settings_of("hearth-0"), max_sockets=sockets)
+    settings = dataclasses.replace(cluster.build_settings("hearth-0"), max_sockets=sockets)
     path.write_text(settings_text(settings))
     return str(path)
 
@@ -405,7 +405,7 @@
     assert open_files.raise_limit(900) == 900
     assert limits[0] == 900
     assert open_files.raise_limit(5000) == 1024
-    settings = dataclasses.replace(SimulatedCluster().settings_of("hearth-0"), max_sockets=5000)
+    settings = dataclasses.replace(SimulatedCluster().build_settings("hearth-0"), max_sockets=5000)
     assert (
         controller_commands._limit_sockets_to_open_files(settings).max_sockets
         == 1024 - open_files.NON_SOCKET_FILES
@@ -439,7 +439,7 @@
     cluster.run(10.0)
     assert compared == []
     # Its order to stop is lost: the reports go on as before, and the stop must be sent again.
-    machine = cluster.machine_of("j-000001/0")
+    machine = cluster.find_machine("j-000001/0")
     cluster.inject_machine_fault("deaf", [machine], 4.0)
     cluster.cancel("j-000001")
     cluster.run(2.0)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -186,7 +186,7 @@
         team=CREW, other_teams=(Team("guests", 0.0, 0.0, 0.0, 0.0),), objectives=objectives
     )
     path = folder / "node.toml"
-    path.write_text(settings_text(cluster.settings_of("hearth-0")))
+    path.write_text(settings_text(cluster.build_settings("hearth-0")))
     return str(path)
 
 
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -332,7 +332,7 @@
     machine = next(iter(before.values())).machine
     TROUBLES[trouble](cluster, machine)
     gets_room(cluster, since, 2, more=TAKEOVER_S)
-    on = {cluster.machine_of(f"j-000200/{task}") for task in range(2)}
+    on = {cluster.find_machine(f"j-000200/{task}") for task in range(2)}
     assert machine not in on
     no_recall_is_left(cluster)
     assert cluster.deadlines.keys() == before.keys(), "sought elsewhere under the same number"
@@ -484,8 +484,8 @@
     lowered: frozenset[str] = frozenset()
     lowered_to = 2.0
 
-    def settings_of(self, node: str) -> Settings:
-        settings = super().settings_of(node)
+    def build_settings(self, node: str) -> Settings:
+        settings = super().build_settings(node)
         if node not in self.lowered:
             return settings
         less = {**settings.teams, "crew": Team("crew", 0.0, 0.0, self.lowered_to, 64.0)}
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -17,7 +17,7 @@
 def test_hung_machine_is_replaced_and_may_return() -> None:
     # A launch and a task held in a hung machine: silence proves nothing, the cloud's 200 does.
     cluster = start_serving_cluster()
-    machine = cluster.machine_of("j-000000/0")
+    machine = cluster.find_machine("j-000000/0")
     worker = cluster.workers[machine]
     worker.hung = True
     assert cluster.run_until(lambda: machine not in cluster.workers, 30), cluster.trace
@@ -31,7 +31,7 @@
     # With the cloud down there is no proof: the tasks must not start elsewhere, until it hangs no
     # more.
     cluster = start_serving_cluster()
-    machine = cluster.machine_of("j-000000/0")
+    machine = cluster.find_machine("j-000000/0")
     held = {task for task, (name, _) in cluster.running.items() if name == machine}
     spare = [cluster.cloud.add("c16", zone, False, boot=0.5) for zone in "ab"]
     assert cluster.run_until(lambda: all(name in cluster.workers for name in spare), 5)
@@ -51,10 +51,10 @@
     # Reports arrive, answers and orders don't: the lease ends in the worker, a new session is the
     # proof.
     cluster = start_serving_cluster()
-    machine = cluster.machine_of("j-000000/0")
+    machine = cluster.find_machine("j-000000/0")
     cluster.workers[machine]._execute = lambda *_: None  # type: ignore[method-assign]
     for name in NODES:
-        cluster.sim.cut(cluster.ip(name), cluster.ip_of(machine))
+        cluster.sim.cut(cluster.ip(name), cluster.get_machine_ip(machine))
     assert cluster.run_until(lambda: machine not in cluster.workers, 40)
     assert cluster.run_until(lambda: len(cluster.running) == 8, 40), cluster.trace
 
@@ -89,7 +89,7 @@
     cluster = start_serving_cluster()
     leader = cluster.leader()
     assert leader
-    machine = cluster.machine_of("j-000000/0")
+    machine = cluster.find_machine("j-000000/0")
     stale = cluster.workers[machine].report()
     stale.tasks = []
     cluster.run(4)
@@ -140,7 +140,7 @@
         lambda: (new := cluster.leader()) is not None and cluster.nodes[new].leader.term.active, 10
     )
     leader = cluster.nodes[cluster.leader() or ""].leader
-    machine = cluster.machine_of("j-000000/0")
+    machine = cluster.find_machine("j-000000/0")
     report = cluster.workers[machine].report()
     report.tasks, report.fencing_token, report.sequence_number = [], leader.term.number - 1, 10**6
     placed = dict(leader.term.fleet.machines[machine].placements)
@@ -202,11 +202,11 @@
     far = {name for name, worker in cluster.workers.items() if worker.machine.zone == "b"}
     one = [*(cluster.ip(name) for name in NODES if NODES.index(name) % 2 == 0)]
     one += [
-        cluster.ip_of(name)
+        cluster.get_machine_ip(name)
         for name, worker in cluster.workers.items()
         if worker.machine.zone == "a"
     ]
-    other = [cluster.ip("hearth-1"), *(cluster.ip_of(name) for name in far)]
+    other = [cluster.ip("hearth-1"), *(cluster.get_machine_ip(name) for name in far)]
     for left in one:
         for right in other:
             cluster.sim.cut(left, right)
@@ -237,12 +237,12 @@
     assert len(far) >= 3
     for name in far:
         for node in NODES:
-            cluster.sim.cut(cluster.ip(node), cluster.ip_of(name))
+            cluster.sim.cut(cluster.ip(node), cluster.get_machine_ip(name))
     cluster.run(14)
     assert all(name in cluster.workers for name in far)
     for name in far:
         for node in NODES:
-            cluster.sim.heal(cluster.ip(node), cluster.ip_of(name))
+            cluster.sim.heal(cluster.ip(node), cluster.get_machine_ip(name))
     cluster.run(15)
     assert all(name in cluster.workers for name in far)
 
@@ -292,7 +292,7 @@
         cluster.submit(batch(f"j-{200 + number:06d}", 4), run_time=10.0, node=number)
     cluster.run(60)
     machines = cluster.nodes[cluster.leader() or ""].leader.term.fleet.machines
-    assert {cluster.machine_of("j-000001/0"), cluster.machine_of("j-000001/1")} <= set(machines)
+    assert {cluster.find_machine("j-000001/0"), cluster.find_machine("j-000001/1")} <= set(machines)
     assert not any(machine.is_cordoned for machine in machines.values())
     assert all(len(cluster.rules.jobs[f"j-{200 + number:06d}"].done) == 4 for number in range(6))
 
@@ -303,7 +303,7 @@
     cluster = SimulatedCluster(capacity=1)
     cluster.submit(spec("j-000001", tasks=2, gpus=2.0))
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60), cluster.trace
-    held = cluster.machine_of("j-000001/0")
+    held = cluster.find_machine("j-000001/0")
     cluster.faulty_machines.add(held)
     for number in range(12):
         cluster.submit(batch(f"j-{200 + number:06d}", 4), run_time=60.0, node=number)
@@ -325,7 +325,7 @@
     for number in range(4):
         cluster.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
     assert cluster.run_until(lambda: len(cluster.running) > 8, 60), cluster.trace
-    bad = cluster.machine_of(min(cluster.running))
+    bad = cluster.find_machine(min(cluster.running))
     cluster.faulty_machines.add(bad)
     for number in range(4, 12):
         cluster.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
@@ -364,7 +364,7 @@
     # down, and ended before it could commit that. The next one waited for their silence, until the
     # cloud was down in turn.
     cluster = start_serving_cluster()
-    lost = cluster.machine_of("j-000000/0")
+    lost = cluster.find_machine("j-000000/0")
     for name in NODES:
         cluster.crash(name, back_after=4.0)
     cluster.cloud.remove_machine(lost)
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -197,7 +197,7 @@
     # Found by reading: until a machine had the new leader's token, each copy counted as a sign of
     # life.
     cluster = start_busy_cluster()
-    name = cluster.machine_of("j-000000/0")
+    name = cluster.find_machine("j-000000/0")
     stale = [cluster.workers[name].report() for _ in range(3)]
     cluster.inject_machine_fault("hung", [name], 60.0)
     change_leader(cluster)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -55,7 +55,9 @@
     elif what == "freeze":
         cluster.freeze(leader, 12.0)
     elif what == "workers":
-        cluster.cut(cluster.ip(leader), [cluster.ip_of(name) for name in cluster.workers], 15.0)
+        cluster.cut(
+            cluster.ip(leader), [cluster.get_machine_ip(name) for name in cluster.workers], 15.0
+        )
     elif what == "state":
         cluster.cut(cluster.ip(leader), [STATE[0]], 15.0)
     elif what == "network":
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -114,7 +114,7 @@
     # A module that `serve` alone imports, after what the warm-up imports, is compiled anew at each
     # start: the check of open files was.
     config = tmp_path / "node.toml"
-    settings = SimulatedCluster().settings_of("hearth-0")
+    settings = SimulatedCluster().build_settings("hearth-0")
     # An address of documentation, which no machine has: the start ends where it would listen.
     config.write_text(
         settings_text(dataclasses.replace(settings, peer_listen=("203.0.113.1", 8081)))
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -139,7 +139,7 @@
         cluster.after(number * 0.25, cluster.submit, batch(ref, 1, image="img-1"), 2.0, number)
         if number % 4 == 0:
             cluster.after(number * 0.25 + 1.0 + number % 3, cluster.cancel, ref, number)
-    machine = cluster.machine_of("j-900000/0")
+    machine = cluster.find_machine("j-900000/0")
     cluster.run(20)
     cluster.cloud.down = True
     cluster.inject_machine_fault("hung", [machine], 110.0)
@@ -170,7 +170,7 @@
         cluster.submit(spec(f"j-{number:06d}", tasks=2), node=number)
         cluster.submit(batch(f"j-{100 + number:06d}", 3), run_time=15.0, node=number)
     assert cluster.run_until(lambda: len(cluster.running) >= 6, 30), cluster.trace
-    working = {cluster.machine_of(task) for task in cluster.running}
+    working = {cluster.find_machine(task) for task in cluster.running}
     cluster.crash(wait_for_leader(cluster), back_after=3.0)
     cluster.run(12)
     assert working <= set(cluster.workers), cluster.trace
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -47,8 +47,8 @@
             self.running
         )
 
-    def settings_of(self, node: str) -> Settings:
-        settings = dataclasses.replace(super().settings_of(node), max_sockets=self._sockets)
+    def build_settings(self, node: str) -> Settings:
+        settings = dataclasses.replace(super().build_settings(node), max_sockets=self._sockets)
         return dataclasses.replace(
             settings,
             state_rps=700.0,
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -49,7 +49,7 @@
     cluster = SimulatedCluster(seed=3)
     cluster.submit(spec("j-000001", tasks=2))
     cluster.run_until(lambda: len(cluster.running) == 2, 60)
-    machine = cluster.machine_of("j-000001/0")
+    machine = cluster.find_machine("j-000001/0")
     cluster.add_trace_line(f"{machine} hangs")
     cluster.workers[machine].hung = True
     cluster.run(40)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -268,7 +268,7 @@
     cluster.submit(gang("j-000200", 3, cores=2.0), run_time=25.0)
     assert cluster.run_until(lambda: cluster.count("j-000200") == 3, 60)
     if loses:
-        cluster.cloud.remove_machine(cluster.machine_of("j-000200/0"))
+        cluster.cloud.remove_machine(cluster.find_machine("j-000200/0"))
         cluster.run(3.0)
     cluster.roll_out_upgrade(every=6.0)
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 20.0)
--- a/tests/test_zone_cut.py
+++ b/tests/test_zone_cut.py
@@ -16,7 +16,7 @@
         cluster.ip(name) for number, name in enumerate(cluster.names) if ZONES[number % 2] == zone
     ]
     return controllers + [
-        cluster.ip_of(name)
+        cluster.get_machine_ip(name)
         for name, worker in cluster.workers.items()
         if worker.machine.zone == zone
     ]
@@ -70,7 +70,7 @@
         cluster.run(0.5)
         oldest = max(oldest, longest_silence(cluster))
     # Silent for longer a machine is probed and gets no work, and then it is released.
-    assert oldest < policy.default(cluster.settings_of("hearth-0")).machine_suspect
+    assert oldest < policy.default(cluster.build_settings("hearth-0")).machine_suspect
     assert {task for task in before if cluster.running.get(task) != before[task]} == set()
     assert not cluster.state.oversized_transactions
     check_final_state(cluster, 60.0)
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -246,8 +246,8 @@
         self._sockets = max(FEWEST_SOCKETS, SOCKETS_A_MACHINE * capacity * POOLS)
         super().__init__(capacity=capacity, team=team)
 
-    def settings_of(self, node: str) -> Settings:
-        return dataclasses.replace(super().settings_of(node), max_sockets=self._sockets)
+    def build_settings(self, node: str) -> Settings:
+        return dataclasses.replace(super().build_settings(node), max_sockets=self._sockets)
 
 
 def deploy(
--- a/tools/wire_digest.py
+++ b/tools/wire_digest.py
@@ -147,7 +147,7 @@
         )
 
     def cut_off_south(self, seconds: float) -> None:
-        self.cells.cut_off(self.cells.nodes_of(SOUTH), seconds)
+        self.cells.cut_off(self.cells.list_cell_controllers(SOUTH), seconds)
 
     def close_north(self) -> None:
         self.cells.put_map(cell_map(2, north=False))
