--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -77,7 +77,7 @@
     def _handle(self, request: Request) -> None:
         path = request.path.partition("?")[0]
         if request.method == "POST":
-            self.change_requests.append((request.far, path))
+            self.change_requests.append((request.remote_host, path))
         if path == wire.RENTALS and request.method == "POST":
             self.provision_requests.append(
                 msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest).request
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -128,7 +128,7 @@
             LEASE_S,
             self.spec,
             self._run_time,
-            self._watch,
+            self._on_task_event,
             self._rng,
             self._gang_rendezvous,
         )
@@ -170,7 +170,7 @@
         )
 
     @staticmethod
-    def _watch(event: str, machine: str, task: str, attempt: int) -> None:
+    def _on_task_event(event: str, machine: str, task: str, attempt: int) -> None:
         log.info(
             "event=task_%s machine=%s task=%s attempt=%d",
             event.replace(" ", "_"),
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -72,7 +72,7 @@
             self._serve(request)
 
     def _serve(self, request: Request) -> None:
-        if self.down or request.far in self.refused_hosts:
+        if self.down or request.remote_host in self.refused_hosts:
             request.reply(503, {"error": "trouble"})
             return
         self._expire_leases()
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -22,7 +22,7 @@
     """A worker and its machine.
 
     `run_time(ref)` returns the seconds that a job's tasks run (None: until stopped); `spec(ref)`
-    returns the uploaded spec; `watch(event, machine, task, attempt)` is called with `start` and
+    returns the uploaded spec; `on_event(event, machine, task, attempt)` is called with `start` and
     `end ...` of every task on the machine.
     """
 
@@ -37,7 +37,7 @@
         lease_s: float,
         spec: Callable[[str], wire.Spec | None],
         run_time: Callable[[str], float | None],
-        watch: Callable[[str, str, str, int], None],
+        on_event: Callable[[str, str, str, int], None],
         rng: random.Random,
         gangs: GangRendezvous | None = None,
     ) -> None:
@@ -50,7 +50,7 @@
             address,
         )
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
-        self._spec, self._run_time, self._watch, self._rng = spec, run_time, watch, rng
+        self._spec, self._run_time, self._on_event, self._rng = spec, run_time, on_event, rng
         self.tasks: dict[tuple[str, int], HeldTask] = {}
         self.session, self._sequence, self.token = 1, 0, 0
         self.notice: float | None = None
@@ -267,7 +267,7 @@
             return
         ref = held.task.partition("/")[0]
         spec = self._spec(ref)
-        self._watch("start", self.machine.machine, held.task, held.attempt)
+        self._on_event("start", self.machine.machine, held.task, held.attempt)
         if self._gangs is not None and spec is not None and spec.job_kind == wire.GANG:
             self._gangs.arrive(self, held, spec)
             return
@@ -304,6 +304,6 @@
             held.timer.cancel()
         if held.state in (wire.WAITING, wire.RUNNING, wire.FLUSHING):
             held.state = wire.EXITED
-            self._watch("end " + why, self.machine.machine, held.task, held.attempt)
+            self._on_event("end " + why, self.machine.machine, held.task, held.attempt)
             if self._gangs is not None:
                 self._gangs.leave(held, why)
--- a/flaxtally/runtime/http.py
+++ b/flaxtally/runtime/http.py
@@ -140,15 +140,15 @@
 
     __slots__ = ("_connection", "body", "method", "path")
 
-    def __init__(self, connection: ServerConn, message: Message) -> None:
-        self._connection: ServerConn | None = connection
+    def __init__(self, connection: ServerConnection, message: Message) -> None:
+        self._connection: ServerConnection | None = connection
         self.method, self.path = message.start[0], message.start[1]
         self.body = message.body
 
     @property
-    def far(self) -> str:
+    def remote_host(self) -> str:
         """The client's host; empty after the reply."""
-        return self._connection.far if self._connection is not None else ""
+        return self._connection.remote_host if self._connection is not None else ""
 
     def reply(self, status: int, body: Any = None, retry_after: int | None = None) -> None:
         if self._connection is not None:
@@ -156,7 +156,7 @@
             connection.send_reply(status, body, retry_after)
 
 
-class ServerConn:
+class ServerConnection:
     """One accepted connection: one request at a time, limited in size and idle time."""
 
     def __init__(self, server: Server, stream: Stream) -> None:
@@ -169,7 +169,7 @@
         stream.on_data, stream.on_close = self._on_data, self._on_closed
 
     @property
-    def far(self) -> str:
+    def remote_host(self) -> str:
         return self._stream.far
 
     def _on_data(self, data: bytes) -> None:
@@ -248,7 +248,7 @@
     def _on_closed(self) -> None:
         self._timer.cancel()
         self._busy = True
-        self._server.open.discard(self)
+        self._server.connections.discard(self)
         self._server.idle_connections.pop(self, None)
 
 
@@ -273,24 +273,24 @@
     ) -> None:
         self.runtime, self.handler, self.max_connections = runtime, handler, max_connections
         self.idle_timeout_s, self.linger_s = idle_timeout_s, linger_s
-        self.open: set[ServerConn] = set()
-        self.idle_connections: dict[ServerConn, None] = {}
+        self.connections: set[ServerConnection] = set()
+        self.idle_connections: dict[ServerConnection, None] = {}
         """Connections without a request under way, the longest idle first."""
         runtime.listen(address, self._accept)
 
     @property
     def is_crowded(self) -> bool:
         """Whether connections are closed after their next reply."""
-        return len(self.open) > self.max_connections * CROWDED_FRACTION
+        return len(self.connections) > self.max_connections * CROWDED_FRACTION
 
     def _accept(self, stream: Stream) -> None:
-        if len(self.open) >= self.max_connections:
+        if len(self.connections) >= self.max_connections:
             longest_idle = next(iter(self.idle_connections), None)
             if longest_idle is None:
                 stream.close()
                 return
             longest_idle.close()
-        self.open.add(ServerConn(self, stream))
+        self.connections.add(ServerConnection(self, stream))
 
 
 class Reply:
@@ -336,7 +336,7 @@
         self._runtime, self._address, self._max_connections = runtime, address, max_connections
         self._open_connections = open_connections or OpenConnections()
         self._host = f"{address[0]}:{address[1]}"
-        self._idle: list[Stream] = []
+        self._idle_streams: list[Stream] = []
         self._waiting: deque[_Call] = deque()
         self._busy: dict[Stream, _Call] = {}
 
@@ -359,20 +359,20 @@
         return bool(self._busy or self._waiting)
 
     def close(self) -> None:
-        streams = [*self._idle, *self._busy]
+        streams = [*self._idle_streams, *self._busy]
         for stream in streams:
             stream.close()
         self._open_connections.count -= len(streams)
         calls = [*self._busy.values(), *self._waiting]
-        self._idle, self._busy = [], {}
+        self._idle_streams, self._busy = [], {}
         self._waiting.clear()
         for call in calls:
             self._finish(call, Reply(0))
 
     def _start_waiting_calls(self) -> None:
-        while self._waiting and (self._idle or len(self._busy) < self._max_connections):
+        while self._waiting and (self._idle_streams or len(self._busy) < self._max_connections):
             call = self._waiting.popleft()
-            stream = self._idle.pop() if self._idle else self._connect()
+            stream = self._idle_streams.pop() if self._idle_streams else self._connect()
             self._busy[stream] = call
             parser = Parser(True, None)
             stream.on_data = partial(self._on_data, stream, parser)
@@ -396,20 +396,20 @@
             return
         call = self._busy.pop(stream, None)
         if message.close or call is None:
-            if stream in self._idle:
-                self._idle.remove(stream)
+            if stream in self._idle_streams:
+                self._idle_streams.remove(stream)
             stream.close()
             self._open_connections.count -= 1
         else:
-            self._idle.append(stream)
+            self._idle_streams.append(stream)
         if call is not None:
             self._finish(call, Reply(int(message.start[1]), message.body))
         self._start_waiting_calls()
 
     def _on_connection_lost(self, stream: Stream) -> None:
         self._open_connections.count -= 1
-        if stream in self._idle:
-            self._idle.remove(stream)
+        if stream in self._idle_streams:
+            self._idle_streams.remove(stream)
         call = self._busy.pop(stream, None)
         if call is not None:
             self._finish(call, Reply(0))
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -39,7 +39,7 @@
     from flaxtally.lending.feature import LendingFeature
 
 STATE, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
-GANGS = "10.3.0.2"
+GANG_RENDEZVOUS_IP = "10.3.0.2"
 NODES = ("hearth-0", "hearth-1", "hearth-2")
 ZONES = ("a", "b")
 TYPES = [
@@ -163,7 +163,7 @@
         )
         self.user = self.sim.host(USER)
         self.gangs = GangRendezvous(
-            self.sim.host(GANGS), GANG_WAIT_S, GANG_PEER_S, self.run_times.get
+            self.sim.host(GANG_RENDEZVOUS_IP), GANG_WAIT_S, GANG_PEER_S, self.run_times.get
         )
         self._clients: dict[str, Client] = {}
         for name in nodes:
@@ -265,7 +265,7 @@
             10.0,
             self.specs.get,
             self.run_times.get,
-            self._watch,
+            self._on_task_event,
             self.rng,
             self.gangs,
         )
@@ -287,7 +287,7 @@
     def get_machine_ip(self, machine: str) -> str:
         return self.workers[machine]._address[0]
 
-    def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
+    def _on_task_event(self, event: str, machine: str, task: str, attempt: int) -> None:
         self.add_trace_line(f"{task} try {attempt} {event} on {machine}")
         if event == "start":
             # The user may be notified a little later, but job and placement must be committed.
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -68,10 +68,10 @@
         super()._start_worker(machine)
         self.workers[machine.machine].saves_checkpoints = True
 
-    def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
+    def _on_task_event(self, event: str, machine: str, task: str, attempt: int) -> None:
         if event != "start":
             self.audit.ended(task, self.sim.time)
-        super()._watch(event, machine, task, attempt)
+        super()._on_task_event(event, machine, task, attempt)
         if event == "start":
             self.audit.starts(task, machine, self.sim.time)
         elif event == "end halted":
--- a/tests/test_http_parser.py
+++ b/tests/test_http_parser.py
@@ -16,6 +16,7 @@
 @given(st.lists(st.integers(1, 20), min_size=1, max_size=12))
 @settings(derandomize=True, max_examples=50)
 def test_parser_takes_bytes_in_any_pieces(sizes: list[int]) -> None:
+    # TCP may split and join messages at any byte.
     parser, data, found = Parser(False, 100), REQUEST * 3, []
     while data:
         size = sizes[len(data) % len(sizes)]
@@ -40,6 +41,7 @@
     ],
 )
 def test_parser_rejects_malformed_messages(data: bytes, status: int) -> None:
+    # Ambiguous or oversized requests must be rejected with the right status, never guessed at.
     parser = Parser(False, 100)
     parser.feed(data)
     with pytest.raises(MalformedMessageError) as caught:
@@ -48,6 +50,7 @@
 
 
 def test_peer_frames_are_decoded_from_any_pieces_and_malformed_ones_rejected() -> None:
+    # A connection delivers frames byte by byte at worst; malformed frames must raise an error.
     frames, data = FrameDecoder(), encode_frame({"k": "hb", "term": 3}) * 2
     found = [frame for byte in data for frame in frames.feed(bytes([byte]))]
     assert found == [{"k": "hb", "term": 3}] * 2
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -28,6 +28,7 @@
 
 @pytest.mark.real_processes
 def test_timers_still_fire_in_order_after_cancelled_ones_were_dropped() -> None:
+    # Dropping cancelled timers rebuilds the heap; the remaining ones must keep their order.
     loop, fired = Loop(), list[int]()
     for number in reversed(range(5)):
         loop.after(0.001 * number, fired.append, number)
@@ -40,6 +41,7 @@
 
 @pytest.mark.real_processes
 def test_a_finished_timer_drops_its_references_to_the_call() -> None:
+    # A timer that keeps its callback forms a cycle that only the cyclic collector can free.
     loop, marker = Loop(), object()
     cancelled, due = loop.after(1000.0, print, marker), loop.after(0.0, callback_name, print)
     cancelled.cancel()
@@ -79,6 +81,7 @@
 
 
 def test_requests_on_a_kept_connection_set_no_timer_of_their_own() -> None:
+    # A timer per request would be the majority of all timers; each connection has only one.
     cluster = SimulatedCluster()
     cluster.run(5.0)
     host, timers_set = cluster.sim.hosts[cluster.ip(cluster.names[0])], list[str]()
@@ -92,7 +95,7 @@
     for number in range(50):
         cluster.after(0.05 * number, cluster.call, cluster.names[0], "GET", wire.UP, None, ignore)
     cluster.run(4.0)
-    assert sum(name.startswith("ServerConn.") for name in timers_set) <= 5
+    assert sum(name.startswith("ServerConnection.") for name in timers_set) <= 5
 
 
 def ignore(*_: object) -> None:
@@ -100,6 +103,7 @@
 
 
 def test_a_connection_without_a_whole_request_is_closed_at_its_timeout() -> None:
+    # Clients that never finish a request must not occupy connections indefinitely.
     cluster = SimulatedCluster()
     cluster.run(5.0)
     stream = cluster.user.connect((cluster.ip(cluster.names[0]), 8080))
@@ -116,6 +120,7 @@
 
 
 def test_delays_are_reported_with_the_longest_callback_at_most_once_a_period() -> None:
+    # Operators need the cause of a delay, without a log line for each late timer.
     reported: list[LoopDelay] = []
     monitor = DelayMonitor(0.25, 10.0, reported.append)
     monitor.record_callback(named_callback, 0.4)
@@ -150,6 +155,7 @@
 
 
 def test_the_loop_reports_late_timers_with_their_cause() -> None:
+    # A callback of 60 ms makes a timer that was due after 5 ms fire 55 ms late.
     loop, clock, reported = Loop(), ClockSelector(), list[LoopDelay]()
     loop.selector, loop.now = clock, clock.now  # type: ignore[assignment]
     loop.on_delay(0.02, 10.0, reported.append)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -47,7 +47,7 @@
     most_open = 0
     while sim.next_time() < 14.0:
         sim.step()
-        most_open = max(most_open, len(server.open))
+        most_open = max(most_open, len(server.connections))
     assert statuses == [200] * 200
     assert most_open <= 10
 
