--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -84,8 +84,8 @@
         "leader.reconciliation.stragglers:Stragglers.check_running_tasks",
     ],
     "http server": [
-        "runtime.http:ServerConn._on_data",
-        "runtime.http:ServerConn.send_reply",
+        "runtime.http:ServerConnection._on_data",
+        "runtime.http:ServerConnection.send_reply",
         "runtime.http:Server._accept",
     ],
     "http client": [
