--- a/flaxtally/features.py
+++ b/flaxtally/features.py
@@ -32,7 +32,7 @@
             f"{table.path}: {table.name}: {error.name} is missing: "
             "pip install -r requirements-tracing.txt"
         ) from None
-    return Tracing.of(table)
+    return Tracing.from_table(table)
 
 
 FEATURE_FACTORIES: dict[str, Callable[[Table], Feature]] = {
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from flaxtally.cells.allotment import SHARES
 from flaxtally.cells.directory import JOBS
 from flaxtally.cells.map import CellMap
-from flaxtally.cells.map_keeper import MAP_KEY
+from flaxtally.cells.map_watcher import MAP_KEY
+from flaxtally.cells.quota_rebalancer import SHARE_KEY_PREFIX
 from flaxtally.cluster.leader_key import LEADER_KEY
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
@@ -36,7 +36,7 @@
     cluster = SimulatedCells(seed, **more)  # type: ignore[arg-type]
     assert cluster.run_until(cluster.both_cells_have_leaders, 15), cluster.trace
     # The first to lead writes how the limit is divided.
-    assert cluster.run_until(lambda: SHARES + cluster.team.name in cluster.state.rows, 10)
+    assert cluster.run_until(lambda: SHARE_KEY_PREFIX + cluster.team.name in cluster.state.rows, 10)
     return cluster
 
 
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -74,7 +74,7 @@
     # Guards against an example file that the present checks reject or read differently.
     tracing, lending = read_file(str(ROOT / "deploy" / "features.toml"))
     assert isinstance(tracing, Tracing)
-    assert tracing.least_s == 0.01
+    assert tracing.min_callback_s == 0.01
     assert isinstance(lending, LendingFeature)
     assert lending.stops_per_minute == 2.0
 
