--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -10,9 +10,9 @@
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..runtime.loop import Loop
 from ..settings import address
-from .allotment import SHARES, team_of
 from .map import CellIndex, CellMap, CellMapError, decode, read_file
-from .map_keeper import MAP_KEY
+from .map_watcher import MAP_KEY
+from .quota_rebalancer import SHARE_KEY_PREFIX, team_of
 from .shares import TeamShares
 
 if TYPE_CHECKING:
@@ -112,7 +112,7 @@
         if row is None:
             return _fail(NO_ANSWER, f"{where} holds no cell map")
         lines = _map_lines(decode(row.value))
-        lines += _share_lines(calls.rows(SHARES))
+        lines += _share_lines(calls.rows(SHARE_KEY_PREFIX))
     except (CellMapError, msgspec.ValidationError) as fault:
         return _fail(NO_ANSWER, f"{where}: {fault}")
     print("\n".join(lines))
--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -46,8 +46,8 @@
 class Directory:
     """Owns what this controller knows of jobs' cells. Answers None when it can't tell."""
 
-    def __init__(self, store: KeyValueStore, most: int = MOST_KEPT) -> None:
-        self._store, self._most = store, most
+    def __init__(self, store: KeyValueStore, max_remembered: int = MOST_KEPT) -> None:
+        self._store, self._most = store, max_remembered
         self._kept: OrderedDict[str, str] = OrderedDict()
 
     def look_up(self, ref: str, done: Callable[[Found | None], None]) -> None:
@@ -73,7 +73,7 @@
 
         def told(outcome: Outcome, revision: int) -> None:
             if outcome is Outcome.COMMITTED:
-                self._note(ref, entry)
+                self._remember(ref, entry)
                 done(Found(entry, revision))
             elif outcome is Outcome.CONFLICT:
                 self.look_up(ref, done)
@@ -92,10 +92,10 @@
         except msgspec.ValidationError as fault:
             log.error("event=directory_damaged job=%s why=%s", ref, fault)
             return None
-        self._note(ref, entry)
+        self._remember(ref, entry)
         return Found(entry, row.version)
 
-    def _note(self, ref: str, entry: Entry) -> None:
+    def _remember(self, ref: str, entry: Entry) -> None:
         if entry.kept:
             self._kept[ref] = entry.cell
             self._kept.move_to_end(ref)
--- a/flaxtally/cells/map_keeper.py
+++ b/flaxtally/cells/map_watcher.py
@@ -22,7 +22,7 @@
 MAP_KEY = "cells/map"
 
 
-class MapKeeper(Actor):
+class CellMapWatcher(Actor):
     """Owns this controller's newest map. It is read every `period` seconds.
 
     The controller takes part in its cell only once the map has confirmed what its file says of that
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -19,13 +19,13 @@
 from ..cluster.peer_links import LinkListener, PeerLinks
 from ..cluster.peer_liveness import PeerLiveness
 from ..runtime.actor import Actor
-from .allotment import Allotment
 from .cell_cloud import CellCloud
 from .directory import Directory
 from .gateway import Gateway
 from .map import Cell, CellFile, CellIndex, CellMapError
-from .map_keeper import MapKeeper
+from .map_watcher import CellMapWatcher
 from .messages import STATE, CellState, Kind
+from .quota_rebalancer import QuotaRebalancer
 from .shares import ZERO, Amount
 
 if TYPE_CHECKING:
@@ -73,12 +73,12 @@
         return self.file.state or self._settings.state
 
     @property
-    def prefix(self) -> str:
+    def key_prefix(self) -> str:
         """Before every key of the cell's own."""
         return f"cell/{self.cell.name}/"
 
     @cached_property
-    def own(self) -> Settings:
+    def cell_settings(self) -> Settings:
         """The settings as the cell's leader sees them: its peers, its zones, its part of rates."""
         settings, cells = self._settings, len(self.index.cells)
         state_part = (1 - SHARED_PART) / cells if self.file.state is None else 1.0
@@ -96,9 +96,11 @@
         )
 
     def cloud(self, runtime: Runtime, policy: Policy) -> Cloud:
-        own = self.own
+        cell_settings = self.cell_settings
         zones = frozenset(self.cell.zones)
-        return CellCloud(runtime, own.cloud, own.cloud_rps, policy.call * 2, zones)
+        return CellCloud(
+            runtime, cell_settings.cloud, cell_settings.cloud_rps, policy.call * 2, zones
+        )
 
 
 class Membership(Actor):
@@ -113,13 +115,15 @@
         super().__init__(runtime)
         self._settings, self._policy, self._setup = settings, policy, setup
         self._store = KeyValueStore(runtime, setup.shared_state, policy.call, policy.first_call)
-        self.keeper = MapKeeper(runtime, self._store, settings.node, setup.file.map, policy.probe)
+        self.map_watcher = CellMapWatcher(
+            runtime, self._store, settings.node, setup.file.map, policy.probe
+        )
         self.directory = Directory(self._store)
-        self.allotment = Allotment(
+        self.quota_rebalancer = QuotaRebalancer(
             runtime,
             self._store,
             setup.cell.name,
-            lambda: sorted(self.keeper.index.cells),
+            lambda: sorted(self.map_watcher.index.cells),
             settings.teams,
             self._demand,
             policy.probe,
@@ -159,7 +163,7 @@
             self._policy,
             settings.node,
             self._setup.cell.name,
-            lambda: self.keeper.index,
+            lambda: self.map_watcher.index,
             election,
             self.links,
             self.directory,
@@ -169,9 +173,9 @@
             int(settings.max_sockets * PASSED_PART),
         )
 
-    def take_part(self, start: Callable[[], None]) -> None:
+    def join_cell(self, start: Callable[[], None]) -> None:
         """Has the controller take part in its cell once that is sure to be the only one there."""
-        self.keeper.on_agreed = lambda: self._look_for_undivided(start)
+        self.map_watcher.on_agreed = lambda: self._look_for_undivided(start)
 
     def _look_for_undivided(self, start: Callable[[], None]) -> None:
         """A leader of the whole fleet at the same state service would command our machines too."""
@@ -198,7 +202,7 @@
 
     def redirect_to_cell(self, heartbeat: wire.Heartbeat) -> CellRedirect | None:
         """Where a machine of another cell reports; None for a machine of this cell."""
-        index: CellIndex = self.keeper.index
+        index: CellIndex = self.map_watcher.index
         home = index.by_zone.get(heartbeat.zone)
         if home is None or home.name == self._setup.cell.name:
             return None
--- a/flaxtally/cells/allotment.py
+++ b/flaxtally/cells/quota_rebalancer.py
@@ -17,7 +17,15 @@
 
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..runtime.actor import Actor
-from .shares import TOLERANCE, ZERO, Amount, TeamShares, equal_shares, limit_of, share_as_team
+from .shares import (
+    TOLERANCE,
+    ZERO,
+    Amount,
+    TeamShares,
+    build_equal_shares,
+    get_team_limit,
+    share_as_team,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -28,7 +36,7 @@
 
 log = logging.getLogger(__name__)
 
-SHARES = "share/"
+SHARE_KEY_PREFIX = "share/"
 CLAIMS = "claim/"
 KEPT = 0.1
 """Of the equal share: so much of what it doesn't use a cell keeps for what comes next."""
@@ -50,12 +58,12 @@
 
 def share_key(team: str) -> str:
     """The key of a team's shares; keys hold no spaces."""
-    return SHARES + quote(team, safe="")
+    return SHARE_KEY_PREFIX + quote(team, safe="")
 
 
 def team_of(key: str) -> str:
     """The team of such a key."""
-    return unquote(key.removeprefix(SHARES))
+    return unquote(key.removeprefix(SHARE_KEY_PREFIX))
 
 
 def wanted_otherwise(said: Amount, lacking: Amount) -> bool:
@@ -66,7 +74,7 @@
     )
 
 
-class Allotment(Actor):
+class QuotaRebalancer(Actor):
     """Owns a leader's knowledge of its cell's shares; the `TeamLimits` of a cell."""
 
     def __init__(
@@ -99,7 +107,7 @@
         """Teams whose key holds nonsense: it is left to the operators, and not written."""
         self._busy = False
         self._write_rps = write_rps
-        self._order = sorted(name for name, team in teams.items() if any(limit_of(team)))
+        self._order = sorted(name for name, team in teams.items() if any(get_team_limit(team)))
         """Teams with a limit, in the order in which they are looked at next."""
 
     # The leader's limits
@@ -149,7 +157,7 @@
         if self._claim is None:
             self._store.get(CLAIMS + self._cell, self._guarded(self._read_claim))
         else:
-            self._store.list_prefix(SHARES, self._guarded(self._take_rows))
+            self._store.list_prefix(SHARE_KEY_PREFIX, self._guarded(self._take_rows))
 
     def _guarded(self, handler: Callable[..., None]) -> Callable[..., None]:
         """The handler, unless another term has begun or this one has ended meanwhile."""
@@ -190,7 +198,7 @@
 
     def _read_now(self) -> None:
         self._busy = True
-        self._store.list_prefix(SHARES, self._guarded(self._take_rows))
+        self._store.list_prefix(SHARE_KEY_PREFIX, self._guarded(self._take_rows))
 
     def _take_rows(self, rows: list[wire.Row] | None) -> None:
         if rows is None:
@@ -233,7 +241,7 @@
                 continue
             team, row = self._teams[name], self._rows.get(name)
             if row is None:
-                changes[name] = equal_shares(team, cells)
+                changes[name] = build_equal_shares(team, cells)
                 continue
             changed = self._changed(team, row, demand.get(name, ZERO))
             if changed != row.shares:
@@ -248,7 +256,7 @@
         if row.pending is not None:
             # Written again as it was, under the same version: at most one copy is applied.
             return row.pending
-        share, limit = row.shares.share(self._cell), limit_of(team)
+        share, limit = row.shares.share(self._cell), get_team_limit(team)
         lacking = needed.minus(share).at_least_nothing()
         shares = row.shares
         free = limit.minus(shares.total).at_least_nothing().at_most(lacking)
--- a/flaxtally/cells/shares.py
+++ b/flaxtally/cells/shares.py
@@ -106,14 +106,14 @@
         return TeamShares(self.of, wants)
 
 
-def limit_of(team: Team) -> Amount:
+def get_team_limit(team: Team) -> Amount:
     """A team's limit; what is not limited counts as 0 and is not divided."""
     return Amount(team.cores_max, team.gpus_max)
 
 
-def equal_shares(team: Team, cells: list[str]) -> TeamShares:
+def build_equal_shares(team: Team, cells: list[str]) -> TeamShares:
     """The shares of the beginning: as much for each."""
-    return TeamShares({cell: limit_of(team).times(1 / len(cells)) for cell in cells})
+    return TeamShares({cell: get_team_limit(team).times(1 / len(cells)) for cell in cells})
 
 
 def share_as_team(team: Team, shares: TeamShares, share: Amount) -> Team:
@@ -121,7 +121,7 @@
 
     Shares that were divided under a higher limit than the present one shrink with it.
     """
-    limit = limit_of(team)
+    limit = get_team_limit(team)
 
     def part(of_limit: float, of_total: float, mine: float) -> float:
         return mine * min(1.0, of_limit / of_total) if of_total else 0.0
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -88,7 +88,9 @@
 
     membership = Membership(runtime, settings, policy, cells)
     cloud = cells.cloud(runtime, policy)
-    return _Scope(cells.own, cloud, membership.allotment, cells.prefix, membership)
+    return _Scope(
+        cells.cell_settings, cloud, membership.quota_rebalancer, cells.key_prefix, membership
+    )
 
 
 class Controller:
@@ -277,7 +279,7 @@
         if self.membership is None:
             self.election.start()
         else:
-            self.membership.take_part(self.election.start)
+            self.membership.join_cell(self.election.start)
         log.info("event=controller_started node=%s zone=%s", settings.node, settings.zone)
 
     # Leadership
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -83,7 +83,7 @@
 
     table: Table
     path: Path
-    least_s: float
+    min_callback_s: float
     most_bytes: int
 
     @classmethod
@@ -118,4 +118,4 @@
             began = ended - round(seconds * NANOSECONDS)
             tracer.start_span(callback_name(callback), start_time=began).end(end_time=ended)
 
-        loop.on_long_callback(self.least_s, ran)
+        loop.on_long_callback(self.min_callback_s, ran)
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from flaxtally.cells.allotment import SHARES
 from flaxtally.cells.map import Cell, CellFile, CellMap
-from flaxtally.cells.map_keeper import MAP_KEY
+from flaxtally.cells.map_watcher import MAP_KEY
 from flaxtally.cells.membership import CellSetup
-from flaxtally.cells.shares import Amount, TeamShares, limit_of
+from flaxtally.cells.quota_rebalancer import SHARE_KEY_PREFIX
+from flaxtally.cells.shares import Amount, TeamShares, get_team_limit
 from flaxtally.ledger.records import JobAccepted, decode_record
 from flaxtally.protocol import wire
 from flaxtally.settings import Settings, Team
@@ -72,13 +72,13 @@
     def versions(self) -> dict[str, int]:
         """Which map each live controller has."""
         return {
-            name: node.membership.keeper.index.version
+            name: node.membership.map_watcher.index.version
             for name, node in self.nodes.items()
             if node.membership is not None and self.sim.hosts[self.ip(name)].alive
         }
 
     def shares(self, team: str = TEAM.name) -> TeamShares:
-        value = self.state.rows[SHARES + team][0]
+        value = self.state.rows[SHARE_KEY_PREFIX + team][0]
         return msgspec.convert(value, TeamShares)
 
     def share(self, cell: str) -> Amount:
@@ -104,6 +104,6 @@
             if len(cells) > 1:
                 self.rules.breaks("in_two_cells", f"{ref} in {cells}", self.sim.time)
         for key, (value, _, _) in self.state.rows.items():
-            team = self.teams.get(key.removeprefix(SHARES))
-            if key.startswith(SHARES) and team is not None:
-                msgspec.convert(value, TeamShares).check(limit_of(team))
+            team = self.teams.get(key.removeprefix(SHARE_KEY_PREFIX))
+            if key.startswith(SHARE_KEY_PREFIX) and team is not None:
+                msgspec.convert(value, TeamShares).check(get_team_limit(team))
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -10,7 +10,7 @@
 import pytest
 
 from flaxtally.cells.map import Cell, CellIndex, CellMap, CellMapError, read_file
-from flaxtally.cells.map_keeper import MAP_KEY
+from flaxtally.cells.map_watcher import MAP_KEY
 from flaxtally.cells.membership import CellSetup
 from flaxtally.cli import main
 from flaxtally.emulator.controller_settings import settings_page
@@ -137,13 +137,13 @@
 def test_a_cell_has_its_own_peers_zones_keys_and_part_of_the_rates(tmp_path: Path) -> None:
     settings = load(config(tmp_path, 1))
     setup = CellSetup(read_file(write(tmp_path, SOUND)), settings)
-    own = setup.own
-    assert (setup.cell.name, setup.prefix) == ("south", "cell/south/")
-    assert set(own.peers) == {"controller-2"}
-    assert own.zones == ("zone-1", "zone-2")
+    cell_settings = setup.cell_settings
+    assert (setup.cell.name, setup.key_prefix) == ("south", "cell/south/")
+    assert set(cell_settings.peers) == {"controller-2"}
+    assert cell_settings.zones == ("zone-1", "zone-2")
     # One state service and one cloud for both: rates are divided, and some are left for all.
-    assert own.state_limits.write_rps == pytest.approx(50.0 * 0.8 / 2)
-    assert own.cloud_rps == pytest.approx(2.5)
+    assert cell_settings.state_limits.write_rps == pytest.approx(50.0 * 0.8 / 2)
+    assert cell_settings.cloud_rps == pytest.approx(2.5)
     assert setup.shared_state == settings.state
 
 
@@ -151,7 +151,7 @@
     text = SOUND.replace("version = 1", 'version = 1\nstate = "10.9.0.1:2379"')
     setup = CellSetup(read_file(write(tmp_path, text)), load(config(tmp_path)))
     assert setup.shared_state == ("10.9.0.1", 2379)
-    assert setup.own.state_limits.write_rps == 50.0
+    assert setup.cell_settings.state_limits.write_rps == 50.0
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,10 +7,10 @@
 import msgspec
 import pytest
 
-from flaxtally.cells.allotment import SHARES
 from flaxtally.cells.directory import JOBS
 from flaxtally.cells.map import CellMap
-from flaxtally.cells.map_keeper import MAP_KEY
+from flaxtally.cells.map_watcher import MAP_KEY
+from flaxtally.cells.quota_rebalancer import SHARE_KEY_PREFIX
 from flaxtally.cluster.leader_key import LEADER_KEY
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
@@ -36,7 +36,7 @@
     world = SimulatedCells(seed, **more)  # type: ignore[arg-type]
     assert world.until(world.both_lead, 15), world.trace
     # The first to lead writes how the limit is divided.
-    assert world.until(lambda: SHARES + world.team.name in world.state.rows, 10)
+    assert world.until(lambda: SHARE_KEY_PREFIX + world.team.name in world.state.rows, 10)
     return world
 
 
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -65,7 +65,7 @@
 def test_the_shipped_features_file_is_sound() -> None:
     tracing, lending = read_file(str(ROOT / "deploy" / "features.toml"))
     assert isinstance(tracing, Tracing)
-    assert tracing.least_s == 0.01
+    assert tracing.min_callback_s == 0.01
     assert isinstance(lending, LendingFeature)
     assert lending.stops_per_minute == 2.0
 
--- a/tests/test_allotment.py
+++ b/tests/test_quota_rebalancer.py
@@ -9,15 +9,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flaxtally.cells.allotment import CLAIMS, SHARES, Allotment
+from flaxtally.cells.quota_rebalancer import CLAIMS, SHARE_KEY_PREFIX, QuotaRebalancer
 from flaxtally.cells.shares import (
     TOLERANCE,
     ZERO,
     Amount,
     ShareError,
     TeamShares,
-    equal_shares,
-    limit_of,
+    build_equal_shares,
+    get_team_limit,
     share_as_team,
 )
 from flaxtally.clients.key_value_store import KeyValueStore
@@ -53,23 +53,27 @@
     )
 )
 def test_whatever_is_moved_shares_stay_whole(moves: list[tuple[str, str, float, float]]) -> None:
-    shares = equal_shares(TEAM, CELLS)
+    shares = build_equal_shares(TEAM, CELLS)
     for giver, taker, cores, gpus in moves:
         before = shares
         try:
             shares = shares.moved(giver, taker, Amount(cores, gpus))
         except ShareError:
             assert giver == taker or not Amount(cores, gpus).within(before.share(giver))
-        shares.check(limit_of(TEAM))
+        shares.check(get_team_limit(TEAM))
         assert shares.total.cores == pytest.approx(40.0, abs=1e-3)
         assert shares.total.gpus == pytest.approx(8.0, abs=1e-3)
 
 
 def test_shares_above_the_limit_and_below_nothing_are_refused() -> None:
     with pytest.raises(ShareError, match="above the limit"):
-        TeamShares({"north": Amount(30.0, 4.0), "south": Amount(11.0, 4.0)}).check(limit_of(TEAM))
+        TeamShares({"north": Amount(30.0, 4.0), "south": Amount(11.0, 4.0)}).check(
+            get_team_limit(TEAM)
+        )
     with pytest.raises(ShareError, match="cell south: a share is below nothing"):
-        TeamShares({"north": Amount(30.0, 4.0), "south": Amount(-1.0, 4.0)}).check(limit_of(TEAM))
+        TeamShares({"north": Amount(30.0, 4.0), "south": Amount(-1.0, 4.0)}).check(
+            get_team_limit(TEAM)
+        )
 
 
 def test_a_cell_sees_its_share_as_the_teams_limit_and_as_large_a_part_of_the_guarantee() -> None:
@@ -83,7 +87,7 @@
 
 
 def test_shares_shrink_with_a_limit_that_was_lowered() -> None:
-    shares = equal_shares(TEAM, ["north", "south"])
+    shares = build_equal_shares(TEAM, ["north", "south"])
     lower = Team("crew", 10.0, 20.0, 4.0, 8.0)
     assert share_as_team(lower, shares, shares.share("north")).cores_max == 10.0
 
@@ -97,7 +101,7 @@
     def __init__(self, world: Shares, cell: str, host: str) -> None:
         self.used, self.needed = ZERO, ZERO
         runtime = world.sim.host(host)
-        self.allotment = Allotment(
+        self.quota_rebalancer = QuotaRebalancer(
             runtime,
             KeyValueStore(runtime, STATE, 1.5, 0.5),
             cell,
@@ -110,7 +114,7 @@
 
     @property
     def gpus(self) -> float:
-        team = self.allotment.find_team("crew")
+        team = self.quota_rebalancer.find_team("crew")
         assert team is not None
         return team.gpus_max
 
@@ -123,15 +127,15 @@
         self.sim = Simulation(1)
         self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE)
         self.north, self.south = Cell(self, "north", "10.0.0.1"), Cell(self, "south", "10.0.0.2")
-        self.north.allotment.begin_term(1)
-        self.south.allotment.begin_term(1)
+        self.north.quota_rebalancer.begin_term(1)
+        self.south.quota_rebalancer.begin_term(1)
 
     def run(self, seconds: float) -> None:
         """Plays; at every moment what both may use is within the limit."""
         for _ in range(round(seconds / 0.01)):
             play(self.sim, 0.01)
             assert self.north.gpus + self.south.gpus <= TEAM.gpus_max + TOLERANCE
-            assert self.row().total.within(limit_of(TEAM))
+            assert self.row().total.within(get_team_limit(TEAM))
 
     def until(self, condition: Callable[[], bool], most: float = 10.0) -> None:
         """Plays until it holds; it must within that time."""
@@ -141,7 +145,7 @@
             play(self.sim, 0.01)
 
     def row(self) -> TeamShares:
-        stored = self.state.rows.get(SHARES + "crew")
+        stored = self.state.rows.get(SHARE_KEY_PREFIX + "crew")
         return TeamShares({}) if stored is None else msgspec.convert(stored[0], TeamShares)
 
     def put(self, key: str, value: object) -> None:
@@ -155,7 +159,7 @@
     world.run(3.0)
     assert world.north.gpus == 4.0
     world.state.down = True
-    world.north.allotment.begin_term(2)
+    world.north.quota_rebalancer.begin_term(2)
     world.run(3.0)
     assert world.north.gpus < TOLERANCE, "a new term knows nothing of what its predecessor gave"
     world.state.down = False
@@ -211,7 +215,7 @@
     world = Shares()
     world.run(3.0)
     successor = Cell(world, "north", "10.0.0.3")
-    successor.allotment.begin_term(2)
+    successor.quota_rebalancer.begin_term(2)
     world.run(0.6)
     assert world.state.rows[CLAIMS + "north"][0] == 2
     # The successor uses all of it; the former one, who knows of neither, has room to give.
@@ -233,10 +237,10 @@
     # The giver has read that and writes; before it is carried out the shares have changed.
     newer = TeamShares({"north": Amount(20.0, 1.0), "south": Amount(20.0, 7.0)}, asked.wants)
     world.until(lambda: world.north.gpus < 3.9)
-    world.put(SHARES + "crew", msgspec.to_builtins(newer))
+    world.put(SHARE_KEY_PREFIX + "crew", msgspec.to_builtins(newer))
     for _ in range(400):
         play(world.sim, 0.01)
-        assert world.row().total.within(limit_of(TEAM))
+        assert world.row().total.within(get_team_limit(TEAM))
         assert world.row().share("north").gpus <= 1.0, "what was given came back"
 
 
@@ -245,14 +249,14 @@
 ) -> None:
     other = Team("other crew", 0.0, 10.0, 0.0, 2.0)
     world = Shares(other)
-    world.put(SHARES + "crew", {"of": "everything"})
+    world.put(SHARE_KEY_PREFIX + "crew", {"of": "everything"})
     play(world.sim, 6.0)
     assert world.north.gpus < TOLERANCE
     damaged = [line for line in caplog.messages if "shares_damaged team=crew" in line]
     assert len(damaged) == 2, "one line a leader"
-    assert SHARES + "other%20crew" in world.state.rows
-    assert world.state.rows[SHARES + "crew"][0] == {"of": "everything"}
-    held = world.north.allotment.find_team("other crew")
+    assert SHARE_KEY_PREFIX + "other%20crew" in world.state.rows
+    assert world.state.rows[SHARE_KEY_PREFIX + "crew"][0] == {"of": "everything"}
+    held = world.north.quota_rebalancer.find_team("other crew")
     assert held is not None
     assert held.cores_max == 5.0
 
@@ -260,7 +264,7 @@
 def test_what_a_raised_limit_adds_goes_to_who_lacks_it() -> None:
     world = Shares()
     world.put(
-        SHARES + "crew",
+        SHARE_KEY_PREFIX + "crew",
         {"of": {"north": [10.0, 2.0], "south": [10.0, 2.0]}, "wants": {}},
     )
     world.north.used = Amount(10.0, 2.0)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -21,7 +21,7 @@
 from flaxtally.api.sharding import shard_owner
 from flaxtally.cells.directory import Directory, Entry
 from flaxtally.cells.map import Cell, CellIndex, CellMap
-from flaxtally.cells.shares import Amount, TeamShares, equal_shares
+from flaxtally.cells.shares import Amount, TeamShares, build_equal_shares
 from flaxtally.emulator.fit import fit, table
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
@@ -90,7 +90,7 @@
     """The keys' values of so many teams in ten cells."""
     cells = [f"cell-{number}" for number in range(TARGET_CELLS)]
     team = Team("team", 800.0, 2000.0, 20.0, 50.0)
-    value = equal_shares(team, cells).with_want("cell-3", Amount(6.0, 1.0))
+    value = build_equal_shares(team, cells).with_want("cell-3", Amount(6.0, 1.0))
     return [pack(msgspec.to_builtins(value)) for _ in range(teams)]
 
 
@@ -99,9 +99,9 @@
 
 
 def directory(jobs: int) -> Directory:
-    found = Directory(None, most=jobs)  # type: ignore[arg-type]
+    found = Directory(None, max_remembered=jobs)  # type: ignore[arg-type]
     for number in range(jobs):
-        found._note(f"j-{number:06d}", Entry("cell-1", kept=True))
+        found._remember(f"j-{number:06d}", Entry("cell-1", kept=True))
     return found
 
 
