--- a/flaxtally/__main__.py
+++ b/flaxtally/__main__.py
@@ -1,4 +1,4 @@
-"""`python3 -m flaxtally`."""
+"""Entry point of `python3 -m flaxtally`."""
 
 import sys
 
--- a/flaxtally/cells/__init__.py
+++ b/flaxtally/cells/__init__.py
@@ -1,9 +1,11 @@
 """A fleet divided into cells, each with a leader, term, ledger and state service of its own.
 
-A cell owns zones and controllers for good; a machine belongs to the cell of its zone, a job to one
-cell for life. `map` says which cells there are, `directory` which cell a job belongs to, `gateway`
-passes users' questions to that cell, `quota_rebalancer` keeps the team limits over all cells. `membership`
-wires them for a controller; `docs/scale.md` argues why they are safe.
+Zones and controllers never change their cell. A machine belongs to the cell of its zone, and a job
+stays in one cell until it is finished. `map` defines the cells, `directory` records the cell of a
+job, `gateway` forwards users' requests to that cell, and `quota_rebalancer` enforces the teams'
+limits across all cells. `membership` wires these modules for a controller. `docs/scale.md` explains
+why the design is safe.
 
-Imported only by a controller that is started with `--cells`; without it nothing changes.
+Only a controller that is started with `--cells` imports this package; without that option it has no
+effect.
 """
--- a/flaxtally/cells/cell_cloud.py
+++ b/flaxtally/cells/cell_cloud.py
@@ -1,4 +1,4 @@
-"""Client of the cloud for a cell: machines and machine types of the cell's own zones."""
+"""The cloud client of a cell, limited to the machines and machine types of the cell's zones."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class CellCloud(Cloud):
-    """Leaves out what belongs to other cells, which scale in their own zones."""
+    """Hides the zones of other cells, which are scaled by their own leaders."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         timeout_s: float,
         zones: frozenset[str],
     ) -> None:
-        """Takes the zones of the cell; the rest as for any client of the cloud."""
+        """Takes the zones of the cell; the other arguments are those of `Cloud`."""
         super().__init__(runtime, address, rps, timeout_s)
         self._zones = zones
 
--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -1,4 +1,4 @@
-"""`flaxtally cells check | apply | show`. Exit codes: 0 done, 1 no answer, 2 refused input."""
+"""`flaxtally cells check | apply | show`. Exit codes: 0 done, 1 no answer, 2 invalid input."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from ..settings import address
 from .map import CellIndex, CellMap, CellMapError, decode, read_file
 from .map_watcher import MAP_KEY
-from .quota_rebalancer import SHARE_KEY_PREFIX, team_of
+from .quota_rebalancer import SHARE_KEY_PREFIX, parse_share_key
 from .shares import TeamShares
 
 if TYPE_CHECKING:
@@ -22,6 +22,7 @@
 
 DONE, NO_ANSWER, INVALID_INPUT = 0, 1, 2
 TIMEOUT_S = 5.0
+"""Timeout of each call to the state service."""
 
 
 def _fail(code: int, text: str) -> int:
@@ -30,96 +31,118 @@
 
 
 def check(path: str) -> int:
-    """Whether a deploy file's cells are sound."""
+    """Checks the cells of a deploy file."""
     try:
         found = read_file(path)
-    except CellMapError as fault:
-        return _fail(INVALID_INPUT, str(fault))
+    except CellMapError as error:
+        return _fail(INVALID_INPUT, str(error))
     print(f"{path}: {len(found.map.cells)} cells, version {found.map.version}")
     return DONE
 
 
-class _Calls:
-    """Calls to the state service, one after the other, each waited for."""
+class _StoreCalls:
+    """Blocking calls to the state service, each on the same event loop."""
 
-    def __init__(self, where: str) -> None:
-        """Raises `CellMapError` if that is no address."""
-        found = address(where)
+    def __init__(self, state_address: str) -> None:
+        """Raises `CellMapError` if the address is malformed."""
+        found = address(state_address)
         if found is None:
-            raise CellMapError(f"--state {where}: not HOST:PORT")
+            raise CellMapError(
+                f"--state {state_address}: not HOST:PORT; expected the state service's address"
+            )
         self._loop = Loop()
         self._store = KeyValueStore(self._loop, found, TIMEOUT_S, TIMEOUT_S)
 
-    def _wait(self, ask: Callable[[Callable[..., None]], None]) -> tuple[Any, ...]:
-        answers: list[tuple[Any, ...]] = []
+    def _wait(self, call: Callable[[Callable[..., None]], None]) -> tuple[Any, ...]:
+        replies: list[tuple[Any, ...]] = []
 
-        def told(*answer: Any) -> None:
-            answers.append(answer)
+        def on_reply(*reply: Any) -> None:
+            replies.append(reply)
             self._loop.stop()
 
-        ask(told)
+        call(on_reply)
         self._loop.run()
-        return answers[0]
+        return replies[0]
 
     def get(self, key: str) -> tuple[bool, wire.Row | None]:
-        known, row = self._wait(lambda told: self._store.get(key, told))
+        known, row = self._wait(lambda on_reply: self._store.get(key, on_reply))
         return known, row
 
     def rows(self, prefix: str) -> list[wire.Row] | None:
-        (rows,) = self._wait(lambda told: self._store.list_prefix(prefix, told))
+        (rows,) = self._wait(lambda on_reply: self._store.list_prefix(prefix, on_reply))
         found: list[wire.Row] | None = rows
         return found
 
     def put(self, key: str, version: int, value: Any) -> Outcome:
         (outcome, _) = self._wait(
-            lambda told: self._store.compare_and_swap({key: version}, {key: value}, [], told)
+            lambda on_reply: self._store.compare_and_swap(
+                {key: version}, {key: value}, [], on_reply
+            )
         )
         found: Outcome = outcome
         return found
 
 
-def apply(path: str, where: str) -> int:
-    """Puts a file's map in force if it may follow the one that is."""
+def apply(path: str, state_address: str) -> int:
+    """Puts a file's map in force if it may replace the one in force."""
     try:
-        cell_map, calls = read_file(path).map, _Calls(where)
-    except CellMapError as fault:
-        return _fail(INVALID_INPUT, str(fault))
+        cell_map, calls = read_file(path).map, _StoreCalls(state_address)
+    except CellMapError as error:
+        return _fail(INVALID_INPUT, str(error))
     known, row = calls.get(MAP_KEY)
     if not known:
-        return _fail(NO_ANSWER, f"no answer from {where}")
+        return _fail(
+            NO_ANSWER,
+            f"--state {state_address}: no answer; expected a running state service",
+        )
     try:
         if row is not None:
-            CellIndex(decode(row.value)).followed_by(cell_map)
-    except CellMapError as fault:
-        return _fail(INVALID_INPUT, f"{path}: cells.{fault}")
+            CellIndex(decode(row.value)).build_successor(cell_map)
+    except CellMapError as error:
+        return _fail(INVALID_INPUT, f"{path}: cells.{error}")
     version = row.version if row is not None else 0
     outcome = calls.put(MAP_KEY, version, msgspec.to_builtins(cell_map))
     if outcome is Outcome.CONFLICT:
-        return _fail(INVALID_INPUT, f"{path}: cells.version: another map came in between")
+        return _fail(
+            INVALID_INPUT,
+            f"{path}: cells.version: another map was applied meanwhile; see `cells show`",
+        )
     if outcome is not Outcome.COMMITTED:
-        return _fail(NO_ANSWER, f"{where} gave no answer: `cells show` tells which map is in force")
-    print(f"cell map {cell_map.version} is in force at {where}")
+        return _fail(
+            NO_ANSWER,
+            f"--state {state_address}: no answer to the write; `cells show` prints the stored map",
+        )
+    print(f"cell map {cell_map.version} is in force at {state_address}")
     return DONE
 
 
-def show(where: str) -> int:
+def show(state_address: str) -> int:
     """Prints the map in force and how the teams' limits are divided."""
     try:
-        calls = _Calls(where)
+        calls = _StoreCalls(state_address)
         known, row = calls.get(MAP_KEY)
         if not known:
-            return _fail(NO_ANSWER, f"no answer from {where}")
+            return _fail(
+                NO_ANSWER,
+                f"--state {state_address}: no answer; expected a running state service",
+            )
         if row is None:
-            return _fail(NO_ANSWER, f"{where} holds no cell map")
-        lines = _map_lines(decode(row.value))
-        lines += _share_lines(calls.rows(SHARE_KEY_PREFIX))
-    except (CellMapError, msgspec.ValidationError) as fault:
-        return _fail(NO_ANSWER, f"{where}: {fault}")
+            return _fail(
+                NO_ANSWER,
+                f"--state {state_address}: no cell map is stored there; put one in force with "
+                "`flaxtally cells apply`",
+            )
+        lines = _format_map(decode(row.value))
+        lines += _format_shares(calls.rows(SHARE_KEY_PREFIX))
+    except (CellMapError, msgspec.ValidationError) as error:
+        return _fail(
+            NO_ANSWER, f"--state {state_address}: a stored cell map or share is malformed: {error}"
+        )
     print("\n".join(lines))
     return DONE
 
 
-def _map_lines(cell_map: CellMap) -> list[str]:
+def _format_map(cell_map: CellMap) -> list[str]:
     lines = [f"version {cell_map.version}"]
     for cell in cell_map.cells:
         state = "open" if cell.open else "takes no new jobs"
@@ -128,7 +151,7 @@
     return lines
 
 
-def _share_lines(rows: list[wire.Row] | None) -> list[str]:
+def _format_shares(rows: list[wire.Row] | None) -> list[str]:
     if rows is None:
         return ["shares: no answer"]
     lines = []
@@ -136,6 +159,6 @@
         shares = msgspec.convert(row.value, TeamShares)
         parts = [f"{cell} {share.cores:g}/{share.gpus:g}" for cell, share in shares.of.items()]
         wants = [f"{cell} {want.cores:g}/{want.gpus:g}" for cell, want in shares.wants.items()]
-        asked = f"; wanted: {', '.join(wants)}" if wants else ""
-        lines.append(f"team {team_of(row.key)}, cores/gpus: {', '.join(parts)}{asked}")
+        wants_text = f"; wanted: {', '.join(wants)}" if wants else ""
+        lines.append(f"team {parse_share_key(row.key)}, cores/gpus: {', '.join(parts)}{wants_text}")
     return lines
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -1,7 +1,7 @@
-"""Users' questions in a fleet of cells: any controller takes any, and passes it to the job's cell.
+"""Users' requests in a fleet of cells: any controller forwards a request to the job's cell.
 
-The directory says which cell that is. A submission of a job that is in no cell is sent to one that
-can serve it; one whose cell gives no sign is sent elsewhere as long as that cell has not kept it.
+The directory names the cell of a job. A new job is assigned to a cell that can serve it. If that
+cell becomes unreachable before it has kept the job, the job is assigned to another cell.
 """
 
 from __future__ import annotations
@@ -17,8 +17,16 @@
 from ..api.sharding import rendezvous_weight
 from ..protocol import wire
 from ..runtime.actor import Actor
-from .directory import Directory, Entry, Found
-from .messages import Answer, CellState, Kind, Message, Question, from_frame, to_frame
+from .directory import Directory, Entry, Lookup
+from .messages import (
+    CellMessage,
+    CellReply,
+    CellRequest,
+    CellState,
+    MachineKind,
+    from_frame,
+    to_frame,
+)
 
 if TYPE_CHECKING:
     from ..cluster.leader_election import LeaderElection
@@ -30,87 +38,91 @@
 
 log = logging.getLogger(__name__)
 
-Told = Callable[[int, Any], None]
+ReplyCallback = Callable[[int, Any], None]
 SUBMIT = "submit"
-MOST_MOVES = 4
-"""Cells that one submission is sent to, at most."""
-CHOICES = 2
-"""Of so many cells, drawn by the job's id, the one under less pressure is taken."""
-NEAR = 1.0
-"""Waiting tasks a machine by which another cell must be better off than the one that is asked."""
-NOT_NOW, NOT_FOUND = 503, 404
+MAX_CELLS_PER_SUBMISSION = 4
+"""Limit on the cells that one submission is assigned to in turn."""
+CANDIDATE_CELLS = 2
+"""Number of cells, chosen by the job's id; the one with the least pressure gets the job."""
+LOCAL_CELL_MARGIN_TASKS_PER_MACHINE = 1.0
+"""A new job goes to another cell only if the local pressure is higher by more than this margin."""
+UNAVAILABLE, NOT_FOUND = 503, 404
 
 
-class _Passed:
-    """A question on its way to another cell."""
+class _ForwardedRequest:
+    """A request that was forwarded to another cell and has no reply yet."""
 
-    __slots__ = ("asked", "done", "timer")
+    __slots__ = ("node", "on_reply", "timer")
 
-    def __init__(self, asked: str, done: Told) -> None:
-        self.asked, self.done = asked, done
+    def __init__(self, node: str, on_reply: ReplyCallback) -> None:
+        self.node, self.on_reply = node, on_reply
         self.timer: Timer | None = None
 
 
-class _Asked:
-    """A user's question from when it came until it is answered, once and in time."""
+class _UserRequest:
+    """A user's request until it is answered: exactly once, and not after its deadline."""
 
-    __slots__ = ("_answer", "_clock", "_over", "_until", "timer")
+    __slots__ = ("_clock", "_deadline", "_on_finished", "_on_reply", "timer")
 
     def __init__(
-        self, answer: Told, clock: Callable[[], float], until: float, over: Callable[[], None]
+        self,
+        on_reply: ReplyCallback,
+        clock: Callable[[], float],
+        deadline: float,
+        on_finished: Callable[[], None],
     ) -> None:
-        self._clock, self._until, self._over = clock, until, over
-        self._answer: Told | None = answer
+        self._clock, self._deadline, self._on_finished = clock, deadline, on_finished
+        self._on_reply: ReplyCallback | None = on_reply
         self.timer: Timer | None = None
 
-    def tell(self, status: int, body: Any) -> None:
-        answer, self._answer = self._answer, None
-        if answer is None:
+    def reply(self, status: int, body: Any) -> None:
+        on_reply, self._on_reply = self._on_reply, None
+        if on_reply is None:
             return
         if self.timer is not None:
             self.timer.cancel()
-        self._over()
-        if self._clock() > self._until:
-            # After a pause of this process it may be older than what others were told since.
-            status, body = NOT_NOW, None
-        answer(status, body)
+        self._on_finished()
+        if self._clock() > self._deadline:
+            # This process was paused: other controllers may have given newer answers meanwhile.
+            status, body = UNAVAILABLE, None
+        on_reply(status, body)
 
 
 class CellStates:
-    """What controllers have said of their cells lately."""
+    """The latest states that controllers have reported of their cells."""
 
     def __init__(self, links: PeerLinks) -> None:
         self._links = links
-        self._said: dict[str, CellState] = {}
+        self._states: dict[str, CellState] = {}
         self._pressure: dict[str, float] = {}
-        self._kinds: dict[str, list[Kind]] = {}
+        self._kinds: dict[str, list[MachineKind]] = {}
 
-    def note(self, sender: str, state: CellState) -> None:
-        self._said[sender] = state
+    def record(self, sender: str, state: CellState) -> None:
+        self._states[sender] = state
         if state.pressure is not None:
             self._pressure[state.cell] = state.pressure
             self._kinds[state.cell] = state.kinds
 
-    def able(self, cell: Cell) -> list[str]:
-        """The controllers of another cell that were heard lately and reach a leader."""
+    def find_available_controllers(self, cell: Cell) -> list[str]:
+        """Returns the controllers of another cell that have a live link and reach a leader."""
         return [
             name
             for name in cell.controllers
-            if name in self._said
-            and self._said[name].able
+            if name in self._states
+            and self._states[name].able
             and self._links.is_directly_reachable(name)
         ]
 
-    def pressure(self, cell: Cell) -> float:
+    def get_pressure(self, cell: Cell) -> float:
         return self._pressure.get(cell.name, 0.0)
 
-    def kinds(self, cell: Cell) -> list[Kind] | None:
-        """The types that the cell can rent; None while it has not said."""
+    def get_machine_kinds(self, cell: Cell) -> list[MachineKind] | None:
+        """Returns the machine types that the cell can provision; None until it reports them."""
         return self._kinds.get(cell.name)
 
 
-def holds(kinds: list[Kind] | None, spec: wire.Spec) -> bool:
-    """Whether one of the types can hold a task of the job. Unknown types may."""
+def can_hold_task(kinds: list[MachineKind] | None, spec: wire.Spec) -> bool:
+    """Whether one of the machine types can hold a task of the job; True if they are unknown."""
     return kinds is None or any(
         (spec.machine_types is None or kind.name in spec.machine_types)
         and kind.cores >= spec.cores
@@ -120,13 +132,13 @@
     )
 
 
-def draw(ref: str, cells: list[Cell]) -> list[Cell]:
-    """The cells in an order that the job's id alone decides (rendezvous hashing)."""
+def order_by_job(ref: str, cells: list[Cell]) -> list[Cell]:
+    """Orders the cells by the job's id alone (rendezvous hashing)."""
     return sorted(cells, key=lambda cell: rendezvous_weight(ref, cell.name))
 
 
 class Gateway(Actor):
-    """Owns the questions under way between this controller and other cells."""
+    """Accepts users' requests and exchanges requests and replies with other cells."""
 
     def __init__(
         self,
@@ -138,221 +150,254 @@
         election: LeaderElection,
         links: PeerLinks,
         directory: Directory,
-        ask_here: Callable[[str, Any, Told], None],
-        own_state: Callable[[], CellState],
-        tell_peers: Callable[[Frame], None],
-        most: int,
+        forward_to_leader: Callable[[str, Any, ReplyCallback], None],
+        build_state: Callable[[], CellState],
+        broadcast_in_cell: Callable[[Frame], None],
+        max_requests: int,
     ) -> None:
-        """`ask_here`: this cell's way to its leader. `most`: questions passed on at a time.
+        """Takes the names of this controller and its cell, and the parts that the gateway uses.
 
-        `tell_peers`: sends a frame to the other controllers of this cell.
+        `index`: returns the cell map in force. `forward_to_leader`: sends a request to this cell's
+        leader. `build_state`: returns this cell's state. `broadcast_in_cell`: sends a frame to the
+        other controllers of this cell. `max_requests`: limit on open users' requests, and on
+        forwarded ones.
         """
         super().__init__(runtime)
         self._policy, self._node, self._cell = policy, node, cell
         self._index, self._election = index, election
         self._links, self._directory = links, directory
-        self._ask_here, self._own_state, self._most = ask_here, own_state, most
-        self._tell_peers = tell_peers
-        self.cells = CellStates(links)
+        self._forward_to_leader, self._build_state, self._max_requests = (
+            forward_to_leader,
+            build_state,
+            max_requests,
+        )
+        self._broadcast_in_cell = broadcast_in_cell
+        self.cell_states = CellStates(links)
         self._numbers = itertools.count(election.incarnation)
-        self._passed: dict[int, _Passed] = {}
-        self._open = 0
-        """Users' questions that came here and are not answered."""
-        self.every(policy.heartbeat * 2, self._tell_state)
+        self._forwarded: dict[int, _ForwardedRequest] = {}
+        self._open_requests = 0
+        """Number of users' requests to this controller without an answer."""
+        self.every(policy.heartbeat * 2, self._broadcast_state)
 
-    def _tell_state(self) -> None:
-        state = self._own_state()
+    def _broadcast_state(self) -> None:
+        state = self._build_state()
         frame = to_frame(state)
         self._links.broadcast(frame)
         if state.pressure is not None:
-            # The leader's word: those who follow it choose cells by it too.
-            self.cells.note(self._node, state)
-            self._tell_peers(frame)
+            # Only the leader knows the pressure. Its followers need it too when they choose a cell.
+            self.cell_states.record(self._node, state)
+            self._broadcast_in_cell(frame)
 
-    # Users
+    # Requests from users
 
-    def ask(self, what: str, subject: str | bytes, answer: Told) -> None:
-        """A user's question, from this controller's own interface."""
-        if self._open >= self._most:
-            answer(NOT_NOW, None)
+    def ask(self, kind: str, subject: str | bytes, on_reply: ReplyCallback) -> None:
+        """Handles a user's request; `subject` is a submission's body or the job's id."""
+        if self._open_requests >= self._max_requests:
+            on_reply(UNAVAILABLE, None)
             return
-        self._open += 1
-        patience = self._policy.ask
-        until = self.runtime.now() + patience + self._policy.process_pause
-        asked = _Asked(answer, self.runtime.now, until, self._close)
-        asked.timer = self.later(patience, asked.tell, NOT_NOW, None)
+        self._open_requests += 1
+        timeout_s = self._policy.ask
+        deadline = self.runtime.now() + timeout_s + self._policy.process_pause
+        request = _UserRequest(on_reply, self.runtime.now, deadline, self._count_reply)
+        request.timer = self.later(timeout_s, request.reply, UNAVAILABLE, None)
         if isinstance(subject, bytes):
-            self._place(subject, wire.parse_submission(subject), asked.tell, MOST_MOVES)
+            self._place_job(
+                subject, wire.parse_submission(subject), request.reply, MAX_CELLS_PER_SUBMISSION
+            )
         else:
-            self._directory.look_up(subject, partial(self._ask_cell, what, subject, asked.tell))
+            self._directory.look_up(
+                subject, partial(self._forward_to_kept_cell, kind, subject, request.reply)
+            )
 
-    def _close(self) -> None:
-        self._open -= 1
+    def _count_reply(self) -> None:
+        self._open_requests -= 1
 
-    def _ask_cell(self, what: str, ref: str, answer: Told, found: Found | None) -> None:
-        if found is None:
-            answer(NOT_NOW, None)
-        elif found.entry is None or not found.entry.kept:
-            # No cell accepts a job before it has kept it: nobody was told that it is accepted.
-            answer(NOT_FOUND, None)
+    def _forward_to_kept_cell(
+        self, kind: str, ref: str, on_reply: ReplyCallback, lookup: Lookup | None
+    ) -> None:
+        if lookup is None:
+            on_reply(UNAVAILABLE, None)
+        elif lookup.entry is None or not lookup.entry.kept:
+            # A cell accepts a job only after it has kept it, so no user was told that this one was
+            # accepted.
+            on_reply(NOT_FOUND, None)
         else:
-            self._pass(found.entry.cell, what, ref, b"", answer)
+            self._forward_to_cell(lookup.entry.cell, kind, ref, b"", on_reply)
 
     # Submissions
 
-    def _place(self, body: bytes, spec: wire.Spec, answer: Told, moves: int) -> None:
-        def found(found: Found | None) -> None:
-            if found is None:
-                answer(NOT_NOW, None)
+    def _place_job(
+        self, body: bytes, spec: wire.Spec, on_reply: ReplyCallback, cells_left: int
+    ) -> None:
+        def on_looked_up(lookup: Lookup | None) -> None:
+            if lookup is None:
+                on_reply(UNAVAILABLE, None)
                 return
-            entry = found.entry
-            if entry is not None and (entry.kept or entry.cell in self._able_cells()):
-                self._submit_to(entry, body, spec, answer, moves)
+            entry = lookup.entry
+            if entry is not None and (entry.kept or entry.cell in self._find_available_cells()):
+                self._submit_to(entry, body, spec, on_reply, cells_left)
                 return
-            # In no cell yet, or in one that gives no sign and has not kept it.
-            chosen = self._choose(spec)
-            if chosen is None or not moves:
-                answer(NOT_NOW, None)
+            # The job is in no cell yet, or its cell is unavailable and has not kept it.
+            chosen = self._choose_cell(spec)
+            if chosen is None or not cells_left:
+                on_reply(UNAVAILABLE, None)
                 return
-            self._directory.assign(spec.ref, self._entry(chosen), found.version, assigned)
+            self._directory.assign(spec.ref, self._build_entry(chosen), lookup.version, on_assigned)
 
-        def assigned(found: Found | None) -> None:
-            if found is None or found.entry is None:
-                answer(NOT_NOW, None)
+        def on_assigned(lookup: Lookup | None) -> None:
+            if lookup is None or lookup.entry is None:
+                on_reply(UNAVAILABLE, None)
             else:
-                self._submit_to(found.entry, body, spec, answer, moves)
+                self._submit_to(lookup.entry, body, spec, on_reply, cells_left)
 
-        self._directory.look_up(spec.ref, found)
+        self._directory.look_up(spec.ref, on_looked_up)
 
-    def _entry(self, cell: Cell) -> Entry:
-        """Sent to another cell, or kept at once by this one."""
+    def _build_entry(self, cell: Cell) -> Entry:
+        """Builds a new job's entry: assigned to another cell, or already kept by this one."""
         return Entry(cell.name, kept=cell.name == self._cell)
 
     def _submit_to(
-        self, entry: Entry, body: bytes, spec: wire.Spec, answer: Told, moves: int
+        self, entry: Entry, body: bytes, spec: wire.Spec, on_reply: ReplyCallback, cells_left: int
     ) -> None:
         if entry.cell == self._cell:
-            self._keep(spec.ref, partial(self._submit_here, body, answer))
+            self._keep(spec.ref, partial(self._submit_here, body, on_reply))
             return
 
-        def told(status: int, state: Any) -> None:
-            if status == NOT_NOW and not entry.kept and entry.cell not in self._able_cells():
-                # It may have kept it, and fallen silent then: the key tells.
-                self._place(body, spec, answer, moves - 1)
+        def on_cell_reply(status: int, state: Any) -> None:
+            if (
+                status == UNAVAILABLE
+                and not entry.kept
+                and entry.cell not in self._find_available_cells()
+            ):
+                # The cell may have kept the job before it became unavailable: the key shows it.
+                self._place_job(body, spec, on_reply, cells_left - 1)
             else:
-                answer(status, state)
+                on_reply(status, state)
 
-        self._pass(entry.cell, SUBMIT, spec.ref, body, told)
+        self._forward_to_cell(entry.cell, SUBMIT, spec.ref, body, on_cell_reply)
 
-    def _submit_here(self, body: bytes, answer: Told, kept: bool) -> None:
+    def _submit_here(self, body: bytes, on_reply: ReplyCallback, kept: bool) -> None:
         if kept:
-            self._ask_here(SUBMIT, body, answer)
+            self._forward_to_leader(SUBMIT, body, on_reply)
         else:
-            answer(NOT_NOW, None)
+            on_reply(UNAVAILABLE, None)
 
-    def _keep(self, ref: str, done: Callable[[bool], None]) -> None:
-        """Puts this cell's mark on the job, unless it was sent elsewhere."""
+    def _keep(self, ref: str, on_done: Callable[[bool], None]) -> None:
+        """Marks the job as kept by this cell, unless it is assigned to another one."""
 
-        def found(found: Found | None) -> None:
-            if found is None or found.entry is None or found.entry.cell != self._cell:
-                done(False)
-            elif found.entry.kept:
-                done(True)
+        def on_looked_up(lookup: Lookup | None) -> None:
+            if lookup is None or lookup.entry is None or lookup.entry.cell != self._cell:
+                on_done(False)
+            elif lookup.entry.kept:
+                on_done(True)
             else:
-                self._directory.assign(ref, Entry(self._cell, True), found.version, marked)
+                self._directory.assign(ref, Entry(self._cell, True), lookup.version, on_marked)
 
-        def marked(found: Found | None) -> None:
-            done(found is not None and found.entry == Entry(self._cell, True))
+        def on_marked(lookup: Lookup | None) -> None:
+            on_done(lookup is not None and lookup.entry == Entry(self._cell, True))
 
-        self._directory.look_up(ref, found)
+        self._directory.look_up(ref, on_looked_up)
 
-    def _able_cells(self) -> set[str]:
-        able = {cell.name for cell in self._index().cells.values() if self.cells.able(cell)}
+    def _find_available_cells(self) -> set[str]:
+        available = {
+            cell.name
+            for cell in self._index().cells.values()
+            if self.cell_states.find_available_controllers(cell)
+        }
         if self._election.is_available:
-            able.add(self._cell)
-        return able
+            available.add(self._cell)
+        return available
 
-    def _choose(self, spec: wire.Spec) -> Cell | None:
-        """A cell that can serve the job; None if no cell gives a sign."""
-        index, able = self._index(), self._able_cells()
-        cells = [cell for cell in index.cells.values() if cell.name in able and cell.open]
+    def _choose_cell(self, spec: wire.Spec) -> Cell | None:
+        """Chooses a cell that can serve the job; None if no cell is available."""
+        index, available = self._index(), self._find_available_cells()
+        cells = [cell for cell in index.cells.values() if cell.name in available and cell.open]
         if spec.zone is not None:
             home = index.by_zone.get(spec.zone)
-            # A zone that is in no cell: any leader says that the job can never run.
+            # If the zone is in no cell, any leader answers that the job can never run.
             cells = [cell for cell in cells if home is None or cell == home]
-        fitting = [cell for cell in cells if holds(self.cells.kinds(cell), spec)]
+        fitting = [
+            cell for cell in cells if can_hold_task(self.cell_states.get_machine_kinds(cell), spec)
+        ]
         if spec.spread and spec.tasks > 1:
             fitting = [cell for cell in fitting if len(cell.zones) > 1] or fitting
-        drawn = draw(spec.ref, fitting or cells)[:CHOICES]
-        best = min(drawn, key=self.cells.pressure, default=None)
-        here = index.cells[self._cell]
-        if best is None or here not in (fitting or cells):
+        candidates = order_by_job(spec.ref, fitting or cells)[:CANDIDATE_CELLS]
+        best = min(candidates, key=self.cell_states.get_pressure, default=None)
+        local_cell = index.cells[self._cell]
+        if best is None or local_cell not in (fitting or cells):
             return best
-        if self.cells.pressure(here) <= self.cells.pressure(best) + NEAR:
-            # Kept at once, in one write; sent to another cell, it is written twice.
-            return here
+        if (
+            self.cell_states.get_pressure(local_cell)
+            <= self.cell_states.get_pressure(best) + LOCAL_CELL_MARGIN_TASKS_PER_MACHINE
+        ):
+            # The local cell keeps the job in a single write; another cell needs a second one.
+            return local_cell
         return best
 
-    # Between cells
+    # Requests between cells
 
-    def _pass(self, cell_name: str, what: str, ref: str, submission: bytes, answer: Told) -> None:
+    def _forward_to_cell(
+        self, cell_name: str, kind: str, ref: str, submission: bytes, on_reply: ReplyCallback
+    ) -> None:
         if cell_name == self._cell:
-            self._ask_here(what, submission or ref, answer)
+            self._forward_to_leader(kind, submission or ref, on_reply)
             return
         cell = self._index().cells.get(cell_name)
-        able = self.cells.able(cell) if cell is not None else []
-        if not able or len(self._passed) >= self._most:
-            answer(NOT_NOW, None)
+        available = self.cell_states.find_available_controllers(cell) if cell is not None else []
+        if not available or len(self._forwarded) >= self._max_requests:
+            on_reply(UNAVAILABLE, None)
             return
         number = next(self._numbers)
-        asked = able[number % len(able)]
-        passed = self._passed[number] = _Passed(asked, answer)
-        passed.timer = self.later(self._policy.ask, self._answered, number, NOT_NOW, None)
-        self._send(asked, Question(number, what, ref, submission))
-
-    def _send(self, node: str, message: Message) -> None:
+        node = available[number % len(available)]
+        forwarded = self._forwarded[number] = _ForwardedRequest(node, on_reply)
+        forwarded.timer = self.later(
+            self._policy.ask, self._finish_forwarded, number, UNAVAILABLE, None
+        )
+        self._send(node, CellRequest(number, kind, ref, submission))
+
+    def _send(self, node: str, message: CellMessage) -> None:
         self._links.send(node, to_frame(message))
 
-    def _answered(self, number: int, status: int, body: Any) -> None:
-        passed = self._passed.pop(number, None)
-        if passed is None:
+    def _finish_forwarded(self, number: int, status: int, body: Any) -> None:
+        forwarded = self._forwarded.pop(number, None)
+        if forwarded is None:
             return
-        if passed.timer is not None:
-            passed.timer.cancel()
-        passed.done(status, body)
+        if forwarded.timer is not None:
+            forwarded.timer.cancel()
+        forwarded.on_reply(status, body)
 
     def receive(self, sender: str, frame: Frame) -> None:
-        """A frame of another cell's controller. A malformed one is one log line."""
+        """Handles a frame of another cell's controller; a malformed frame is logged and dropped."""
         try:
             message = from_frame(frame)
-        except msgspec.ValidationError as fault:
-            log.warning("event=cell_frame_malformed sender=%s why=%s", sender, fault)
+        except msgspec.ValidationError as error:
+            log.warning("event=cell_frame_malformed sender=%s why=%s", sender, error)
             return
         if isinstance(message, CellState):
             cell = self._index().by_controller.get(sender)
             if cell is not None and cell.name == message.cell:
-                self.cells.note(sender, message)
-        elif isinstance(message, Question):
-            self._serve(sender, message)
+                self.cell_states.record(sender, message)
+        elif isinstance(message, CellRequest):
+            self._handle_request(sender, message)
         else:
-            passed = self._passed.get(message.number)
-            if passed is not None and passed.asked == sender:
-                self._answered(message.number, message.status, message.body)
+            forwarded = self._forwarded.get(message.number)
+            if forwarded is not None and forwarded.node == sender:
+                self._finish_forwarded(message.number, message.status, message.body)
 
-    def _serve(self, sender: str, question: Question) -> None:
-        """Another cell's controller asks about a job of this cell."""
+    def _handle_request(self, sender: str, request: CellRequest) -> None:
+        """Handles a request of another cell's controller about a job of this cell."""
 
-        def answer(status: int, body: Any) -> None:
-            self._send(sender, Answer(question.number, status, body))
+        def on_reply(status: int, body: Any) -> None:
+            self._send(sender, CellReply(request.number, status, body))
 
-        if question.what != SUBMIT:
-            self._ask_here(question.what, question.ref, answer)
+        if request.what != SUBMIT:
+            self._forward_to_leader(request.what, request.ref, on_reply)
             return
         try:
-            named = wire.parse_submission(question.submission).ref
-        except wire.InvalidSubmissionError as fault:
-            log.warning("event=cell_frame_malformed sender=%s why=%s", sender, fault)
-            answer(NOT_NOW, None)
+            ref = wire.parse_submission(request.submission).ref
+        except wire.InvalidSubmissionError as error:
+            log.warning("event=cell_frame_malformed sender=%s why=%s", sender, error)
+            on_reply(UNAVAILABLE, None)
             return
-        # What it names itself is kept: another job's mark would be none.
-        self._keep(named, partial(self._submit_here, question.submission, answer))
+        # The job's id is read from the submission itself: `request.ref` might name another job.
+        self._keep(ref, partial(self._submit_here, request.submission, on_reply))
--- a/flaxtally/cells/map_watcher.py
+++ b/flaxtally/cells/map_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the cell map at the state service that all cells share."""
+"""Reads the cell map periodically from the state service that all cells share."""
 
 from __future__ import annotations
 
@@ -20,74 +20,81 @@
 log = logging.getLogger(__name__)
 
 MAP_KEY = "cells/map"
+"""Key of the cell map in force."""
 
 
 class CellMapWatcher(Actor):
-    """Owns this controller's newest map. It is read every `period` seconds.
+    """Holds the newest map that this controller has read; it is read every `period_s` seconds.
 
-    The controller takes part in its cell only once the map has confirmed what its file says of that
-    cell (`on_agreed`): two files that give a zone to two cells would be two leaders of a machine.
-    From then on an old map sends a new job to a cell that is no longer open, at worst: which cell a
-    job belongs to, and how a limit is divided, is decided by guarded keys and not by the map.
+    The controller joins its cell only after the stored map has confirmed the cell of its deploy
+    file (`on_agreed`): if two files gave a zone to two cells, a machine would have two leaders.
+    After that the worst effect of an outdated map is that a new job is sent to a closed cell. The
+    cell of a job and the division of a limit don't depend on the map but on keys whose writes are
+    guarded.
     """
 
     def __init__(
-        self, runtime: Runtime, store: KeyValueStore, node: str, first: CellMap, period: float
+        self,
+        runtime: Runtime,
+        store: KeyValueStore,
+        node: str,
+        initial_map: CellMap,
+        period_s: float,
     ) -> None:
-        """`first`: the deploy file's. It becomes the fleet's if there is none yet."""
+        """`initial_map`: the deploy file's map, which is stored if there is no stored map yet."""
         super().__init__(runtime)
         self._store, self._node = store, node
-        self.index = CellIndex(first)
+        self.index = CellIndex(initial_map)
         self._cell = self.index.by_controller[node]
-        self._agreed = False
+        self._is_agreed = False
         self.on_agreed: Callable[[], None] = lambda: None
-        """Called once."""
-        self._reading = False
-        self._refused: Any = None
-        """The last value that could not be taken, so that it is logged once."""
-        self.every(period, self._read)
+        """Called once, when the stored map has confirmed this controller's cell."""
+        self._is_reading = False
+        self._last_refused_value: Any = None
+        """The last value that was refused; it is logged only once."""
+        self.every(period_s, self._read)
 
     def _read(self) -> None:
-        if self._reading:
+        if self._is_reading:
             return
-        self._reading = True
+        self._is_reading = True
 
-        def told(known: bool, row: wire.Row | None) -> None:
-            self._reading = False
+        def on_reply(known: bool, row: wire.Row | None) -> None:
+            self._is_reading = False
             if known and row is None:
                 self._create()
             elif row is not None:
-                self._take(row.value)
+                self._handle_value(row.value)
 
-        self._store.get(MAP_KEY, told)
+        self._store.get(MAP_KEY, on_reply)
 
     def _create(self) -> None:
-        def told(outcome: Outcome, _: int) -> None:
+        def on_reply(outcome: Outcome, _: int) -> None:
             if outcome is Outcome.COMMITTED:
                 log.info("event=cell_map_created version=%d", self.index.version)
 
         self._store.compare_and_swap(
-            {MAP_KEY: 0}, {MAP_KEY: msgspec.to_builtins(self.index.map)}, [], told
+            {MAP_KEY: 0}, {MAP_KEY: msgspec.to_builtins(self.index.map)}, [], on_reply
         )
 
-    def _take(self, value: Any) -> None:
+    def _handle_value(self, value: Any) -> None:
         try:
             found = decode(value)
-            if not self._agreed:
-                self._agree(CellIndex(found))
+            if not self._is_agreed:
+                self._agree_on(CellIndex(found))
                 return
             if found.version <= self.index.version:
                 return
-            self.index = self.index.followed_by(found)
-        except CellMapError as fault:
-            if value != self._refused:
-                self._refused = value
-                log.error("event=cell_map_refused node=%s why=%s", self._node, fault)
+            self.index = self.index.build_successor(found)
+        except CellMapError as error:
+            if value != self._last_refused_value:
+                self._last_refused_value = value
+                log.error("event=cell_map_refused node=%s why=%s", self._node, error)
             return
         log.info("event=cell_map node=%s version=%d", self._node, self.index.version)
 
-    def _agree(self, index: CellIndex) -> None:
-        """Takes the fleet's map in place of the file's, or raises `CellMapError`."""
+    def _agree_on(self, index: CellIndex) -> None:
+        """Replaces the file's map by the stored one; raises `CellMapError` if they disagree."""
         cell = self._cell
         for kind, names, owners in (
             ("zone", cell.zones, index.by_zone),
@@ -96,8 +103,11 @@
             for name in names:
                 owner = owners.get(name)
                 if owner is None or owner.name != cell.name:
-                    there = owner.name if owner is not None else "no cell"
-                    raise CellMapError(f"{kind} {name}: in {there}, by our file in {cell.name}")
-        self.index, self._agreed = index, True
+                    stored_cell = owner.name if owner is not None else "no cell"
+                    raise CellMapError(
+                        f"{kind} {name}: in {stored_cell} by the stored map, "
+                        f"in {cell.name} by this controller's deploy file"
+                    )
+        self.index, self._is_agreed = index, True
         log.info("event=cell_map node=%s version=%d", self._node, index.version)
         self.on_agreed()
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -1,8 +1,8 @@
-"""What a controller of a fleet of cells has besides one that stands alone.
+"""What a controller needs in a fleet of cells in addition to an undivided fleet.
 
-`CellSetup` says, before anything is started, what the controller's own cell is: its peers, zones,
-share of the rates, and the prefix of its keys. `Membership` wires the parts that speak with other
-cells.
+`CellSetup` determines the controller's own cell before anything is started: its peers, zones, part
+of the rate limits, and the prefix of its keys. `Membership` wires the parts that communicate with
+other cells.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from .gateway import Gateway
 from .map import Cell, CellFile, CellIndex, CellMapError
 from .map_watcher import CellMapWatcher
-from .messages import STATE, CellState, Kind
+from .messages import STATE_FRAME, CellState, MachineKind
 from .quota_rebalancer import QuotaRebalancer
 from .shares import ZERO, Amount
 
@@ -42,14 +42,14 @@
 
 log = logging.getLogger(__name__)
 
-SHARED_PART = 0.2
-"""Of the state service's rates, for the keys that all cells share, where one service has both."""
-PASSED_PART = 0.25
-"""Of the sockets' number: so many questions may be under way to other cells."""
+SHARED_KEYS_RATE_FRACTION = 0.2
+"""Fraction of the state service's rates for shared keys, unless these have their own service."""
+FORWARDED_REQUESTS_SOCKET_FRACTION = 0.25
+"""Limit on the requests forwarded to other cells, as a fraction of the maximum of sockets."""
 
 
 class CellSetup:
-    """A controller's own cell, by the deploy file and its settings."""
+    """A controller's own cell, as defined by the deploy file and the controller's settings."""
 
     def __init__(self, cells: CellFile, settings: Settings) -> None:
         """Raises `CellMapError` if file and settings contradict each other."""
@@ -57,45 +57,56 @@
         self.index = CellIndex(cells.map)
         cell = self.index.by_controller.get(settings.node)
         if cell is None:
-            raise CellMapError(f"controller {settings.node} is in no cell")
-        unknown = set(cell.controllers) - set(settings.peers) - {settings.node}
-        if unknown:
             raise CellMapError(
-                f"controller {min(unknown)} of cell {cell.name} is not in the settings' others"
+                f"cells.cell: controller {settings.node} is in no cell; expected it in one"
+            )
+        unknown_controllers = set(cell.controllers) - set(settings.peers) - {settings.node}
+        if unknown_controllers:
+            raise CellMapError(
+                f"cells.cell: controller {min(unknown_controllers)} of cell {cell.name} is not in "
+                "the settings; expected an entry in others"
+            )
+        unknown_zones = set(cell.zones) - set(settings.zones)
+        if unknown_zones:
+            raise CellMapError(
+                f"cells.cell: zone {min(unknown_zones)} of cell {cell.name} is not in the "
+                f"settings; expected one of params.zones: {', '.join(settings.zones)}"
             )
-        strange = set(cell.zones) - set(settings.zones)
-        if strange:
-            raise CellMapError(f"zone {min(strange)} of cell {cell.name} is not in the settings")
         self.cell: Cell = cell
 
     @property
     def shared_state(self) -> Address:
+        """Address of the state service that all cells share."""
         return self.file.state or self._settings.state
 
     @property
     def key_prefix(self) -> str:
-        """Before every key of the cell's own."""
+        """Prefix of all keys that only this cell uses."""
         return f"cell/{self.cell.name}/"
 
     @cached_property
     def cell_settings(self) -> Settings:
-        """The settings as the cell's leader sees them: its peers, its zones, its part of rates."""
+        """The settings limited to the cell: its peers, its zones, its part of the rate limits."""
         settings, cells = self._settings, len(self.index.cells)
-        state_part = (1 - SHARED_PART) / cells if self.file.state is None else 1.0
+        state_rate_fraction = (
+            (1 - SHARED_KEYS_RATE_FRACTION) / cells if self.file.state is None else 1.0
+        )
         return replace(
             settings,
             peers={
                 name: peer for name, peer in settings.peers.items() if name in self.cell.controllers
             },
             zones=self.cell.zones,
-            state_rps=settings.state_rps * state_part,
+            state_rps=settings.state_rps * state_rate_fraction,
             state_limits=replace(
-                settings.state_limits, write_rps=settings.state_limits.write_rps * state_part
+                settings.state_limits,
+                write_rps=settings.state_limits.write_rps * state_rate_fraction,
             ),
             cloud_rps=settings.cloud_rps / cells,
         )
 
     def cloud(self, runtime: Runtime, policy: Policy) -> Cloud:
+        """Creates the cell's client of the cloud."""
         cell_settings = self.cell_settings
         zones = frozenset(self.cell.zones)
         return CellCloud(
@@ -104,34 +115,36 @@
 
 
 class Membership(Actor):
-    """Owns map, directory, shares and the links to other cells' controllers."""
+    """Owns the cell map, the directory, the shares and the links to other cells' controllers."""
 
-    state_frame = STATE
-    """The kind of frame by which a cell's leader tells its own followers how it stands."""
+    state_frame = STATE_FRAME
+    """The kind of frame by which a cell's leader sends the cell's state to its followers."""
 
     def __init__(
-        self, runtime: Runtime, settings: Settings, policy: Policy, setup: CellSetup
+        self, runtime: Runtime, settings: Settings, policy: Policy, cell_setup: CellSetup
     ) -> None:
         super().__init__(runtime)
-        self._settings, self._policy, self._setup = settings, policy, setup
-        self._store = KeyValueStore(runtime, setup.shared_state, policy.call, policy.first_call)
+        self._settings, self._policy, self._cell_setup = settings, policy, cell_setup
+        self._store = KeyValueStore(
+            runtime, cell_setup.shared_state, policy.call, policy.first_call
+        )
         self.map_watcher = CellMapWatcher(
-            runtime, self._store, settings.node, setup.file.map, policy.probe
+            runtime, self._store, settings.node, cell_setup.file.map, policy.probe
         )
         self.directory = Directory(self._store)
         self.quota_rebalancer = QuotaRebalancer(
             runtime,
             self._store,
-            setup.cell.name,
+            cell_setup.cell.name,
             lambda: sorted(self.map_watcher.index.cells),
             settings.teams,
-            self._demand,
+            self._compute_demand,
             policy.probe,
             settings.state_limits.write_rps,
         )
         self._own_store = KeyValueStore(runtime, settings.state, policy.call, policy.first_call)
-        """The cell's state service, under keys without the cell's prefix."""
-        self._warned = False
+        """Client of the cell's own state service that doesn't add the cell's prefix to keys."""
+        self._has_warned = False
         self._leader: Leader | None = None
         self._election: LeaderElection | None = None
 
@@ -142,13 +155,13 @@
         requests: LeaderRequests,
         leader: Leader,
     ) -> None:
-        """Creates the gateway, which passes users' requests on to the job's cell."""
+        """Creates the links to other cells and the gateway that forwards users' requests."""
         self._leader, self._election = leader, election
         settings = self._settings
         others = {
             name: address
             for name, (_, address) in settings.peers.items()
-            if name not in self._setup.cell.controllers
+            if name not in self._cell_setup.cell.controllers
         }
         self.links = PeerLinks(
             self.runtime,
@@ -162,76 +175,82 @@
             self.runtime,
             self._policy,
             settings.node,
-            self._setup.cell.name,
+            self._cell_setup.cell.name,
             lambda: self.map_watcher.index,
             election,
             self.links,
             self.directory,
             requests.forward_to_leader,
-            self._state,
+            self._build_cell_state,
             peers.broadcast,
-            int(settings.max_sockets * PASSED_PART),
+            int(settings.max_sockets * FORWARDED_REQUESTS_SOCKET_FRACTION),
         )
 
     def join_cell(self, start: Callable[[], None]) -> None:
-        """Has the controller take part in its cell once that is sure to be the only one there."""
-        self.map_watcher.on_agreed = lambda: self._look_for_undivided(start)
+        """Calls `start` once it is certain that no other leader commands the cell's machines."""
+        self.map_watcher.on_agreed = lambda: self._check_for_undivided_fleet(start)
 
-    def _look_for_undivided(self, start: Callable[[], None]) -> None:
-        """A leader of the whole fleet at the same state service would command our machines too."""
+    def _check_for_undivided_fleet(self, start: Callable[[], None]) -> None:
+        """Calls `start` if the whole fleet has no leader's key; retries until then.
 
-        def told(known: bool, row: wire.Row | None) -> None:
+        A leader of the undivided fleet at the same state service would command the cell's machines
+        as well.
+        """
+
+        def on_reply(known: bool, row: wire.Row | None) -> None:
             if known and row is None:
                 start()
                 return
-            if known and not self._warned:
-                self._warned = True
+            if known and not self._has_warned:
+                self._has_warned = True
                 log.error(
-                    "event=undivided_fleet node=%s state=%s: this fleet has been led as a whole; "
-                    "see docs/cells.md",
+                    "event=undivided_fleet node=%s state=%s: an undivided fleet has its leader key "
+                    "there; this controller waits until the key is removed (docs/cells.md)",
                     self._settings.node,
                     "{}:{}".format(*self._settings.state),
                 )
-            self.later(self._policy.call, self._look_for_undivided, start)
+            self.later(self._policy.call, self._check_for_undivided_fleet, start)
 
-        self._own_store.get(LEADER_KEY, told)
+        self._own_store.get(LEADER_KEY, on_reply)
 
-    def on_pause(self, lost: float) -> None:
-        """The process stood still: other cells were not silent meanwhile."""
-        self.links.on_pause(lost)
+    def on_pause(self, lost_s: float) -> None:
+        """Discounts a pause of this process, in which it could not read other cells' frames."""
+        self.links.on_pause(lost_s)
 
     def redirect_to_cell(self, heartbeat: wire.Heartbeat) -> CellRedirect | None:
-        """Where a machine of another cell reports; None for a machine of this cell."""
+        """Returns the controller for a machine of another cell; None for one of this cell."""
         index: CellIndex = self.map_watcher.index
         home = index.by_zone.get(heartbeat.zone)
-        if home is None or home.name == self._setup.cell.name:
+        if home is None or home.name == self._cell_setup.cell.name:
             return None
-        known = self.gateway.cells.able(home) or list(home.controllers)
-        return CellRedirect(shard_owner(heartbeat.machine, heartbeat.zone, known, {}))
+        controllers = self.gateway.cell_states.find_available_controllers(home) or list(
+            home.controllers
+        )
+        return CellRedirect(shard_owner(heartbeat.machine, heartbeat.zone, controllers, {}))
 
-    def _state(self) -> CellState:
+    def _build_cell_state(self) -> CellState:
         election, leader = self._election, self._leader
         assert election is not None
         assert leader is not None
-        cell = self._setup.cell.name
+        cell = self._cell_setup.cell.name
         if not leader.term.active:
             return CellState(cell, election.is_available)
         machines = max(1, len(leader.term.fleet.machines))
-        waiting = sum(job.pending_count for job in leader.duties.jobs.queue.pending_jobs())
+        pending_count = sum(job.pending_count for job in leader.duties.jobs.queue.pending_jobs())
         kinds = [
-            Kind(kind.name, kind.cores, kind.gpus, kind.memory_gb)
+            MachineKind(kind.name, kind.cores, kind.gpus, kind.memory_gb)
             for kind in leader.term.machine_types.values()
         ]
-        return CellState(cell, election.is_available, waiting / machines, kinds)
+        return CellState(cell, election.is_available, pending_count / machines, kinds)
 
-    def _demand(self) -> dict[str, Amount]:
-        """What each team uses and waits for in this cell."""
+    def _compute_demand(self) -> dict[str, Amount]:
+        """Returns what each team uses in this cell plus what its pending tasks need."""
         assert self._leader is not None
         usages = self._leader.state.usage_by_team
-        found = {team: Amount(usage.cores, usage.gpus) for team, usage in usages.items()}
+        demand = {team: Amount(usage.cores, usage.gpus) for team, usage in usages.items()}
         if self._leader.term.active:
             for job in self._leader.duties.jobs.queue.pending_jobs():
                 spec = job.spec
-                needed = Amount(spec.cores * job.pending_count, spec.gpus * job.pending_count)
-                found[spec.team] = found.get(spec.team, ZERO) + needed
-        return found
+                pending = Amount(spec.cores * job.pending_count, spec.gpus * job.pending_count)
+                demand[spec.team] = demand.get(spec.team, ZERO) + pending
+        return demand
--- a/flaxtally/cells/messages.py
+++ b/flaxtally/cells/messages.py
@@ -9,11 +9,11 @@
 if TYPE_CHECKING:
     from ..cluster.messages import Frame
 
-STATE, QUESTION, ANSWER = "cell_state", "cell_ask", "cell_answer"
+STATE_FRAME, REQUEST, REPLY = "cell_state", "cell_ask", "cell_answer"
 
 
-class Kind(msgspec.Struct, frozen=True, array_like=True):
-    """A machine type that a cell can rent: what a task may take of it."""
+class MachineKind(msgspec.Struct, frozen=True, array_like=True):
+    """A machine type that a cell can provision, with the resources that one task can use."""
 
     name: str
     cores: float
@@ -21,46 +21,48 @@
     memory_gb: float
 
 
-class CellState(msgspec.Struct, frozen=True, tag_field="k", tag=STATE):
-    """What a controller says of its cell, again and again."""
+class CellState(msgspec.Struct, frozen=True, tag_field="k", tag=STATE_FRAME):
+    """The state of a cell, which each of its controllers broadcasts periodically."""
 
     cell: str
     able: bool
-    """Whether questions sent to it reach a leader that can commit."""
+    """Whether requests sent to this controller reach a leader that can commit."""
     pressure: float | None = None
-    """Waiting tasks by machine; said by the cell's leader alone."""
-    kinds: list[Kind] = []
+    """Pending tasks per machine; reported by the cell's leader only."""
+    kinds: list[MachineKind] = []
+    """Machine types that the cell can provision; reported by the cell's leader only."""
 
 
-class Question(msgspec.Struct, frozen=True, tag_field="k", tag=QUESTION):
-    """A user's question that is passed to the job's cell."""
+class CellRequest(msgspec.Struct, frozen=True, tag_field="k", tag=REQUEST):
+    """A user's request that is forwarded to the job's cell."""
 
     number: int
     what: str
+    """The kind of request, such as a submission or a cancellation."""
     ref: str
-    """The job that it is about."""
+    """The id of the job that the request is about."""
     submission: bytes = b""
-    """What the user sent, if it is a submission."""
+    """The body of a submission as the user sent it; empty for other requests."""
 
 
-class Answer(msgspec.Struct, frozen=True, tag_field="k", tag=ANSWER):
-    """The answer to `Question`."""
+class CellReply(msgspec.Struct, frozen=True, tag_field="k", tag=REPLY):
+    """The reply to a `CellRequest` with the same number."""
 
     number: int
     status: int
     body: Any = None
 
 
-Message = CellState | Question | Answer
+CellMessage = CellState | CellRequest | CellReply
 
 
-def to_frame(message: Message) -> Frame:
-    """The message as a frame between controllers."""
+def to_frame(message: CellMessage) -> Frame:
+    """Encodes the message as a frame between controllers."""
     frame: Frame = msgspec.to_builtins(message, builtin_types=(bytes,))
     return frame
 
 
-def from_frame(frame: Frame) -> Message:
-    """The message of a frame, or `msgspec.ValidationError`."""
-    message: Message = msgspec.convert(frame, Message, builtin_types=(bytes,))
+def from_frame(frame: Frame) -> CellMessage:
+    """Decodes a frame; raises `msgspec.ValidationError` if it is malformed."""
+    message: CellMessage = msgspec.convert(frame, CellMessage, builtin_types=(bytes,))
     return message
--- a/flaxtally/cells/quota_rebalancer.py
+++ b/flaxtally/cells/quota_rebalancer.py
@@ -1,9 +1,10 @@
-"""A cell's shares of the teams' limits: followed, asked for and given away by the cell's leader.
+"""A cell's shares of the teams' limits: its leader reads, requests and transfers them.
 
-Why the shares hold, in short (`docs/scale.md`): only the leader of a cell lowers the cell's share.
-It first lowers what it uses for itself, then writes; the write is guarded by the versions of the
-team's key and of the cell's claim. A leader claims its cell before it reads the shares, and uses
-nothing before: so a predecessor's write comes before the claim, and is read, or never.
+Why the sum of the shares never exceeds a limit (details in `docs/scale.md`): only the leader of a
+cell lowers the cell's share. It lowers the limit that it enforces before it writes the lower share,
+and the write is guarded by the versions of the team's key and of the cell's claim. A leader claims
+its cell before it reads the shares, and uses nothing until it has read them. A predecessor's write
+is therefore either committed before the claim, and read, or it is rejected.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
     TeamShares,
     build_equal_shares,
     get_team_limit,
-    share_as_team,
+    limit_team_to_share,
 )
 
 if TYPE_CHECKING:
@@ -37,45 +38,51 @@
 log = logging.getLogger(__name__)
 
 SHARE_KEY_PREFIX = "share/"
-CLAIMS = "claim/"
-KEPT = 0.1
-"""Of the equal share: so much of what it doesn't use a cell keeps for what comes next."""
-OTHERWISE = 1.5
-"""What a cell lacks is said anew when it has changed by this factor."""
-WRITES = 0.5
-"""Of the shared state service's changes: so much may be those of shares, of all cells together."""
+"""Prefix of the key of a team's shares."""
+CLAIM_KEY_PREFIX = "claim/"
+"""Prefix of a cell's claim: the term of its leader, which fences off former leaders."""
+RESERVED_SHARE_FRACTION = 0.1
+"""Fraction of an equal share that a cell keeps for new tasks although it does not use it."""
+SHORTFALL_CHANGE_RATIO = 1.5
+"""A cell announces its shortfall again when it has grown or shrunk by more than this factor."""
+SHARE_WRITES_FRACTION = 0.5
+"""Fraction of the shared state service's write rate that all cells together use for shares."""
 
 
 @dataclass
-class _Row:
-    """A team's key as it was read or written last."""
+class _ShareRow:
+    """A team's shares as they were last read or written."""
 
     shares: TeamShares
     version: int
     pending: TeamShares | None = None
-    """Written, and not known to be applied or not. Until then the cell uses the smaller share."""
+    """Shares whose write has an unknown outcome; meanwhile the cell uses the smaller of both."""
 
 
-def share_key(team: str) -> str:
-    """The key of a team's shares; keys hold no spaces."""
+def build_share_key(team: str) -> str:
+    """Builds the key of a team's shares; the name is quoted because keys hold no spaces."""
     return SHARE_KEY_PREFIX + quote(team, safe="")
 
 
-def team_of(key: str) -> str:
-    """The team of such a key."""
+def parse_share_key(key: str) -> str:
+    """Returns the team whose shares are stored under the key."""
     return unquote(key.removeprefix(SHARE_KEY_PREFIX))
 
 
-def wanted_otherwise(said: Amount, lacking: Amount) -> bool:
-    """Whether what a cell lacks differs so much from what it said that it says it anew."""
+def has_shortfall_changed(announced: Amount, shortfall: Amount) -> bool:
+    """Whether a cell's shortfall differs enough from the announced one to announce it again."""
     return any(
-        now > OTHERWISE * before + TOLERANCE or before > OTHERWISE * now + TOLERANCE
-        for before, now in zip(said, lacking, strict=True)
+        now > SHORTFALL_CHANGE_RATIO * before + TOLERANCE
+        or before > SHORTFALL_CHANGE_RATIO * now + TOLERANCE
+        for before, now in zip(announced, shortfall, strict=True)
     )
 
 
 class QuotaRebalancer(Actor):
-    """Owns a leader's knowledge of its cell's shares; the `TeamLimits` of a cell."""
+    """Keeps a cell's shares of the teams' limits while its leader leads.
+
+    It implements `TeamLimits` for the leader of a cell.
+    """
 
     def __init__(
         self,
@@ -84,219 +91,228 @@
         cell: str,
         cells: Callable[[], list[str]],
         teams: dict[str, Team],
-        demand: Callable[[], dict[str, Amount]],
-        period: float,
+        compute_demand: Callable[[], dict[str, Amount]],
+        period_s: float,
         write_rps: float,
     ) -> None:
-        """`demand`: what each team uses here, all that counts against its share, and waits for.
+        """Takes the shared state service, the names of this cell and of all cells, and the teams.
 
-        `period`: seconds between reads of the shares. `write_rps`: changes a second that the shared
-        state service takes.
+        `compute_demand`: returns each team's demand in this cell, which is all usage that counts
+        against its share plus what its pending tasks need. `period_s`: time between reads of the
+        shares. `write_rps`: writes per second that the shared state service accepts.
         """
         super().__init__(runtime)
         self._store, self._cell, self._cells, self._teams = store, cell, cells, teams
-        self._demand, self._period = demand, period
+        self._compute_demand, self._period_s = compute_demand, period_s
         self._generation = 0
         self._term = 0
         self._claim: int | None = None
-        """The version of the cell's claim by this term; None: not claimed."""
-        self._rows: dict[str, _Row] = {}
+        """Version of the cell's claim by this term; None while the cell is not claimed."""
+        self._rows: dict[str, _ShareRow] = {}
         self._limits: dict[str, Team] = {}
-        """The teams' limits by the rows as they are; forgotten when a row changes."""
-        self._damaged: set[str] = set()
-        """Teams whose key holds nonsense: it is left to the operators, and not written."""
+        """Cached limits of the teams; an entry is dropped when the team's row changes."""
+        self._damaged_teams: set[str] = set()
+        """Teams whose key can't be decoded. It is not overwritten: operators must repair it."""
         self._busy = False
         self._write_rps = write_rps
-        self._order = sorted(name for name, team in teams.items() if any(get_team_limit(team)))
-        """Teams with a limit, in the order in which they are looked at next."""
+        self._teams_to_visit = sorted(
+            name for name, team in teams.items() if any(get_team_limit(team))
+        )
+        """Teams with a limit, in the order in which the next cycle visits them."""
 
-    # The leader's limits
+    # Limits that the leader enforces
 
     def find_team(self, team: str) -> Team | None:
-        # Asked for each task that is placed; shares change about once a second.
+        # Called for each task that is placed, while shares change about once a second.
         limit = self._limits.get(team)
         if limit is None and team in self._teams:
-            limit = self._limits[team] = self._limit(self._teams[team])
+            limit = self._limits[team] = self._compute_limit(self._teams[team])
         return limit
 
-    def _limit(self, settings: Team) -> Team:
+    def _compute_limit(self, settings: Team) -> Team:
         row = self._rows.get(settings.name)
         shares = row.shares if row is not None else TeamShares({})
         share = shares.share(self._cell)
         if row is not None and row.pending is not None:
             share = share.at_most(row.pending.share(self._cell))
-        return share_as_team(settings, shares, share)
+        return limit_team_to_share(settings, shares, share)
 
     def begin_term(self, term: int) -> None:
-        """A term begins: nothing may be used before the claim and a read after it.
+        """Starts a term. The cell may use nothing until it is claimed and the shares are read.
 
-        The ledger has been read: before that nothing would seem used, and all be given away.
+        The ledger must have been replayed: without it the cell would seem to use nothing, and all
+        of its shares would be transferred to other cells.
         """
         self.end_term()
         self._term = term
         cells = self._cells()
-        first = cells.index(self._cell) * len(self._order) // len(cells)
-        # Cells that begin together create the first shares of different teams.
-        self._order = self._order[first:] + self._order[:first]
-        self._turn(self._generation)
+        first = cells.index(self._cell) * len(self._teams_to_visit) // len(cells)
+        # Cells that start together begin with different teams, so that they don't all try to create
+        # the same keys.
+        self._teams_to_visit = self._teams_to_visit[first:] + self._teams_to_visit[:first]
+        self._run_cycle(self._generation)
 
     def end_term(self) -> None:
         self._generation += 1
         self._claim, self._rows, self._busy, self._term = None, {}, False, 0
         self._limits.clear()
 
-    # Claim, read, ask, give: one call at a time
+    # Claiming the cell and reading the shares; one call is in flight at a time
 
-    def _turn(self, generation: int) -> None:
+    def _run_cycle(self, generation: int) -> None:
         if generation != self._generation:
             return
-        self.later(self._period, self._turn, generation)
+        self.later(self._period_s, self._run_cycle, generation)
         if self._busy:
             return
         self._busy = True
         if self._claim is None:
-            self._store.get(CLAIMS + self._cell, self._guarded(self._read_claim))
+            self._store.get(
+                CLAIM_KEY_PREFIX + self._cell, self._only_in_this_term(self._handle_claim)
+            )
         else:
-            self._store.list_prefix(SHARE_KEY_PREFIX, self._guarded(self._take_rows))
+            self._store.list_prefix(SHARE_KEY_PREFIX, self._only_in_this_term(self._handle_rows))
 
-    def _guarded(self, handler: Callable[..., None]) -> Callable[..., None]:
-        """The handler, unless another term has begun or this one has ended meanwhile."""
+    def _only_in_this_term(self, handler: Callable[..., None]) -> Callable[..., None]:
+        """Wraps a reply's handler so that it is not called after this term has ended."""
         generation = self._generation
 
-        def told(*answer: Any) -> None:
+        def on_reply(*reply: Any) -> None:
             if generation == self._generation:
                 self._busy = False
-                handler(*answer)
+                handler(*reply)
 
-        return told
+        return on_reply
 
-    def _read_claim(self, known: bool, row: wire.Row | None) -> None:
+    def _handle_claim(self, known: bool, row: wire.Row | None) -> None:
         if not known:
             return
         if row is not None and not (isinstance(row.value, int) and row.value < self._term):
-            # A later leader has claimed the cell, or an earlier try of ours was applied after all:
-            # then its version is the claim's.
+            # Either a later leader has claimed the cell, or an earlier attempt of this leader was
+            # executed after all: then the row's version is the claim's version.
             if row.value == self._term:
                 self._claim = row.version
-                self._read_now()
+                self._read_shares()
             else:
                 log.warning("event=claim_refused cell=%s term=%d", self._cell, self._term)
             return
-        key = CLAIMS + self._cell
+        key = CLAIM_KEY_PREFIX + self._cell
         version = row.version if row is not None else 0
 
-        def told(outcome: Outcome, revision: int) -> None:
+        def on_reply(outcome: Outcome, revision: int) -> None:
             if outcome is Outcome.COMMITTED:
                 self._claim = revision
                 log.info("event=claimed cell=%s term=%d", self._cell, self._term)
-                self._read_now()
+                self._read_shares()
 
         self._busy = True
         self._store.compare_and_swap(
-            {key: version}, {key: self._term}, [], self._guarded(told), first=True
+            {key: version}, {key: self._term}, [], self._only_in_this_term(on_reply), first=True
         )
 
-    def _read_now(self) -> None:
+    def _read_shares(self) -> None:
         self._busy = True
-        self._store.list_prefix(SHARE_KEY_PREFIX, self._guarded(self._take_rows))
+        self._store.list_prefix(SHARE_KEY_PREFIX, self._only_in_this_term(self._handle_rows))
 
-    def _take_rows(self, rows: list[wire.Row] | None) -> None:
+    def _handle_rows(self, rows: list[wire.Row] | None) -> None:
         if rows is None:
             return
         for row in rows:
-            self._take(team_of(row.key), row)
+            self._handle_row(parse_share_key(row.key), row)
         self._write_changes()
 
-    def _take(self, team: str, row: wire.Row) -> None:
+    def _handle_row(self, team: str, row: wire.Row) -> None:
         known = self._rows.get(team)
         if team not in self._teams or (known is not None and known.version >= row.version):
-            # The same version: what is under way may still be applied.
+            # The version is unchanged: a pending write may still be executed.
             return
         try:
             shares = msgspec.convert(row.value, TeamShares)
-        except msgspec.ValidationError as fault:
-            if team not in self._damaged:
-                log.error("event=shares_damaged team=%s why=%s", team, fault)
-            self._damaged.add(team)
+        except msgspec.ValidationError as error:
+            if team not in self._damaged_teams:
+                log.error("event=shares_damaged team=%s why=%s", team, error)
+            self._damaged_teams.add(team)
             return
-        self._damaged.discard(team)
-        self._note(team, _Row(shares, row.version))
+        self._damaged_teams.discard(team)
+        self._set_row(team, _ShareRow(shares, row.version))
 
-    def _note(self, team: str, row: _Row) -> None:
+    def _set_row(self, team: str, row: _ShareRow) -> None:
         self._rows[team] = row
         self._limits.pop(team, None)
 
-    # Asking and giving
+    # Requesting and transferring shares
 
     def _write_changes(self) -> None:
         changes: dict[str, TeamShares] = {}
-        demand, cells = self._demand(), self._cells()
-        most = max(1, int(self._write_rps * WRITES * self._period / len(cells)))
-        looked = 0
-        for name in self._order:
-            if len(changes) >= most:
+        demand_by_team, cells = self._compute_demand(), self._cells()
+        max_writes = max(
+            1, int(self._write_rps * SHARE_WRITES_FRACTION * self._period_s / len(cells))
+        )
+        visited = 0
+        for name in self._teams_to_visit:
+            if len(changes) >= max_writes:
                 break
-            looked += 1
-            if name in self._damaged:
+            visited += 1
+            if name in self._damaged_teams:
                 continue
             team, row = self._teams[name], self._rows.get(name)
             if row is None:
                 changes[name] = build_equal_shares(team, cells)
                 continue
-            changed = self._changed(team, row, demand.get(name, ZERO))
-            if changed != row.shares:
-                changes[name] = changed
-        # Who was not looked at for want of writes is first the next time.
-        self._order = self._order[looked:] + self._order[:looked]
+            new_shares = self._compute_shares(team, row, demand_by_team.get(name, ZERO))
+            if new_shares != row.shares:
+                changes[name] = new_shares
+        # Teams that were not visited because of the write limit come first in the next cycle.
+        self._teams_to_visit = self._teams_to_visit[visited:] + self._teams_to_visit[:visited]
         if changes:
             self._write(changes)
 
-    def _changed(self, team: Team, row: _Row, needed: Amount) -> TeamShares:
-        """The team's shares after this cell has said what it wants, and given what it can."""
+    def _compute_shares(self, team: Team, row: _ShareRow, demand: Amount) -> TeamShares:
+        """Computes the team's shares after this cell's request and its transfers to other cells."""
         if row.pending is not None:
-            # Written again as it was, under the same version: at most one copy is applied.
+            # Written again unchanged, guarded by the same version: at most one copy is executed.
             return row.pending
         share, limit = row.shares.share(self._cell), get_team_limit(team)
-        lacking = needed.minus(share).at_least_nothing()
+        shortfall = demand.minus(share).at_least_zero()
         shares = row.shares
-        free = limit.minus(shares.total).at_least_nothing().at_most(lacking)
-        if not free.is_nothing:
-            shares, lacking = shares.grown(self._cell, free), lacking.minus(free)
-        if wanted_otherwise(shares.wants.get(self._cell, ZERO), lacking):
-            shares = shares.with_want(self._cell, lacking.at_most(limit))
-        kept = limit.times(KEPT / len(self._cells()))
-        spare = share.minus(needed + kept).at_least_nothing()
+        free = limit.minus(shares.total).at_least_zero().at_most(shortfall)
+        if not free.is_zero:
+            shares, shortfall = shares.with_growth(self._cell, free), shortfall.minus(free)
+        if has_shortfall_changed(shares.wants.get(self._cell, ZERO), shortfall):
+            shares = shares.with_want(self._cell, shortfall.at_most(limit))
+        reserve = limit.times(RESERVED_SHARE_FRACTION / len(self._cells()))
+        surplus = share.minus(demand + reserve).at_least_zero()
         for taker in sorted(shares.wants):
-            gift = shares.wants[taker].at_most(spare)
-            if taker != self._cell and not gift.is_nothing:
-                shares = shares.moved(self._cell, taker, gift)
-                spare = spare.minus(gift).at_least_nothing()
-        shares.check(limit if row.shares.total.within(limit) else row.shares.total)
+            amount = shares.wants[taker].at_most(surplus)
+            if taker != self._cell and not amount.is_zero:
+                shares = shares.with_transfer(self._cell, taker, amount)
+                surplus = surplus.minus(amount).at_least_zero()
+        shares.check(limit if row.shares.total.is_within(limit) else row.shares.total)
         return shares
 
     def _write(self, changes: dict[str, TeamShares]) -> None:
         assert self._claim is not None
-        guards = {CLAIMS + self._cell: self._claim}
+        guards = {CLAIM_KEY_PREFIX + self._cell: self._claim}
         puts: dict[str, Any] = {}
         for name, shares in changes.items():
             row = self._rows.get(name)
-            key = share_key(name)
+            key = build_share_key(name)
             guards[key] = row.version if row is not None else 0
             puts[key] = msgspec.to_builtins(shares)
             if row is not None:
-                # Taken before it is given: from now on no more than this is used here.
+                # The limit is lowered before the write that gives the difference to other cells.
                 row.pending = shares
                 self._limits.pop(name, None)
 
-        def told(outcome: Outcome, revision: int) -> None:
+        def on_reply(outcome: Outcome, revision: int) -> None:
             if outcome is Outcome.COMMITTED:
                 for name, shares in changes.items():
-                    self._note(name, _Row(shares, revision))
+                    self._set_row(name, _ShareRow(shares, revision))
             elif outcome is Outcome.CONFLICT:
-                # The claim or a row has changed: both are read again. An earlier copy may have been
-                # applied, which the rows' versions tell.
+                # The claim or a row has changed, so both are read again. If an earlier copy of this
+                # write was executed, the rows' versions show it.
                 self._claim = None
-            # Not executed, or not known: written again in the next turn.
+            # Any other outcome: not executed, or unknown. The next cycle writes the same again.
 
         self._busy = True
-        self._store.compare_and_swap(guards, puts, [], self._guarded(told))
+        self._store.compare_and_swap(guards, puts, [], self._only_in_this_term(on_reply))
--- a/flaxtally/cells/shares.py
+++ b/flaxtally/cells/shares.py
@@ -1,7 +1,7 @@
 """How a team's limit is divided among cells. Pure arithmetic, in cores and GPUs.
 
-The shares of a team never sum to more than its limit. They change only by `moved`, which takes as
-much as it gives, in one record.
+The shares of a team never sum to more than its limit. `with_transfer` takes from one cell as much
+as it gives to another, in a single record; `with_growth` hands out what no cell has yet.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
 
 from ..settings import Team
 
-NOTHING = 1e-9
-"""A share of a limited resource that holds no task: in a team's settings 0 means "no limit"."""
+EMPTY_SHARE = 1e-9
+"""Cores or GPUs of a share that holds no task: in a team's settings 0 would mean "no limit"."""
 TOLERANCE = 1e-6
+"""Cores or GPUs by which amounts may differ because of rounding."""
 
 
 class Amount(NamedTuple):
-    """Cores and GPUs."""
+    """An amount of cores and GPUs, which may be negative."""
 
     cores: float
     gpus: float
@@ -33,18 +34,18 @@
     def at_most(self, other: Amount) -> Amount:
         return Amount(min(self.cores, other.cores), min(self.gpus, other.gpus))
 
-    def at_least_nothing(self) -> Amount:
+    def at_least_zero(self) -> Amount:
         return Amount(max(0.0, self.cores), max(0.0, self.gpus))
 
     def times(self, factor: float) -> Amount:
         return Amount(self.cores * factor, self.gpus * factor)
 
-    def within(self, other: Amount) -> bool:
-        """Whether neither is more than the other's, but for rounding."""
+    def is_within(self, other: Amount) -> bool:
+        """Whether neither resource exceeds the other amount's, apart from rounding."""
         return self.cores <= other.cores + TOLERANCE and self.gpus <= other.gpus + TOLERANCE
 
     @property
-    def is_nothing(self) -> bool:
+    def is_zero(self) -> bool:
         return self.cores <= TOLERANCE and self.gpus <= TOLERANCE
 
 
@@ -52,86 +53,93 @@
 
 
 class ShareError(Exception):
-    """Shares that break their invariant; nothing is changed."""
+    """A change would break the invariant of the shares; it is not made."""
 
 
 class TeamShares(msgspec.Struct, frozen=True):
-    """A team's shares by cell, and what cells want besides theirs. As kept at the state service."""
+    """A team's shares and requests by cell, as stored at the state service."""
 
     of: dict[str, Amount]
+    """The share of each cell."""
     wants: dict[str, Amount] = {}
+    """What cells request in addition to their shares."""
 
     def share(self, cell: str) -> Amount:
         return self.of.get(cell, ZERO)
 
     @property
     def total(self) -> Amount:
-        whole = ZERO
+        total = ZERO
         for share in self.of.values():
-            whole += share
-        return whole
+            total += share
+        return total
 
     def check(self, limit: Amount) -> None:
-        """Raises `ShareError` if a share is negative, or all together are above the limit."""
+        """Raises `ShareError` if a share is negative or their sum exceeds the limit."""
         for cell, share in self.of.items():
             if share.cores < -TOLERANCE or share.gpus < -TOLERANCE:
-                raise ShareError(f"cell {cell}: a share is below nothing")
-        if not self.total.within(limit):
-            raise ShareError(f"shares are {tuple(self.total)}, above the limit {tuple(limit)}")
-
-    def moved(self, giver: str, taker: str, amount: Amount) -> TeamShares:
-        """Takes from one cell and gives to another; the taker wants that much less."""
-        if giver == taker or not amount.within(self.share(giver)):
-            raise ShareError(f"cell {giver} can't give {tuple(amount)}")
+                raise ShareError(
+                    f"cell {cell}: share {tuple(share)} is negative; expected 0 or more"
+                )
+        if not self.total.is_within(limit):
+            raise ShareError(f"shares sum to {tuple(self.total)}, above the limit {tuple(limit)}")
+
+    def with_transfer(self, giver: str, taker: str, amount: Amount) -> TeamShares:
+        """Moves an amount from one cell's share to another's; the taker's request shrinks by it."""
+        if giver == taker or not amount.is_within(self.share(giver)):
+            raise ShareError(
+                f"cell {giver} can't transfer {tuple(amount)} to {taker}: "
+                f"its share is {tuple(self.share(giver))}"
+            )
         wants = dict(self.wants)
-        left = wants.pop(taker, ZERO).minus(amount).at_least_nothing()
-        if not left.is_nothing:
-            wants[taker] = left
+        remaining_want = wants.pop(taker, ZERO).minus(amount).at_least_zero()
+        if not remaining_want.is_zero:
+            wants[taker] = remaining_want
         of = {
             **self.of,
-            giver: self.share(giver).minus(amount).at_least_nothing(),
+            giver: self.share(giver).minus(amount).at_least_zero(),
             taker: self.share(taker) + amount,
         }
         return TeamShares(of, wants)
 
-    def grown(self, cell: str, amount: Amount) -> TeamShares:
-        """The cell takes of what no cell has: a limit that was raised has more than the shares."""
+    def with_growth(self, cell: str, amount: Amount) -> TeamShares:
+        """Adds to a cell's share what no cell has, as after the team's limit was raised."""
         return TeamShares({**self.of, cell: self.share(cell) + amount}, self.wants)
 
     def with_want(self, cell: str, amount: Amount) -> TeamShares:
-        """The same shares; the cell wants so much more."""
+        """Replaces the cell's request; the shares stay the same."""
         wants = {name: want for name, want in self.wants.items() if name != cell}
-        if not amount.is_nothing:
+        if not amount.is_zero:
             wants[cell] = amount
         return TeamShares(self.of, wants)
 
 
 def get_team_limit(team: Team) -> Amount:
-    """A team's limit; what is not limited counts as 0 and is not divided."""
+    """Returns a team's limit; an unlimited resource counts as 0 and is not divided."""
     return Amount(team.cores_max, team.gpus_max)
 
 
 def build_equal_shares(team: Team, cells: list[str]) -> TeamShares:
-    """The shares of the beginning: as much for each."""
+    """Builds the initial shares, which are the same for each cell."""
     return TeamShares({cell: get_team_limit(team).times(1 / len(cells)) for cell in cells})
 
 
-def share_as_team(team: Team, shares: TeamShares, share: Amount) -> Team:
-    """The team as a cell sees it: its share is its limit, of its guarantee it has as large a part.
+def limit_team_to_share(team: Team, shares: TeamShares, share: Amount) -> Team:
+    """Builds the team as a cell sees it: its limit is the share, its guarantee as large a part.
 
-    Shares that were divided under a higher limit than the present one shrink with it.
+    Shares that were divided under a higher limit than the present one shrink in proportion.
     """
     limit = get_team_limit(team)
 
-    def part(of_limit: float, of_total: float, mine: float) -> float:
-        return mine * min(1.0, of_limit / of_total) if of_total else 0.0
+    def scale_to_limit(of_limit: float, of_total: float, cell_share: float) -> float:
+        return cell_share * min(1.0, of_limit / of_total) if of_total else 0.0
 
-    cores = part(limit.cores, shares.total.cores, share.cores)
-    gpus = part(limit.gpus, shares.total.gpus, share.gpus)
+    cores = scale_to_limit(limit.cores, shares.total.cores, share.cores)
+    gpus = scale_to_limit(limit.gpus, shares.total.gpus, share.gpus)
     return Team(
         team.name,
         team.cores * (cores / limit.cores if limit.cores else 1.0),
-        max(cores, NOTHING) if limit.cores else 0.0,
+        max(cores, EMPTY_SHARE) if limit.cores else 0.0,
         team.gpus * (gpus / limit.gpus if limit.gpus else 1.0),
-        max(gpus, NOTHING) if limit.gpus else 0.0,
+        max(gpus, EMPTY_SHARE) if limit.gpus else 0.0,
     )
--- a/flaxtally/cli/cell_commands.py
+++ b/flaxtally/cli/cell_commands.py
@@ -1,4 +1,4 @@
-"""Commands about the map of a divided fleet: `cells check`, `cells apply` and `cells show`."""
+"""Commands for the cell map of a divided fleet: `cells check`, `cells apply` and `cells show`."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def check_map(arguments: argparse.Namespace) -> int:
-    """Checks a deploy file's cells."""
+    """Checks the cells of a deploy file."""
     from ..cells.command import check
 
     return check(arguments.file)
@@ -23,7 +23,7 @@
 
 
 def show_map(arguments: argparse.Namespace) -> int:
-    """Shows the map in force and the teams' shares."""
+    """Shows the map in force, and how the teams' limits are divided."""
     from ..cells.command import show
 
     return show(arguments.state)
--- a/flaxtally/cli/common.py
+++ b/flaxtally/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, the error of invalid input, logging, the settings files."""
+"""Exit codes, errors, logging and settings files, as used by several commands."""
 
 from __future__ import annotations
 
@@ -18,21 +18,22 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the process returns to the shell."""
+    """Exit code of the process."""
 
     DONE = 0
     REFUSED = 1
-    """The service refused, or can't be reached."""
+    """The service refused the request or can't be reached."""
     INVALID_INPUT = 2
     INTERRUPTED = 130
+    """Ended by Ctrl-C: 128 plus the number of the signal, as shells have it."""
 
 
 class InvalidInputError(Exception):
-    """What the user gave can't be used; the text says what and why."""
+    """An argument or a file is invalid; the text names it and says why."""
 
 
 def configure_logging() -> None:
-    """Logs to standard error, at the level that the variable LOG_LEVEL names."""
+    """Logs to standard error, at the level of the environment variable LOG_LEVEL."""
     level = LOG_LEVELS.get(os.environ.get("LOG_LEVEL", "info").lower(), logging.INFO)
     logging.basicConfig(
         stream=sys.stderr, level=level, format="%(asctime)s %(levelname)s %(name)s %(message)s"
@@ -40,7 +41,7 @@
 
 
 def load_settings(arguments: argparse.Namespace) -> Settings:
-    """The platform's settings file, or `InvalidInputError`."""
+    """Loads the platform's settings file; raises `InvalidInputError` if it is invalid."""
     try:
         return load(arguments.config)
     except SettingsError as error:
@@ -48,7 +49,7 @@
 
 
 def explain_policy(arguments: argparse.Namespace, settings: Settings) -> list[policy.Setting]:
-    """The operators' settings with their origins, or `InvalidInputError`."""
+    """Lists the policy's settings with origins; raises `InvalidInputError` if it is invalid."""
     try:
         return policy.explain(settings, arguments.policy)
     except policy.PolicyError as error:
--- a/flaxtally/cli/controller_commands.py
+++ b/flaxtally/cli/controller_commands.py
@@ -34,7 +34,7 @@
 
 
 def import_runtime() -> tuple[type[Loop], type[Controller]]:
-    """Imports what only a controller needs: `check` and `--help` do without its libraries."""
+    """Imports what only a controller needs, so that `check` and `--help` run without it."""
     from ..controller import Controller
     from ..runtime.loop import Loop
 
@@ -43,12 +43,12 @@
 
 def serve(arguments: argparse.Namespace) -> ExitCode:
     """Runs a controller until it is killed."""
-    # What a start allocates stays for good: collections would look for garbage in vain, now and
-    # again each time that the state of the jobs has grown.
+    # What a start allocates lives as long as the process. Collecting it would find no garbage, now
+    # and each time that the state of the jobs has grown; `gc.freeze` below excludes it.
     gc.disable()
     settings = load_settings(arguments)
-    ratios = policy.build(explain_policy(arguments, settings))
-    features = read_features(arguments, settings, ratios)
+    built_policy = policy.build(explain_policy(arguments, settings))
+    features = read_features(arguments, settings, built_policy)
     configure_logging()
     loop_type, controller_type = import_runtime()
     settings = _limit_sockets_to_open_files(settings)
@@ -56,9 +56,15 @@
     try:
         _start_features(features, loop, settings)
         cells = read_cells(arguments, settings)
-        controller_type(loop, settings, ratios, random.Random(), cells, _find_lending(features))
+        controller_type(
+            loop, settings, built_policy, random.Random(), cells, _find_lending(features)
+        )
     except OSError as error:
-        print(f"flaxtally: can't listen: {error}", file=sys.stderr)
+        print(
+            f"flaxtally: can't listen on {settings.listen[0]}:{settings.listen[1]} (listen) or "
+            f"{settings.peer_listen[0]}:{settings.peer_listen[1]} (cluster_listen): {error}",
+            file=sys.stderr,
+        )
         return ExitCode.REFUSED
     gc.freeze()
     gc.enable()
@@ -67,11 +73,11 @@
 
 
 def check(arguments: argparse.Namespace) -> ExitCode:
-    """Checks the files of a controller, and that the process may open as many as it needs."""
+    """Checks a controller's files, and that the process may open enough files and sockets."""
     settings = load_settings(arguments)
-    ratios = policy.build(explain_policy(arguments, settings))
+    built_policy = policy.build(explain_policy(arguments, settings))
     read_cells(arguments, settings)
-    read_features(arguments, settings, ratios)
+    read_features(arguments, settings, built_policy)
     _check_open_files(arguments.config, settings)
     print(f"{arguments.config}: settings are sound")
     if arguments.policy is not None:
@@ -89,9 +95,9 @@
 
 
 def read_features(
-    arguments: argparse.Namespace, settings: Settings, ratios: Policy
+    arguments: argparse.Namespace, settings: Settings, built_policy: Policy
 ) -> list[Feature]:
-    """What the features file enables, checked against the other files; nothing without one."""
+    """Reads the enabled features and checks them against the other files; none without a file."""
     if arguments.features is None:
         return []
     from ..features import FeatureError, read_file
@@ -99,14 +105,14 @@
     try:
         found = read_file(arguments.features)
         for feature in found:
-            feature.check(settings, ratios, has_cells=arguments.cells is not None)
+            feature.check(settings, built_policy, has_cells=arguments.cells is not None)
     except FeatureError as error:
         raise InvalidInputError(str(error)) from None
     return found
 
 
 def read_cells(arguments: argparse.Namespace, settings: Settings) -> CellSetup | None:
-    """What the deploy file says of cells; None: this fleet is not divided."""
+    """Reads the controller's cell from the deploy file; None if the fleet is not divided."""
     if arguments.cells is None:
         return None
     from ..cells.map import CellMapError, read_file
@@ -114,19 +120,19 @@
 
     try:
         cells = read_file(arguments.cells)
-        # A single cell is the undivided fleet: nothing differs from one without the file.
+        # A fleet with a single cell runs like one without the file.
         return CellSetup(cells, settings) if len(cells.map.cells) > 1 else None
     except CellMapError as error:
         raise InvalidInputError(str(error)) from None
 
 
 def _find_lending(features: list[Feature]) -> LendingFeature | None:
-    """The lending feature, if it is enabled."""
+    """Returns the lending feature if it is enabled."""
     if not features:
         return None
     from ..lending.feature import LendingFeature
 
-    return next((each for each in features if isinstance(each, LendingFeature)), None)
+    return next((feature for feature in features if isinstance(feature, LendingFeature)), None)
 
 
 def _start_features(features: list[Feature], loop: Loop, settings: Settings) -> None:
@@ -142,7 +148,7 @@
 
 
 def _limit_sockets_to_open_files(settings: Settings) -> Settings:
-    """The settings with as many sockets as the process may open; a controller does with fewer."""
+    """Lowers `max_sockets` to what the process may open; a controller can run with fewer."""
     needed = open_files.files_needed(settings.max_sockets)
     granted = open_files.raise_limit(needed)
     if granted >= needed:
@@ -162,5 +168,6 @@
     if allowed is not None and needed > allowed:
         raise InvalidInputError(
             f"{path}: params.limits.max_sockets: {settings.max_sockets} sockets need {needed} open "
-            f"files, and a process may open {allowed} here (ulimit -Hn)"
+            f"files, but a process may open only {allowed} here; raise that limit (ulimit -Hn) or "
+            "lower max_sockets"
         )
--- a/flaxtally/cli/entry_point.py
+++ b/flaxtally/cli/entry_point.py
@@ -21,7 +21,7 @@
     except KeyboardInterrupt:
         return ExitCode.INTERRUPTED
     except BrokenPipeError:
-        # Whoever read our output has seen enough.
+        # The reader of standard output has closed it. Without this, flushing it at exit would fail.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ExitCode.DONE
 
--- a/flaxtally/cli/local_commands.py
+++ b/flaxtally/cli/local_commands.py
@@ -12,18 +12,20 @@
 
 
 def run_demo(arguments: argparse.Namespace) -> int:
-    """Runs fakes of the key-value store, the cloud and the workers until it is ended."""
+    """Runs fakes of the key-value store, the cloud and the workers until it is killed."""
     from ..fakes.demo import run
 
     configure_logging()
     try:
         return run(Path(arguments.folder), arguments.port)
     except OSError as error:
-        raise InvalidInputError(f"{arguments.folder}: {error}") from None
+        raise InvalidInputError(
+            f"{arguments.folder}, --port {arguments.port}: can't run the demo: {error}"
+        ) from None
 
 
 def emulate(words: list[str]) -> int:
-    """Plays a whole deployment; its options are its own parser's."""
+    """Emulates a whole deployment; `emulate` parses its own options."""
     from ..emulator import command
 
     return command.main(words)
--- a/flaxtally/cli/parser.py
+++ b/flaxtally/cli/parser.py
@@ -1,4 +1,4 @@
-"""The words of the command line."""
+"""The parser of the command line: commands, options and their help."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 
 EMULATE = "emulate"
 DEFAULT_TIMEOUT_S = 5.0
+"""Default timeout of a request to a controller."""
 DEFAULT_DEMO_PORT = 21000
+"""Default first port of the demo."""
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """A parser whose result has the command's function as `run`."""
+    """Builds the parser; its result has the command's function as `run`."""
     parser = argparse.ArgumentParser(
         prog="flaxtally", description="A scheduler for fleets that serve language models."
     )
@@ -27,8 +29,8 @@
     _add_cell_commands(commands)
     _add_request_commands(commands)
     _add_demo(commands)
-    # Its options are its own parser's: a controller's start does without importing them.
-    commands.add_parser(EMULATE, help="play a whole deployment on loopback", add_help=False)
+    # `emulate` has a parser of its own, so that starting a controller doesn't import its options.
+    commands.add_parser(EMULATE, help="emulate a whole deployment on loopback", add_help=False)
     return parser
 
 
@@ -41,7 +43,7 @@
 
 
 def _add_group(commands: Any, name: str, text: str) -> Any:
-    """A command whose next word is a command too."""
+    """Adds a command that has subcommands."""
     group = commands.add_parser(name, help=text, description=text)
     return group.add_subparsers(dest="what", required=True, metavar="COMMAND")
 
@@ -56,7 +58,7 @@
         policy_commands,
         "show",
         controller_commands.show_policy,
-        "show each setting, its value and where it came from",
+        "show each setting, its value and its origin",
     )
     for command in (serve, check, show):
         _add_file_options(command)
@@ -95,9 +97,11 @@
 def _add_request_commands(commands: Any) -> None:
     submit = _add_command(commands, "submit", request_commands.submit, "submit a job")
     submit.add_argument(
-        "job", metavar="FILE", help='the job as JSON, in the protocol\'s words; "-": standard input'
+        "job",
+        metavar="FILE",
+        help='the job as JSON, with the protocol\'s fields; "-": standard input',
     )
-    status = _add_command(commands, "status", request_commands.show_status, "ask for a job's state")
+    status = _add_command(commands, "status", request_commands.show_status, "show a job's state")
     cancel = _add_command(commands, "cancel", request_commands.cancel, "cancel a job")
     for command in (status, cancel):
         command.add_argument("ref", metavar="ID", help="the job's id")
@@ -107,7 +111,7 @@
         request_commands.show_loans,
         "show what teams lend and borrow (docs/lending.md)",
     )
-    loans.add_argument("--json", action="store_true", help="print the controller's answer as JSON")
+    loans.add_argument("--json", action="store_true", help="print the controller's reply as JSON")
     for command in (submit, status, cancel, loans):
         command.add_argument("--to", required=True, metavar="HOST:PORT", help="a controller")
         command.add_argument(
@@ -124,15 +128,15 @@
         commands,
         "demo",
         local_commands.run_demo,
-        "run stand-ins of state service, cloud and workers on loopback",
+        "run fakes of the state service, the cloud and the workers on loopback",
     )
     demo.add_argument(
-        "folder", metavar="FOLDER", help="where the settings of three controllers are written to"
+        "folder", metavar="FOLDER", help="where the settings of three controllers are written"
     )
     demo.add_argument(
         "--port",
         type=int,
         default=DEFAULT_DEMO_PORT,
         metavar="N",
-        help="the first of the ports; default: 21000",
+        help="the first port; default: 21000",
     )
--- a/flaxtally/cli/request_commands.py
+++ b/flaxtally/cli/request_commands.py
@@ -18,7 +18,15 @@
     from ..runtime.loop import Address
 
 FIRST_PRINTABLE, LAST_PRINTABLE = 33, 126
-"""Of ASCII: what the path of a request may hold."""
+"""Range of the ASCII codes that the path of a request may contain."""
+STATUS_MEANINGS = {
+    400: "the request is malformed",
+    404: "not found; check the job's id",
+    422: "the request can never be carried out; see the reply's error",
+    429: "too many requests; try again later",
+    503: "no leader can answer now; try again later",
+}
+"""What the statuses of a controller's replies mean for the user."""
 
 
 @dataclass(frozen=True)
@@ -29,7 +37,7 @@
     path: str
     body: Any = None
     format_reply: Callable[[bytes], str] | None = None
-    """How the body of a good reply is printed; None: as JSON."""
+    """Formats the body of a reply with status 200 for printing; None: as JSON."""
 
 
 def submit(arguments: argparse.Namespace) -> ExitCode:
@@ -40,7 +48,7 @@
 
 
 def show_status(arguments: argparse.Namespace) -> ExitCode:
-    """Asks for a job's state."""
+    """Shows a job's state."""
     from ..protocol import wire
 
     return _send(arguments, ControllerRequest("GET", f"{wire.WORK}/{arguments.ref}"))
@@ -62,17 +70,17 @@
 
 
 def _read_job(path: str) -> dict[str, Any]:
-    """A job's description from a JSON file, in the protocol's own words; "-" is standard input."""
+    """Reads a job in the protocol's fields from a JSON file; "-" is standard input."""
     import msgspec
 
     try:
         text = sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
     except OSError as error:
-        raise InvalidInputError(f"{path}: {error.strerror or error}") from None
+        raise InvalidInputError(f"{path}: can't be read: {error.strerror or error}") from None
     try:
         return msgspec.json.decode(text, type=dict[str, Any])
     except msgspec.DecodeError as error:
-        raise InvalidInputError(f"{path}: {error}") from None
+        raise InvalidInputError(f"{path}: not a job as a JSON object: {error}") from None
 
 
 def _format_loans(body: bytes) -> str:
@@ -84,26 +92,38 @@
 
 
 def _send(arguments: argparse.Namespace, request: ControllerRequest) -> ExitCode:
-    """Sends the request to the controller of `--to`; its reply goes to standard output."""
+    """Sends the request to the controller at `--to`, and prints its reply to standard output."""
     controller = address(arguments.to)
     if controller is None:
-        raise InvalidInputError(f"--to {arguments.to}: not HOST:PORT")
-    if any(not FIRST_PRINTABLE <= ord(sign) <= LAST_PRINTABLE for sign in request.path):
-        raise InvalidInputError(f"{arguments.ref!r}: not a job's id")
+        raise InvalidInputError(
+            f"--to {arguments.to}: not HOST:PORT; expected a controller's address"
+        )
+    if any(not FIRST_PRINTABLE <= ord(character) <= LAST_PRINTABLE for character in request.path):
+        raise InvalidInputError(
+            f"{arguments.ref!r}: not a job's id; expected printable ASCII without spaces"
+        )
     reply = _await_reply(controller, request, arguments.timeout)
     if reply.status == 0:
-        print(f"flaxtally: no answer from {arguments.to}", file=sys.stderr)
+        print(
+            f"flaxtally: --to {arguments.to}: no answer (--timeout {arguments.timeout:g} s); "
+            "expected a running controller",
+            file=sys.stderr,
+        )
         return ExitCode.REFUSED
     if reply.body:
         print(_format(request, reply))
     if reply.status not in (200, 201):
-        print(f"flaxtally: {arguments.to} answered {reply.status}", file=sys.stderr)
+        print(
+            f"flaxtally: {arguments.to} answered {reply.status} to {request.method} "
+            f"{request.path}: {STATUS_MEANINGS.get(reply.status, 'expected status 200 or 201')}",
+            file=sys.stderr,
+        )
         return ExitCode.REFUSED
     return ExitCode.DONE
 
 
 def _await_reply(controller: Address, request: ControllerRequest, timeout_s: float) -> Reply:
-    """Runs a loop of its own until the reply has come, or has not come in time (status 0)."""
+    """Runs an event loop until the reply arrives; status 0 if there is none in time."""
     from ..runtime.http import Client, Reply
     from ..runtime.loop import Loop
 
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -1,8 +1,8 @@
-"""Traces of what holds up a controller's loop, as OpenTelemetry spans in a file.
+"""Traces of long callbacks of a controller's event loop, as OpenTelemetry spans in a file.
 
-Each callback of the loop that takes longer than a bound is a span: its function, and when it began
-and ended. A leader of thousands of machines shows so which duty (a pass, a plan, a replay) held up
-the others, and when. Enabled by the table `tracing` of a features file; `docs/tracing.md` is the
+Each callback that takes longer than a threshold becomes a span with its function, start and end.
+The spans show which duty of a leader of thousands of machines (a pass, a plan, a replay) delayed
+the others, and when. The table `tracing` of a features file enables them; `docs/tracing.md` is the
 operators' page.
 """
 
@@ -31,33 +31,34 @@
 
 log = logging.getLogger(__name__)
 
-NANOSECONDS = 1_000_000_000
-MB = 2**20
-DEFAULT_LEAST_MS, DEFAULT_MOST_MB = 10.0, 16.0
+NANOSECONDS_PER_S = 1_000_000_000
+BYTES_PER_MB = 2**20
+DEFAULT_MIN_CALLBACK_MS, DEFAULT_MAX_FILE_MB = 10.0, 16.0
+"""Defaults of the fields `least_ms` and `most_mb`."""
 
 
 class FileExporter(SpanExporter):
-    """Writes spans as lines of JSON; a full file is kept once, under its name with `.1`."""
+    """Writes spans as lines of JSON; a full file is rotated, and one old file is kept (`.1`)."""
 
-    def __init__(self, path: Path, most_bytes: int) -> None:
-        """Raises OSError if the file can't be written."""
-        self._path, self._most_bytes = path, most_bytes
+    def __init__(self, path: Path, max_file_bytes: int) -> None:
+        """Opens the file for appending; raises `OSError` if it can't be written."""
+        self._path, self._max_file_bytes = path, max_file_bytes
         self._file = path.open("a", encoding="utf-8")
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Appends the spans; a disk that fails costs spans and nothing else."""
+        """Appends the spans; if the disk fails, they are lost and the controller continues."""
         try:
             for span in spans:
-                self._file.write(json.dumps(_as_line(span), separators=(",", ":")) + "\n")
+                self._file.write(json.dumps(_build_line(span), separators=(",", ":")) + "\n")
             self._file.flush()
-            if self._file.tell() > self._most_bytes:
-                self._begin_anew()
+            if self._file.tell() > self._max_file_bytes:
+                self._rotate()
         except OSError as fault:
             log.warning("event=trace_lost spans=%d why=%r", len(spans), str(fault))
             return SpanExportResult.FAILURE
         return SpanExportResult.SUCCESS
 
-    def _begin_anew(self) -> None:
+    def _rotate(self) -> None:
         self._file.close()
         self._path.replace(self._path.with_name(self._path.name + ".1"))
         self._file = self._path.open("a", encoding="utf-8")
@@ -67,43 +68,46 @@
         self._file.close()
 
 
-def _as_line(span: ReadableSpan) -> dict[str, Any]:
-    began, ended = span.start_time or 0, span.end_time or 0
+def _build_line(span: ReadableSpan) -> dict[str, Any]:
+    start_ns, end_ns = span.start_time or 0, span.end_time or 0
     return {
         "name": span.name,
-        "at": began / NANOSECONDS,
-        "seconds": (ended - began) / NANOSECONDS,
+        "at": start_ns / NANOSECONDS_PER_S,
+        "seconds": (end_ns - start_ns) / NANOSECONDS_PER_S,
         "resource": dict(span.resource.attributes),
     }
 
 
 @dataclass(frozen=True)
 class Tracing:
-    """The feature: where spans go, and how long a callback must take to be one."""
+    """The tracing feature, as configured by its table."""
 
     table: Table
     path: Path
+    """File of the spans."""
     min_callback_s: float
-    most_bytes: int
+    """Duration above which a callback becomes a span."""
+    max_file_bytes: int
+    """Size above which the file is rotated."""
 
     @classmethod
     def of(cls, table: Table) -> Tracing:
-        """Checks the feature's table."""
+        """Reads the feature's table; raises `FeatureError` if it is invalid."""
         table.only("file", "least_ms", "most_mb")
         return cls(
             table,
             Path(table.text("file")),
-            table.number("least_ms", DEFAULT_LEAST_MS, 0.1, 60_000.0) / 1000,
-            int(table.number("most_mb", DEFAULT_MOST_MB, 0.001, 1024.0) * MB),
+            table.number("least_ms", DEFAULT_MIN_CALLBACK_MS, 0.1, 60_000.0) / 1000,
+            int(table.number("most_mb", DEFAULT_MAX_FILE_MB, 0.001, 1024.0) * BYTES_PER_MB),
         )
 
     def check(self, settings: Settings, policy: Policy, *, has_cells: bool) -> None:
-        """It goes with all of them."""
+        """Accepts all settings and policies: tracing is compatible with them and with cells."""
 
     def start(self, loop: Loop, settings: Settings) -> None:
-        """Has the loop tell of its long callbacks."""
+        """Writes a span for each long callback of the loop."""
         try:
-            exporter = FileExporter(self.path, self.most_bytes)
+            exporter = FileExporter(self.path, self.max_file_bytes)
         except OSError as fault:
             raise self.table.fault("file", fault.strerror or str(fault)) from None
         resource = Resource(
@@ -113,9 +117,9 @@
         provider.add_span_processor(SimpleSpanProcessor(exporter))
         tracer = provider.get_tracer("flaxtally.loop")
 
-        def ran(callback: Callable[..., None], seconds: float) -> None:
-            ended = time.time_ns()
-            began = ended - round(seconds * NANOSECONDS)
-            tracer.start_span(callback_name(callback), start_time=began).end(end_time=ended)
+        def write_span(callback: Callable[..., None], duration_s: float) -> None:
+            end_ns = time.time_ns()
+            start_ns = end_ns - round(duration_s * NANOSECONDS_PER_S)
+            tracer.start_span(callback_name(callback), start_time=start_ns).end(end_time=end_ns)
 
-        loop.on_long_callback(self.min_callback_s, ran)
+        loop.on_long_callback(self.min_callback_s, write_span)
--- a/run.py
+++ b/run.py
@@ -1,8 +1,8 @@
-"""Deploy form of `python3 -m flaxtally serve`: finds the built dependencies, then starts.
+"""Deployed form of `python3 -m flaxtally serve`: adds the built dependencies to the path first.
 
-`deploy/service.toml` has it run without the environment's `site` hooks, which are not needed here
-and cost time at each start. `run.py --warm-up` is the last step of its build: what `serve`
-imports is compiled into `target/pycache`, so that no start of a controller compiles anything.
+`deploy/service.toml` runs it without the environment's `site` hooks, which are not needed here and
+would slow down each start. `run.py --warm-up` is the last step of the build: it compiles what
+`serve` imports into `target/pycache`, so that a controller compiles nothing when it starts.
 """
 
 from __future__ import annotations
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -43,23 +43,32 @@
 @pytest.mark.parametrize(
     ("text", "place"),
     [
-        ("cells = 3\n", "cells.missing, or not a table"),
-        ("[cells]\nversion = 1\n", "cells.cell: 0 of them"),
+        ("cells = 3\n", "cells.version: missing, because the file has no table [cells]"),
+        ("[cells]\nversion = 1\n", "cells.cell: the map has 0 cells"),
         (SOUND.replace("version = 1", "version = 0"), "cells.version: 0 is below 1"),
         (SOUND.replace("version = 1", 'version = "x"'), "$.version"),
-        (SOUND.replace("version = 1", "version = 1\nvariant = 2"), "cells.variant: unknown"),
-        (SOUND.replace("version = 1", 'version = 1\nstate = "nowhere"'), "cells.state: not HOST"),
+        (SOUND.replace("version = 1", "version = 1\nvariant = 2"), "cells.variant: unknown field"),
+        (
+            SOUND.replace("version = 1", 'version = 1\nstate = "nowhere"'),
+            "cells.state: 'nowhere' is not HOST",
+        ),
         (
             SOUND.replace('"zone-1"', '"zone-0"'),
-            "cells.cell[1].zones: zone-0 is in north and south",
+            "cells.cell[1].zones: zone-0 is in cells north and south",
         ),
         (
             SOUND.replace('"controller-1"', '"controller-0"'),
             "cells.cell[1].controllers: controller-0",
         ),
-        (SOUND.replace('["zone-0"]', "[]"), "cells.cell[0].zones: cell north has none"),
-        (SOUND.replace('["controller-0"]', "[]"), "cells.cell[0].controllers: cell north has none"),
-        (SOUND.replace('"south"', '"north"'), "cells.cell[1].name: north is there twice"),
+        (SOUND.replace('["zone-0"]', "[]"), "cells.cell[0].zones: cell north has no zones"),
+        (
+            SOUND.replace('["controller-0"]', "[]"),
+            "cells.cell[0].controllers: cell north has no controllers",
+        ),
+        (
+            SOUND.replace('"south"', '"north"'),
+            "cells.cell[1].name: north is already the name of another cell",
+        ),
         (SOUND.replace('"south"', '"South!"'), "cells.cell[1].name"),
         (SOUND + "opened = true\n", "opened"),
         ("[cells\n", "scale.toml"),
@@ -103,7 +112,7 @@
         (CellMap(2, cell_map().cells[:1]), "zone b: missing"),
         (
             CellMap(2, (Cell("north", ("a", "b"), cell_map().cells[0].controllers),)),
-            "zone b: in north; cell south has it for good",
+            "zone b: moved to cell north; it must stay in cell south",
         ),
         (
             CellMap(2, (*cell_map().cells[:1], Cell("south", ("b",), ("south-0", "south-1")))),
@@ -114,14 +123,16 @@
 def test_a_map_that_takes_something_from_a_cell_may_not_follow(newer: CellMap, place: str) -> None:
     index = CellIndex(cell_map())
     with pytest.raises(CellMapError) as refused:
-        index.followed_by(newer)
+        index.build_successor(newer)
     assert str(refused.value).startswith(place)
     assert index.version == 1
 
 
 def test_a_map_with_a_new_cell_may_follow_and_who_reads_the_old_one_sees_the_old() -> None:
     index = CellIndex(cell_map())
-    newer = index.followed_by(CellMap(2, (*cell_map().cells, Cell("west", ("c",), ("west-0",)))))
+    newer = index.build_successor(
+        CellMap(2, (*cell_map().cells, Cell("west", ("c",), ("west-0",))))
+    )
     assert newer.by_zone["c"].name == "west"
     assert "c" not in index.by_zone
     assert set(index.cells) == {"north", "south"}
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from flaxtally.cells.directory import JOBS
+from flaxtally.cells.directory import JOB_KEY_PREFIX
 from flaxtally.cells.map import CellMap
 from flaxtally.cells.map_watcher import MAP_KEY
 from flaxtally.cells.quota_rebalancer import SHARE_KEY_PREFIX
@@ -136,7 +136,7 @@
     for number, name in enumerate(CELL_NODES):
         ref = f"j-{number:06d}"
         assert world.cells_with(ref) == {name.partition("-")[0]}
-        assert written.count(JOBS + ref) == 1
+        assert written.count(JOB_KEY_PREFIX + ref) == 1
 
 
 def test_a_job_that_can_never_run_is_refused_whatever_its_cell() -> None:
@@ -274,7 +274,7 @@
     world = ready()
     dead = world.nodes_of(SOUTH)
     # Sent to a cell that has not marked it: what an entry controller leaves that dies just then.
-    world.put(JOBS + "j-000001", {"cell": SOUTH, "kept": False})
+    world.put(JOB_KEY_PREFIX + "j-000001", {"cell": SOUTH, "kept": False})
     for name in dead:
         world.crash(name)
     world.run(3.0)
@@ -367,7 +367,11 @@
     world.run(20.0)
     assert world.leader_of(NORTH)
     assert world.leader_of(SOUTH) is None
-    refused = [line for line in caplog.messages if "zone b: in north, by our file" in line]
+    refused = [
+        line
+        for line in caplog.messages
+        if "zone b: in north by the stored map, in south by this" in line
+    ]
     assert len(refused) == 3
     world.put_map(cell_map(2))
     assert world.until(world.both_lead, 20), "mended, they take part"
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from flaxtally.cells.quota_rebalancer import CLAIMS, SHARE_KEY_PREFIX, QuotaRebalancer
+from flaxtally.cells.quota_rebalancer import CLAIM_KEY_PREFIX, SHARE_KEY_PREFIX, QuotaRebalancer
 from flaxtally.cells.shares import (
     TOLERANCE,
     ZERO,
@@ -18,7 +18,7 @@
     TeamShares,
     build_equal_shares,
     get_team_limit,
-    share_as_team,
+    limit_team_to_share,
 )
 from flaxtally.clients.key_value_store import KeyValueStore
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
@@ -57,9 +57,9 @@
     for giver, taker, cores, gpus in moves:
         before = shares
         try:
-            shares = shares.moved(giver, taker, Amount(cores, gpus))
+            shares = shares.with_transfer(giver, taker, Amount(cores, gpus))
         except ShareError:
-            assert giver == taker or not Amount(cores, gpus).within(before.share(giver))
+            assert giver == taker or not Amount(cores, gpus).is_within(before.share(giver))
         shares.check(get_team_limit(TEAM))
         assert shares.total.cores == pytest.approx(40.0, abs=1e-3)
         assert shares.total.gpus == pytest.approx(8.0, abs=1e-3)
@@ -70,7 +70,7 @@
         TeamShares({"north": Amount(30.0, 4.0), "south": Amount(11.0, 4.0)}).check(
             get_team_limit(TEAM)
         )
-    with pytest.raises(ShareError, match="cell south: a share is below nothing"):
+    with pytest.raises(ShareError, match=r"cell south: share \(-1\.0, 4\.0\) is negative"):
         TeamShares({"north": Amount(30.0, 4.0), "south": Amount(-1.0, 4.0)}).check(
             get_team_limit(TEAM)
         )
@@ -78,18 +78,18 @@
 
 def test_a_cell_sees_its_share_as_the_teams_limit_and_as_large_a_part_of_the_guarantee() -> None:
     shares = TeamShares({"north": Amount(10.0, 0.0), "south": Amount(30.0, 8.0)})
-    north = share_as_team(TEAM, shares, shares.share("north"))
+    north = limit_team_to_share(TEAM, shares, shares.share("north"))
     assert (north.cores, north.cores_max, north.gpus) == (2.5, 10.0, 0.0)
     # 0 would mean that there is no limit.
     assert 0 < north.gpus_max < TOLERANCE
     free = Team("free", 1.0, 0.0, 0.0, 0.0)
-    assert share_as_team(free, TeamShares({}), ZERO) == free
+    assert limit_team_to_share(free, TeamShares({}), ZERO) == free
 
 
 def test_shares_shrink_with_a_limit_that_was_lowered() -> None:
     shares = build_equal_shares(TEAM, ["north", "south"])
     lower = Team("crew", 10.0, 20.0, 4.0, 8.0)
-    assert share_as_team(lower, shares, shares.share("north")).cores_max == 10.0
+    assert limit_team_to_share(lower, shares, shares.share("north")).cores_max == 10.0
 
 
 # Leaders
@@ -135,7 +135,7 @@
         for _ in range(round(seconds / 0.01)):
             play(self.sim, 0.01)
             assert self.north.gpus + self.south.gpus <= TEAM.gpus_max + TOLERANCE
-            assert self.row().total.within(get_team_limit(TEAM))
+            assert self.row().total.is_within(get_team_limit(TEAM))
 
     def until(self, condition: Callable[[], bool], most: float = 10.0) -> None:
         """Plays until it holds; it must within that time."""
@@ -217,7 +217,7 @@
     successor = Cell(world, "north", "10.0.0.3")
     successor.quota_rebalancer.begin_term(2)
     world.run(0.6)
-    assert world.state.rows[CLAIMS + "north"][0] == 2
+    assert world.state.rows[CLAIM_KEY_PREFIX + "north"][0] == 2
     # The successor uses all of it; the former one, who knows of neither, has room to give.
     successor.used = Amount(20.0, 4.0)
     world.south.needed = Amount(20.0, 8.0)
@@ -240,7 +240,7 @@
     world.put(SHARE_KEY_PREFIX + "crew", msgspec.to_builtins(newer))
     for _ in range(400):
         play(world.sim, 0.01)
-        assert world.row().total.within(get_team_limit(TEAM))
+        assert world.row().total.is_within(get_team_limit(TEAM))
         assert world.row().share("north").gpus <= 1.0, "what was given came back"
 
 
