--- a/flaxtally/features.py
+++ b/flaxtally/features.py
@@ -32,7 +32,7 @@
             f"{table.path}: {table.name}: {fault.name} is missing: "
             "pip install -r requirements-tracing.txt"
         ) from None
-    return Tracing.of(table)
+    return Tracing.from_table(table)
 
 
 KNOWN: dict[str, Callable[[Table], Feature]] = {
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -91,7 +91,7 @@
     """Size above which the file is rotated."""
 
     @classmethod
-    def of(cls, table: Table) -> Tracing:
+    def from_table(cls, table: Table) -> Tracing:
         """Reads the feature's table; raises `FeatureError` if it is invalid."""
         table.only("file", "least_ms", "most_mb")
         return cls(
