--- a/flaxtally/cli/request_commands.py
+++ b/flaxtally/cli/request_commands.py
@@ -100,7 +100,7 @@
         )
     if any(not FIRST_PRINTABLE <= ord(character) <= LAST_PRINTABLE for character in request.path):
         raise InvalidInputError(
-            f"{arguments.ref!r}: not a job's id; expected printable ASCII without spaces"
+            f"ID {arguments.ref!r}: not a job's id; expected printable ASCII without spaces"
         )
     reply = _await_reply(controller, request, arguments.timeout)
     if reply.status == 0:
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -1,4 +1,4 @@
-"""Cell maps and deploy files: what is refused, and the commands that check and apply them."""
+"""Cell maps and deploy files: which are refused, and the commands that check and apply them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     '[[cells.cell]]\nname = "south"\nzones = ["zone-1", "zone-2"]\n'
     'controllers = ["controller-1", "controller-2"]\n'
 )
-SOUND = "[cells]\nversion = 1\n" + NORTH + SOUTH
+VALID_FILE = "[cells]\nversion = 1\n" + NORTH + SOUTH
 STATE_PORT = 24990
 
 
@@ -45,38 +45,42 @@
     [
         ("cells = 3\n", "cells.version: missing, because the file has no table [cells]"),
         ("[cells]\nversion = 1\n", "cells.cell: the map has 0 cells"),
-        (SOUND.replace("version = 1", "version = 0"), "cells.version: 0 is below 1"),
-        (SOUND.replace("version = 1", 'version = "x"'), "$.version"),
-        (SOUND.replace("version = 1", "version = 1\nvariant = 2"), "cells.variant: unknown field"),
+        (VALID_FILE.replace("version = 1", "version = 0"), "cells.version: 0 is below 1"),
+        (VALID_FILE.replace("version = 1", 'version = "x"'), "$.version"),
         (
-            SOUND.replace("version = 1", 'version = 1\nstate = "nowhere"'),
+            VALID_FILE.replace("version = 1", "version = 1\nvariant = 2"),
+            "cells.variant: unknown field",
+        ),
+        (
+            VALID_FILE.replace("version = 1", 'version = 1\nstate = "nowhere"'),
             "cells.state: 'nowhere' is not HOST",
         ),
         (
-            SOUND.replace('"zone-1"', '"zone-0"'),
+            VALID_FILE.replace('"zone-1"', '"zone-0"'),
             "cells.cell[1].zones: zone-0 is in cells north and south",
         ),
         (
-            SOUND.replace('"controller-1"', '"controller-0"'),
+            VALID_FILE.replace('"controller-1"', '"controller-0"'),
             "cells.cell[1].controllers: controller-0",
         ),
-        (SOUND.replace('["zone-0"]', "[]"), "cells.cell[0].zones: cell north has no zones"),
+        (VALID_FILE.replace('["zone-0"]', "[]"), "cells.cell[0].zones: cell north has no zones"),
         (
-            SOUND.replace('["controller-0"]', "[]"),
+            VALID_FILE.replace('["controller-0"]', "[]"),
             "cells.cell[0].controllers: cell north has no controllers",
         ),
         (
-            SOUND.replace('"south"', '"north"'),
+            VALID_FILE.replace('"south"', '"north"'),
             "cells.cell[1].name: north is already the name of another cell",
         ),
-        (SOUND.replace('"south"', '"South!"'), "cells.cell[1].name"),
-        (SOUND + "opened = true\n", "opened"),
+        (VALID_FILE.replace('"south"', '"South!"'), "cells.cell[1].name"),
+        (VALID_FILE + "opened = true\n", "opened"),
         ("[cells\n", "scale.toml"),
     ],
 )
-def test_a_deploy_file_with_a_fault_is_refused_with_its_place(
+def test_faulty_deploy_file_is_refused_with_one_line_that_names_the_field(
     tmp_path: Path, text: str, place: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    # An operator must see in one line which field of which file is wrong.
     path = write(tmp_path, text)
     assert main(["cells", "check", path]) == 2
     shown = capsys.readouterr()
@@ -85,17 +89,19 @@
     assert shown.out == ""
 
 
-def test_a_sound_file_is_said_to_be(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(["cells", "check", write(tmp_path, SOUND)]) == 0
+def test_check_prints_cells_and_version_of_a_valid_file(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    assert main(["cells", "check", write(tmp_path, VALID_FILE)]) == 0
     assert "2 cells, version 1" in capsys.readouterr().out
 
 
-def test_a_file_that_is_not_there_is_named(capsys: pytest.CaptureFixture[str]) -> None:
+def test_missing_deploy_file_is_named(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["cells", "check", "/nowhere/scale.toml"]) == 2
     assert "/nowhere/scale.toml" in capsys.readouterr().err
 
 
-def test_the_shipped_file_is_sound_and_starts_the_service() -> None:
+def test_shipped_deploy_file_is_valid_and_starts_the_service() -> None:
     import tomllib
 
     path = ROOT / "deploy" / "scale.toml"
@@ -120,7 +126,11 @@
         ),
     ],
 )
-def test_a_map_that_takes_something_from_a_cell_may_not_follow(newer: CellMap, place: str) -> None:
+def test_map_that_takes_a_zone_or_controller_from_a_cell_is_refused(
+    newer: CellMap, place: str
+) -> None:
+    # A machine whose zone changed its cell would get fencing tokens of two sequences, and a ledger
+    # would have writers of two cells.
     index = CellIndex(cell_map())
     with pytest.raises(CellMapError) as refused:
         index.build_successor(newer)
@@ -128,7 +138,8 @@
     assert index.version == 1
 
 
-def test_a_map_with_a_new_cell_may_follow_and_who_reads_the_old_one_sees_the_old() -> None:
+def test_map_with_a_new_cell_is_accepted_and_the_old_index_stays_the_same() -> None:
+    # A reader of the old index must not see parts of the new map.
     index = CellIndex(cell_map())
     newer = index.build_successor(
         CellMap(2, (*cell_map().cells, Cell("west", ("c",), ("west-0",))))
@@ -138,29 +149,33 @@
     assert set(index.cells) == {"north", "south"}
 
 
-# For a controller
+# A controller's own cell
 
 
-def config(folder: Path, number: int = 0) -> str:
+def write_config(folder: Path, number: int = 0) -> str:
     return write(folder, settings_page(Plan(workers=60), number), f"node-{number}.toml")
 
 
-def test_a_cell_has_its_own_peers_zones_keys_and_part_of_the_rates(tmp_path: Path) -> None:
-    settings = load(config(tmp_path, 1))
-    setup = CellSetup(read_file(write(tmp_path, SOUND)), settings)
+def test_cell_settings_have_its_peers_zones_key_prefix_and_part_of_the_rates(
+    tmp_path: Path,
+) -> None:
+    settings = load(write_config(tmp_path, 1))
+    setup = CellSetup(read_file(write(tmp_path, VALID_FILE)), settings)
     cell_settings = setup.cell_settings
     assert (setup.cell.name, setup.key_prefix) == ("south", "cell/south/")
     assert set(cell_settings.peers) == {"controller-2"}
     assert cell_settings.zones == ("zone-1", "zone-2")
-    # One state service and one cloud for both: rates are divided, and some are left for all.
+    # Both cells use one state service and one cloud: rates are divided, and a part of the state
+    # service's rate is left for shared keys.
     assert cell_settings.state_limits.write_rps == pytest.approx(50.0 * 0.8 / 2)
     assert cell_settings.cloud_rps == pytest.approx(2.5)
     assert setup.shared_state == settings.state
 
 
-def test_cells_with_a_shared_state_service_apart_have_all_of_their_own(tmp_path: Path) -> None:
-    text = SOUND.replace("version = 1", 'version = 1\nstate = "10.9.0.1:2379"')
-    setup = CellSetup(read_file(write(tmp_path, text)), load(config(tmp_path)))
+def test_cells_with_a_separate_shared_state_service_keep_the_full_rates(tmp_path: Path) -> None:
+    # A separate service for the shared keys takes nothing from the rates of the cells' own service.
+    text = VALID_FILE.replace("version = 1", 'version = 1\nstate = "10.9.0.1:2379"')
+    setup = CellSetup(read_file(write(tmp_path, text)), load(write_config(tmp_path)))
     assert setup.shared_state == ("10.9.0.1", 2379)
     assert setup.cell_settings.state_limits.write_rps == 50.0
 
@@ -173,15 +188,15 @@
         ('"zone-0"', '"zone-9"', "zone zone-9 of cell north is not in the settings"),
     ],
 )
-def test_a_file_that_contradicts_the_settings_is_refused(
+def test_deploy_file_that_contradicts_the_settings_is_refused(
     tmp_path: Path, old: str, new: str, place: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = write(tmp_path, SOUND.replace(old, new))
-    assert main(["check", "--config", config(tmp_path), "--cells", path]) == 2
+    path = write(tmp_path, VALID_FILE.replace(old, new))
+    assert main(["check", "--config", write_config(tmp_path), "--cells", path]) == 2
     assert place in capsys.readouterr().err
 
 
-def test_a_file_with_one_cell_is_the_undivided_fleet(tmp_path: Path) -> None:
+def test_deploy_file_with_one_cell_is_an_undivided_fleet(tmp_path: Path) -> None:
     import argparse
 
     from flaxtally.cli.controller_commands import read_cells
@@ -190,24 +205,24 @@
         '[cells]\nversion = 1\n[[cells.cell]]\nname = "all"\nzones = ["zone-0"]\n'
         'controllers = ["controller-0"]\n'
     )
-    settings = load(config(tmp_path))
+    settings = load(write_config(tmp_path))
     assert read_cells(argparse.Namespace(cells=write(tmp_path, one)), settings) is None
     assert read_cells(argparse.Namespace(cells=None), settings) is None
-    assert read_cells(argparse.Namespace(cells=write(tmp_path, SOUND)), settings) is not None
+    assert read_cells(argparse.Namespace(cells=write(tmp_path, VALID_FILE)), settings) is not None
 
 
-# Commands against a state service
+# Commands that call a state service
 
 
 class Service:
-    """A state service on loopback, in a thread of its own."""
+    """A fake state service on loopback that runs in its own thread."""
 
     def __init__(self) -> None:
         self.loop = Loop()
         self.state = FakeKeyValueStore(self.loop, ("127.0.0.1", STATE_PORT))
         self.where = f"127.0.0.1:{STATE_PORT}"
         self._thread = threading.Thread(target=self.loop.run)
-        # The loop looks whether it is to stop at its next turn.
+        # The loop only notices `stop` in its next iteration, so a timer keeps it running.
         self._tick()
         self._thread.start()
 
@@ -228,12 +243,13 @@
 
 
 @pytest.mark.real_processes
-def test_maps_are_applied_in_their_order_and_shown(
+def test_maps_are_applied_in_the_order_of_versions_and_shown(
     tmp_path: Path, service: Service, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    first = write(tmp_path, SOUND, "first.toml")
+    # A map that is older, or moves a zone, must leave the stored one as it is.
+    first = write(tmp_path, VALID_FILE, "first.toml")
     second = write(
-        tmp_path, SOUND.replace("version = 1", "version = 2") + "open = false\n", "second.toml"
+        tmp_path, VALID_FILE.replace("version = 1", "version = 2") + "open = false\n", "second.toml"
     )
     assert main(["cells", "show", "--state", service.where]) == 1
     assert main(["cells", "apply", first, "--state", service.where]) == 0
@@ -242,7 +258,9 @@
     capsys.readouterr()
     assert main(["cells", "apply", first, "--state", service.where]) == 2
     assert "version: 1 is not newer than 2" in capsys.readouterr().err
-    moved = write(tmp_path, SOUND.replace("version = 1", "version = 3").replace("zone-2", "zone-9"))
+    moved = write(
+        tmp_path, VALID_FILE.replace("version = 1", "version = 3").replace("zone-2", "zone-9")
+    )
     assert main(["cells", "apply", moved, "--state", service.where]) == 2
     assert "zone zone-2: missing" in capsys.readouterr().err
     assert service.state.rows[MAP_KEY] == before, "nothing changed"
@@ -253,17 +271,18 @@
 
 
 @pytest.mark.real_processes
-def test_no_state_service_and_no_address_are_said(
+def test_unreachable_state_service_and_malformed_address_are_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    path = write(tmp_path, SOUND)
+    path = write(tmp_path, VALID_FILE)
     assert main(["cells", "apply", path, "--state", "127.0.0.1:1"]) == 1
     assert "no answer" in capsys.readouterr().err
     assert main(["cells", "apply", path, "--state", "nowhere"]) == 2
     assert "not HOST:PORT" in capsys.readouterr().err
 
 
-def test_a_map_is_plain_data_at_the_state_service() -> None:
+def test_map_is_stored_as_plain_data() -> None:
+    # The stored fields are read by controllers of other versions.
     value = msgspec.to_builtins(cell_map())
     assert value["cells"][0] == {
         "name": "north",
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -1,4 +1,4 @@
-"""A fleet of two cells: jobs, machines and limits, and the failures that could tear them apart."""
+"""A fleet of two cells: jobs, machines and limits, and faults that could make cells disagree."""
 
 from __future__ import annotations
 
@@ -22,27 +22,27 @@
 if TYPE_CHECKING:
     from flaxtally.runtime.http import Request
 
-IN_FORCE_S = 5.0
-"""The operators' aim for a change of configuration."""
-FEW = Team("crew", 0.0, 24.0, 0.0, 8.0)
-"""A limit that holds eight tasks of a batch job in all, so four a cell."""
+MAP_IN_FORCE_TARGET_S = 5.0
+"""Operators' target for the time until a new cell map is in force at all controllers."""
+EIGHT_TASKS_TEAM = Team("crew", 0.0, 24.0, 0.0, 8.0)
+"""A team whose limit holds eight tasks of a batch job, so four for each cell at first."""
 
 
 def service(ref: str, tasks: int = 2, **changes: object) -> wire.Spec:
     return spec(ref, tasks=tasks, spread=False, **changes)
 
 
-def ready(seed: int = 1, **more: object) -> SimulatedCells:
-    world = SimulatedCells(seed, **more)  # type: ignore[arg-type]
+def start_cells(seed: int = 1, **cluster_args: object) -> SimulatedCells:
+    world = SimulatedCells(seed, **cluster_args)  # type: ignore[arg-type]
     assert world.until(world.both_lead, 15), world.trace
-    # The first to lead writes how the limit is divided.
+    # The first leader writes the initial shares.
     assert world.until(lambda: SHARE_KEY_PREFIX + world.team.name in world.state.rows, 10)
     return world
 
 
-def busy_cells(seed: int = 1, jobs: int = 8) -> SimulatedCells:
-    """Services and arrays that users submitted at all controllers."""
-    world = ready(seed)
+def start_busy_cells(seed: int = 1, jobs: int = 8) -> SimulatedCells:
+    """Starts cells with running services and arrays that were submitted at all controllers."""
+    world = start_cells(seed)
     for number in range(jobs):
         world.submit(service(f"j-{number:06d}"), node=number)
         world.submit(batch(f"j-{100 + number:06d}", 3), run_time=25.0, node=number + 1)
@@ -50,15 +50,16 @@
     return world
 
 
-def in_zone(ref: str, zone: str, tasks: int = 4, **changes: object) -> wire.Spec:
+def zone_batch(ref: str, zone: str, tasks: int = 4, **changes: object) -> wire.Spec:
     return batch(ref, tasks, zone=zone, **changes)
 
 
-# What cells do
+# Jobs and machines in cells
 
 
-def test_jobs_go_to_both_cells_and_every_controller_answers_about_all() -> None:
-    world = busy_cells()
+def test_jobs_spread_over_cells_and_every_controller_reports_each_status() -> None:
+    # A controller that only knew the jobs of its own cell would answer 404 about all others.
+    world = start_busy_cells()
     cells = {ref: world.cells_with(ref) for ref in world.specs}
     assert all(len(found) == 1 for found in cells.values())
     assert set.union(*cells.values()) == {NORTH, SOUTH}
@@ -75,8 +76,8 @@
     ends_well(world)
 
 
-def test_a_job_that_nobody_submitted_is_unknown_at_every_controller() -> None:
-    world = ready()
+def test_status_of_an_unknown_job_is_404_at_every_controller() -> None:
+    world = start_cells()
     for name in CELL_NODES:
         answers: list[int] = []
         world.call(
@@ -86,8 +87,9 @@
         assert answers == [404]
 
 
-def test_a_cancellation_reaches_the_jobs_cell_from_any_controller() -> None:
-    world = busy_cells()
+def test_cancellation_reaches_the_jobs_cell_from_any_controller() -> None:
+    # A cancellation that stayed in the cell of the controller that received it would be lost.
+    world = start_busy_cells()
     for number, ref in enumerate(sorted(world.specs)):
         world.cancel(ref, node=number)
     assert world.until(lambda: len(world.told_cancelled) == len(world.specs), 40)
@@ -95,19 +97,22 @@
     ends_well(world, 30.0)
 
 
-def test_a_job_bound_to_a_zone_runs_in_the_cell_of_that_zone() -> None:
-    world = ready()
+def test_job_bound_to_a_zone_runs_in_the_cell_of_that_zone() -> None:
+    # Another cell has no machines in the job's zone: there the job would be pending indefinitely.
+    world = start_cells()
     for number, zone in enumerate("abab"):
-        world.submit(in_zone(f"j-{number:06d}", zone), run_time=20.0, node=number)
+        world.submit(zone_batch(f"j-{number:06d}", zone), run_time=20.0, node=number)
     assert world.until(lambda: len(world.running) == 16, 60)
     for number, zone in enumerate("abab"):
         cell = NORTH if zone == "a" else SOUTH
         assert world.cells_with(f"j-{number:06d}") == {cell}
 
 
-def test_new_jobs_go_where_less_waits_also_at_controllers_that_follow() -> None:
-    world = ready()
-    world.submit(in_zone("j-000001", "a", 400), run_time=60.0)
+def test_followers_also_send_new_jobs_to_the_cell_with_less_pressure() -> None:
+    # Only leaders report a cell's pressure. A follower without its own leader's report would send
+    # new jobs to the cell with the backlog.
+    world = start_cells()
+    world.submit(zone_batch("j-000001", "a", 400), run_time=60.0)
     assert world.until(lambda: "j-000001" in world.accepted, 10)
     world.run(6.0)
     for number, node in enumerate(CELL_NODES):
@@ -116,20 +121,21 @@
     assert all(world.cells_with(f"j-{10 + number:06d}") == {SOUTH} for number in range(6))
 
 
-def test_a_job_stays_where_it_was_submitted_without_a_reason_and_costs_one_write(
+def test_job_stays_in_the_local_cell_under_equal_pressure_and_costs_one_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Two changes a job at the service that all cells share made a burst of jobs wait a minute.
-    world = ready()
+    # With two writes per job at the state service that all cells share, a burst of jobs had to wait
+    # for a minute.
+    world = start_cells()
     world.run(5.0)
     written: list[str] = []
     transact = world.state.transact
 
-    def noted(txn: wire.Transaction) -> tuple[int, object]:
+    def record_and_transact(txn: wire.Transaction) -> tuple[int, object]:
         written.extend(change.put for change in txn.changes if change.put is not None)
         return transact(txn)
 
-    monkeypatch.setattr(world.state, "transact", noted)
+    monkeypatch.setattr(world.state, "transact", record_and_transact)
     for number, name in enumerate(CELL_NODES):
         world.submit(batch(f"j-{number:06d}", 1), run_time=20.0, node=CELL_NODES.index(name))
     assert world.until(lambda: len(world.accepted) == 6, 10)
@@ -139,15 +145,17 @@
         assert written.count(JOB_KEY_PREFIX + ref) == 1
 
 
-def test_a_job_that_can_never_run_is_refused_whatever_its_cell() -> None:
-    world = ready()
+def test_job_that_can_never_run_is_refused_in_any_cell() -> None:
+    # A job that fits no machine, or names an unknown zone, would otherwise be pending indefinitely.
+    world = start_cells()
     world.submit(service("j-000001", cores=4000.0))
-    world.submit(in_zone("j-000002", "nowhere"))
+    world.submit(zone_batch("j-000002", "nowhere"))
     assert world.until(lambda: sum("refused (422)" in line for line in world.trace) == 2, 20)
 
 
-def test_machines_report_to_their_own_cells_controllers() -> None:
-    world = busy_cells()
+def test_machines_send_heartbeats_to_controllers_of_their_own_cell() -> None:
+    # A machine that two cells counted as theirs would get commands from two leaders.
+    world = start_busy_cells()
     world.run(20.0)
     for worker in world.workers.values():
         cell = NORTH if worker.machine.zone == "a" else SOUTH
@@ -160,23 +168,25 @@
 # Limits over all cells
 
 
-def test_a_share_moves_to_the_cell_that_needs_it_and_the_limit_holds_all_along() -> None:
-    world = ready(team=FEW)
-    world.submit(in_zone("j-000001", "a", 8), run_time=40.0)
-    # Its own share holds four; the other cell keeps a little for what comes next.
+def test_share_moves_to_the_cell_that_needs_it_within_the_limit() -> None:
+    # With fixed shares, a team with all its jobs in one cell could only use half of its limit.
+    world = start_cells(team=EIGHT_TASKS_TEAM)
+    world.submit(zone_batch("j-000001", "a", 8), run_time=40.0)
+    # The cell's own share holds four tasks; the other cell keeps a small reserve for new tasks.
     assert world.until(lambda: world.count("j-000001") >= 7, 60), world.trace[-20:]
     assert world.share(NORTH).gpus >= 7.0
-    world.submit(in_zone("j-000002", "b", 8), run_time=5.0)
+    world.submit(zone_batch("j-000002", "b", 8), run_time=5.0)
     assert world.until(lambda: world.count("j-000002") >= 4, 120), world.trace[-20:]
     ends_well(world)
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_the_limit_holds_while_both_cells_ask_for_all_of_it(seed: int) -> None:
-    world = ready(seed, team=FEW)
+def test_limit_holds_while_both_cells_request_all_of_it(seed: int) -> None:
+    # Transfers in both directions with lost replies must not let the cells exceed the team's limit.
+    world = start_cells(seed, team=EIGHT_TASKS_TEAM)
     for number in range(10):
         zone = "ab"[number % 2]
-        job = in_zone(f"j-{number:06d}", zone, 4)
+        job = zone_batch(f"j-{number:06d}", zone, 4)
         world.after(number * 3.0, world.submit, job, 4.0 + number % 3, number)
     world.lose_writes(0.2, 30.0)
     world.run(60.0)
@@ -185,11 +195,12 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_leader_that_dies_while_it_gives_a_share_loses_and_doubles_nothing(seed: int) -> None:
-    world = ready(seed, team=FEW)
-    world.submit(in_zone("j-000001", "a", 8), run_time=30.0)
+def test_share_is_neither_lost_nor_duplicated_when_the_giving_leader_crashes(seed: int) -> None:
+    # The giver's transaction is executed after its crash; its successor must count the share once.
+    world = start_cells(seed, team=EIGHT_TASKS_TEAM)
+    world.submit(zone_batch("j-000001", "a", 8), run_time=30.0)
     before = world.share(SOUTH)
-    # Its transactions are carried out late and unanswered: it dies with the gift on its way.
+    # The giver's transactions are executed late and get no reply: it crashes during the transfer.
     assert world.until(lambda: NORTH in world.shares().wants, 30), world.trace
     world.lose_writes(1.0, 1.5)
     world.run(0.3 * (seed + 1))
@@ -198,30 +209,30 @@
     world.crash(giver, back_after=3.0)
     assert world.until(lambda: world.count("j-000001") >= 7, 90), world.trace[-20:]
     assert world.share(SOUTH).gpus < before.gpus
-    world.submit(in_zone("j-000002", "b", 4), run_time=5.0)
+    world.submit(zone_batch("j-000002", "b", 4), run_time=5.0)
     ends_well(world)
     assert len(world.rules.jobs["j-000002"].done) == 4
 
 
-def test_a_new_leader_gives_nothing_before_it_has_read_what_its_cell_uses(
+def test_new_leader_transfers_no_share_before_its_ledger_is_replayed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Found by the scale run at 3,000 workers: shares were read sooner than a long ledger, and what
-    # the cell's tasks used was given away.
-    world = ready(team=FEW)
-    world.submit(in_zone("j-000001", "b", 4), run_time=60.0, node=1)
+    # Found by the scale run at 3,000 workers: the shares were read before a long ledger, and shares
+    # that the cell's tasks used were transferred.
+    world = start_cells(team=EIGHT_TASKS_TEAM)
+    world.submit(zone_batch("j-000001", "b", 4), run_time=60.0, node=1)
     assert world.until(lambda: world.count("j-000001") == 4, 60)
     assert world.share(SOUTH).gpus == 4.0
     serve = world.state._serve
 
-    def slowly(request: Request) -> None:
+    def serve_slowly(request: Request) -> None:
         if "starts=cell/south/p/" in request.path:
             world.after(8.0, serve, request)
         else:
             serve(request)
 
-    monkeypatch.setattr(world.state, "_serve", slowly)
-    world.submit(in_zone("j-000002", "a", 8), run_time=60.0)
+    monkeypatch.setattr(world.state, "_serve", serve_slowly)
+    world.submit(zone_batch("j-000002", "a", 8), run_time=60.0)
     assert world.until(lambda: world.count("j-000002") >= 4, 60)
     world.crash(world.leader_of(SOUTH) or "", back_after=2.0)
     world.run(20.0)
@@ -229,22 +240,25 @@
     assert world.count("j-000001") == 4
 
 
-def test_a_leader_that_was_replaced_can_give_nothing_of_its_cells_share() -> None:
-    world = ready(team=FEW)
+def test_replaced_leader_cannot_transfer_its_cells_share() -> None:
+    # A former leader that does not know of its successor must not give away a share that the
+    # successor already uses.
+    world = start_cells(team=EIGHT_TASKS_TEAM)
     former = world.leader_of(SOUTH) or ""
-    # It is cut off while it still hears its workers; the cell has another leader meanwhile.
+    # It is cut off but gets its workers' heartbeats; meanwhile the cell elects another leader.
     world.cut_off([former], 20.0)
     assert world.until(lambda: world.leader_of(SOUTH) not in (None, former), 30)
-    world.submit(in_zone("j-000001", "b", 4), run_time=30.0, node=1)
-    world.submit(in_zone("j-000002", "a", 8), run_time=30.0, node=0)
+    world.submit(zone_batch("j-000001", "b", 4), run_time=30.0, node=1)
+    world.submit(zone_batch("j-000002", "a", 8), run_time=30.0, node=0)
     world.run(40.0)
     ends_well(world)
 
 
-def test_all_controllers_restart_while_shares_move() -> None:
-    world = ready(team=FEW)
-    world.submit(in_zone("j-000001", "a", 8), run_time=15.0)
-    world.submit(in_zone("j-000002", "b", 8), run_time=5.0)
+def test_shares_survive_a_restart_of_all_controllers_during_a_transfer() -> None:
+    # Nothing about a transfer may depend on the memory of a controller.
+    world = start_cells(team=EIGHT_TASKS_TEAM)
+    world.submit(zone_batch("j-000001", "a", 8), run_time=15.0)
+    world.submit(zone_batch("j-000002", "b", 8), run_time=5.0)
     assert world.until(lambda: bool(world.shares().wants), 30)
     for number, name in enumerate(CELL_NODES):
         world.crash(name, back_after=1.0 + 0.2 * number)
@@ -253,12 +267,13 @@
     assert all(len(world.rules.jobs[ref].done) == 8 for ref in ("j-000001", "j-000002"))
 
 
-# Jobs that must not be in two cells
+# Jobs must not be in two cells
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_submission_repeated_everywhere_while_writes_come_late_is_one_job(seed: int) -> None:
-    world = ready(seed)
+def test_submission_repeated_at_all_controllers_with_late_writes_is_one_job(seed: int) -> None:
+    # Two controllers that assign the same job to different cells would start its tasks twice.
+    world = start_cells(seed)
     world.lose_writes(0.4, 25.0)
     for number in range(6):
         job = batch(f"j-{number:06d}", 2)
@@ -270,10 +285,11 @@
     assert all(len(job.done) == 2 for job in world.rules.jobs.values())
 
 
-def test_a_job_whose_cell_dies_before_it_kept_it_goes_to_another() -> None:
-    world = ready()
+def test_job_is_reassigned_if_its_cell_crashes_before_it_keeps_it() -> None:
+    # The job would be lost in the crashed cell, or be in two cells when that cell is back.
+    world = start_cells()
     dead = world.nodes_of(SOUTH)
-    # Sent to a cell that has not marked it: what an entry controller leaves that dies just then.
+    # The entry is assigned but not kept, as if the controller that wrote it crashed just then.
     world.put(JOB_KEY_PREFIX + "j-000001", {"cell": SOUTH, "kept": False})
     for name in dead:
         world.crash(name)
@@ -288,8 +304,9 @@
     assert world.cells_with("j-000001") == {NORTH}
 
 
-def test_a_cell_without_controllers_keeps_its_jobs_and_its_workers_go_on_when_it_is_back() -> None:
-    world = busy_cells()
+def test_cell_whose_controllers_all_crash_keeps_its_jobs_and_workers() -> None:
+    # Other cells must neither take over the jobs of a crashed cell nor report them as unknown.
+    world = start_busy_cells()
     lost = {ref for ref in world.specs if world.cells_with(ref) == {SOUTH}}
     assert lost
     for name in world.nodes_of(SOUTH):
@@ -299,15 +316,16 @@
     for ref, to in statuses.items():
         world.call("north-0", "GET", f"{wire.WORK}/{ref}", None, lambda s, _, to=to: to.append(s))
     world.run(3.0)
-    # Never unknown: nobody can tell, so they are told to ask again.
+    # Never 404: no controller can tell, so the answer is to try again later (503).
     assert all(to and set(to) <= {200, 503} for to in statuses.values()), statuses
     world.submit(batch("j-000900", 2), run_time=5.0, node=0)
     ends_well(world)
     assert all(world.cells_with(ref) == {SOUTH} for ref in lost)
 
 
-def test_cells_that_cannot_reach_each_other_answer_and_run_on() -> None:
-    world = busy_cells()
+def test_cells_cut_off_from_each_other_still_serve_requests_and_jobs() -> None:
+    # A cell must not depend on links to other cells for its own jobs.
+    world = start_busy_cells()
     for north in world.nodes_of(NORTH):
         world.cut(world.ip(north), [world.ip(south) for south in world.nodes_of(SOUTH)], 30.0)
     for number in range(6):
@@ -316,22 +334,24 @@
     ends_well(world)
 
 
-# The map
+# The cell map
 
 
-def test_a_new_map_is_in_force_everywhere_within_the_operators_time() -> None:
-    world = ready()
+def test_new_map_is_in_force_at_all_controllers_within_the_target() -> None:
+    # A controller that keeps the old map would still send new jobs to the closed cell.
+    world = start_cells()
     assert world.until(lambda: MAP_KEY in world.state.rows, 10)
     world.put_map(cell_map(2, south=False))
-    assert world.until(lambda: set(world.versions().values()) == {2}, IN_FORCE_S)
+    assert world.until(lambda: set(world.versions().values()) == {2}, MAP_IN_FORCE_TARGET_S)
     for number in range(8):
         world.submit(batch(f"j-{number:06d}", 1), run_time=30.0, node=number)
     assert world.until(lambda: len(world.accepted) == 8, 20)
     assert all(world.cells_with(ref) == {NORTH} for ref in world.specs)
 
 
-def test_a_user_who_repeats_at_a_controller_with_an_older_map_has_one_job() -> None:
-    world = ready()
+def test_submission_repeated_at_a_controller_with_an_older_map_is_one_job() -> None:
+    # Controllers with different maps choose different cells for the same job.
+    world = start_cells()
     old = world.nodes_of(SOUTH)[0]
     world.cut(world.ip(old), ["10.2.0.1"], 12.0)
     world.put_map(cell_map(2, south=False))
@@ -347,19 +367,20 @@
     assert all(len(world.cells_with(ref)) == 1 for ref in world.specs)
 
 
-def test_a_map_that_is_carried_out_late_or_twice_changes_nothing_newer() -> None:
-    world = ready()
+def test_map_with_an_older_version_does_not_replace_a_newer_one() -> None:
+    # A write of an older map that is executed late, or twice, must have no effect on controllers.
+    world = start_cells()
     world.put_map(cell_map(3, south=False))
-    assert world.until(lambda: set(world.versions().values()) == {3}, IN_FORCE_S)
+    assert world.until(lambda: set(world.versions().values()) == {3}, MAP_IN_FORCE_TARGET_S)
     world.put_map(cell_map(2))
-    world.run(IN_FORCE_S)
+    world.run(MAP_IN_FORCE_TARGET_S)
     assert set(world.versions().values()) == {3}
 
 
-def test_who_has_a_file_that_gives_a_zone_to_another_cell_takes_no_part(
+def test_controller_whose_file_contradicts_the_stored_map_does_not_join(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # Two leaders would command the zone's machines, with tokens of two sequences.
+    # Two leaders would command the zone's machines, with fencing tokens of two sequences.
     world = SimulatedCells()
     north, south = cell_map().cells
     everything = msgspec.structs.replace(north, zones=("a", "b"))
@@ -374,10 +395,10 @@
     ]
     assert len(refused) == 3
     world.put_map(cell_map(2))
-    assert world.until(world.both_lead, 20), "mended, they take part"
+    assert world.until(world.both_lead, 20), "with the map corrected, they join"
 
 
-def test_cells_do_not_begin_beside_a_fleet_that_is_led_as_a_whole(
+def test_cells_do_not_start_beside_the_leader_of_an_undivided_fleet(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     world = SimulatedCells()
@@ -385,7 +406,7 @@
     world.run(20.0)
     assert world.leader_of(NORTH) is world.leader_of(SOUTH) is None
     warned = [line for line in caplog.messages if "event=undivided_fleet" in line]
-    assert len(warned) == len(CELL_NODES), "one line a controller"
+    assert len(warned) == len(CELL_NODES), "one log line per controller"
     del world.state.rows[LEADER_KEY]
     assert world.until(world.both_lead, 20)
 
@@ -399,23 +420,25 @@
         {"version": True, "cells": None},
     ],
 )
-def test_a_map_that_is_nonsense_is_refused_and_the_one_in_force_stays(
+def test_malformed_map_is_refused_and_the_one_in_force_stays(
     value: object, caplog: pytest.LogCaptureFixture
 ) -> None:
-    world = ready()
+    # Whatever is written to the map's key, controllers must go on with the last valid map.
+    world = start_cells()
     world.put(MAP_KEY, value)
     world.run(6.0)
     assert set(world.versions().values()) == {1}
     refused = [line for line in caplog.messages if "cell_map_refused" in line]
-    assert len(refused) == len(CELL_NODES), "one line a controller"
+    assert len(refused) == len(CELL_NODES), "one log line per controller"
     world.submit(batch("j-000001", 1), run_time=5.0)
     assert world.until(lambda: world.count("j-000001") == 1, 60)
 
 
-def test_frames_between_cells_that_are_nonsense_are_one_line_each(
+def test_malformed_frames_between_cells_are_one_log_line_each(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    world = ready()
+    # A frame of a faulty controller must not stop the one that receives it.
+    world = start_cells()
     gateway = world.nodes["north-0"].membership.gateway  # type: ignore[union-attr]
     caplog.clear()
     for frame in (
@@ -431,12 +454,12 @@
     assert world.until(lambda: world.count("j-000001") == 1, 60)
 
 
-def test_questions_are_answered_in_time_while_the_shared_state_service_is_slow() -> None:
-    # What can't be looked up in time is told so at once, never held back.
-    world = busy_cells()
+def test_requests_are_answered_in_time_while_the_shared_state_service_is_slow() -> None:
+    # A request whose job can't be looked up in time gets 503 by then; it is not held back.
+    world = start_busy_cells()
     world.slow_state(4.0, 20.0)
-    asked_at = world.sim.time
-    took: list[float] = []
+    requested_at = world.sim.time
+    latencies: list[float] = []
     for number in range(12):
         for path in ("/j-000001", "/j-424242"):
             world.call(
@@ -444,17 +467,19 @@
                 "GET",
                 f"{wire.WORK}{path}",
                 None,
-                lambda *_: took.append(world.sim.time - asked_at),
+                lambda *_: latencies.append(world.sim.time - requested_at),
             )
     world.run(6.0)
-    assert len(took) == 24
-    assert max(took) < 2.0
+    assert len(latencies) == 24
+    assert max(latencies) < 2.0
     world.run(20.0)
     ends_well(world)
 
 
-def test_an_answer_that_a_pause_made_old_is_not_given() -> None:
-    world = ready()
+def test_answer_that_became_stale_in_a_pause_is_not_sent() -> None:
+    # A controller that read that the job is unknown is paused, while another one accepts the job.
+    # Answering 404 after the pause would contradict the accepted submission.
+    world = start_cells()
     node = "north-0"
     answers: list[int] = []
     world.call(node, "GET", f"{wire.WORK}/j-000001", None, lambda status, _: answers.append(status))
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,5 +1,5 @@
-"""Real processes on loopback: a rolling upgrade from the version in production, leadership passed
-both ways, and a gang that loses a machine."""
+"""Real processes on loopback: a rolling upgrade from the version in production with changes of
+leader in both directions, and a gang that loses a machine."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 ROOT = Path(__file__).resolve().parent.parent
 HOST, PORT = "127.0.0.1", 25500
 NODES = ("controller-0", "controller-1", "controller-2")
-PATIENCE_S = 60.0
-ELECTED = r"event=(?:lead|leader_elected) node=\S+ term=(\d+)"
-"""What a controller logs that was elected, of the version in production or the present one."""
+CONDITION_TIMEOUT_S = 60.0
+ELECTED_PATTERN = r"event=(?:lead|leader_elected) node=\S+ term=(\d+)"
+"""Log event of an elected controller, in the version in production and in the present one."""
 
 
 class Deployment:
-    """The demo's stand-ins and three controllers, each a process."""
+    """The demo's fakes and three controllers, each in its own process."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -56,7 +56,7 @@
             )
 
     def serve(self, node: str, sources: Path = ROOT, package: str = "flaxtally") -> None:
-        """Starts a controller of a version."""
+        """Starts a controller from the given sources."""
         config = str(self.folder / f"{node}.toml")
         self._start(node, sources, [package, "serve", "--config", config])
 
@@ -73,17 +73,17 @@
         return (self.folder / f"{name}.log").read_text()
 
     def leader(self) -> str:
-        """Who was elected last; the version in production logs it as `lead`."""
+        """Returns the controller that was elected last; the version in production logs `lead`."""
         terms = {
             int(term): node
             for node in NODES
             if (self.folder / f"{node}.log").exists()
-            for term in re.findall(ELECTED, self.log(node))
+            for term in re.findall(ELECTED_PATTERN, self.log(node))
         }
         return terms[max(terms)] if terms else ""
 
     def submit(self, job: wire.Spec) -> bool:
-        """One try, by the command line."""
+        """Submits the job once by the command line; returns whether it was accepted."""
         path = self.folder / f"{job.ref}.json"
         job = msgspec.structs.replace(job, team=demo.TEAM.name)
         path.write_bytes(msgspec.json.encode(wire.submission(job)))
@@ -93,31 +93,31 @@
         return str(self._command("status", ref)[1].get("stage"))
 
     def _command(self, verb: str, subject: str) -> tuple[int, dict[str, object]]:
-        ended = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "flaxtally", verb, subject, "--to", f"{HOST}:{PORT + 2}"],
             cwd=ROOT,
             capture_output=True,
             text=True,
             check=False,
         )
-        return ended.returncode, json.loads(ended.stdout) if ended.stdout.strip() else {}
+        return process.returncode, json.loads(process.stdout) if process.stdout.strip() else {}
 
     def release(self, machine: str) -> None:
-        """The machine and all that is on it are gone, and no controller is told."""
+        """Terminates a machine and all that runs on it, without notifying any controller."""
         loop = Loop()
         statuses: list[int] = []
 
-        def told(reply: Reply) -> None:
+        def on_reply(reply: Reply) -> None:
             statuses.append(reply.status)
             loop.stop()
 
         client = Client(loop, (HOST, PORT + 1))
-        client.request("POST", wire.RELEASE, wire.TerminateRequest([machine]), 5.0, told)
+        client.request("POST", wire.RELEASE, wire.TerminateRequest([machine]), 5.0, on_reply)
         loop.run()
         assert statuses == [200]
 
 
-def until(condition: Callable[[], bool], most: float = PATIENCE_S) -> bool:
+def until(condition: Callable[[], bool], most: float = CONDITION_TIMEOUT_S) -> bool:
     end = time.monotonic() + most
     while not condition():
         if time.monotonic() > end:
@@ -128,12 +128,13 @@
 
 @pytest.fixture
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
-    found = Deployment(tmp_path)
-    yield found
-    found.end()
+    running = Deployment(tmp_path)
+    yield running
+    running.end()
 
 
-def test_a_gang_restarts_from_its_checkpoint_when_a_machine_is_lost(deployment: Deployment) -> None:
+def test_gang_restarts_from_its_checkpoint_when_a_machine_is_lost(deployment: Deployment) -> None:
+    # A restart from zero would repeat the whole run each time that a machine is lost.
     for node in NODES:
         deployment.serve(node)
     job = gang(
@@ -152,7 +153,11 @@
     assert float(attempts[1][1]) >= 2.0
 
 
-def test_old_and_new_processes_pass_leadership_back_and_forth(deployment: Deployment) -> None:
+def test_leadership_passes_between_old_and_new_versions_in_both_directions(
+    deployment: Deployment,
+) -> None:
+    # In a rolling upgrade, leaders of either version replay what the other one wrote. A record that
+    # one of them can't read would damage the ledger, or restart tasks that are running.
     old = production.sources()
     for node in NODES:
         deployment.serve(node, old, production.PACKAGE)
@@ -160,7 +165,7 @@
     assert until(lambda: deployment.submit(kept))
     started = r"event=task_start machine=\S+ task=j-000001/"
     assert until(lambda: len(re.findall(started, deployment.log("demo"))) == 2)
-    # Two of them take over from each other: one is upgraded.
+    # One of the three is upgraded; it and an old one take over from each other.
     led: list[str] = []
     deployment.kill("controller-0")
     deployment.serve("controller-0")
@@ -185,7 +190,7 @@
     gang_job = gang("j-000042", 2, estimated_run_s=2.0)
     assert until(lambda: deployment.submit(gang_job)), deployment.log("controller-0")
     assert until(lambda: deployment.stage("j-000042") == wire.DONE)
-    # Whatever was running went on where it was.
+    # Tasks that were running went on where they were.
     assert deployment.stage("j-000001") == wire.RUNNING
     assert len(re.findall(started, deployment.log("demo"))) == 2
     assert "ledger_damaged" not in "".join(deployment.log(node) for node in NODES)
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -1,4 +1,4 @@
-"""A team's limit divided among cells: the arithmetic, and the leaders that move shares."""
+"""A team's limit divided among cells: the arithmetic, and the leaders that transfer shares."""
 
 from __future__ import annotations
 
@@ -52,7 +52,10 @@
         max_size=40,
     )
 )
-def test_whatever_is_moved_shares_stay_whole(moves: list[tuple[str, str, float, float]]) -> None:
+def test_any_sequence_of_transfers_keeps_the_sum_of_shares(
+    moves: list[tuple[str, str, float, float]],
+) -> None:
+    # Transfers that round, or take more than the giver has, must not create or lose resources.
     shares = build_equal_shares(TEAM, CELLS)
     for giver, taker, cores, gpus in moves:
         before = shares
@@ -65,7 +68,7 @@
         assert shares.total.gpus == pytest.approx(8.0, abs=1e-3)
 
 
-def test_shares_above_the_limit_and_below_nothing_are_refused() -> None:
+def test_shares_above_the_limit_or_below_zero_are_refused() -> None:
     with pytest.raises(ShareError, match="above the limit"):
         TeamShares({"north": Amount(30.0, 4.0), "south": Amount(11.0, 4.0)}).check(
             get_team_limit(TEAM)
@@ -76,7 +79,7 @@
         )
 
 
-def test_a_cell_sees_its_share_as_the_teams_limit_and_as_large_a_part_of_the_guarantee() -> None:
+def test_cell_sees_its_share_as_the_limit_and_an_equal_part_of_the_guarantee() -> None:
     shares = TeamShares({"north": Amount(10.0, 0.0), "south": Amount(30.0, 8.0)})
     north = limit_team_to_share(TEAM, shares, shares.share("north"))
     assert (north.cores, north.cores_max, north.gpus) == (2.5, 10.0, 0.0)
@@ -86,7 +89,8 @@
     assert limit_team_to_share(free, TeamShares({}), ZERO) == free
 
 
-def test_shares_shrink_with_a_limit_that_was_lowered() -> None:
+def test_shares_shrink_in_proportion_when_the_limit_is_lowered() -> None:
+    # The stored shares still sum to the former limit, so each cell scales its own.
     shares = build_equal_shares(TEAM, ["north", "south"])
     lower = Team("crew", 10.0, 20.0, 4.0, 8.0)
     assert limit_team_to_share(lower, shares, shares.share("north")).cores_max == 10.0
@@ -96,7 +100,7 @@
 
 
 class Cell:
-    """A leader's allotment, with a use and a demand that the test sets."""
+    """A cell's `QuotaRebalancer` whose usage and demand are set by the test."""
 
     def __init__(self, world: Shares, cell: str, host: str) -> None:
         self.used, self.needed = ZERO, ZERO
@@ -120,10 +124,10 @@
 
 
 class Shares:
-    """A state service and two cells' leaders."""
+    """A state service and the rebalancers of two cells."""
 
-    def __init__(self, *more: Team) -> None:
-        self.teams = {team.name: team for team in (TEAM, *more)}
+    def __init__(self, *other_teams: Team) -> None:
+        self.teams = {team.name: team for team in (TEAM, *other_teams)}
         self.sim = Simulation(1)
         self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE)
         self.north, self.south = Cell(self, "north", "10.0.0.1"), Cell(self, "south", "10.0.0.2")
@@ -131,17 +135,17 @@
         self.south.quota_rebalancer.begin_term(1)
 
     def run(self, seconds: float) -> None:
-        """Plays; at every moment what both may use is within the limit."""
+        """Runs the simulation; both cells together may never use more than the limit."""
         for _ in range(round(seconds / 0.01)):
             play(self.sim, 0.01)
             assert self.north.gpus + self.south.gpus <= TEAM.gpus_max + TOLERANCE
             assert self.row().total.is_within(get_team_limit(TEAM))
 
     def until(self, condition: Callable[[], bool], most: float = 10.0) -> None:
-        """Plays until it holds; it must within that time."""
+        """Runs the simulation until the condition holds; fails after `most` seconds."""
         end = self.sim.time + most
         while not condition():
-            assert self.sim.time < end, "it never came to that"
+            assert self.sim.time < end, "the condition did not hold in time"
             play(self.sim, 0.01)
 
     def row(self) -> TeamShares:
@@ -153,7 +157,8 @@
         assert self.state.transact(txn)[0] == 200
 
 
-def test_nothing_may_be_used_before_the_claim_and_a_read_after_it() -> None:
+def test_nothing_may_be_used_before_the_cell_is_claimed_and_shares_are_read() -> None:
+    # A predecessor may have transferred shares that a new term does not know of yet.
     world = Shares()
     assert world.north.gpus < TOLERANCE
     world.run(3.0)
@@ -161,20 +166,22 @@
     world.state.down = True
     world.north.quota_rebalancer.begin_term(2)
     world.run(3.0)
-    assert world.north.gpus < TOLERANCE, "a new term knows nothing of what its predecessor gave"
+    assert world.north.gpus < TOLERANCE, "a new term does not know what its predecessor transferred"
     world.state.down = False
     world.run(3.0)
     assert world.north.gpus == 4.0
 
 
-def test_a_share_that_is_given_is_not_used_while_the_gift_is_under_way() -> None:
+def test_transferred_share_is_not_used_while_the_write_is_pending() -> None:
+    # A write may be executed at any time after it was sent: if the giver still used the share, both
+    # cells together would exceed the limit.
     world = Shares()
     world.run(3.0)
     world.south.needed = Amount(10.0, 6.0)
     world.until(lambda: bool(world.row().wants))
     world.state.lost_share, world.state.lost_delay = 1.0, (20.0, 20.0)
     world.run(2.0)
-    # Written, unanswered, and carried out only in twenty seconds.
+    # The write got no reply, and is executed only after 20 s.
     assert world.row().share("north").gpus == 4.0
     assert world.north.gpus < 4.0
     world.state.lost_share = 0.0
@@ -182,11 +189,13 @@
     assert world.south.gpus > 5.5, "it was written again"
     given = world.row()
     world.run(25.0)
-    assert world.row().share("south").gpus == given.share("south").gpus, "the late copy did nothing"
+    assert world.row().share("south").gpus == given.share("south").gpus, (
+        "the late copy had no effect"
+    )
 
 
-def test_a_share_that_becomes_free_is_not_used_while_its_gift_is_under_way() -> None:
-    # Another cell has long wanted it: the row is as it was read, only the use here has changed.
+def test_freed_share_is_not_used_while_the_write_of_its_transfer_is_pending() -> None:
+    # Another cell requested it earlier: only the usage here has changed, not the row.
     world = Shares()
     world.run(3.0)
     world.north.used = Amount(20.0, 4.0)
@@ -201,7 +210,8 @@
     assert world.north.gpus < 1.0
 
 
-def test_a_leader_gives_nothing_that_it_uses_or_waits_for() -> None:
+def test_leader_transfers_nothing_that_its_cell_uses_or_needs() -> None:
+    # A cell that gave away what it needs would request it again at once.
     world = Shares()
     world.run(3.0)
     world.north.used, world.north.needed = Amount(2.0, 2.0), Amount(1.0, 1.0)
@@ -211,14 +221,15 @@
     assert world.south.gpus > 4.0
 
 
-def test_a_former_leader_gives_nothing_once_its_successor_has_claimed_the_cell() -> None:
+def test_former_leader_transfers_nothing_after_its_successor_has_claimed_the_cell() -> None:
+    # The former leader doesn't know its successor's usage; the claim's version must fence it off.
     world = Shares()
     world.run(3.0)
     successor = Cell(world, "north", "10.0.0.3")
     successor.quota_rebalancer.begin_term(2)
     world.run(0.6)
     assert world.state.rows[CLAIM_KEY_PREFIX + "north"][0] == 2
-    # The successor uses all of it; the former one, who knows of neither, has room to give.
+    # The successor uses all of the share; the former leader knows neither and has a surplus.
     successor.used = Amount(20.0, 4.0)
     world.south.needed = Amount(20.0, 8.0)
     for _ in range(8):
@@ -227,33 +238,35 @@
         assert successor.gpus == 4.0
 
 
-def test_a_gift_that_was_reckoned_from_older_shares_fails() -> None:
+def test_transfer_computed_from_outdated_shares_is_rejected() -> None:
+    # Without the guard on the row's version a share would be given twice.
     world = Shares()
     world.run(3.0)
     world.state.slow = 0.3
     world.south.needed = Amount(20.0, 6.0)
     world.until(lambda: bool(world.row().wants))
-    asked = world.row()
-    # The giver has read that and writes; before it is carried out the shares have changed.
-    newer = TeamShares({"north": Amount(20.0, 1.0), "south": Amount(20.0, 7.0)}, asked.wants)
+    requested = world.row()
+    # The giver has read the request and writes; the shares change before the write is executed.
+    newer = TeamShares({"north": Amount(20.0, 1.0), "south": Amount(20.0, 7.0)}, requested.wants)
     world.until(lambda: world.north.gpus < 3.9)
     world.put(SHARE_KEY_PREFIX + "crew", msgspec.to_builtins(newer))
     for _ in range(400):
         play(world.sim, 0.01)
         assert world.row().total.is_within(get_team_limit(TEAM))
-        assert world.row().share("north").gpus <= 1.0, "what was given came back"
+        assert world.row().share("north").gpus <= 1.0, "a transferred share came back"
 
 
-def test_a_damaged_row_is_one_log_line_and_harms_no_other_team(
+def test_malformed_row_is_one_log_line_and_does_not_affect_other_teams(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # A row that can't be decoded is left for the operators and is not overwritten.
     other = Team("other crew", 0.0, 10.0, 0.0, 2.0)
     world = Shares(other)
     world.put(SHARE_KEY_PREFIX + "crew", {"of": "everything"})
     play(world.sim, 6.0)
     assert world.north.gpus < TOLERANCE
     damaged = [line for line in caplog.messages if "shares_damaged team=crew" in line]
-    assert len(damaged) == 2, "one line a leader"
+    assert len(damaged) == 2, "one log line per leader"
     assert SHARE_KEY_PREFIX + "other%20crew" in world.state.rows
     assert world.state.rows[SHARE_KEY_PREFIX + "crew"][0] == {"of": "everything"}
     held = world.north.quota_rebalancer.find_team("other crew")
@@ -261,7 +274,8 @@
     assert held.cores_max == 5.0
 
 
-def test_what_a_raised_limit_adds_goes_to_who_lacks_it() -> None:
+def test_raised_limit_is_handed_out_to_the_cell_with_a_shortfall() -> None:
+    # After a raise the shares sum to less than the limit, and the rest would stay unused.
     world = Shares()
     world.put(
         SHARE_KEY_PREFIX + "crew",
