--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -4,8 +4,8 @@
 marked the entry as kept (`kept`), the job can be assigned to another cell. Each write is guarded by
 the key's version: if a cell keeps a job while a controller sends it to another cell, exactly one of
 them succeeds, however late their transactions arrive. A cell only accepts jobs that it has kept,
-and a kept entry never changes. Therefore at most one cell accepts a job, and an entry that was read
-as kept can be cached.
+and a kept entry never changes. Therefore at most one cell accepts a job, and a kept entry can be
+cached.
 """
 
 from __future__ import annotations
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -60,7 +60,7 @@
 
 
 class _UserRequest:
-    """A user's request until it is answered: exactly once, and not after its deadline."""
+    """A user's request until its single answer, which after the deadline is `UNAVAILABLE`."""
 
     __slots__ = ("_clock", "_deadline", "_on_finished", "_on_reply", "timer")
 
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -45,7 +45,7 @@
 SHARED_KEYS_RATE_FRACTION = 0.2
 """Fraction of the state service's rates for shared keys, unless these have their own service."""
 FORWARDED_REQUESTS_SOCKET_FRACTION = 0.25
-"""Limit on the requests forwarded to other cells, as a fraction of the maximum of sockets."""
+"""Limit on the requests forwarded to other cells, as a fraction of `max_sockets`."""
 
 
 class CellSetup:
@@ -191,7 +191,7 @@
         self.map_watcher.on_agreed = lambda: self._check_for_undivided_fleet(start)
 
     def _check_for_undivided_fleet(self, start: Callable[[], None]) -> None:
-        """Calls `start` if the whole fleet has no leader's key; retries until then.
+        """Calls `start` once there is no leader key of an undivided fleet; retries until then.
 
         A leader of the undivided fleet at the same state service would command the cell's machines
         as well.
--- a/flaxtally/cells/quota_rebalancer.py
+++ b/flaxtally/cells/quota_rebalancer.py
@@ -282,10 +282,10 @@
             shares = shares.with_want(self._cell, shortfall.at_most(limit))
         reserve = limit.times(RESERVED_SHARE_FRACTION / len(self._cells()))
         surplus = share.minus(demand + reserve).at_least_zero()
-        for taker in sorted(shares.wants):
-            amount = shares.wants[taker].at_most(surplus)
-            if taker != self._cell and not amount.is_zero:
-                shares = shares.with_transfer(self._cell, taker, amount)
+        for target_cell in sorted(shares.wants):
+            amount = shares.wants[target_cell].at_most(surplus)
+            if target_cell != self._cell and not amount.is_zero:
+                shares = shares.with_transfer(self._cell, target_cell, amount)
                 surplus = surplus.minus(amount).at_least_zero()
         shares.check(limit if row.shares.total.is_within(limit) else row.shares.total)
         return shares
--- a/flaxtally/cells/shares.py
+++ b/flaxtally/cells/shares.py
@@ -84,21 +84,21 @@
         if not self.total.is_within(limit):
             raise ShareError(f"shares sum to {tuple(self.total)}, above the limit {tuple(limit)}")
 
-    def with_transfer(self, giver: str, taker: str, amount: Amount) -> TeamShares:
-        """Moves an amount from one cell's share to another's; the taker's request shrinks by it."""
-        if giver == taker or not amount.is_within(self.share(giver)):
+    def with_transfer(self, source_cell: str, target_cell: str, amount: Amount) -> TeamShares:
+        """Moves an amount to another cell's share, and reduces that cell's request by it."""
+        if source_cell == target_cell or not amount.is_within(self.share(source_cell)):
             raise ShareError(
-                f"cell {giver} can't transfer {tuple(amount)} to {taker}: "
-                f"its share is {tuple(self.share(giver))}"
+                f"cell {source_cell} can't transfer {tuple(amount)} to {target_cell}: "
+                f"its share is {tuple(self.share(source_cell))}"
             )
         wants = dict(self.wants)
-        remaining_want = wants.pop(taker, ZERO).minus(amount).at_least_zero()
+        remaining_want = wants.pop(target_cell, ZERO).minus(amount).at_least_zero()
         if not remaining_want.is_zero:
-            wants[taker] = remaining_want
+            wants[target_cell] = remaining_want
         of = {
             **self.of,
-            giver: self.share(giver).minus(amount).at_least_zero(),
-            taker: self.share(taker) + amount,
+            source_cell: self.share(source_cell).minus(amount).at_least_zero(),
+            target_cell: self.share(target_cell) + amount,
         }
         return TeamShares(of, wants)
 
--- a/flaxtally/cli/controller_commands.py
+++ b/flaxtally/cli/controller_commands.py
@@ -86,7 +86,7 @@
 
 
 def show_policy(arguments: argparse.Namespace) -> ExitCode:
-    """Prints each setting of the policy, its value and where it came from."""
+    """Prints each setting of the policy, its value and its origin."""
     for setting in explain_policy(arguments, load_settings(arguments)):
         unit = f" {setting.unit}" if any(setting.unit) else ""
         origin = f"({setting.source}:{setting.line})"
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -220,7 +220,7 @@
     def __init__(self) -> None:
         self.loop = Loop()
         self.state = FakeKeyValueStore(self.loop, ("127.0.0.1", STATE_PORT))
-        self.where = f"127.0.0.1:{STATE_PORT}"
+        self.address = f"127.0.0.1:{STATE_PORT}"
         self._thread = threading.Thread(target=self.loop.run)
         # The loop only notices `stop` in its next iteration, so a timer keeps it running.
         self._tick()
@@ -251,20 +251,20 @@
     second = write(
         tmp_path, VALID_FILE.replace("version = 1", "version = 2") + "open = false\n", "second.toml"
     )
-    assert main(["cells", "show", "--state", service.where]) == 1
-    assert main(["cells", "apply", first, "--state", service.where]) == 0
-    assert main(["cells", "apply", second, "--state", service.where]) == 0
+    assert main(["cells", "show", "--state", service.address]) == 1
+    assert main(["cells", "apply", first, "--state", service.address]) == 0
+    assert main(["cells", "apply", second, "--state", service.address]) == 0
     before = service.state.rows[MAP_KEY]
     capsys.readouterr()
-    assert main(["cells", "apply", first, "--state", service.where]) == 2
+    assert main(["cells", "apply", first, "--state", service.address]) == 2
     assert "version: 1 is not newer than 2" in capsys.readouterr().err
     moved = write(
         tmp_path, VALID_FILE.replace("version = 1", "version = 3").replace("zone-2", "zone-9")
     )
-    assert main(["cells", "apply", moved, "--state", service.where]) == 2
+    assert main(["cells", "apply", moved, "--state", service.address]) == 2
     assert "zone zone-2: missing" in capsys.readouterr().err
     assert service.state.rows[MAP_KEY] == before, "nothing changed"
-    assert main(["cells", "show", "--state", service.where]) == 0
+    assert main(["cells", "show", "--state", service.address]) == 0
     shown = capsys.readouterr().out
     assert "version 2" in shown
     assert "cell south: takes no new jobs; zones zone-1 zone-2" in shown
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -67,11 +67,11 @@
     for ref in world.specs:
         stages = set()
         for name in CELL_NODES:
-            answers: list[tuple[int, object]] = []
-            world.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda *a, to=answers: to.append(a))
-            assert world.until(lambda to=answers: bool(to), 5)
-            assert answers[0][0] == 200, (ref, name, answers)
-            stages.add(answers[0][1]["stage"])  # type: ignore[index]
+            replies: list[tuple[int, object]] = []
+            world.call(name, "GET", f"{wire.WORK}/{ref}", None, lambda *a, to=replies: to.append(a))
+            assert world.until(lambda to=replies: bool(to), 5)
+            assert replies[0][0] == 200, (ref, name, replies)
+            stages.add(replies[0][1]["stage"])  # type: ignore[index]
         assert stages <= {wire.RUNNING, wire.DONE}
     ends_well(world)
 
@@ -79,12 +79,12 @@
 def test_status_of_an_unknown_job_is_404_at_every_controller() -> None:
     world = start_cells()
     for name in CELL_NODES:
-        answers: list[int] = []
+        replies: list[int] = []
         world.call(
-            name, "GET", f"{wire.WORK}/j-424242", None, lambda s, _, to=answers: to.append(s)
+            name, "GET", f"{wire.WORK}/j-424242", None, lambda s, _, to=replies: to.append(s)
         )
-        assert world.until(lambda to=answers: bool(to), 5)
-        assert answers == [404]
+        assert world.until(lambda to=replies: bool(to), 5)
+        assert replies == [404]
 
 
 def test_cancellation_reaches_the_jobs_cell_from_any_controller() -> None:
@@ -481,12 +481,12 @@
     # Answering 404 after the pause would contradict the accepted submission.
     world = start_cells()
     node = "north-0"
-    answers: list[int] = []
-    world.call(node, "GET", f"{wire.WORK}/j-000001", None, lambda status, _: answers.append(status))
+    replies: list[int] = []
+    world.call(node, "GET", f"{wire.WORK}/j-000001", None, lambda status, _: replies.append(status))
     world.run(0.004)
     world.freeze(node, 4.0)
     world.submit(batch("j-000001", 1), run_time=20.0, node=CELL_NODES.index("south-0"))
     assert world.until(lambda: "j-000001" in world.accepted, 3.5)
     world.run(5.0)
-    assert answers != [404]
+    assert replies != [404]
     ends_well(world)
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -57,12 +57,14 @@
 ) -> None:
     # Transfers that round, or take more than the giver has, must not create or lose resources.
     shares = build_equal_shares(TEAM, CELLS)
-    for giver, taker, cores, gpus in moves:
+    for source_cell, target_cell, cores, gpus in moves:
         before = shares
         try:
-            shares = shares.with_transfer(giver, taker, Amount(cores, gpus))
+            shares = shares.with_transfer(source_cell, target_cell, Amount(cores, gpus))
         except ShareError:
-            assert giver == taker or not Amount(cores, gpus).is_within(before.share(giver))
+            assert source_cell == target_cell or not Amount(cores, gpus).is_within(
+                before.share(source_cell)
+            )
         shares.check(get_team_limit(TEAM))
         assert shares.total.cores == pytest.approx(40.0, abs=1e-3)
         assert shares.total.gpus == pytest.approx(8.0, abs=1e-3)
