--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -71,7 +71,7 @@
 def test_pages_written_by_production_give_the_same_state() -> None:
     # An upgraded leader takes over pages that the version in production wrote.
     fixture = json.loads(FIXTURE.read_text())
-    assert fixture["commit"] == production.commit()
+    assert fixture["commit"] == production.read_commit()
     assert len(fixture["meaning"]) > 20
     assert job_contents(replay_pages(fixture["rows"], ClusterState())) == fixture["meaning"]
 
@@ -90,7 +90,9 @@
     # During a rolling upgrade, or after a rollback, the version in production takes over pages that
     # the present version wrote or compacted. Needs production's sources; skipped if the clone lacks
     # their commit.
-    production_state = production.under_present_names(production.module("ledger.book").Book())
+    production_state = production.adapt_to_current_names(
+        production.load_module("ledger.book").Book()
+    )
     cluster = UpgradingCluster(seed=3, upgraded=NODES[:2])
     while cluster.leader() not in NODES[:2]:
         change_leader(cluster) if cluster.leader() else cluster.run(0.5)
@@ -273,7 +275,7 @@
 
 def production_reads(record: list[Any]) -> str:
     """Returns how production treats a record after a job of two tasks, one of them placed."""
-    state = production.under_present_names(production.module("ledger.book").Book())
+    state = production.adapt_to_current_names(production.load_module("ledger.book").Book())
     job = msgspec.to_builtins(batch("j-000001", 2))
     state.replay(["J", 1, 1.0, *job], 1)
     state.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
