--- a/tests/production.py
+++ b/tests/production.py
@@ -27,7 +27,7 @@
 PACKAGE = "flaxtally_production"
 
 
-def commit() -> str:
+def read_commit() -> str:
     """The commit that is in production."""
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
@@ -36,7 +36,7 @@
 def _extracted() -> Path | None:
     """The folder that holds the package; None: the clone lacks the commit."""
     found = subprocess.run(
-        ["git", "archive", commit(), "flaxtally"], cwd=ROOT, capture_output=True, check=False
+        ["git", "archive", read_commit(), "flaxtally"], cwd=ROOT, capture_output=True, check=False
     )
     if found.returncode:
         return None
@@ -53,11 +53,11 @@
     """The folder that holds the package; skips the test where the clone lacks its commit."""
     folder = _extracted()
     if folder is None:
-        pytest.skip(f"this clone has no commit {commit()}")
+        pytest.skip(f"this clone has no commit {read_commit()}")
     return folder
 
 
-def module(name: str) -> ModuleType:
+def load_module(name: str) -> ModuleType:
     """A module of the version in production."""
     sources()
     return importlib.import_module(f"{PACKAGE}.{name}")
@@ -78,24 +78,24 @@
 """Present names of what tests ask of both versions, and those of the version in production."""
 
 
-class UnderPresentNames:
+class CurrentNamesAdapter:
     """An object of the version in production whose attributes go by the present names."""
 
     def __init__(self, original: Any) -> None:
         self._original = original
 
     def __getattr__(self, name: str) -> Any:
-        return under_present_names(getattr(self._original, RENAMED.get(name, name)))
+        return adapt_to_current_names(getattr(self._original, RENAMED.get(name, name)))
 
 
 WRAPPED = frozenset({"Node", "Election", "Leader", "Book", "Job"})
 """Types of the version in production that are asked by the present names."""
 
 
-def under_present_names(value: Any) -> Any:
+def adapt_to_current_names(value: Any) -> Any:
     """The value of the version in production, so that tests can ask it like a present one."""
     if isinstance(value, dict):
-        return {key: under_present_names(each) for key, each in value.items()}
+        return {key: adapt_to_current_names(each) for key, each in value.items()}
     if type(value).__name__ in WRAPPED and type(value).__module__.startswith(PACKAGE):
-        return UnderPresentNames(value)
+        return CurrentNamesAdapter(value)
     return value
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -31,16 +31,16 @@
         if node in self.upgraded:
             super().start(node)
             return
-        settings = production.module("settings").parse(
+        settings = production.load_module("settings").parse(
             tomllib.loads(settings_text(self.settings_of(node, NOW)))
         )
-        controller = production.module("node").Node(
+        controller = production.load_module("node").Node(
             self.sim.host(self.ip(node)),
             settings,
-            production.module("policy").default(settings),
+            production.load_module("policy").default(settings),
             random.Random(self.rng.random()),
         )
-        self.nodes[node] = production.under_present_names(controller)
+        self.nodes[node] = production.adapt_to_current_names(controller)
 
     def settings_of(self, node: str, limits: StateLimits = LOWER) -> Any:
         return self.with_limits(super().settings_of(node), limits)
--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -70,7 +70,7 @@
 
 def test_pages_that_production_wrote_mean_the_same_today() -> None:
     kept = json.loads(FIXTURE.read_text())
-    assert kept["commit"] == production.commit()
+    assert kept["commit"] == production.read_commit()
     assert len(kept["meaning"]) > 20
     assert meaning(read(kept["rows"], ClusterState())) == kept["meaning"]
 
@@ -87,7 +87,7 @@
 
 def test_what_is_written_before_the_raise_means_the_same_to_production() -> None:
     # Needs production's sources: skipped where the clone lacks its commit.
-    book = production.under_present_names(production.module("ledger.book").Book())
+    book = production.adapt_to_current_names(production.load_module("ledger.book").Book())
     world = UpgradingCluster(seed=3, upgraded=NODES[:2])
     while world.leader() not in NODES[:2]:
         change_leader(world) if world.leader() else world.run(0.5)
@@ -260,7 +260,7 @@
 
 def production_reads(record: list[Any]) -> str:
     """How production's ledger takes a record after a job of two tasks, one of them placed."""
-    book = production.under_present_names(production.module("ledger.book").Book())
+    book = production.adapt_to_current_names(production.load_module("ledger.book").Book())
     job = msgspec.to_builtins(batch("j-000001", 2))
     book.replay(["J", 1, 1.0, *job], 1)
     book.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
--- a/tools/production_fixture.py
+++ b/tools/production_fixture.py
@@ -40,13 +40,13 @@
 
 def main() -> None:
     rows = {key: value for key, (value, _, _) in day().state.rows.items()}
-    book = production.under_present_names(production.module("ledger.book").Book())
+    book = production.adapt_to_current_names(production.load_module("ledger.book").Book())
     for key in sorted(rows):
         if key.startswith("p/"):
             for record in rows[key]["r"]:
                 book.replay(record, int(key[2:]))
     FIXTURE.parent.mkdir(exist_ok=True)
-    found = {"commit": production.commit(), "rows": rows, "meaning": meaning(book)}
+    found = {"commit": production.read_commit(), "rows": rows, "meaning": meaning(book)}
     FIXTURE.write_text(json.dumps(found, indent=1, sort_keys=True) + "\n")
     print(f"{FIXTURE}: {len(rows)} keys, {len(found['meaning'])} jobs")
 
