--- a/tests/production.py
+++ b/tests/production.py
@@ -1,8 +1,8 @@
-"""The version in production, imported beside this one, for days on which both serve.
+"""Imports the version in production beside the current one, for tests in which both run.
 
-Its sources come from the repository's history, at the commit that `deploy/service.toml` names. A
-clone without that commit can't play these days: the tests that need it say so and are skipped, and
-what production wrote is still checked by the kept fixtures (`tests/test_formats.py`).
+Its sources are extracted from the repository's history, at the commit that `deploy/service.toml`
+names. In a clone without that commit, the tests that need it are skipped with that reason; what
+production wrote is still checked by the stored fixtures (`tests/test_formats.py`).
 """
 
 from __future__ import annotations
@@ -28,29 +28,29 @@
 
 
 def read_commit() -> str:
-    """The commit that is in production."""
+    """Return the hash of the commit that is in production."""
     return str(tomllib.loads((ROOT / "deploy" / "service.toml").read_text())["production"])
 
 
 @cache
 def _extracted() -> Path | None:
-    """The folder that holds the package; None: the clone lacks the commit."""
-    found = subprocess.run(
+    """Extract the package and return its parent folder, or None if the clone lacks the commit."""
+    archived = subprocess.run(
         ["git", "archive", read_commit(), "flaxtally"], cwd=ROOT, capture_output=True, check=False
     )
-    if found.returncode:
+    if archived.returncode:
         return None
     folder = Path(tempfile.mkdtemp(prefix="production-"))
-    with tarfile.open(fileobj=io.BytesIO(found.stdout)) as archive:
+    with tarfile.open(fileobj=io.BytesIO(archived.stdout)) as archive:
         archive.extractall(folder, filter="data")
-    # Its imports are relative: under another name both packages live in one process.
+    # The package uses relative imports, so under another name both versions fit in one process.
     (folder / "flaxtally").rename(folder / PACKAGE)
     sys.path.append(str(folder))
     return folder
 
 
 def sources() -> Path:
-    """The folder that holds the package; skips the test where the clone lacks its commit."""
+    """Return the folder that holds the package; skip the test if the clone lacks the commit."""
     folder = _extracted()
     if folder is None:
         pytest.skip(f"this clone has no commit {read_commit()}")
@@ -58,12 +58,12 @@
 
 
 def load_module(name: str) -> ModuleType:
-    """A module of the version in production."""
+    """Import a module of the version in production."""
     sources()
     return importlib.import_module(f"{PACKAGE}.{name}")
 
 
-RENAMED = {
+PRODUCTION_NAMES = {
     "is_leader": "leading",
     "on_heartbeat": "heartbeat",
     "is_ready": "ready",
@@ -75,27 +75,27 @@
     "placements": "placed",
     "pending_count": "waiting",
 }
-"""Present names of what tests ask of both versions, and those of the version in production."""
+"""Attributes that tests read on both versions: current name to name in the production version."""
 
 
 class CurrentNamesAdapter:
-    """An object of the version in production whose attributes go by the present names."""
+    """Wraps an object of the production version; its attributes have the current names."""
 
     def __init__(self, original: Any) -> None:
         self._original = original
 
     def __getattr__(self, name: str) -> Any:
-        return adapt_to_current_names(getattr(self._original, RENAMED.get(name, name)))
+        return adapt_to_current_names(getattr(self._original, PRODUCTION_NAMES.get(name, name)))
 
 
-WRAPPED = frozenset({"Node", "Election", "Leader", "Book", "Job"})
-"""Types of the version in production that are asked by the present names."""
+ADAPTED_TYPES = frozenset({"Node", "Election", "Leader", "Book", "Job"})
+"""Names of the production types that tests access by current attribute names."""
 
 
 def adapt_to_current_names(value: Any) -> Any:
-    """The value of the version in production, so that tests can ask it like a present one."""
+    """Wrap a value of the production version so that tests can read it like a current one."""
     if isinstance(value, dict):
         return {key: adapt_to_current_names(each) for key, each in value.items()}
-    if type(value).__name__ in WRAPPED and type(value).__module__.startswith(PACKAGE):
+    if type(value).__name__ in ADAPTED_TYPES and type(value).__module__.startswith(PACKAGE):
         return CurrentNamesAdapter(value)
     return value
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The page of the architecture names what is there: modules, functions and log events."""
+"""Checks that docs/architecture.md agrees with the code in modules, functions and log events."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 PACKAGE = ROOT / "flaxtally"
 PAGE = (ROOT / "docs" / "architecture.md").read_text()
 NAMES = sorted(set(re.findall(r"`([a-z_.]+:[A-Za-z_.]+)`", PAGE)))
-EVENTS = PAGE.partition("## From a log event to the code")[2].partition("\n## ")[0]
+EVENT_SECTION = PAGE.partition("## From a log event to the code")[2].partition("\n## ")[0]
 EVENT_ROW = re.compile(r"^\| `([a-z_]+)` \| `([a-z_.]+)` \|", re.MULTILINE)
-LOGGED = re.compile(r"event=([a-z_]+)")
-WITHOUT_CONTROLLERS = ("fakes", "emulator")
-"""Packages that are no part of a controller: their events are not on the page."""
+LOGGED_EVENT = re.compile(r"event=([a-z_]+)")
+PACKAGES_OUTSIDE_CONTROLLERS = ("fakes", "emulator")
+"""Packages that are not part of a controller: the page does not list their events."""
 
 
-def events_of(module: Path) -> set[str]:
-    """The log events of a module."""
-    return set(LOGGED.findall(module.read_text()))
+def find_events(module: Path) -> set[str]:
+    """Return the log events of a module."""
+    return set(LOGGED_EVENT.findall(module.read_text()))
 
 
-def modules() -> list[Path]:
-    """The modules of a controller."""
+def list_modules() -> list[Path]:
+    """Return the files of a controller's modules."""
     return [
         path
         for path in sorted(PACKAGE.rglob("*.py"))
-        if path.relative_to(PACKAGE).parts[0] not in WITHOUT_CONTROLLERS
+        if path.relative_to(PACKAGE).parts[0] not in PACKAGES_OUTSIDE_CONTROLLERS
     ]
 
 
-def test_the_page_names_many() -> None:
+def test_page_names_many_code_locations() -> None:
     assert len(NAMES) > 40
 
 
@@ -44,21 +44,21 @@
     reduce(getattr, path.split("."), importlib.import_module(f"flaxtally.{module}"))
 
 
-def test_each_event_on_the_page_is_logged_there() -> None:
-    rows = EVENT_ROW.findall(EVENTS)
+def test_each_event_on_the_page_is_logged_by_its_module() -> None:
+    rows = EVENT_ROW.findall(EVENT_SECTION)
     assert len(rows) > 40
     for event, module in rows:
         path = PACKAGE / f"{module.replace('.', '/')}.py"
         path = path if path.exists() else PACKAGE / module.replace(".", "/") / "__init__.py"
-        assert event in events_of(path), (event, module)
+        assert event in find_events(path), (event, module)
 
 
-def test_each_event_that_a_controller_logs_is_on_the_page() -> None:
-    logged = set().union(*map(events_of, modules()))
-    assert logged - {event for event, _ in EVENT_ROW.findall(EVENTS)} == set()
+def test_each_logged_event_is_on_the_page() -> None:
+    logged = set().union(*map(find_events, list_modules()))
+    assert logged - {event for event, _ in EVENT_ROW.findall(EVENT_SECTION)} == set()
 
 
-@pytest.mark.parametrize("module", modules(), ids=lambda path: str(path.relative_to(PACKAGE)))
-def test_no_event_has_a_name_that_is_put_together(module: Path) -> None:
-    # It could neither be searched for nor be held against the page.
+@pytest.mark.parametrize("module", list_modules(), ids=lambda path: str(path.relative_to(PACKAGE)))
+def test_event_names_are_literal(module: Path) -> None:
+    # A formatted event name can neither be searched for in the code nor compared with the page.
     assert "event=%" not in module.read_text()
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,7 @@
-"""Combinations of faults: each case of `docs/fault_combinations.md`, brought about and seen.
+"""Tests each combination of faults that `docs/fault_combinations.md` lists.
 
-The rules (`flaxtally/emulator/rules.py`) are checked in every world, all along and once the
-troubles are over.
+The rules (`flaxtally/emulator/rules.py`) are checked in every simulated cluster, throughout the run
+and once the faults are over.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
 
-def test_more_work_than_room_urgent_and_not_over_slow_links() -> None:
+def test_overload_of_urgent_and_other_jobs_over_slow_links() -> None:
     world = SimulatedCluster(capacity=1)
     world.slow_links(0.4, 60.0)
     for number in range(12):
@@ -37,8 +37,9 @@
     ends_well(world, 200)
 
 
-def test_a_cancellation_a_question_or_a_repeat_meets_the_end_of_the_last_task() -> None:
-    # Cancelled and ending at once: one answer, at all nodes and ever after, takeovers included.
+def test_cancellations_queries_and_repeats_coincide_with_the_end_of_the_last_task() -> None:
+    # A job that is cancelled while its last task ends could be reported as done by one controller
+    # and as aborted by another, or differently after a takeover. Every reply must be the same.
     world = busy(arrays=0)
     for number in range(24):
         ref = f"j-{300 + number:06d}"
@@ -52,22 +53,22 @@
         if number % 8 == 7:
             world.after(0.005 * (number // 8), world.crash, leader_of(world), 1.0)
         world.run(2)
-    told = {job.told for job in world.rules.jobs.values()}
-    assert {wire.DONE, wire.ABORTED} <= told
+    reported = {job.told for job in world.rules.jobs.values()}
+    assert {wire.DONE, wire.ABORTED} <= reported
     ends_well(world, 20)
 
 
-@pytest.mark.parametrize("what", ["hung", "deaf", "mute", "cut"])
-def test_a_team_at_its_limit_a_new_leader_and_cancellations_on_machines_that_cannot_be_asked(
-    what: str,
+@pytest.mark.parametrize("fault", ["hung", "deaf", "mute", "cut"])
+def test_team_at_its_limit_with_a_new_leader_and_cancellations_on_unreachable_machines(
+    fault: str,
 ) -> None:
-    # Cancelled tasks count until they are proven over, for a new leader too; then waiting jobs move
-    # at once.
+    # Cancelled tasks count against the quota until they are known to have stopped, also for a new
+    # leader; from then on waiting jobs must be placed at once.
     world = busy(team=Team("crew", 0.0, 37.0, 0.0, 8.0), services=3, arrays=2, run_time=120.0)
     for number in range(200, 203):
         world.submit(batch(f"j-{number:06d}", 2), run_time=10.0, node=number)
-    there = sorted({world.machine_of("j-000100/0"), world.machine_of("j-000000/0")})
-    world.machine_trouble(what, there, 14.0)
+    machines = sorted({world.machine_of("j-000100/0"), world.machine_of("j-000000/0")})
+    world.machine_trouble(fault, machines, 14.0)
     world.after(1.0, world.crash, leader_of(world), 3.0)
     for number, ref in enumerate(["j-000100", "j-000101", "j-000000"]):
         world.after(0.5 + number, world.cancel, ref, number)
@@ -76,38 +77,42 @@
     ends_well(world)
 
 
-@pytest.mark.parametrize("what", ["cut", "deaf"])
-def test_the_leader_ends_while_machines_with_long_tasks_cannot_be_reached(what: str) -> None:
+@pytest.mark.parametrize("fault", ["cut", "deaf"])
+def test_leader_crash_while_machines_with_long_tasks_are_unreachable(fault: str) -> None:
     world = busy(run_time=40.0)
-    world.machine_trouble(what, sorted(world.workers)[:2], 9.0)
+    world.machine_trouble(fault, sorted(world.workers)[:2], 9.0)
     world.run(0.5)
     change_leader(world)
     world.run(8)
     ends_well(world)
 
 
-def test_an_isolated_leader_keeps_its_workers_and_tells_and_starts_nothing() -> None:
-    # Cut from the state service and its peers, while workers and users reach it; jobs are cancelled
-    # through the next.
+def test_isolated_leader_keeps_its_workers_but_reports_and_starts_nothing() -> None:
+    # A leader that is cut off from the state service and its peers, but not from workers and users,
+    # could report or start jobs that its successor has cancelled.
     world = busy(services=8, run_time=100.0)
-    old = leader_of(world)
-    served = [name for name, worker in world.workers.items() if worker._at == old]
-    world.isolate(old, 30.0)
-    assert world.until(lambda: leader_of(world) != old, 15)
+    old_leader = leader_of(world)
+    served = [name for name, worker in world.workers.items() if worker._at == old_leader]
+    world.isolate(old_leader, 30.0)
+    assert world.until(lambda: leader_of(world) != old_leader, 15)
     world.run(1)
-    others = [NODES.index(name) for name in NODES if name != old]
+    others = [NODES.index(name) for name in NODES if name != old_leader]
     world.submit(batch("j-000400", 3), run_time=5.0, node=others[0])
     for number in range(4):
         world.cancel(f"j-{number:06d}", others[number % 2])
-    answers: list[int] = []
+    statuses: list[int] = []
     world.call(
-        old, "POST", f"{wire.WORK}/j-000005/cancel", None, lambda status, _: answers.append(status)
+        old_leader,
+        "POST",
+        f"{wire.WORK}/j-000005/cancel",
+        None,
+        lambda status, _: statuses.append(status),
     )
     for ref in list(world.specs):
         world.look_closely(ref)
     world.run(20)
     assert served
-    assert answers == [503]
+    assert statuses == [503]
     assert len(world.told_cancelled) == 4, world.trace
     token = world.nodes[leader_of(world)].election.term
     assert all(world.workers[name].token == token for name in served if name in world.workers)
@@ -116,49 +121,51 @@
     ends_well(world)
 
 
-@pytest.mark.parametrize("company", [False, True])
-def test_an_isolated_leader_returns_no_machine_that_its_successor_uses(company: bool) -> None:
-    # Found on a drawn day: cut from the state service and its peers, the old leader gave back
-    # machines that were idle or silent to it, and with them the tasks that the next leader had
-    # placed there.
+@pytest.mark.parametrize("with_another_controller", [False, True])
+def test_isolated_leader_terminates_no_machine_that_its_successor_uses(
+    with_another_controller: bool,
+) -> None:
+    # Found by a random run: a leader cut off from the state service and its peers terminated
+    # machines that it saw as idle or without heartbeats, and with them the tasks that the next
+    # leader had placed there.
     world = busy(services=2, arrays=0)
     spare = [world.cloud.add("c16", zone, False, boot=0.5) for zone in "ab"]
     assert world.until(lambda: all(name in world.workers for name in spare), 10)
     world.run(4)
-    old = leader_of(world)
-    fellow, other = (number for number, name in enumerate(NODES) if name != old)
-    if company:
-        # Cut off together with another controller, as a zone is.
-        for name in (old, NODES[fellow]):
+    old_leader = leader_of(world)
+    other_isolated, other = (number for number, name in enumerate(NODES) if name != old_leader)
+    if with_another_controller:
+        # Cut off together with another controller, as when a zone is cut off.
+        for name in (old_leader, NODES[other_isolated]):
             world.cut(world.ip(name), [STATE[0], world.ip(NODES[other])], 60.0)
     else:
-        world.isolate(old, 60.0)
+        world.isolate(old_leader, 60.0)
     for name in spare:
-        world.sim.cut(world.ip(old), world.ip_of(name))
-    assert world.until(lambda: leader_of(world) != old, 30)
+        world.sim.cut(world.ip(old_leader), world.ip_of(name))
+    assert world.until(lambda: leader_of(world) != old_leader, 30)
     world.run(2)
     refs = [f"j-{400 + number:06d}" for number in range(6)]
     for ref in refs:
         world.submit(spec(ref, tasks=2, cores=4.0), node=other)
     assert world.until(lambda: all(world.count(ref) == 2 for ref in refs), 40)
     assert set(spare) & {machine for machine, _ in world.running.values()}
-    before = dict(world.running)
+    running_before = dict(world.running)
     world.run(45)
-    assert world.nodes[old].election.is_leader
-    assert world.running == before, world.trace[-20:]
+    assert world.nodes[old_leader].election.is_leader
+    assert world.running == running_before, world.trace[-20:]
     for name in spare:
-        world.sim.heal(world.ip(old), world.ip_of(name))
+        world.sim.heal(world.ip(old_leader), world.ip_of(name))
     ends_well(world, 40)
 
 
-def test_jobs_of_a_few_tasks_end_far_apart_across_a_change_of_leader() -> None:
+def test_tasks_of_a_job_finish_far_apart_across_leader_changes() -> None:
     world = busy(arrays=0)
     for number in range(6):
         world.submit(batch(f"j-{200 + number:06d}", 2 + number % 2), run_time=10.0, node=number)
-    second = [f"j-{200 + number:06d}/1" for number in range(6)]
-    assert world.until(lambda: all(task in world.running for task in second), 60)
-    for task in second:
-        # Each job's second task is found to take much longer than its first.
+    second_tasks = [f"j-{200 + number:06d}/1" for number in range(6)]
+    assert world.until(lambda: all(task in world.running for task in second_tasks), 60)
+    for task in second_tasks:
+        # Each job's second task takes much longer than its first.
         held = world.workers[world.machine_of(task)].tasks[task, 1]
         assert held.timer is not None
         held.timer.cancel()
@@ -171,7 +178,7 @@
     ends_well(world)
 
 
-def test_jobs_are_cancelled_while_one_controllers_work_changes_hands() -> None:
+def test_cancellations_while_the_workers_of_a_crashed_follower_change_controllers() -> None:
     world = busy(services=8, run_time=60.0)
     for turn in range(4):
         follower = next(name for name in NODES if name != leader_of(world))
@@ -183,7 +190,7 @@
     ends_well(world)
 
 
-def test_workers_reach_no_controller_while_direct_commands_reach_them() -> None:
+def test_commands_reach_workers_whose_heartbeats_are_lost() -> None:
     world = busy(run_time=40.0)
     names = sorted(world.workers)
     world.machine_trouble("mute", names[: len(names) // 2], 25.0)
@@ -198,7 +205,7 @@
     ends_well(world)
 
 
-def test_jobs_bound_to_one_zone_lose_machines_arrays_too() -> None:
+def test_services_and_arrays_bound_to_one_zone_lose_machines() -> None:
     world = SimulatedCluster()
     for number, zone in enumerate("abab"):
         world.submit(spec(f"j-{number:06d}", tasks=2, zone=zone, spread=False), node=number)
@@ -215,9 +222,9 @@
     ends_well(world)
 
 
-def test_controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() -> None:
-    # Found by reading: numbers of questions and orders began at 1 in every life of a process, and
-    # an answer to the former life was taken for one to the new.
+def test_all_controllers_crash_and_one_restarts_within_a_second() -> None:
+    # Found in review: request and command numbers started at 1 in each process, so a restarted
+    # controller accepted a reply to its previous process as a reply to a request of its own.
     world = busy(run_time=60.0)
     steady_work(world, 40.0)
     for _ in range(4):
@@ -234,7 +241,7 @@
     ends_well(world)
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+def test_all_controllers_are_down_for_longer_than_a_lease() -> None:
     world = busy(run_time=60.0)
     held = set(world.running)
     for name in NODES:
@@ -249,7 +256,7 @@
     ends_well(world)
 
 
-def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() -> None:
+def test_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() -> None:
     world = busy(services=6, run_time=60.0)
     heal = cut_zone(world, "b")
     for number in range(2):
@@ -260,9 +267,11 @@
 
 
 @pytest.mark.parametrize("kind", [wire.SERVICE, wire.ARRAY])
-def test_no_job_waits_beside_room_that_is_kept_for_others(kind: str) -> None:
-    # Found by reading: where no machine without GPUs is to be had, tasks without GPUs waited for
-    # ever beside the cores that are kept for GPU tasks.
+def test_jobs_without_gpus_use_cores_reserved_for_gpu_tasks_when_nothing_else_is_available(
+    kind: str,
+) -> None:
+    # Found in review: when no machine without GPUs could be provisioned, tasks without GPUs waited
+    # indefinitely although the cores reserved for GPU tasks were free.
     world = SimulatedCluster(3, capacity=1)
     for pool in list(world.cloud._capacity):
         if pool[0] == "c16":
@@ -284,8 +293,9 @@
     world.calm(150)
 
 
-def test_the_largest_jobs_begin_well_within_four_minutes_of_too_much_work() -> None:
-    # Left out for being large while small ones can be in time, a job must begin all the same.
+def test_largest_job_starts_within_four_minutes_of_overload() -> None:
+    # A large job that is passed over while small jobs can still meet their deadlines must start
+    # eventually.
     world = SimulatedCluster(capacity=1, objectives=(Objective("finished", "batch", 40.0, 1.0),))
     for number in range(280):
         world.after(
@@ -299,11 +309,11 @@
     assert world.until(lambda: world.count("j-900000") > 0, 120), world.trace[-40:]
 
 
-MIXES = range(1, 7)
+RANDOM_MIX_SEEDS = range(1, 7)
 
 
-@pytest.mark.parametrize("seed", MIXES)
-def test_a_random_mix_of_troubles(seed: int) -> None:
+@pytest.mark.parametrize("seed", RANDOM_MIX_SEEDS)
+def test_random_mix_of_faults(seed: int) -> None:
     rng = random.Random(seed)
     team = rng.choice([None, Team("crew", 0.0, 70.0, 0.0, 16.0)])
     world = busy(
@@ -312,64 +322,64 @@
     world.cloud.lag, world.cloud.boot = rng.choice([0.0, 3.0]), rng.choice([None, 1.0])
     steady_work(world, 60.0, every=0.6)
     for _ in range(12):
-        mixed(world, rng)
+        inject_random_fault(world, rng)
         world.run(rng.uniform(0.5, 9.0))
     world.run(20)
     ends_well(world, 150)
 
 
-def mixed(world: SimulatedCluster, rng: random.Random) -> None:
-    """One trouble, drawn; those before it may still last."""
+def inject_random_fault(world: SimulatedCluster, rng: random.Random) -> None:
+    """Inject one fault, chosen at random; earlier faults may still be active."""
     leader = world.leader() or NODES[0]
     machines = sorted(world.workers)
-    some = rng.sample(machines, min(len(machines), 2))
-    for_s = rng.uniform(3.0, 16.0)
+    chosen_machines = rng.sample(machines, min(len(machines), 2))
+    duration_s = rng.uniform(3.0, 16.0)
     ip = world.ip(leader)
-    drawn = rng.randrange(22)
-    if drawn == 0:
-        world.refuse(leader, for_s)
-    elif drawn == 1:
-        world.outage(for_s)
-    elif drawn in (2, 3):
-        world.lose_writes(0.3, for_s, at_once=drawn == 3)
-    elif drawn == 4:
-        world.slow_state(0.5, for_s)
-    elif drawn in (5, 6):
-        world.copy_reports(0.5, for_s, for_next=drawn == 6)
-    elif drawn in (7, 8, 9):
-        world.machine_trouble(("hung", "deaf", "mute")[drawn - 7], some, for_s)
-    elif drawn == 10 and world.sim.hosts[ip].alive:
+    choice = rng.randrange(22)
+    if choice == 0:
+        world.refuse(leader, duration_s)
+    elif choice == 1:
+        world.outage(duration_s)
+    elif choice in (2, 3):
+        world.lose_writes(0.3, duration_s, at_once=choice == 3)
+    elif choice == 4:
+        world.slow_state(0.5, duration_s)
+    elif choice in (5, 6):
+        world.copy_reports(0.5, duration_s, for_next=choice == 6)
+    elif choice in (7, 8, 9):
+        world.machine_trouble(("hung", "deaf", "mute")[choice - 7], chosen_machines, duration_s)
+    elif choice == 10 and world.sim.hosts[ip].alive:
         world.crash(leader, back_after=rng.choice([0.3, 3.0]))
-    elif drawn == 11:
-        world.isolate(leader, for_s)
-    elif drawn == 12:
+    elif choice == 11:
+        world.isolate(leader, duration_s)
+    elif choice == 12:
         heal = cut_zone(world, rng.choice("ab"))
-        world.after(for_s, heal)
-    elif drawn == 13:
+        world.after(duration_s, heal)
+    elif choice == 13:
         world.cloud.down = True
-        world.after(for_s, setattr, world.cloud, "down", False)
-    elif drawn == 14:
-        for name in some:
+        world.after(duration_s, setattr, world.cloud, "down", False)
+    elif choice == 14:
+        for name in chosen_machines:
             world.cloud.take(name)
-    elif drawn == 15:
-        world.slow_links(0.3, for_s)
-    elif drawn in (16, 17):
+    elif choice == 15:
+        world.slow_links(0.3, duration_s)
+    elif choice in (16, 17):
         for ref in rng.sample(sorted(world.accepted), min(8, len(world.accepted))):
             world.look_closely(ref)
-            if drawn == 17:
+            if choice == 17:
                 world.cancel(ref, rng.randrange(3))
                 world.after(rng.uniform(0.0, 0.2), world.look_closely, ref)
-    elif drawn == 18:
+    elif choice == 18:
         for name in NODES:
             if world.sim.hosts[world.ip(name)].alive:
                 world.crash(name, back_after=rng.choice([0.3, 3.0, 12.0]))
-    elif drawn == 19:
-        world.faulty |= set(some)
-        world.after(for_s, world.faulty.clear)
-    elif drawn == 20:
+    elif choice == 19:
+        world.faulty |= set(chosen_machines)
+        world.after(duration_s, world.faulty.clear)
+    elif choice == 20:
         ref = f"j-{8000 + len(world.broken):06d}"
         world.broken.add(ref)
         world.submit(batch(ref, 3), run_time=5.0)
-        world.after(for_s, world.cancel, ref)
+        world.after(duration_s, world.cancel, ref)
     else:
-        world.machine_trouble("cut", some, for_s)
+        world.machine_trouble("cut", chosen_machines, duration_s)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI passes over: exactly what KNOWN-RED.txt lists, and only while it fails."""
+"""CI tolerates exactly the failures that KNOWN-RED.txt lists, and only while those tests fail."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("lines", "other_red", "code", "said"),
+    ("listed", "other_fails", "exit_code", "expected_text"),
     [
         ([RED], False, 0, "known red: test_it.py::test_red, not mended yet, issue 1"),
         ([], False, 1, "1 failed"),
@@ -36,20 +36,24 @@
         (["test_it.py::test_red"], False, 4, "not `test, cause, issue`"),
     ],
 )
-def test_exactly_the_listed_tests_may_fail(
-    pytester: pytest.Pytester, lines: list[str], other_red: bool, code: int, said: str
+def test_only_listed_tests_may_fail(
+    pytester: pytest.Pytester,
+    listed: list[str],
+    other_fails: bool,
+    exit_code: int,
+    expected_text: str,
 ) -> None:
-    pytester.makepyfile(test_it=f"RED = {other_red}\n{TESTS}")
-    if lines:
-        pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
+    pytester.makepyfile(test_it=f"RED = {other_fails}\n{TESTS}")
+    if listed:
+        pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(listed) + "\n")
     result = pytester.runpytest_inprocess("-p", "tests.known_red", "-p", "no:cacheprovider")
-    assert result.ret == code
-    assert said in result.stdout.str() + result.stderr.str()
+    assert result.ret == exit_code
+    assert expected_text in result.stdout.str() + result.stderr.str()
 
 
 @pytest.mark.real_processes
 @pytest.mark.parametrize(
-    ("lines", "code", "said"),
+    ("listed", "exit_code", "expected_text"),
     [
         ([RED], 0, "1 passed, 1 xfailed"),
         ([], 1, "1 failed, 1 passed"),
@@ -59,23 +63,23 @@
         (["test_it.py::test_red"], 4, "not `test, cause, issue`"),
     ],
 )
-def test_the_same_with_parallel_workers_and_tests_left_to_the_other_command(
+def test_only_listed_tests_may_fail_with_parallel_workers_and_deselected_tests(
     pytester: pytest.Pytester,
     monkeypatch: pytest.MonkeyPatch,
-    lines: list[str],
-    code: int,
-    said: str,
+    listed: list[str],
+    exit_code: int,
+    expected_text: str,
 ) -> None:
     pytester.makepyfile(test_it=f"RED = True\n{TESTS}")
-    if lines:
-        pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
-    # The plugin is found from the test's folder, also by the workers.
+    if listed:
+        pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(listed) + "\n")
+    # Lets the subprocess and its workers import the plugin from the test's temporary folder.
     monkeypatch.setenv("PYTHONPATH", str(ROOT))
     for name in ("PYTEST_XDIST_WORKER", "PYTEST_XDIST_WORKER_COUNT", "PYTEST_XDIST_TESTRUNUID"):
         monkeypatch.delenv(name, raising=False)
-    words = ("-p", "tests.known_red", "-p", "no:cacheprovider", "-n", "2", "-k", "not test_other")
-    result = pytester.runpytest_subprocess(*words)
-    assert result.ret == code
-    assert said in result.stdout.str() + result.stderr.str()
-    if code == 0:
-        assert f"known red: {lines[0]}" in result.stdout.str()
+    args = ("-p", "tests.known_red", "-p", "no:cacheprovider", "-n", "2", "-k", "not test_other")
+    result = pytester.runpytest_subprocess(*args)
+    assert result.ret == exit_code
+    assert expected_text in result.stdout.str() + result.stderr.str()
+    if exit_code == 0:
+        assert f"known red: {listed[0]}" in result.stdout.str()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,5 +1,7 @@
-"""What a start of a controller costs, by counts: at a fifth of a core a tenth of a second of
-processor time is half a second in which users and workers are without this controller.
+"""The start of a controller stays cheap, measured by what it imports and compiles.
+
+With a fifth of a core, a tenth of a second of processor time is half a second in which users and
+workers cannot use this controller.
 """
 
 import dataclasses
@@ -39,10 +41,10 @@
 print(*sorted(set(sys.modules) - known), sep="\\n")
 """
 MAX_FOREIGN_MODULES = 144
-"""Of the standard library, the two dependencies and the interpreter's own start."""
+"""Limit for modules of the standard library, the two dependencies and the interpreter's start."""
 MAX_CODE_BYTES = 900_000
-"""Of this package's modules that `serve` imports, compiled without docstrings."""
-OF_OTHER_COMMANDS = (
+"""Limit for the compiled size, without docstrings, of this package's modules in `serve`."""
+MODULES_OF_OTHER_COMMANDS = (
     "asyncio",
     "http",
     "email",
@@ -54,8 +56,8 @@
 )
 
 
-def modules_of_serve(cache: Path) -> dict[str, str]:
-    """The modules that `serve` imports, with where each one's compiled form would be."""
+def list_modules_of_serve(cache: Path) -> dict[str, str]:
+    """Return the modules that `serve` imports, each with the path of its compiled form or `-`."""
     listed = subprocess.run(
         [sys.executable, "-B", "-c", LIST_MODULES.format(root=str(ROOT))],
         env=os.environ | {"PYTHONPYCACHEPREFIX": str(cache)},
@@ -66,16 +68,16 @@
     return dict(line.split(" ", 1) for line in listed.stdout.splitlines())
 
 
-def code_bytes(module: str) -> int:
-    """How much a module's compiled code is, whatever its docstrings say."""
+def measure_code_bytes(module: str) -> int:
+    """Return the size of a module's compiled code, without docstrings."""
     source = importlib.util.find_spec(module).origin  # type: ignore[union-attr]
     code = compile(Path(str(source)).read_text(), module, "exec", dont_inherit=True, optimize=2)
     return len(marshal.dumps(code))
 
 
-def test_the_build_leaves_nothing_to_compile_at_a_start(tmp_path: Path) -> None:
-    # A controller can't write beside its sources: what the build left out was compiled anew at
-    # each start, and took longer than everything else in it.
+def test_build_compiles_every_module_that_serve_imports(tmp_path: Path) -> None:
+    # A controller cannot write beside its sources: modules that the build omitted were compiled
+    # again at each start, which took longer than the rest of the start.
     environment = {
         name: value for name, value in os.environ.items() if name != "PYTHONDONTWRITEBYTECODE"
     }
@@ -85,16 +87,16 @@
         env=environment | {"PYTHONPYCACHEPREFIX": str(tmp_path)},
         check=True,
     )
-    ours = {
+    cached_modules = {
         name: cached
-        for name, cached in modules_of_serve(tmp_path).items()
+        for name, cached in list_modules_of_serve(tmp_path).items()
         if name.split(".")[0] in ("flaxtally", "msgspec", "cbor2") and cached.endswith(".pyc")
     }
-    assert len(ours) > 40
-    assert [name for name, cached in ours.items() if not Path(cached).exists()] == []
+    assert len(cached_modules) > 40
+    assert [name for name, cached in cached_modules.items() if not Path(cached).exists()] == []
 
 
-def test_the_deploy_file_starts_with_what_its_build_compiled() -> None:
+def test_deploy_file_runs_with_the_cache_that_its_build_fills() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     cache = "pycache_prefix=target/pycache"
     assert cache in deploy["run"].split()
@@ -103,19 +105,19 @@
 
 
 def test_serve_imports_little(tmp_path: Path) -> None:
-    modules = modules_of_serve(tmp_path)
+    modules = list_modules_of_serve(tmp_path)
     own = [name for name in modules if name.split(".")[0] == "flaxtally"]
     assert len(modules) - len(own) <= MAX_FOREIGN_MODULES
-    assert sum(map(code_bytes, own)) < MAX_CODE_BYTES
-    assert [name for name in OF_OTHER_COMMANDS if name in modules] == []
+    assert sum(map(measure_code_bytes, own)) < MAX_CODE_BYTES
+    assert [name for name in MODULES_OF_OTHER_COMMANDS if name in modules] == []
 
 
-def test_a_start_imports_nothing_that_the_build_did_not_compile(tmp_path: Path) -> None:
-    # A module that `serve` alone imports, after what the warm-up imports, is compiled anew at each
-    # start: the check of open files was.
+def test_serve_imports_no_module_that_the_warm_up_omits(tmp_path: Path) -> None:
+    # A module that `serve` imports but the warm-up does not is compiled again at each start; this
+    # happened with the check of open files.
     config = tmp_path / "node.toml"
     settings = SimulatedCluster().settings_of("hearth-0")
-    # An address of documentation, which no machine has: the start ends where it would listen.
+    # An address reserved for documentation, which no machine has: the start fails when it listens.
     config.write_text(
         settings_text(dataclasses.replace(settings, peer_listen=("203.0.113.1", 8081)))
     )
@@ -125,14 +127,14 @@
         text=True,
         check=True,
     )
-    exit_code, *late = started.stdout.split()
+    exit_code, *late_modules = started.stdout.split()
     assert "can't listen" in started.stderr
     assert exit_code == "1"
-    assert [name for name in late if name.startswith("flaxtally")] == []
+    assert [name for name in late_modules if name.startswith("flaxtally")] == []
 
 
-def test_the_profile_names_entry_points_that_exist() -> None:
-    # A duty whose entry point was renamed would be charged to others without a word.
+def test_profiled_entry_points_exist() -> None:
+    # If an entry point were renamed, its processor time would silently be charged to other duties.
     listed = subprocess.run(
         [sys.executable, "tools/profile_controller.py", "--duties"],
         cwd=ROOT,
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,8 +1,8 @@
-"""Kept traces: whole stories of a small deployment, as text that people read (`tests/traces/`).
+"""Compares the traces of four runs of a small deployment with those stored in `tests/traces/`.
 
-A change in behaviour shows as a change of the story. When it is meant, keep the new one:
-`FLAXTALLY_KEEP_TRACES=1 python3 -m pytest tests/test_traces.py`, and read the difference before the
-commit.
+A change in behaviour shows as a difference in a trace. If it is intended, store the new traces with
+`FLAXTALLY_KEEP_TRACES=1 python3 -m pytest tests/test_traces.py`, and review the difference before
+the commit.
 """
 
 from __future__ import annotations
@@ -71,11 +71,11 @@
 
 
 @pytest.mark.parametrize(
-    "story", [quiet_start, leader_crash, hung_machine, all_crash_and_state_outage]
+    "scenario", [quiet_start, leader_crash, hung_machine, all_crash_and_state_outage]
 )
-def test_the_story_is_the_kept_one(story: Callable[[], SimulatedCluster]) -> None:
-    told = "\n".join(story().trace) + "\n"
-    path = TRACES / f"{story.__name__}.txt"
+def test_trace_equals_stored_trace(scenario: Callable[[], SimulatedCluster]) -> None:
+    trace = "\n".join(scenario().trace) + "\n"
+    path = TRACES / f"{scenario.__name__}.txt"
     if os.environ.get("FLAXTALLY_KEEP_TRACES"):
-        path.write_text(told)
-    assert told == path.read_text()
+        path.write_text(trace)
+    assert trace == path.read_text()
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A rolling upgrade from the version in production, and a state service that lowers its limits."""
+"""Rolling upgrades from the version in production, and lowered limits of the state service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def serving(seed: int = 1, upgraded: tuple[str, ...] = ()) -> UpgradingCluster:
-    """A world with services and arrays that run."""
+    """Start a cluster and wait until its services and arrays run."""
     world = UpgradingCluster(seed, upgraded)
     for number in range(4):
         world.submit(spec(f"j-{number:06d}", tasks=2), node=number)
@@ -24,8 +24,8 @@
     return world
 
 
-def work_goes_on(world: UpgradingCluster) -> None:
-    """Small jobs for as long as the test plays, some of them cancelled."""
+def submit_small_jobs(world: UpgradingCluster) -> None:
+    """Submit small jobs throughout the test and cancel some of them."""
     for number in range(40):
         ref = f"j-{5000 + number:06d}"
         world.after(1.3 * number, world.submit, batch(ref, 2), 4.0, number)
@@ -34,15 +34,15 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_roll_keeps_every_task_in_place_and_raises_the_format_at_its_end(seed: int) -> None:
+def test_rolling_upgrade_moves_no_task_and_raises_the_format_at_its_end(seed: int) -> None:
     world = serving(seed)
-    before = {task: where for task, where in world.running.items() if task < "j-000100"}
-    work_goes_on(world)
+    before = {task: machine for task, machine in world.running.items() if task < "j-000100"}
+    submit_small_jobs(world)
     for number, name in enumerate(NODES):
         world.upgrade(name)
         world.run(8.0)
         assert world.format == (formats.GANGS if number == len(NODES) - 1 else formats.FIRST)
-    after = {task: where for task, where in world.running.items() if task < "j-000100"}
+    after = {task: machine for task, machine in world.running.items() if task < "j-000100"}
     assert after == before
     world.submit(gang("j-000200", 4), run_time=3.0)
     ends_well(world)
@@ -50,19 +50,19 @@
     assert not world.state.over_limit
 
 
-def test_a_gang_is_answered_503_until_every_controller_knows_gangs() -> None:
+def test_gang_gets_503_until_every_controller_supports_gangs() -> None:
     world = serving()
     for name in NODES:
         world.upgrade(name)
-        answers: list[int] = []
+        statuses: list[int] = []
         if len(world.upgraded) < len(NODES):
             world.run(6.0)
             world.specs["j-000200"] = gang("j-000200", 2)
             for node in world.upgraded:
                 body = wire.submission(world.specs["j-000200"])
-                world.call(node, "POST", wire.WORK, body, lambda s, _, a=answers: a.append(s))  # type: ignore[misc]
+                world.call(node, "POST", wire.WORK, body, lambda s, _, a=statuses: a.append(s))  # type: ignore[misc]
             world.run(3.0)
-            assert set(answers) == {503}
+            assert set(statuses) == {503}
     world.run(8.0)
     world.submit(world.specs["j-000200"], run_time=3.0)
     assert world.until(lambda: "j-000200" in world.accepted, 20)
@@ -70,27 +70,27 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_leadership_passes_both_ways_and_neither_version_loses_anything(seed: int) -> None:
-    # At whatever moment the leader ends, one of the other version may read what it wrote: pages of
-    # either size, and a snapshot that a cleaning had begun.
-    # The first two take over from each other; one of them is old.
+def test_leadership_passes_in_both_directions_between_versions_without_loss(seed: int) -> None:
+    # Whenever the leader crashes, a controller of the other version may have to read what it wrote:
+    # pages of either size, or a snapshot that a compaction had started.
+    # The first two controllers take over from each other; one of them has the production version.
     world = serving(seed, upgraded=NODES[:1] if seed % 2 else NODES[::2])
-    work_goes_on(world)
-    passed: set[tuple[bool, bool]] = set()
+    submit_small_jobs(world)
+    handovers: set[tuple[bool, bool]] = set()
     old = leader_of(world)
     for turn in range(24):
         world.run(1.0 + 0.37 * (turn % 6) + 0.11 * seed)
         new = change_leader(world, back_after=0.5)
-        passed.add((old in world.upgraded, new in world.upgraded))
+        handovers.add((old in world.upgraded, new in world.upgraded))
         old = new
-        if {(True, False), (False, True)} <= passed:
+        if {(True, False), (False, True)} <= handovers:
             break
-    assert {(True, False), (False, True)} <= passed
+    assert {(True, False), (False, True)} <= handovers
     assert world.format == formats.FIRST
     ends_well(world)
 
 
-def test_a_controller_that_dies_before_its_turn_comes_back_old_and_holds_the_format_back() -> None:
+def test_controller_that_restarts_before_its_upgrade_delays_the_format() -> None:
     world = serving()
     world.upgrade(NODES[0])
     world.upgrade(NODES[1])
@@ -104,24 +104,24 @@
     ends_well(world)
 
 
-def test_a_member_that_is_cut_off_during_the_roll_is_waited_for() -> None:
+def test_format_waits_for_a_controller_that_is_cut_off_during_the_upgrade() -> None:
     world = serving()
-    far = next(name for name in NODES if name != world.leader())
-    others = [world.ip(name) for name in NODES if name != far]
-    world.cut(world.ip(far), [*others, "10.2.0.1"], 30.0)
+    isolated = next(name for name in NODES if name != world.leader())
+    others = [world.ip(name) for name in NODES if name != isolated]
+    world.cut(world.ip(isolated), [*others, "10.2.0.1"], 30.0)
     for name in NODES:
-        if name != far:
+        if name != isolated:
             world.upgrade(name)
             world.run(6.0)
-    world.upgrade(far)
+    world.upgrade(isolated)
     world.run(8.0)
     assert world.format == formats.FIRST
     assert world.until(lambda: world.format == formats.GANGS, 30.0)
     ends_well(world)
 
 
-def test_a_member_that_is_down_is_not_waited_for_once_it_was_heard() -> None:
-    # The evidence outlives the leader that heard it: the next one reads it at the state service.
+def test_format_does_not_wait_for_a_down_controller_that_has_announced_its_version() -> None:
+    # A new leader must not lose what its predecessor heard: it reads it from the state service.
     world = serving(upgraded=NODES[:2])
     world.upgraded.add(NODES[2])
     while leader_of(world) not in NODES[:2]:
@@ -130,7 +130,7 @@
     world.run(3.0)
     assert world.format == formats.FIRST
     world.start(NODES[2])
-    # Heard, and down before anything but that was done about it.
+    # Its heartbeat is recorded, and it crashes before the leader acts on it any further.
     assert world.until(lambda: NODES[2] in world.state.rows["formats"][0]["newest"], 10.0)
     world.crash(NODES[2])
     for name in NODES[:2]:
@@ -138,7 +138,7 @@
     assert world.until(lambda: world.format == formats.GANGS, 30.0)
 
 
-def test_the_raise_is_carried_out_and_its_answer_is_lost() -> None:
+def test_format_raise_whose_reply_is_lost() -> None:
     world = serving(upgraded=NODES[:2])
     world.upgrade(NODES[2], back_after=2.0)
     world.lose_writes(0.7, 12.0, at_once=True)
@@ -149,10 +149,10 @@
     assert world.ask("j-000200")[1]["stage"] == wire.DONE
 
 
-def test_late_transactions_of_production_after_the_raise_change_nothing() -> None:
+def test_late_transactions_of_the_production_version_after_the_raise_have_no_effect() -> None:
     world = serving()
     world.lose_writes(0.5, 20.0)
-    work_goes_on(world)
+    submit_small_jobs(world)
     world.roll(every=5.0)
     world.run(20.0)
     assert world.state.late
@@ -160,22 +160,23 @@
     ends_well(world)
 
 
-@pytest.mark.parametrize("when", ["quiet", "takeover", "lost_answers", "team_at_limit"])
-def test_the_limits_fall_without_notice(when: str) -> None:
-    # Production repeated a page that was too large for ever: nothing was accepted or told any more.
+@pytest.mark.parametrize("situation", ["quiet", "takeover", "lost_answers", "team_at_limit"])
+def test_limits_are_lowered_without_notice(situation: str) -> None:
+    # The version in production retried an oversized page indefinitely, so that no job was accepted
+    # or reported any more.
     world = serving()
-    work_goes_on(world)
+    submit_small_jobs(world)
     world.roll(every=6.0)
-    if when == "lost_answers":
+    if situation == "lost_answers":
         world.lose_writes(0.5, 10.0)
-    if when == "team_at_limit":
+    if situation == "team_at_limit":
         for number in range(12):
             world.submit(batch(f"j-{300 + number:06d}", 8), run_time=60.0, node=number)
         world.run(3.0)
         for number in range(12):
             world.cancel(f"j-{300 + number:06d}", number)
     world.lower_limits()
-    if when == "takeover":
+    if situation == "takeover":
         change_leader(world)
     world.submit(gang("j-000200", 6), run_time=5.0)
     ends_well(world)
@@ -183,7 +184,7 @@
     assert not world.state.over_limit
 
 
-def test_limits_that_fall_unannounced_end_a_term_and_nothing_else() -> None:
+def test_unannounced_lower_limits_end_a_term_but_affect_no_task() -> None:
     world = SimulatedCluster()
     world.state.enforce(8192, 32)
     for number in range(12):
@@ -195,13 +196,15 @@
         world.submit(batch(f"j-{200 + number:06d}", 4), run_time=5.0, node=number)
     world.run(40.0)
     assert world.state.over_limit
-    assert {task: where for task, where in world.running.items() if task < "j-000100"} == before
+    assert {task: machine for task, machine in world.running.items() if task < "j-000100"} == before
     ends_well(world)
     for number in range(30):
         assert world.ask(f"j-{200 + number:06d}")[1]["stage"] == wire.DONE
 
 
-def test_no_program_reads_a_ledger_of_a_newer_format(caplog: pytest.LogCaptureFixture) -> None:
+def test_controllers_refuse_to_lead_on_a_ledger_of_a_newer_format(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     world.run(20.0)
@@ -215,31 +218,31 @@
     assert world.leader() is None
     refusals = [entry for entry in caplog.records if "event=leadership_refused" in entry.message]
     assert 1 <= len(refusals) <= len(NODES)
-    # Workers are answered all the same, so their tasks stay.
+    # Workers still receive replies, so their tasks keep running.
     assert world.running == before
 
 
-def test_the_lower_limits_bound_what_is_written() -> None:
+def test_written_pages_respect_the_lower_limits() -> None:
     assert LOWER.value_bytes == 2048
     world = serving()
     world.roll(every=6.0)
-    largest = max(
+    largest_bytes = max(
         len(msgspec.json.encode(value))
         for key, (value, stamp, _) in world.state.rows.items()
         if key.startswith("p/") and stamp > world.state.revision - 40
     )
-    assert largest <= LOWER.value_bytes
+    assert largest_bytes <= LOWER.value_bytes
 
 
-def test_cleaning_ends_when_nothing_can_be_saved_by_it() -> None:
-    # Found on a drawn day at the lower limits: pages were cleaned over and over, 3,900 of them, and
-    # the state service had three times the usual changes. Here each page is half empty, since each
-    # job is written into one, so what pages hold is well above what they mean.
+def test_compaction_stops_when_it_cannot_save_space() -> None:
+    # Found by a random run at the lower limits: compaction never stopped: it rewrote 3,900 pages
+    # and tripled the changes at the state service. Here each job takes a page of its own and leaves
+    # it almost half empty, so the pages take up much more space than their content needs.
     world = SimulatedCluster(
         value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2e3)
     )
     for number in range(100):
-        # Long names: somewhat more than half a page each.
+        # With these long names each job takes somewhat more than half a page.
         job = spec(
             f"j-{number:06d}",
             tasks=14,
@@ -250,24 +253,26 @@
         )
         world.submit(job, node=number)
     for number in range(120):
-        # What they leave in the pages begins the cleaning.
+        # The obsolete records of these jobs trigger compaction.
         job = batch(f"j-{1000 + number:06d}", 12, image="img-1")
         world.after(30.0 + 0.3 * number, world.submit, job, 2.0, number)
     world.run(150.0)
     assert len(world.running) == 100 * 14
-    before = world.state.changes
+    changes_before = world.state.changes
     world.run(60.0)
-    assert world.state.changes - before < 60
+    assert world.state.changes - changes_before < 60
 
 
-@pytest.mark.parametrize("loses", [False, True])
-def test_a_gang_that_production_placed_task_by_task_ends_after_the_raise(loses: bool) -> None:
-    # Production took the word and replaced a lost task alone, under another attempt number: such
-    # tasks never meet. Their attempts are given up once the format is raised.
+@pytest.mark.parametrize("loses_machine", [False, True])
+def test_gang_that_production_placed_task_by_task_finishes_after_the_raise(
+    loses_machine: bool,
+) -> None:
+    # The version in production accepted gangs but replaced a lost task alone, with another attempt
+    # number: such tasks never rendezvous. Their attempts are abandoned once the format is raised.
     world = serving()
     world.submit(gang("j-000200", 3, cores=2.0), run_time=25.0)
     assert world.until(lambda: world.count("j-000200") == 3, 60)
-    if loses:
+    if loses_machine:
         world.cloud.take(world.machine_of("j-000200/0"))
         world.run(3.0)
     world.roll(every=6.0)
@@ -276,7 +281,7 @@
     assert world.ask("j-000200")[1]["stage"] == wire.DONE
 
 
-def test_the_state_service_refuses_the_leader_alone_during_the_raise() -> None:
+def test_state_service_refuses_only_the_leader_during_the_raise() -> None:
     world = serving(upgraded=NODES[:2])
     world.upgrade(NODES[2], back_after=1.0)
     world.run(1.0)
@@ -287,7 +292,7 @@
     assert world.ask("j-000200")[1]["stage"] == wire.DONE
 
 
-def test_what_was_told_before_the_roll_is_told_after_it() -> None:
+def test_reported_stages_stay_the_same_after_the_upgrade() -> None:
     world = serving()
     world.submit(batch("j-000300", 3), run_time=2.0)
     assert world.until(lambda: world.ask("j-000300")[1]["stage"] == wire.DONE, 60.0)
@@ -302,7 +307,7 @@
     world.run(3.0)
 
 
-def test_a_burst_of_submissions_at_the_lower_rate_forgets_none() -> None:
+def test_no_job_of_a_submission_burst_is_lost_at_the_lower_rate() -> None:
     world = serving(upgraded=NODES)
     world.lower_limits()
     for number in range(200):
@@ -313,23 +318,23 @@
     assert not world.state.over_limit
 
 
-def test_the_limits_fall_while_pages_are_cleaned() -> None:
-    # Pages of production are said anew in small ones, under a leader that is replaced meanwhile.
+def test_limits_are_lowered_during_compaction() -> None:
+    # Pages of the production version are rewritten as small ones while the leader is replaced.
     world = serving()
     for number in range(160):
         world.after(0.2 * number, world.submit, batch(f"j-{1000 + number:06d}", 6), 1.0, number)
     world.run(40.0)
     world.roll(every=5.0)
-    cleaning = [False]
+    compacting = [False]
 
-    def is_cleaning() -> bool:
+    def is_compacting() -> bool:
         leader = world.leader()
-        cleaning[0] = leader is not None and world.nodes[leader].ledger.is_compacting
-        return cleaning[0]
+        compacting[0] = leader is not None and world.nodes[leader].ledger.is_compacting
+        return compacting[0]
 
     for number in range(160):
         world.after(0.2 * number, world.submit, batch(f"j-{3000 + number:06d}", 6), 1.0, number)
-    assert world.until(is_cleaning, 60.0)
+    assert world.until(is_compacting, 60.0)
     world.lower_limits()
     change_leader(world)
     ends_well(world, 150.0)
