--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -18,6 +18,8 @@
 
 
 def test_overload_of_urgent_and_other_jobs_over_slow_links() -> None:
+    # More work than the fleet has capacity for, with cancellations that arrive while messages are
+    # delayed: jobs could be lost or wait after capacity becomes free.
     world = SimulatedCluster(capacity=1)
     world.slow_links(0.4, 60.0)
     for number in range(12):
@@ -79,6 +81,8 @@
 
 @pytest.mark.parametrize("fault", ["cut", "deaf"])
 def test_leader_crash_while_machines_with_long_tasks_are_unreachable(fault: str) -> None:
+    # The new leader has not heard from some machines yet: it must neither lose nor duplicate their
+    # tasks.
     world = busy(run_time=40.0)
     world.machine_trouble(fault, sorted(world.workers)[:2], 9.0)
     world.run(0.5)
@@ -159,6 +163,8 @@
 
 
 def test_tasks_of_a_job_finish_far_apart_across_leader_changes() -> None:
+    # A new leader could report a job as finished, or forget its finished task, while another task
+    # of the job still runs.
     world = busy(arrays=0)
     for number in range(6):
         world.submit(batch(f"j-{200 + number:06d}", 2 + number % 2), run_time=10.0, node=number)
@@ -179,6 +185,8 @@
 
 
 def test_cancellations_while_the_workers_of_a_crashed_follower_change_controllers() -> None:
+    # A cancellation could be lost when the workers that must stop the tasks move to another
+    # controller.
     world = busy(services=8, run_time=60.0)
     for turn in range(4):
         follower = next(name for name in NODES if name != leader_of(world))
@@ -191,6 +199,8 @@
 
 
 def test_commands_reach_workers_whose_heartbeats_are_lost() -> None:
+    # Half of the workers receive commands, but no controller receives their heartbeats: cancelled
+    # jobs must still be reported, across a leader change.
     world = busy(run_time=40.0)
     names = sorted(world.workers)
     world.machine_trouble("mute", names[: len(names) // 2], 25.0)
@@ -206,6 +216,7 @@
 
 
 def test_services_and_arrays_bound_to_one_zone_lose_machines() -> None:
+    # A replacement for a lost task must respect the job's zone, also after a leader crash.
     world = SimulatedCluster()
     for number, zone in enumerate("abab"):
         world.submit(spec(f"j-{number:06d}", tasks=2, zone=zone, spread=False), node=number)
@@ -242,6 +253,8 @@
 
 
 def test_all_controllers_are_down_for_longer_than_a_lease() -> None:
+    # Workers stop their tasks when their leases expire: restarted controllers must notice that and
+    # place the tasks again.
     world = busy(run_time=60.0)
     held = set(world.running)
     for name in NODES:
@@ -257,6 +270,8 @@
 
 
 def test_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() -> None:
+    # Tasks in the zone are replaced while their machines, with expired leases, are only cut off: no
+    # task may run twice.
     world = busy(services=6, run_time=60.0)
     heal = cut_zone(world, "b")
     for number in range(2):
@@ -314,6 +329,7 @@
 
 @pytest.mark.parametrize("seed", RANDOM_MIX_SEEDS)
 def test_random_mix_of_faults(seed: int) -> None:
+    # Looks for combinations of faults that no other test covers: twelve random faults per seed.
     rng = random.Random(seed)
     team = rng.choice([None, Team("crew", 0.0, 70.0, 0.0, 16.0)])
     world = busy(
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -35,6 +35,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_rolling_upgrade_moves_no_task_and_raises_the_format_at_its_end(seed: int) -> None:
+    # A format that is raised too early could not be read by a controller of the old version.
     world = serving(seed)
     before = {task: machine for task, machine in world.running.items() if task < "j-000100"}
     submit_small_jobs(world)
@@ -51,6 +52,7 @@
 
 
 def test_gang_gets_503_until_every_controller_supports_gangs() -> None:
+    # A controller of the old version that became leader would place a gang task by task.
     world = serving()
     for name in NODES:
         world.upgrade(name)
@@ -91,6 +93,7 @@
 
 
 def test_controller_that_restarts_before_its_upgrade_delays_the_format() -> None:
+    # The format must not be raised while a controller of the old version may return.
     world = serving()
     world.upgrade(NODES[0])
     world.upgrade(NODES[1])
@@ -105,6 +108,7 @@
 
 
 def test_format_waits_for_a_controller_that_is_cut_off_during_the_upgrade() -> None:
+    # A controller that is cut off could still have the old version, unable to read a newer format.
     world = serving()
     isolated = next(name for name in NODES if name != world.leader())
     others = [world.ip(name) for name in NODES if name != isolated]
@@ -139,6 +143,7 @@
 
 
 def test_format_raise_whose_reply_is_lost() -> None:
+    # The transaction that raises the format may be applied although its reply never arrives.
     world = serving(upgraded=NODES[:2])
     world.upgrade(NODES[2], back_after=2.0)
     world.lose_writes(0.7, 12.0, at_once=True)
@@ -150,6 +155,7 @@
 
 
 def test_late_transactions_of_the_production_version_after_the_raise_have_no_effect() -> None:
+    # A delayed write of an old leader could otherwise overwrite records of the new format.
     world = serving()
     world.lose_writes(0.5, 20.0)
     submit_small_jobs(world)
@@ -185,6 +191,7 @@
 
 
 def test_unannounced_lower_limits_end_a_term_but_affect_no_task() -> None:
+    # The leader's first oversized transaction is refused; its successor must write smaller ones.
     world = SimulatedCluster()
     world.state.enforce(8192, 32)
     for number in range(12):
@@ -205,6 +212,7 @@
 def test_controllers_refuse_to_lead_on_a_ledger_of_a_newer_format(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # A program that replayed records of an unknown format could misread them and stop tasks.
     world = SimulatedCluster()
     world.submit(spec("j-000001", tasks=2))
     world.run(20.0)
@@ -223,6 +231,7 @@
 
 
 def test_written_pages_respect_the_lower_limits() -> None:
+    # Pages that exceed the announced limits would be refused once the state service enforces them.
     assert LOWER.value_bytes == 2048
     world = serving()
     world.roll(every=6.0)
@@ -282,6 +291,7 @@
 
 
 def test_state_service_refuses_only_the_leader_during_the_raise() -> None:
+    # If only the leader is refused, leadership must pass on and the format must still be raised.
     world = serving(upgraded=NODES[:2])
     world.upgrade(NODES[2], back_after=1.0)
     world.run(1.0)
@@ -293,6 +303,7 @@
 
 
 def test_reported_stages_stay_the_same_after_the_upgrade() -> None:
+    # A new version that read the old ledger differently would contradict earlier replies.
     world = serving()
     world.submit(batch("j-000300", 3), run_time=2.0)
     assert world.until(lambda: world.ask("j-000300")[1]["stage"] == wire.DONE, 60.0)
@@ -308,6 +319,7 @@
 
 
 def test_no_job_of_a_submission_burst_is_lost_at_the_lower_rate() -> None:
+    # At the lower rate writes queue up: an accepted job could be dropped or never be reported.
     world = serving(upgraded=NODES)
     world.lower_limits()
     for number in range(200):
