--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -1,7 +1,7 @@
-"""Combinations of faults: each case of `docs/fault_combinations.md`, brought about and seen.
+"""Tests each combination of faults that `docs/fault_combinations.md` lists.
 
-The rules (`flaxtally/emulator/rules.py`) are checked in every world, all along and once the
-troubles are over.
+The rules (`flaxtally/emulator/rules.py`) are checked in every simulated cluster, throughout the run
+and once the faults are over.
 """
 
 from __future__ import annotations
@@ -24,7 +24,9 @@
 from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
 
 
-def test_more_work_than_room_urgent_and_not_over_slow_links() -> None:
+def test_overload_of_urgent_and_other_jobs_over_slow_links() -> None:
+    # More work than the fleet has capacity for, with cancellations that arrive while messages are
+    # delayed: jobs could be lost or wait after capacity becomes free.
     cluster = SimulatedCluster(capacity=1)
     cluster.slow_down_links(0.4, 60.0)
     for number in range(12):
@@ -44,8 +46,9 @@
     check_final_state(cluster, 200)
 
 
-def test_a_cancellation_a_question_or_a_repeat_meets_the_end_of_the_last_task() -> None:
-    # Cancelled and ending at once: one answer, at all nodes and ever after, takeovers included.
+def test_cancellations_queries_and_repeats_coincide_with_the_end_of_the_last_task() -> None:
+    # A job that is cancelled while its last task ends could be reported as done by one controller
+    # and as aborted by another, or differently after a takeover. Every reply must be the same.
     cluster = start_busy_cluster(arrays=0)
     for number in range(24):
         ref = f"j-{300 + number:06d}"
@@ -59,24 +62,24 @@
         if number % 8 == 7:
             cluster.after(0.005 * (number // 8), cluster.crash, wait_for_leader(cluster), 1.0)
         cluster.run(2)
-    told = {job.told for job in cluster.rules.jobs.values()}
-    assert {wire.DONE, wire.ABORTED} <= told
+    reported = {job.told for job in cluster.rules.jobs.values()}
+    assert {wire.DONE, wire.ABORTED} <= reported
     check_final_state(cluster, 20)
 
 
-@pytest.mark.parametrize("what", ["hung", "deaf", "mute", "cut"])
-def test_a_team_at_its_limit_a_new_leader_and_cancellations_on_machines_that_cannot_be_asked(
-    what: str,
+@pytest.mark.parametrize("fault", ["hung", "deaf", "mute", "cut"])
+def test_team_at_its_limit_with_a_new_leader_and_cancellations_on_unreachable_machines(
+    fault: str,
 ) -> None:
-    # Cancelled tasks count until they are proven over, for a new leader too; then waiting jobs move
-    # at once.
+    # Cancelled tasks count against the quota until they are known to have stopped, also for a new
+    # leader; from then on waiting jobs must be placed at once.
     cluster = start_busy_cluster(
         team=Team("crew", 0.0, 37.0, 0.0, 8.0), services=3, arrays=2, run_time=120.0
     )
     for number in range(200, 203):
         cluster.submit(batch(f"j-{number:06d}", 2), run_time=10.0, node=number)
-    there = sorted({cluster.find_machine("j-000100/0"), cluster.find_machine("j-000000/0")})
-    cluster.inject_machine_fault(what, there, 14.0)
+    machines = sorted({cluster.find_machine("j-000100/0"), cluster.find_machine("j-000000/0")})
+    cluster.inject_machine_fault(fault, machines, 14.0)
     cluster.after(1.0, cluster.crash, wait_for_leader(cluster), 3.0)
     for number, ref in enumerate(["j-000100", "j-000101", "j-000000"]):
         cluster.after(0.5 + number, cluster.cancel, ref, number)
@@ -88,38 +91,44 @@
     check_final_state(cluster)
 
 
-@pytest.mark.parametrize("what", ["cut", "deaf"])
-def test_the_leader_ends_while_machines_with_long_tasks_cannot_be_reached(what: str) -> None:
+@pytest.mark.parametrize("fault", ["cut", "deaf"])
+def test_leader_crash_while_machines_with_long_tasks_are_unreachable(fault: str) -> None:
+    # The new leader has not heard from some machines yet: it must neither lose nor duplicate their
+    # tasks.
     cluster = start_busy_cluster(run_time=40.0)
-    cluster.inject_machine_fault(what, sorted(cluster.workers)[:2], 9.0)
+    cluster.inject_machine_fault(fault, sorted(cluster.workers)[:2], 9.0)
     cluster.run(0.5)
     change_leader(cluster)
     cluster.run(8)
     check_final_state(cluster)
 
 
-def test_an_isolated_leader_keeps_its_workers_and_tells_and_starts_nothing() -> None:
-    # Cut from the state service and its peers, while workers and users reach it; jobs are cancelled
-    # through the next.
+def test_isolated_leader_keeps_its_workers_but_reports_and_starts_nothing() -> None:
+    # A leader that is cut off from the state service and its peers, but not from workers and users,
+    # could report or start jobs that its successor has cancelled.
     cluster = start_busy_cluster(services=8, run_time=100.0)
-    old = wait_for_leader(cluster)
-    served = [name for name, worker in cluster.workers.items() if worker._controller == old]
-    cluster.isolate(old, 30.0)
-    assert cluster.run_until(lambda: wait_for_leader(cluster) != old, 15)
+    old_leader = wait_for_leader(cluster)
+    served = [name for name, worker in cluster.workers.items() if worker._controller == old_leader]
+    cluster.isolate(old_leader, 30.0)
+    assert cluster.run_until(lambda: wait_for_leader(cluster) != old_leader, 15)
     cluster.run(1)
-    others = [NODES.index(name) for name in NODES if name != old]
+    others = [NODES.index(name) for name in NODES if name != old_leader]
     cluster.submit(batch("j-000400", 3), run_time=5.0, node=others[0])
     for number in range(4):
         cluster.cancel(f"j-{number:06d}", others[number % 2])
-    answers: list[int] = []
+    statuses: list[int] = []
     cluster.call(
-        old, "POST", f"{wire.JOBS}/j-000005/cancel", None, lambda status, _: answers.append(status)
+        old_leader,
+        "POST",
+        f"{wire.JOBS}/j-000005/cancel",
+        None,
+        lambda status, _: statuses.append(status),
     )
     for ref in list(cluster.specs):
         cluster.poll_repeatedly(ref)
     cluster.run(20)
     assert served
-    assert answers == [503]
+    assert statuses == [503]
     assert len(cluster.reported_cancelled_at) == 4, cluster.trace
     token = cluster.nodes[wait_for_leader(cluster)].election.term
     assert all(cluster.workers[name].token == token for name in served if name in cluster.workers)
@@ -128,49 +137,53 @@
     check_final_state(cluster)
 
 
-@pytest.mark.parametrize("company", [False, True])
-def test_an_isolated_leader_returns_no_machine_that_its_successor_uses(company: bool) -> None:
-    # Found on a drawn day: cut from the state service and its peers, the old leader gave back
-    # machines that were idle or silent to it, and with them the tasks that the next leader had
-    # placed there.
+@pytest.mark.parametrize("with_another_controller", [False, True])
+def test_isolated_leader_terminates_no_machine_that_its_successor_uses(
+    with_another_controller: bool,
+) -> None:
+    # Found by a random run: a leader cut off from the state service and its peers terminated
+    # machines that it saw as idle or without heartbeats, and with them the tasks that the next
+    # leader had placed there.
     cluster = start_busy_cluster(services=2, arrays=0)
     spare = [cluster.cloud.add("c16", zone, False, boot=0.5) for zone in "ab"]
     assert cluster.run_until(lambda: all(name in cluster.workers for name in spare), 10)
     cluster.run(4)
-    old = wait_for_leader(cluster)
-    fellow, other = (number for number, name in enumerate(NODES) if name != old)
-    if company:
-        # Cut off together with another controller, as a zone is.
-        for name in (old, NODES[fellow]):
+    old_leader = wait_for_leader(cluster)
+    other_isolated, other = (number for number, name in enumerate(NODES) if name != old_leader)
+    if with_another_controller:
+        # Cut off together with another controller, as when a zone is cut off.
+        for name in (old_leader, NODES[other_isolated]):
             cluster.cut(cluster.ip(name), [STATE[0], cluster.ip(NODES[other])], 60.0)
     else:
-        cluster.isolate(old, 60.0)
+        cluster.isolate(old_leader, 60.0)
     for name in spare:
-        cluster.sim.cut(cluster.ip(old), cluster.get_machine_ip(name))
-    assert cluster.run_until(lambda: wait_for_leader(cluster) != old, 30)
+        cluster.sim.cut(cluster.ip(old_leader), cluster.get_machine_ip(name))
+    assert cluster.run_until(lambda: wait_for_leader(cluster) != old_leader, 30)
     cluster.run(2)
     refs = [f"j-{400 + number:06d}" for number in range(6)]
     for ref in refs:
         cluster.submit(spec(ref, tasks=2, cores=4.0), node=other)
     assert cluster.run_until(lambda: all(cluster.count(ref) == 2 for ref in refs), 40)
     assert set(spare) & {machine for machine, _ in cluster.running.values()}
-    before = dict(cluster.running)
+    running_before = dict(cluster.running)
     cluster.run(45)
-    assert cluster.nodes[old].election.is_leader
-    assert cluster.running == before, cluster.trace[-20:]
+    assert cluster.nodes[old_leader].election.is_leader
+    assert cluster.running == running_before, cluster.trace[-20:]
     for name in spare:
-        cluster.sim.heal(cluster.ip(old), cluster.get_machine_ip(name))
+        cluster.sim.heal(cluster.ip(old_leader), cluster.get_machine_ip(name))
     check_final_state(cluster, 40)
 
 
-def test_jobs_of_a_few_tasks_end_far_apart_across_a_change_of_leader() -> None:
+def test_tasks_of_a_job_finish_far_apart_across_leader_changes() -> None:
+    # A new leader could report a job as finished, or forget its finished task, while another task
+    # of the job still runs.
     cluster = start_busy_cluster(arrays=0)
     for number in range(6):
         cluster.submit(batch(f"j-{200 + number:06d}", 2 + number % 2), run_time=10.0, node=number)
-    second = [f"j-{200 + number:06d}/1" for number in range(6)]
-    assert cluster.run_until(lambda: all(task in cluster.running for task in second), 60)
-    for task in second:
-        # Each job's second task is found to take much longer than its first.
+    second_tasks = [f"j-{200 + number:06d}/1" for number in range(6)]
+    assert cluster.run_until(lambda: all(task in cluster.running for task in second_tasks), 60)
+    for task in second_tasks:
+        # Each job's second task takes much longer than its first.
         held = cluster.workers[cluster.find_machine(task)].tasks[task, 1]
         assert held.timer is not None
         held.timer.cancel()
@@ -185,7 +198,9 @@
     check_final_state(cluster)
 
 
-def test_jobs_are_cancelled_while_one_controllers_work_changes_hands() -> None:
+def test_cancellations_while_the_workers_of_a_crashed_follower_change_controllers() -> None:
+    # A cancellation could be lost when the workers that must stop the tasks move to another
+    # controller.
     cluster = start_busy_cluster(services=8, run_time=60.0)
     for turn in range(4):
         follower = next(name for name in NODES if name != wait_for_leader(cluster))
@@ -197,7 +212,9 @@
     check_final_state(cluster)
 
 
-def test_workers_reach_no_controller_while_direct_commands_reach_them() -> None:
+def test_commands_reach_workers_whose_heartbeats_are_lost() -> None:
+    # Half of the workers receive commands, but no controller receives their heartbeats: cancelled
+    # jobs must still be reported, across a leader change.
     cluster = start_busy_cluster(run_time=40.0)
     names = sorted(cluster.workers)
     cluster.inject_machine_fault("mute", names[: len(names) // 2], 25.0)
@@ -212,7 +229,8 @@
     check_final_state(cluster)
 
 
-def test_jobs_bound_to_one_zone_lose_machines_arrays_too() -> None:
+def test_services_and_arrays_bound_to_one_zone_lose_machines() -> None:
+    # A replacement for a lost task must respect the job's zone, also after a leader crash.
     cluster = SimulatedCluster()
     for number, zone in enumerate("abab"):
         cluster.submit(spec(f"j-{number:06d}", tasks=2, zone=zone, spread=False), node=number)
@@ -229,9 +247,9 @@
     check_final_state(cluster)
 
 
-def test_controllers_hand_over_and_back_all_end_and_one_returns_within_a_second() -> None:
-    # Found by reading: numbers of questions and orders began at 1 in every life of a process, and
-    # an answer to the former life was taken for one to the new.
+def test_all_controllers_crash_and_one_restarts_within_a_second() -> None:
+    # Found in review: request and command numbers started at 1 in each process, so a restarted
+    # controller accepted a reply to its previous process as a reply to a request of its own.
     cluster = start_busy_cluster(run_time=60.0)
     submit_steady_load(cluster, 40.0)
     for _ in range(4):
@@ -248,7 +266,9 @@
     check_final_state(cluster)
 
 
-def test_all_controllers_are_away_for_longer_than_a_lease() -> None:
+def test_all_controllers_are_down_for_longer_than_a_lease() -> None:
+    # Workers stop their tasks when their leases expire: restarted controllers must notice that and
+    # place the tasks again.
     cluster = start_busy_cluster(run_time=60.0)
     held = set(cluster.running)
     for name in NODES:
@@ -263,7 +283,9 @@
     check_final_state(cluster)
 
 
-def test_a_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() -> None:
+def test_zone_with_workers_and_a_controller_is_cut_off_for_longer_than_a_lease() -> None:
+    # Tasks in the zone are replaced while their machines, with expired leases, are only cut off: no
+    # task may run twice.
     cluster = start_busy_cluster(services=6, run_time=60.0)
     heal = cut_zone(cluster, "b")
     for number in range(2):
@@ -274,9 +296,11 @@
 
 
 @pytest.mark.parametrize("kind", [wire.SERVICE, wire.ARRAY])
-def test_no_job_waits_beside_room_that_is_kept_for_others(kind: str) -> None:
-    # Found by reading: where no machine without GPUs is to be had, tasks without GPUs waited for
-    # ever beside the cores that are kept for GPU tasks.
+def test_jobs_without_gpus_use_cores_reserved_for_gpu_tasks_when_nothing_else_is_available(
+    kind: str,
+) -> None:
+    # Found in review: when no machine without GPUs could be provisioned, tasks without GPUs waited
+    # indefinitely although the cores reserved for GPU tasks were free.
     cluster = SimulatedCluster(3, capacity=1)
     for pool in list(cluster.cloud._capacity):
         if pool[0] == "c16":
@@ -298,8 +322,9 @@
     cluster.run_without_faults(150)
 
 
-def test_the_largest_jobs_begin_well_within_four_minutes_of_too_much_work() -> None:
-    # Left out for being large while small ones can be in time, a job must begin all the same.
+def test_largest_job_starts_within_four_minutes_of_overload() -> None:
+    # A large job that is passed over while small jobs can still meet their deadlines must start
+    # eventually.
     cluster = SimulatedCluster(capacity=1, objectives=(Objective("finished", "batch", 40.0, 1.0),))
     for number in range(280):
         cluster.after(
@@ -313,11 +338,12 @@
     assert cluster.run_until(lambda: cluster.count("j-900000") > 0, 120), cluster.trace[-40:]
 
 
-MIXES = range(1, 7)
+RANDOM_MIX_SEEDS = range(1, 7)
 
 
-@pytest.mark.parametrize("seed", MIXES)
-def test_a_random_mix_of_troubles(seed: int) -> None:
+@pytest.mark.parametrize("seed", RANDOM_MIX_SEEDS)
+def test_random_mix_of_faults(seed: int) -> None:
+    # Looks for combinations of faults that no other test covers: twelve random faults per seed.
     rng = random.Random(seed)
     team = rng.choice([None, Team("crew", 0.0, 70.0, 0.0, 16.0)])
     cluster = start_busy_cluster(
@@ -326,64 +352,66 @@
     cluster.cloud.list_lag_s, cluster.cloud.boot = rng.choice([0.0, 3.0]), rng.choice([None, 1.0])
     submit_steady_load(cluster, 60.0, every=0.6)
     for _ in range(12):
-        mixed(cluster, rng)
+        inject_random_fault(cluster, rng)
         cluster.run(rng.uniform(0.5, 9.0))
     cluster.run(20)
     check_final_state(cluster, 150)
 
 
-def mixed(cluster: SimulatedCluster, rng: random.Random) -> None:
-    """One trouble, drawn; those before it may still last."""
+def inject_random_fault(cluster: SimulatedCluster, rng: random.Random) -> None:
+    """Inject one fault, chosen at random; earlier faults may still be active."""
     leader = cluster.leader() or NODES[0]
     machines = sorted(cluster.workers)
-    some = rng.sample(machines, min(len(machines), 2))
-    for_s = rng.uniform(3.0, 16.0)
+    chosen_machines = rng.sample(machines, min(len(machines), 2))
+    duration_s = rng.uniform(3.0, 16.0)
     ip = cluster.ip(leader)
-    drawn = rng.randrange(22)
-    if drawn == 0:
-        cluster.refuse(leader, for_s)
-    elif drawn == 1:
-        cluster.start_state_outage(for_s)
-    elif drawn in (2, 3):
-        cluster.lose_writes(0.3, for_s, at_once=drawn == 3)
-    elif drawn == 4:
-        cluster.slow_down_state_service(0.5, for_s)
-    elif drawn in (5, 6):
-        cluster.duplicate_heartbeats(0.5, for_s, deliver_in_next_term=drawn == 6)
-    elif drawn in (7, 8, 9):
-        cluster.inject_machine_fault(("hung", "deaf", "mute")[drawn - 7], some, for_s)
-    elif drawn == 10 and cluster.sim.hosts[ip].alive:
+    choice = rng.randrange(22)
+    if choice == 0:
+        cluster.refuse(leader, duration_s)
+    elif choice == 1:
+        cluster.start_state_outage(duration_s)
+    elif choice in (2, 3):
+        cluster.lose_writes(0.3, duration_s, at_once=choice == 3)
+    elif choice == 4:
+        cluster.slow_down_state_service(0.5, duration_s)
+    elif choice in (5, 6):
+        cluster.duplicate_heartbeats(0.5, duration_s, deliver_in_next_term=choice == 6)
+    elif choice in (7, 8, 9):
+        cluster.inject_machine_fault(
+            ("hung", "deaf", "mute")[choice - 7], chosen_machines, duration_s
+        )
+    elif choice == 10 and cluster.sim.hosts[ip].alive:
         cluster.crash(leader, back_after=rng.choice([0.3, 3.0]))
-    elif drawn == 11:
-        cluster.isolate(leader, for_s)
-    elif drawn == 12:
+    elif choice == 11:
+        cluster.isolate(leader, duration_s)
+    elif choice == 12:
         heal = cut_zone(cluster, rng.choice("ab"))
-        cluster.after(for_s, heal)
-    elif drawn == 13:
+        cluster.after(duration_s, heal)
+    elif choice == 13:
         cluster.cloud.down = True
-        cluster.after(for_s, setattr, cluster.cloud, "down", False)
-    elif drawn == 14:
-        for name in some:
+        cluster.after(duration_s, setattr, cluster.cloud, "down", False)
+    elif choice == 14:
+        for name in chosen_machines:
             cluster.cloud.remove_machine(name)
-    elif drawn == 15:
-        cluster.slow_down_links(0.3, for_s)
-    elif drawn in (16, 17):
+    elif choice == 15:
+        cluster.slow_down_links(0.3, duration_s)
+    elif choice in (16, 17):
         for ref in rng.sample(sorted(cluster.accepted), min(8, len(cluster.accepted))):
             cluster.poll_repeatedly(ref)
-            if drawn == 17:
+            if choice == 17:
                 cluster.cancel(ref, rng.randrange(3))
                 cluster.after(rng.uniform(0.0, 0.2), cluster.poll_repeatedly, ref)
-    elif drawn == 18:
+    elif choice == 18:
         for name in NODES:
             if cluster.sim.hosts[cluster.ip(name)].alive:
                 cluster.crash(name, back_after=rng.choice([0.3, 3.0, 12.0]))
-    elif drawn == 19:
-        cluster.faulty_machines |= set(some)
-        cluster.after(for_s, cluster.faulty_machines.clear)
-    elif drawn == 20:
+    elif choice == 19:
+        cluster.faulty_machines |= set(chosen_machines)
+        cluster.after(duration_s, cluster.faulty_machines.clear)
+    elif choice == 20:
         ref = f"j-{8000 + len(cluster.broken):06d}"
         cluster.broken.add(ref)
         cluster.submit(batch(ref, 3), run_time=5.0)
-        cluster.after(for_s, cluster.cancel, ref)
+        cluster.after(duration_s, cluster.cancel, ref)
     else:
-        cluster.inject_machine_fault("cut", some, for_s)
+        cluster.inject_machine_fault("cut", chosen_machines, duration_s)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""A rolling upgrade from the version in production, and a state service that lowers its limits."""
+"""Rolling upgrades from the version in production, and lowered limits of the state service."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def start_serving_cluster(seed: int = 1, upgraded: tuple[str, ...] = ()) -> UpgradingCluster:
-    """A world with services and arrays that run."""
+    """Start a cluster and wait until its services and arrays run."""
     cluster = UpgradingCluster(seed, upgraded)
     for number in range(4):
         cluster.submit(spec(f"j-{number:06d}", tasks=2), node=number)
@@ -24,8 +24,8 @@
     return cluster
 
 
-def work_goes_on(cluster: UpgradingCluster) -> None:
-    """Small jobs for as long as the test plays, some of them cancelled."""
+def submit_small_jobs(cluster: UpgradingCluster) -> None:
+    """Submit small jobs throughout the test and cancel some of them."""
     for number in range(40):
         ref = f"j-{5000 + number:06d}"
         cluster.after(1.3 * number, cluster.submit, batch(ref, 2), 4.0, number)
@@ -34,15 +34,16 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_a_roll_keeps_every_task_in_place_and_raises_the_format_at_its_end(seed: int) -> None:
+def test_rolling_upgrade_moves_no_task_and_raises_the_format_at_its_end(seed: int) -> None:
+    # A format that is raised too early could not be read by a controller of the old version.
     cluster = start_serving_cluster(seed)
-    before = {task: where for task, where in cluster.running.items() if task < "j-000100"}
-    work_goes_on(cluster)
+    before = {task: machine for task, machine in cluster.running.items() if task < "j-000100"}
+    submit_small_jobs(cluster)
     for number, name in enumerate(NODES):
         cluster.upgrade(name)
         cluster.run(8.0)
         assert cluster.format == (formats.GANGS if number == len(NODES) - 1 else formats.FIRST)
-    after = {task: where for task, where in cluster.running.items() if task < "j-000100"}
+    after = {task: machine for task, machine in cluster.running.items() if task < "j-000100"}
     assert after == before
     cluster.submit(gang("j-000200", 4), run_time=3.0)
     check_final_state(cluster)
@@ -50,19 +51,20 @@
     assert not cluster.state.oversized_transactions
 
 
-def test_a_gang_is_answered_503_until_every_controller_knows_gangs() -> None:
+def test_gang_gets_503_until_every_controller_supports_gangs() -> None:
+    # A controller of the old version that became leader would place a gang task by task.
     cluster = start_serving_cluster()
     for name in NODES:
         cluster.upgrade(name)
-        answers: list[int] = []
+        statuses: list[int] = []
         if len(cluster.upgraded) < len(NODES):
             cluster.run(6.0)
             cluster.specs["j-000200"] = gang("j-000200", 2)
             for node in cluster.upgraded:
                 body = wire.build_submission(cluster.specs["j-000200"])
-                cluster.call(node, "POST", wire.JOBS, body, lambda s, _, a=answers: a.append(s))  # type: ignore[misc]
+                cluster.call(node, "POST", wire.JOBS, body, lambda s, _, a=statuses: a.append(s))  # type: ignore[misc]
             cluster.run(3.0)
-            assert set(answers) == {503}
+            assert set(statuses) == {503}
     cluster.run(8.0)
     cluster.submit(cluster.specs["j-000200"], run_time=3.0)
     assert cluster.run_until(lambda: "j-000200" in cluster.accepted, 20)
@@ -70,27 +72,28 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_leadership_passes_both_ways_and_neither_version_loses_anything(seed: int) -> None:
-    # At whatever moment the leader ends, one of the other version may read what it wrote: pages of
-    # either size, and a snapshot that a cleaning had begun.
-    # The first two take over from each other; one of them is old.
+def test_leadership_passes_in_both_directions_between_versions_without_loss(seed: int) -> None:
+    # Whenever the leader crashes, a controller of the other version may have to read what it wrote:
+    # pages of either size, or a snapshot that a compaction had started.
+    # The first two controllers take over from each other; one of them has the production version.
     cluster = start_serving_cluster(seed, upgraded=NODES[:1] if seed % 2 else NODES[::2])
-    work_goes_on(cluster)
-    passed: set[tuple[bool, bool]] = set()
+    submit_small_jobs(cluster)
+    handovers: set[tuple[bool, bool]] = set()
     old = wait_for_leader(cluster)
     for turn in range(24):
         cluster.run(1.0 + 0.37 * (turn % 6) + 0.11 * seed)
         new = change_leader(cluster, back_after=0.5)
-        passed.add((old in cluster.upgraded, new in cluster.upgraded))
+        handovers.add((old in cluster.upgraded, new in cluster.upgraded))
         old = new
-        if {(True, False), (False, True)} <= passed:
+        if {(True, False), (False, True)} <= handovers:
             break
-    assert {(True, False), (False, True)} <= passed
+    assert {(True, False), (False, True)} <= handovers
     assert cluster.format == formats.FIRST
     check_final_state(cluster)
 
 
-def test_a_controller_that_dies_before_its_turn_comes_back_old_and_holds_the_format_back() -> None:
+def test_controller_that_restarts_before_its_upgrade_delays_the_format() -> None:
+    # The format must not be raised while a controller of the old version may return.
     cluster = start_serving_cluster()
     cluster.upgrade(NODES[0])
     cluster.upgrade(NODES[1])
@@ -104,24 +107,25 @@
     check_final_state(cluster)
 
 
-def test_a_member_that_is_cut_off_during_the_roll_is_waited_for() -> None:
+def test_format_waits_for_a_controller_that_is_cut_off_during_the_upgrade() -> None:
+    # A controller that is cut off could still have the old version, unable to read a newer format.
     cluster = start_serving_cluster()
-    far = next(name for name in NODES if name != cluster.leader())
-    others = [cluster.ip(name) for name in NODES if name != far]
-    cluster.cut(cluster.ip(far), [*others, "10.2.0.1"], 30.0)
+    isolated = next(name for name in NODES if name != cluster.leader())
+    others = [cluster.ip(name) for name in NODES if name != isolated]
+    cluster.cut(cluster.ip(isolated), [*others, "10.2.0.1"], 30.0)
     for name in NODES:
-        if name != far:
+        if name != isolated:
             cluster.upgrade(name)
             cluster.run(6.0)
-    cluster.upgrade(far)
+    cluster.upgrade(isolated)
     cluster.run(8.0)
     assert cluster.format == formats.FIRST
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 30.0)
     check_final_state(cluster)
 
 
-def test_a_member_that_is_down_is_not_waited_for_once_it_was_heard() -> None:
-    # The evidence outlives the leader that heard it: the next one reads it at the state service.
+def test_format_does_not_wait_for_a_down_controller_that_has_announced_its_version() -> None:
+    # A new leader must not lose what its predecessor heard: it reads it from the state service.
     cluster = start_serving_cluster(upgraded=NODES[:2])
     cluster.upgraded.add(NODES[2])
     while wait_for_leader(cluster) not in NODES[:2]:
@@ -130,7 +134,7 @@
     cluster.run(3.0)
     assert cluster.format == formats.FIRST
     cluster.start(NODES[2])
-    # Heard, and down before anything but that was done about it.
+    # Its heartbeat is recorded, and it crashes before the leader acts on it any further.
     assert cluster.run_until(lambda: NODES[2] in cluster.state.rows["formats"][0]["newest"], 10.0)
     cluster.crash(NODES[2])
     for name in NODES[:2]:
@@ -138,7 +142,8 @@
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 30.0)
 
 
-def test_the_raise_is_carried_out_and_its_answer_is_lost() -> None:
+def test_format_raise_whose_reply_is_lost() -> None:
+    # The transaction that raises the format may be applied although its reply never arrives.
     cluster = start_serving_cluster(upgraded=NODES[:2])
     cluster.upgrade(NODES[2], back_after=2.0)
     cluster.lose_writes(0.7, 12.0, at_once=True)
@@ -149,10 +154,11 @@
     assert cluster.query_job("j-000200")[1]["stage"] == wire.DONE
 
 
-def test_late_transactions_of_production_after_the_raise_change_nothing() -> None:
+def test_late_transactions_of_the_production_version_after_the_raise_have_no_effect() -> None:
+    # A delayed write of an old leader could otherwise overwrite records of the new format.
     cluster = start_serving_cluster()
     cluster.lose_writes(0.5, 20.0)
-    work_goes_on(cluster)
+    submit_small_jobs(cluster)
     cluster.roll_out_upgrade(every=5.0)
     cluster.run(20.0)
     assert cluster.state.late_statuses
@@ -160,22 +166,23 @@
     check_final_state(cluster)
 
 
-@pytest.mark.parametrize("when", ["quiet", "takeover", "lost_answers", "team_at_limit"])
-def test_the_limits_fall_without_notice(when: str) -> None:
-    # Production repeated a page that was too large for ever: nothing was accepted or told any more.
+@pytest.mark.parametrize("situation", ["quiet", "takeover", "lost_answers", "team_at_limit"])
+def test_limits_are_lowered_without_notice(situation: str) -> None:
+    # The version in production retried an oversized page indefinitely, so that no job was accepted
+    # or reported any more.
     cluster = start_serving_cluster()
-    work_goes_on(cluster)
+    submit_small_jobs(cluster)
     cluster.roll_out_upgrade(every=6.0)
-    if when == "lost_answers":
+    if situation == "lost_answers":
         cluster.lose_writes(0.5, 10.0)
-    if when == "team_at_limit":
+    if situation == "team_at_limit":
         for number in range(12):
             cluster.submit(batch(f"j-{300 + number:06d}", 8), run_time=60.0, node=number)
         cluster.run(3.0)
         for number in range(12):
             cluster.cancel(f"j-{300 + number:06d}", number)
     cluster.lower_limits()
-    if when == "takeover":
+    if situation == "takeover":
         change_leader(cluster)
     cluster.submit(gang("j-000200", 6), run_time=5.0)
     check_final_state(cluster)
@@ -183,7 +190,8 @@
     assert not cluster.state.oversized_transactions
 
 
-def test_limits_that_fall_unannounced_end_a_term_and_nothing_else() -> None:
+def test_unannounced_lower_limits_end_a_term_but_affect_no_task() -> None:
+    # The leader's first oversized transaction is refused; its successor must write smaller ones.
     cluster = SimulatedCluster()
     cluster.state.enforce(8192, 32)
     for number in range(12):
@@ -195,13 +203,18 @@
         cluster.submit(batch(f"j-{200 + number:06d}", 4), run_time=5.0, node=number)
     cluster.run(40.0)
     assert cluster.state.oversized_transactions
-    assert {task: where for task, where in cluster.running.items() if task < "j-000100"} == before
+    assert {
+        task: machine for task, machine in cluster.running.items() if task < "j-000100"
+    } == before
     check_final_state(cluster)
     for number in range(30):
         assert cluster.query_job(f"j-{200 + number:06d}")[1]["stage"] == wire.DONE
 
 
-def test_no_program_reads_a_ledger_of_a_newer_format(caplog: pytest.LogCaptureFixture) -> None:
+def test_controllers_refuse_to_lead_on_a_ledger_of_a_newer_format(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
+    # A program that replayed records of an unknown format could misread them and stop tasks.
     cluster = SimulatedCluster()
     cluster.submit(spec("j-000001", tasks=2))
     cluster.run(20.0)
@@ -215,31 +228,32 @@
     assert cluster.leader() is None
     refusals = [entry for entry in caplog.records if "event=leadership_refused" in entry.message]
     assert 1 <= len(refusals) <= len(NODES)
-    # Workers are answered all the same, so their tasks stay.
+    # Workers still receive replies, so their tasks keep running.
     assert cluster.running == before
 
 
-def test_the_lower_limits_bound_what_is_written() -> None:
+def test_written_pages_respect_the_lower_limits() -> None:
+    # Pages that exceed the announced limits would be refused once the state service enforces them.
     assert LOWERED_LIMITS.value_bytes == 2048
     cluster = start_serving_cluster()
     cluster.roll_out_upgrade(every=6.0)
-    largest = max(
+    largest_bytes = max(
         len(msgspec.json.encode(value))
         for key, (value, stamp, _) in cluster.state.rows.items()
         if key.startswith("p/") and stamp > cluster.state.revision - 40
     )
-    assert largest <= LOWERED_LIMITS.value_bytes
+    assert largest_bytes <= LOWERED_LIMITS.value_bytes
 
 
-def test_cleaning_ends_when_nothing_can_be_saved_by_it() -> None:
-    # Found on a drawn day at the lower limits: pages were cleaned over and over, 3,900 of them, and
-    # the state service had three times the usual changes. Here each page is half empty, since each
-    # job is written into one, so what pages hold is well above what they mean.
+def test_compaction_stops_when_it_cannot_save_space() -> None:
+    # Found by a random run at the lower limits: compaction never stopped: it rewrote 3,900 pages
+    # and tripled the changes at the state service. Here each job takes a page of its own and leaves
+    # it almost half empty, so the pages take up much more space than their content needs.
     cluster = SimulatedCluster(
         value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2e3)
     )
     for number in range(100):
-        # Long names: somewhat more than half a page each.
+        # With these long names each job takes somewhat more than half a page.
         job = spec(
             f"j-{number:06d}",
             tasks=14,
@@ -250,24 +264,26 @@
         )
         cluster.submit(job, node=number)
     for number in range(120):
-        # What they leave in the pages begins the cleaning.
+        # The obsolete records of these jobs trigger compaction.
         job = batch(f"j-{1000 + number:06d}", 12, image="img-1")
         cluster.after(30.0 + 0.3 * number, cluster.submit, job, 2.0, number)
     cluster.run(150.0)
     assert len(cluster.running) == 100 * 14
-    before = cluster.state.changes
+    changes_before = cluster.state.changes
     cluster.run(60.0)
-    assert cluster.state.changes - before < 60
+    assert cluster.state.changes - changes_before < 60
 
 
-@pytest.mark.parametrize("loses", [False, True])
-def test_a_gang_that_production_placed_task_by_task_ends_after_the_raise(loses: bool) -> None:
-    # Production took the word and replaced a lost task alone, under another attempt number: such
-    # tasks never meet. Their attempts are given up once the format is raised.
+@pytest.mark.parametrize("loses_machine", [False, True])
+def test_gang_that_production_placed_task_by_task_finishes_after_the_raise(
+    loses_machine: bool,
+) -> None:
+    # The version in production accepted gangs but replaced a lost task alone, with another attempt
+    # number: such tasks never rendezvous. Their attempts are abandoned once the format is raised.
     cluster = start_serving_cluster()
     cluster.submit(gang("j-000200", 3, cores=2.0), run_time=25.0)
     assert cluster.run_until(lambda: cluster.count("j-000200") == 3, 60)
-    if loses:
+    if loses_machine:
         cluster.cloud.remove_machine(cluster.find_machine("j-000200/0"))
         cluster.run(3.0)
     cluster.roll_out_upgrade(every=6.0)
@@ -276,7 +292,8 @@
     assert cluster.query_job("j-000200")[1]["stage"] == wire.DONE
 
 
-def test_the_state_service_refuses_the_leader_alone_during_the_raise() -> None:
+def test_state_service_refuses_only_the_leader_during_the_raise() -> None:
+    # If only the leader is refused, leadership must pass on and the format must still be raised.
     cluster = start_serving_cluster(upgraded=NODES[:2])
     cluster.upgrade(NODES[2], back_after=1.0)
     cluster.run(1.0)
@@ -287,7 +304,8 @@
     assert cluster.query_job("j-000200")[1]["stage"] == wire.DONE
 
 
-def test_what_was_told_before_the_roll_is_told_after_it() -> None:
+def test_reported_stages_stay_the_same_after_the_upgrade() -> None:
+    # A new version that read the old ledger differently would contradict earlier replies.
     cluster = start_serving_cluster()
     cluster.submit(batch("j-000300", 3), run_time=2.0)
     assert cluster.run_until(lambda: cluster.query_job("j-000300")[1]["stage"] == wire.DONE, 60.0)
@@ -302,7 +320,8 @@
     cluster.run(3.0)
 
 
-def test_a_burst_of_submissions_at_the_lower_rate_forgets_none() -> None:
+def test_no_job_of_a_submission_burst_is_lost_at_the_lower_rate() -> None:
+    # At the lower rate writes queue up: an accepted job could be dropped or never be reported.
     cluster = start_serving_cluster(upgraded=NODES)
     cluster.lower_limits()
     for number in range(200):
@@ -315,23 +334,23 @@
     assert not cluster.state.oversized_transactions
 
 
-def test_the_limits_fall_while_pages_are_cleaned() -> None:
-    # Pages of production are said anew in small ones, under a leader that is replaced meanwhile.
+def test_limits_are_lowered_during_compaction() -> None:
+    # Pages of the production version are rewritten as small ones while the leader is replaced.
     cluster = start_serving_cluster()
     for number in range(160):
         cluster.after(0.2 * number, cluster.submit, batch(f"j-{1000 + number:06d}", 6), 1.0, number)
     cluster.run(40.0)
     cluster.roll_out_upgrade(every=5.0)
-    cleaning = [False]
+    compacting = [False]
 
-    def is_cleaning() -> bool:
+    def is_compacting() -> bool:
         leader = cluster.leader()
-        cleaning[0] = leader is not None and cluster.nodes[leader].ledger.is_compacting
-        return cleaning[0]
+        compacting[0] = leader is not None and cluster.nodes[leader].ledger.is_compacting
+        return compacting[0]
 
     for number in range(160):
         cluster.after(0.2 * number, cluster.submit, batch(f"j-{3000 + number:06d}", 6), 1.0, number)
-    assert cluster.run_until(is_cleaning, 60.0)
+    assert cluster.run_until(is_compacting, 60.0)
     cluster.lower_limits()
     change_leader(cluster)
     check_final_state(cluster, 150.0)
