--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -67,16 +67,16 @@
         checked = cluster.rules.jobs[ref]
         if not checked.accepted:
             continue
-        if checked.told == wire.ABORTED:
+        if checked.final_stage == wire.ABORTED:
             assert cluster.count(ref) == 0
         elif job.job_kind in (wire.ARRAY, wire.GANG):
-            has_ended = checked.told == wire.DONE or checked.asked_to_cancel
+            has_ended = checked.final_stage == wire.DONE or checked.is_cancel_requested
             assert has_ended or len(checked.done) + cluster.count(ref) == job.tasks, (
                 ref,
                 cluster.query_job(ref),
                 cluster.trace[-40:],
             )
-        elif not checked.asked_to_cancel:
+        elif not checked.is_cancel_requested:
             assert cluster.count(ref) == job.tasks, (ref, cluster.query_job(ref))
 
 
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -102,7 +102,7 @@
         for ref in self.specs:
             cells = self.find_cells_with_job(ref)
             if len(cells) > 1:
-                self.rules.breaks("in_two_cells", f"{ref} in {cells}", self.sim.time)
+                self.rules.record_violation("in_two_cells", f"{ref} in {cells}", self.sim.time)
         for key, (value, _, _) in self.state.rows.items():
             team = self.teams.get(key.removeprefix(SHARE_KEY_PREFIX))
             if key.startswith(SHARE_KEY_PREFIX) and team is not None:
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -175,7 +175,8 @@
     def running(self) -> dict[str, tuple[str, int]]:
         """Machine and attempt of each running task."""
         return {
-            task: (machine.machine, attempt) for task, (machine, attempt) in self.rules.on.items()
+            task: (machine.machine, attempt)
+            for task, (machine, attempt) in self.rules.placements.items()
         }
 
     # Controllers
@@ -282,7 +283,7 @@
         self.add_trace_line(f"{name} gone")
 
     def find_machine(self, task: str) -> str:
-        return self.rules.on[task][0].machine
+        return self.rules.placements[task][0].machine
 
     def get_machine_ip(self, machine: str) -> str:
         return self.workers[machine]._address[0]
@@ -294,13 +295,13 @@
             assert self._is_committed(task, attempt, machine), (
                 f"task started before its placement was committed: {task}"
             )
-            self.rules.starts(task, attempt, self.workers[machine].machine, self.sim.time)
+            self.rules.record_start(task, attempt, self.workers[machine].machine, self.sim.time)
         else:
-            self.rules.ends(task, attempt, machine, event == "end done")
+            self.rules.record_end(task, attempt, machine, event == "end done")
 
     def _check_rules(self) -> None:
         self.sim.at(self.sim.time + 1.0, self._check_rules)
-        self.rules.look(self.sim.time)
+        self.rules.check_deadlines(self.sim.time)
         if self.sim.time > self.calm_since:
             healthy_machines = [
                 (
@@ -310,7 +311,7 @@
                 for worker in self.workers.values()
                 if worker.notice is None
             ]
-            self.rules.look_when_calm(self.sim.time, self.calm_since, healthy_machines)
+            self.rules.check_after_faults(self.sim.time, self.calm_since, healthy_machines)
 
     def _is_committed(self, task: str, attempt: int, machine: str) -> bool:
         """Whether the state service's pages hold the placement.
@@ -509,17 +510,19 @@
                 getattr(body, "ref", "") or (body.get("ref", "") if isinstance(body, dict) else ""),
             )
             if isinstance(body, wire.Submission):
-                self.rules.submits(self.specs.get(ref) or wire.Spec(**msgspec.structs.asdict(body)))
+                self.rules.record_submission(
+                    self.specs.get(ref) or wire.Spec(**msgspec.structs.asdict(body))
+                )
         else:
             ref, _, verb = path[len(wire.JOBS) + 1 :].partition("/")
             what = verb or "poll"
             if what == "cancel":
-                self.rules.asks_to_cancel(ref)
+                self.rules.record_cancel_request(ref)
 
         def on_reply(reply: Reply) -> None:
             body_of_reply = msgspec.msgpack.decode(reply.body) if reply.body else None
             if path.startswith(wire.JOBS) and ref:
-                self.rules.answered(
+                self.rules.record_reply(
                     what, ref, requested_at, self.sim.time, reply.status, body_of_reply
                 )
             on_done(reply.status, body_of_reply)
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -70,20 +70,20 @@
 
     def _on_task_event(self, event: str, machine: str, task: str, attempt: int) -> None:
         if event != "start":
-            self.audit.ended(task, self.sim.time)
+            self.audit.record_upcoming_end(task, self.sim.time)
         super()._on_task_event(event, machine, task, attempt)
         if event == "start":
-            self.audit.starts(task, machine, self.sim.time)
+            self.audit.record_start(task, machine, self.sim.time)
         elif event == "end halted":
             self.stopped_tasks.append((self.sim.time, task, attempt))
-            self.audit.stopped(task, machine, self.sim.time)
+            self.audit.record_stop(task, machine, self.sim.time)
 
     def _check_rules(self) -> None:
         super()._check_rules()
         healthy_machines = [
             w.machine for w in self.workers.values() if not w.hung and w.notice is None
         ]
-        self.audit.look(self.sim.time, healthy_machines)
+        self.audit.check_deadlines(self.sim.time, healthy_machines)
         for reclaim in self.recalls().values():
             # A change of leader must not change a deadline.
             self.seen[reclaim.number] = reclaim
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -13,7 +13,7 @@
 from flaxtally.cells.map_watcher import MAP_KEY
 from flaxtally.cells.membership import CellSetup
 from flaxtally.cli import main
-from flaxtally.emulator.controller_settings import settings_page
+from flaxtally.emulator.controller_settings import render_settings
 from flaxtally.emulator.plan import Plan
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.runtime.loop import Loop
@@ -153,7 +153,7 @@
 
 
 def write_config(folder: Path, number: int = 0) -> str:
-    return write(folder, settings_page(Plan(workers=60), number), f"node-{number}.toml")
+    return write(folder, render_settings(Plan(workers=60), number), f"node-{number}.toml")
 
 
 def test_cell_settings_have_its_peers_zones_key_prefix_and_part_of_the_rates(
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -62,7 +62,7 @@
         if number % 8 == 7:
             cluster.after(0.005 * (number // 8), cluster.crash, wait_for_leader(cluster), 1.0)
         cluster.run(2)
-    reported = {job.told for job in cluster.rules.jobs.values()}
+    reported = {job.final_stage for job in cluster.rules.jobs.values()}
     assert {wire.DONE, wire.ABORTED} <= reported
     check_final_state(cluster, 20)
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -371,7 +371,10 @@
     check_final_state(cluster, 150.0)
     for number in range(10):
         known = cluster.rules.jobs[f"j-{100 + number:06d}"]
-        assert known.asked_to_cancel or known.told == wire.DONE, (number, cluster.trace[-40:])
+        assert known.is_cancel_requested or known.final_stage == wire.DONE, (
+            number,
+            cluster.trace[-40:],
+        )
 
 
 def test_high_rank_gang_preempts_lower_ranks_only_if_it_can_then_start_whole() -> None:
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -340,7 +340,7 @@
     assert cluster.run_until(lambda: faulty_machine not in cluster.workers, 40), cluster.trace[-30:]
     cluster.run(40)
     assert all(
-        cluster.rules.jobs[f"j-{number:06d}"].told
+        cluster.rules.jobs[f"j-{number:06d}"].final_stage
         or cluster.query_job(f"j-{number:06d}")[1]["stage"] == "done"
         for number in range(12)
     )
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -104,14 +104,14 @@
         if number % 5 == 4:
             cluster.crash(wait_for_leader(cluster), back_after=1.0)
         cluster.run(1.5)
-    while not all(cluster.rules.jobs[f"j-{500 + number:06d}"].told for number in range(20)):
+    while not all(cluster.rules.jobs[f"j-{500 + number:06d}"].final_stage for number in range(20)):
         cluster.run(0.5)
         for number in range(20):
             ref = f"j-{500 + number:06d}"
             job = cluster.rules.jobs[ref]
-            if job.told and cluster.sim.time - job.told_at < 0.6:
+            if job.final_stage and cluster.sim.time - job.final_stage_at < 0.6:
                 cluster.poll_repeatedly(ref)
-            elif not job.told:
+            elif not job.final_stage:
                 cluster.call(NODES[number % 3], "GET", f"{wire.JOBS}/{ref}", None, lambda *_: None)
         assert cluster.sim.time < 200, cluster.trace[-30:]
     assert cancelled == 5
@@ -123,9 +123,9 @@
     # unknown, malformed or impossible to place.
     cluster = start_busy_cluster(run_time=15.0)
     cluster.run(20)
-    finished_refs = [ref for ref, job in cluster.rules.jobs.items() if job.told == wire.DONE] or [
-        "j-000100"
-    ]
+    finished_refs = [
+        ref for ref, job in cluster.rules.jobs.items() if job.final_stage == wire.DONE
+    ] or ["j-000100"]
     statuses: dict[str, set[int]] = {}
 
     def send(name: str, body: object, path: str = wire.JOBS) -> None:
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -161,7 +161,7 @@
     cluster.run(10)
     assert len(cluster.accepted) == 481
     check_final_state(cluster)
-    assert sum(job.told == wire.DONE for job in cluster.rules.jobs.values()) > 300
+    assert sum(job.final_stage == wire.DONE for job in cluster.rules.jobs.values()) > 300
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -328,7 +328,7 @@
         cluster.submit(batch(f"j-{1000 + number:06d}", 1, image="img-1"), 1.0, number)
     assert cluster.run_until(lambda: len(cluster.accepted) == 207, 60.0)
     check_final_state(cluster, 150.0)
-    assert {cluster.rules.jobs[f"j-{1000 + number:06d}"].told for number in range(200)} == {
+    assert {cluster.rules.jobs[f"j-{1000 + number:06d}"].final_stage for number in range(200)} == {
         wire.DONE
     }
     assert not cluster.state.oversized_transactions
