--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -135,7 +135,7 @@
             if event.kind == SUBMITTED and since <= event.at < until
         )
 
-    def starts(self, since: float, until: float) -> int:
+    def count_starts(self, since: float, until: float) -> int:
         """Starts of tasks in that time."""
         return sum(event.kind == STARTED and since <= event.at < until for event in self.events)
 
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -185,7 +185,7 @@
             workers=workers,
             running_tasks=self._total(WORKERS, "running", phase.ends),
             submitted_tasks=history.submitted_tasks(phase.begins, phase.ends),
-            starts_per_s=round(history.starts(phase.begins, phase.ends) / length, 2),
+            starts_per_s=round(history.count_starts(phase.begins, phase.ends) / length, 2),
             start_delay={job_class: percentiles(values) for job_class, values in delays.items()},
             submission=self._sampled(SUBMISSION, phase),
             report_answer=self._sampled(REPORT_ANSWER, phase),
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -320,7 +320,7 @@
     )
     assert found.check() == []
     assert found.start_delays(0.0, 2.0) == {"serve": [1.0]}
-    assert found.starts(1.5, 3.0) == 1
+    assert found.count_starts(1.5, 3.0) == 1
 
 
 def test_a_task_on_two_machines_is_found_with_the_events_that_show_it() -> None:
