--- a/flaxtally/emulator/controller_settings.py
+++ b/flaxtally/emulator/controller_settings.py
@@ -48,7 +48,7 @@
     )
 
 
-def settings_page(plan: Plan, number: int) -> str:
+def render_settings(plan: Plan, number: int) -> str:
     """The settings of one controller as a file (TOML)."""
     return settings_text(node_settings(plan, number))
 
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..runtime.actor import Actor
-from .controller_settings import cells_page, settings_page
+from .controller_settings import cells_page, render_settings
 from .history import History
 from .link import LATE_S, OUTSIDE, USERS, WORKERS
 from .load import Load
@@ -140,7 +140,7 @@
 
     def _start_controller(self, number: int, name: str) -> None:
         settings = self._folder / f"{name}.toml"
-        settings.write_text(settings_page(self._plan, number), encoding="utf-8")
+        settings.write_text(render_settings(self._plan, number), encoding="utf-8")
         arguments = ["-m", "flaxtally", "serve", "--config", str(settings)]
         if self._plan.policy is not None:
             arguments += ["--policy", self._plan.policy]
--- a/flaxtally/emulator/fit.py
+++ b/flaxtally/emulator/fit.py
@@ -61,7 +61,7 @@
     )
 
 
-def table(fits: Sequence[Fit]) -> list[str]:
+def format_table(fits: Sequence[Fit]) -> list[str]:
     """The fits as lines for people."""
     lines = [
         f"{'figure':34} {'at zero':>11} {'each':>12} {'residual':>9} {'power':>6} "
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -71,7 +71,7 @@
         next_look = self.events[0].at if self.events else 0.0
         for position, event in enumerate(self.events):
             while event.at >= next_look:
-                rules.look(next_look)
+                rules.check_deadlines(next_look)
                 next_look += LOOK_EVERY_S
             self._feed(rules, event)
             while len(rules.broken) > len(found):
@@ -83,17 +83,19 @@
     def _feed(self, rules: Rules, event: Event) -> None:
         if event.kind == STARTED:
             machine = self._machines[event.machine]
-            rules.starts(event.subject, event.attempt, machine, event.at)
+            rules.record_start(event.subject, event.attempt, machine, event.at)
         elif event.kind == ENDED:
             done = event.stage == wire.CAUSE_DONE
-            rules.ends(event.subject, event.attempt, event.machine, done)
+            rules.record_end(event.subject, event.attempt, event.machine, done)
         elif event.kind == SUBMITTED:
-            rules.submits(self._load.job(number_of(event.subject)).spec)
+            rules.record_submission(self._load.job(number_of(event.subject)).spec)
         elif event.kind == CANCEL_ASKED:
-            rules.asks_to_cancel(event.subject)
+            rules.record_cancel_request(event.subject)
         elif event.kind in ANSWERS:
             body = {"ref": event.body_ref, "stage": event.stage}
-            rules.answered(event.kind, event.subject, event.asked_at, event.at, event.status, body)
+            rules.record_reply(
+                event.kind, event.subject, event.asked_at, event.at, event.status, body
+            )
 
     def _explain(self, text: str, event: Event, position: int) -> BrokenRule:
         """The last events of the task or job that the rule names."""
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -136,7 +136,10 @@
             self._options.seconds,
             self._audit.breaches,
             self._rules.broken,
-            {team: round(longest, 2) for team, longest in self._audit.longest.items()},
+            {
+                team: round(longest_shortfall_s, 2)
+                for team, longest_shortfall_s in self._audit.longest_shortfall_s.items()
+            },
             self._recalled,
             self._faults,
         )
@@ -199,15 +202,15 @@
     def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
         now = self._now()
         if event == "start":
-            self._rules.starts(task, attempt, self._workers[machine].machine, now)
-            self._audit.starts(task, machine, now)
+            self._rules.record_start(task, attempt, self._workers[machine].machine, now)
+            self._audit.record_start(task, machine, now)
         else:
-            self._audit.ended(task, now)
-            self._rules.ends(task, attempt, machine, event == "end done")
+            self._audit.record_upcoming_end(task, now)
+            self._rules.record_end(task, attempt, machine, event == "end done")
             asked = self._rules.job(task.partition("/")[0]).asked_to_cancel
             if event == "end halted" and not asked:
                 self._recalled += 1
-                self._audit.stopped(task, machine, now)
+                self._audit.record_stop(task, machine, now)
         self._log_loans(now)
 
     def _log_loans(self, now: float) -> None:
@@ -226,8 +229,8 @@
 
     def _look(self) -> None:
         up = [worker.machine for worker in self._workers.values()]
-        self._audit.look(self._now(), up)
-        self._rules.look(self._now())
+        self._audit.check_deadlines(self._now(), up)
+        self._rules.check_deadlines(self._now())
         try:
             self.processes.check()
         except ProcessEndedError as failure:
@@ -271,11 +274,11 @@
 
     def _submit(self, spec: wire.Spec) -> None:
         self._specs[spec.ref] = spec
-        self._rules.submits(spec)
+        self._rules.record_submission(spec)
         self._ask("submit", spec.ref, "POST", wire.WORK, wire.submission(spec))
 
     def _cancel(self, ref: str) -> None:
-        self._rules.asks_to_cancel(ref)
+        self._rules.record_cancel_request(ref)
         self._ask("cancel", ref, "POST", f"{wire.WORK}/{ref}/cancel", None)
 
     def _ask(self, what: str, ref: str, method: str, path: str, body: Any) -> None:
@@ -284,7 +287,7 @@
 
         def told(reply: Reply) -> None:
             answer = msgspec.msgpack.decode(reply.body) if reply.body else None
-            self._rules.answered(what, ref, asked_at, self._now(), reply.status, answer)
+            self._rules.record_reply(what, ref, asked_at, self._now(), reply.status, answer)
             if reply.status not in (200, 201):
                 self.later(RETRY_S, self._ask, what, ref, method, path, body)
 
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -51,7 +51,7 @@
         """`most_s`: how long a team may lack what it is entitled to while others borrow it."""
         self._rules, self._teams, self.most_s = rules, teams, most_s
         self.breaches: list[str] = []
-        self.longest: dict[str, float] = {}
+        self.longest_shortfall_s: dict[str, float] = {}
         """The longest that a team lacked it, in seconds."""
         self._lacks_since: dict[str, float] = {}
         self._above_at: dict[str, float] = {}
@@ -101,7 +101,7 @@
 
     # What is seen
 
-    def starts(self, task: str, machine: str, now: float) -> None:
+    def record_start(self, task: str, machine: str, now: float) -> None:
         """A task was seen to start, after the rules saw it."""
         spec = self._spec(task)
         for owed in self._owed.get(machine, []):
@@ -116,7 +116,7 @@
         self._owed.pop(machine, None)
         self._note_use(spec.team, now)
 
-    def ended(self, task: str, now: float) -> None:
+    def record_upcoming_end(self, task: str, now: float) -> None:
         """A task is about to end, for whatever reason: the rules did not see it yet."""
         self._note_use(self._spec(task).team, now)
 
@@ -124,7 +124,7 @@
         if not self._within(team, *self._rules.used.get(team, [0.0, 0.0])):
             self._above_at[team] = now
 
-    def stopped(self, task: str, machine: str, now: float) -> None:
+    def record_stop(self, task: str, machine: str, now: float) -> None:
         """A task ended because it was told to, and may start again."""
         spec = self._spec(task)
         if now - self._above_at.get(spec.team, float("-inf")) <= CHOSEN_S + spec.checkpoint_save_s:
@@ -136,9 +136,9 @@
     def _still_waits(self, owed: _Owed) -> bool:
         ref = owed.task.partition("/")[0]
         job = self._rules.job(ref)
-        return owed.task not in self._rules.on and not job.asked_to_cancel
+        return owed.task not in self._rules.placements and not job.asked_to_cancel
 
-    def look(self, now: float, machines: Collection[wire.Listed]) -> None:
+    def check_deadlines(self, now: float, machines: Collection[wire.Listed]) -> None:
         """At any moment: who lacks room that others borrow. `machines`: those that are up."""
         lacking = {spec.team for spec in self._lacking(machines)}
         for team in list(self._lacks_since):
@@ -146,8 +146,8 @@
                 del self._lacks_since[team]
         for team in lacking:
             lacks = now - self._lacks_since.setdefault(team, now)
-            before = self.longest.get(team, 0.0)
-            self.longest[team] = max(before, lacks)
+            before = self.longest_shortfall_s.get(team, 0.0)
+            self.longest_shortfall_s[team] = max(before, lacks)
             if before <= self.most_s < lacks:
                 self.breaches.append(f"{now:.2f} {team} is below its guarantee for {lacks:.1f} s")
 
@@ -159,7 +159,7 @@
             spec = job.spec
             if not job.accepted or job.asked_to_cancel or spec is None or job.told is not None:
                 continue
-            left = spec.tasks - len(job.done) - len(job.on)
+            left = spec.tasks - len(job.done) - len(job.placements)
             if left > 0 and self._is_entitled(spec) and self._could_have(ref, spec, lent):
                 found.append(spec)
         return found
@@ -168,7 +168,7 @@
         """Borrowed room on the machines, by machine and team."""
         by_name = {machine.machine: machine for machine in machines}
         found: dict[tuple[str, str], _Lent] = {}
-        for task, (machine, _) in self._rules.on.items():
+        for task, (machine, _) in self._rules.placements.items():
             spec = self._spec(task)
             if machine.machine not in by_name or not self._is_borrowed(spec):
                 continue
@@ -191,7 +191,7 @@
             lent.cores = min(lent.cores, used[0] - team.cores)
 
     def _could_have(self, ref: str, spec: wire.Spec, rooms: list[_Lent]) -> bool:
-        zones = list(self._rules.job(ref).on.values())
+        zones = list(self._rules.job(ref).placements.values())
         return any(
             lent.team != spec.team
             and lent.cores >= spec.cores - SLACK
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -30,7 +30,7 @@
         self.told: str | None = None
         self.told_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
-        self.on: dict[str, str] = {}
+        self.placements: dict[str, str] = {}
         """The zone of each of its tasks that is on a machine."""
         self.answered_at = 0.0
         self.waits_since: float | None = None
@@ -62,7 +62,7 @@
     ) -> None:
         self.teams, self.types, self.cancel_s = teams, {kind.name: kind for kind in types}, cancel_s
         self.jobs: dict[str, _Job] = {}
-        self.on: dict[str, tuple[wire.Listed, int]] = {}
+        self.placements: dict[str, tuple[wire.Listed, int]] = {}
         """Where each task is that is on a machine, also while that hangs or can't be reached."""
         self.used: dict[str, list[float]] = {}
         self.broken: list[str] = []
@@ -70,7 +70,7 @@
         """Answers older than one given before them, to questions asked before that one was given.
         """
 
-    def breaks(self, rule: str, what: str, at: float) -> None:
+    def record_violation(self, rule: str, what: str, at: float) -> None:
         self.broken.append(f"{at:.2f} {rule}: {what}")
 
     def job(self, ref: str) -> _Job:
@@ -78,40 +78,44 @@
 
     # Machines
 
-    def starts(self, task: str, attempt: int, machine: wire.Listed, now: float) -> None:
+    def record_start(self, task: str, attempt: int, machine: wire.Listed, now: float) -> None:
         job = self.job(task.partition("/")[0])
         spec = job.spec
-        if task in self.on:
-            self.breaks(
-                "ran_twice", f"{task} on {self.on[task][0].machine} and {machine.machine}", now
+        if task in self.placements:
+            self.record_violation(
+                "ran_twice",
+                f"{task} on {self.placements[task][0].machine} and {machine.machine}",
+                now,
             )
         if job.told == wire.ABORTED:
-            self.breaks("started_cancelled", f"{task}, its user was told at {job.told_at:.2f}", now)
+            self.record_violation(
+                "started_cancelled", f"{task}, its user was told at {job.told_at:.2f}", now
+            )
         if spec is None:
-            self.breaks("nobody_asked", task, now)
+            self.record_violation("nobody_asked", task, now)
             return
-        if not allowed(spec, machine, list(job.on.values())):
-            self.breaks(
+        if not allowed(spec, machine, list(job.placements.values())):
+            self.record_violation(
                 "wrong_place",
                 f"{task} on {machine.machine_type} {machine.zone} spot={machine.spot}",
                 now,
             )
         job.waits_since = None
-        self.on[task] = machine, attempt
-        job.on[task] = machine.zone
+        self.placements[task] = machine, attempt
+        job.placements[task] = machine.zone
         used = self.used.setdefault(spec.team, [0.0, 0.0])
         used[0] += spec.cores
         used[1] += spec.gpus
         if _over(self.teams[spec.team], used[0] - SLACK, used[1] - SLACK):
-            self.breaks("quota", f"{spec.team} uses {used}", now)
+            self.record_violation("quota", f"{spec.team} uses {used}", now)
 
-    def ends(self, task: str, attempt: int, machine: str, done: bool) -> None:
-        there = self.on.get(task)
+    def record_end(self, task: str, attempt: int, machine: str, done: bool) -> None:
+        there = self.placements.get(task)
         if there is None or (there[0].machine, there[1]) != (machine, attempt):
             return
-        del self.on[task]
+        del self.placements[task]
         job = self.job(task.partition("/")[0])
-        del job.on[task]
+        del job.placements[task]
         assert job.spec is not None
         self.used[job.spec.team][0] -= job.spec.cores
         self.used[job.spec.team][1] -= job.spec.gpus
@@ -120,14 +124,14 @@
 
     # Users
 
-    def submits(self, spec: wire.Spec) -> None:
+    def record_submission(self, spec: wire.Spec) -> None:
         job = self.job(spec.ref)
         job.spec, job.submitted = job.spec or spec, True
 
-    def asks_to_cancel(self, ref: str) -> None:
+    def record_cancel_request(self, ref: str) -> None:
         self.job(ref).asked_to_cancel = True
 
-    def answered(
+    def record_reply(
         self, what: str, ref: str, asked_at: float, now: float, status: int, body: Any
     ) -> None:
         """An answer as it reached its user. `what`: submit, poll or cancel."""
@@ -135,35 +139,41 @@
         if status in (200, 201):
             job.answered_at = now
             if not job.submitted:
-                self.breaks("invented", f"{what} of {ref}", now)
+                self.record_violation("invented", f"{what} of {ref}", now)
                 return
             if body["ref"] != ref:
-                self.breaks("wrong_job", f"{what} of {ref} is answered about {body['ref']}", now)
+                self.record_violation(
+                    "wrong_job", f"{what} of {ref} is answered about {body['ref']}", now
+                )
                 return
             self._told(job, ref, asked_at, now, body["stage"])
             if what == "submit" and not job.accepted:
                 job.accepted, job.accepted_at = True, now
                 why = self._cannot_run(job.spec)
                 if why:
-                    self.breaks("accepted", f"{ref}: {why}", now)
+                    self.record_violation("accepted", f"{ref}: {why}", now)
         elif asked_at >= job.accepted_at and (
             status == 404 or (what == "submit" and status in (400, 422))
         ):
-            self.breaks("forgotten", f"{what} of {ref} answered {status}", now)
+            self.record_violation("forgotten", f"{what} of {ref} answered {status}", now)
 
     def _told(self, job: _Job, ref: str, asked_at: float, now: float, stage: str) -> None:
         assert job.spec is not None
         if job.told is not None and stage != job.told:
             if asked_at >= job.told_at or stage in FINAL:
-                self.breaks("went_back", f"{ref} was {job.told}, then {stage}", now)
+                self.record_violation("went_back", f"{ref} was {job.told}, then {stage}", now)
             else:
                 self.crossed += 1
         if stage == wire.ABORTED and not job.asked_to_cancel:
-            self.breaks("went_back", f"{ref} is called cancelled, and its user did not ask", now)
+            self.record_violation(
+                "went_back", f"{ref} is called cancelled, and its user did not ask", now
+            )
         if stage == wire.DONE and (
             job.spec.job_kind == wire.SERVICE or len(job.done) < job.spec.tasks
         ):
-            self.breaks("not_done", f"{ref} with {len(job.done)} of {job.spec.tasks}", now)
+            self.record_violation(
+                "not_done", f"{ref} with {len(job.done)} of {job.spec.tasks}", now
+            )
         if stage in FINAL and job.told is None:
             job.told, job.told_at = stage, now
 
@@ -188,16 +198,16 @@
 
     # What time alone breaks
 
-    def look(self, now: float) -> None:
+    def check_deadlines(self, now: float) -> None:
         """At any moment: what is left of jobs that were told as cancelled."""
-        for task, (machine, _) in self.on.items():
+        for task, (machine, _) in self.placements.items():
             job = self.job(task.partition("/")[0])
             if job.told == wire.ABORTED and now > job.told_at + self.cancel_s:
-                self.breaks(
+                self.record_violation(
                     "ran_cancelled", f"{task} on {machine.machine}, told at {job.told_at:.2f}", now
                 )
 
-    def look_when_calm(
+    def check_after_faults(
         self, now: float, calm_since: float, machines: list[tuple[wire.Listed, set[str]]]
     ) -> None:
         """Once all troubles are over.
@@ -211,7 +221,7 @@
             if not job.accepted or spec is None or job.told is not None:
                 continue
             if now - max(job.answered_at, calm_since) > UNANSWERED_S:
-                self.breaks("forgotten", f"no question about {ref} is answered", now)
+                self.record_violation("forgotten", f"no question about {ref} is answered", now)
             tasks = {f"{ref}/{number}" for number in range(spec.tasks)} - job.done - held
             if job.asked_to_cancel or not tasks or not self._could_start(spec, rooms):
                 job.waits_since = None
@@ -219,7 +229,7 @@
                 job.waits_since = now
             elif now - max(job.waits_since, calm_since) > WAITING_S:
                 # Nothing of it began in that time, though there was room for it all along.
-                self.breaks("left_waiting", f"{ref} while a machine fits", now)
+                self.record_violation("left_waiting", f"{ref} while a machine fits", now)
 
     def _room(self, machine: wire.Listed, tasks: set[str]) -> tuple[float, float, float]:
         kind, specs = (
@@ -238,7 +248,7 @@
         team, used = self.teams[spec.team], self.used.get(spec.team, [0.0, 0.0])
         if _over(team, used[0] + spec.cores, used[1] + spec.gpus):
             return False
-        zones = list(self.job(spec.ref).on.values())
+        zones = list(self.job(spec.ref).placements.values())
         return any(
             room[0] >= spec.cores
             and room[1] >= spec.gpus
--- a/flaxtally/emulator/scale.py
+++ b/flaxtally/emulator/scale.py
@@ -11,7 +11,7 @@
 from ..runtime.loop import Loop
 from . import limits
 from .coordinator import Coordinator
-from .fit import FEWEST_SIZES, Fit, fit, table
+from .fit import FEWEST_SIZES, Fit, fit, format_table
 from .plan import BATCH_LANE, CONTROLLER, URGENT_LANE, Plan
 from .results import Analysis, Percentiles, PhaseResult, ProcessUse, SizeResult, judge
 
@@ -182,7 +182,7 @@
         lines += _remarks(size)
     if result.fits:
         lines += ["", "lines through the steady phases (not the bench's figures):"]
-        lines += table(result.fits)
+        lines += format_table(result.fits)
     return lines
 
 
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -102,7 +102,7 @@
         for ref in self.specs:
             cells = self.cells_with(ref)
             if len(cells) > 1:
-                self.rules.breaks("in_two_cells", f"{ref} in {cells}", self.sim.time)
+                self.rules.record_violation("in_two_cells", f"{ref} in {cells}", self.sim.time)
         for key, (value, _, _) in self.state.rows.items():
             team = self.teams.get(key.removeprefix(SHARES))
             if key.startswith(SHARES) and team is not None:
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -172,7 +172,8 @@
     def running(self) -> dict[str, tuple[str, int]]:
         """Where each task is, and its attempt."""
         return {
-            task: (machine.machine, attempt) for task, (machine, attempt) in self.rules.on.items()
+            task: (machine.machine, attempt)
+            for task, (machine, attempt) in self.rules.placements.items()
         }
 
     # The service
@@ -277,7 +278,7 @@
         self.note(f"{name} gone")
 
     def machine_of(self, task: str) -> str:
-        return self.rules.on[task][0].machine
+        return self.rules.placements[task][0].machine
 
     def ip_of(self, machine: str) -> str:
         return self.workers[machine]._address[0]
@@ -289,13 +290,13 @@
             assert self._is_committed(task, attempt, machine), (
                 f"started before its record was committed: {task}"
             )
-            self.rules.starts(task, attempt, self.workers[machine].machine, self.sim.time)
+            self.rules.record_start(task, attempt, self.workers[machine].machine, self.sim.time)
         else:
-            self.rules.ends(task, attempt, machine, event == "end done")
+            self.rules.record_end(task, attempt, machine, event == "end done")
 
     def _look(self) -> None:
         self.sim.at(self.sim.time + 1.0, self._look)
-        self.rules.look(self.sim.time)
+        self.rules.check_deadlines(self.sim.time)
         if self.sim.time > self.calm_since:
             up = [
                 (
@@ -305,7 +306,7 @@
                 for worker in self.workers.values()
                 if worker.notice is None
             ]
-            self.rules.look_when_calm(self.sim.time, self.calm_since, up)
+            self.rules.check_after_faults(self.sim.time, self.calm_since, up)
 
     def _is_committed(self, task: str, attempt: int, machine: str) -> bool:
         """Whether the state service's pages hold the placement. Pages are read on change; what
@@ -487,17 +488,19 @@
                 getattr(body, "ref", "") or (body.get("ref", "") if isinstance(body, dict) else ""),
             )
             if isinstance(body, wire.Submission):
-                self.rules.submits(self.specs.get(ref) or wire.Spec(**msgspec.structs.asdict(body)))
+                self.rules.record_submission(
+                    self.specs.get(ref) or wire.Spec(**msgspec.structs.asdict(body))
+                )
         else:
             ref, _, verb = path[len(wire.WORK) + 1 :].partition("/")
             what = verb or "poll"
             if what == "cancel":
-                self.rules.asks_to_cancel(ref)
+                self.rules.record_cancel_request(ref)
 
         def told(reply: Reply) -> None:
             answer = msgspec.msgpack.decode(reply.body) if reply.body else None
             if path.startswith(wire.WORK) and ref:
-                self.rules.answered(what, ref, asked_at, self.sim.time, reply.status, answer)
+                self.rules.record_reply(what, ref, asked_at, self.sim.time, reply.status, answer)
             done(reply.status, answer)
 
         client.request(method, path, body, 5.0, told)
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -70,18 +70,18 @@
 
     def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
         if event != "start":
-            self.audit.ended(task, self.sim.time)
+            self.audit.record_upcoming_end(task, self.sim.time)
         super()._watch(event, machine, task, attempt)
         if event == "start":
-            self.audit.starts(task, machine, self.sim.time)
+            self.audit.record_start(task, machine, self.sim.time)
         elif event == "end halted":
             self.halted.append((self.sim.time, task, attempt))
-            self.audit.stopped(task, machine, self.sim.time)
+            self.audit.record_stop(task, machine, self.sim.time)
 
     def _look(self) -> None:
         super()._look()
         up = [w.machine for w in self.workers.values() if not w.hung and w.notice is None]
-        self.audit.look(self.sim.time, up)
+        self.audit.check_deadlines(self.sim.time, up)
         for recall in self.recalls().values():
             # Whoever leads: a deadline stands.
             self.seen[recall.number] = recall
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -13,7 +13,7 @@
 from flaxtally.cells.map_keeper import MAP_KEY
 from flaxtally.cells.membership import CellSetup
 from flaxtally.cli import main
-from flaxtally.emulator.controller_settings import settings_page
+from flaxtally.emulator.controller_settings import render_settings
 from flaxtally.emulator.plan import Plan
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.runtime.loop import Loop
@@ -131,7 +131,7 @@
 
 
 def config(folder: Path, number: int = 0) -> str:
-    return write(folder, settings_page(Plan(workers=60), number), f"node-{number}.toml")
+    return write(folder, render_settings(Plan(workers=60), number), f"node-{number}.toml")
 
 
 def test_a_cell_has_its_own_peers_zones_keys_and_part_of_the_rates(tmp_path: Path) -> None:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -240,23 +240,23 @@
     audit = LoanAudit(rules, teams, 10.0)
     machine = wire.Listed("n-1", "g8", "a", False, "running", 1.0)
     for job in (work("j-000100", 12, "others"), work("j-000200", 4)):
-        rules.submits(job)
+        rules.record_submission(job)
         rules.job(job.ref).accepted = True
     for task in range(12):
-        rules.starts(f"j-000100/{task}", 1, machine, 0.0)
+        rules.record_start(f"j-000100/{task}", 1, machine, 0.0)
     for now in range(20):
-        audit.look(float(now), [machine])
+        audit.check_deadlines(float(now), [machine])
     assert audit.breaches == ["11.00 crew is below its guarantee for 11.0 s"]
-    assert audit.longest == {"crew": 19.0}
+    assert audit.longest_shortfall_s == {"crew": 19.0}
     # Within its own guarantee, and its room goes to another team.
     for task in range(4, 12):
-        audit.ended(f"j-000100/{task}", 21.0)
-        rules.ends(f"j-000100/{task}", 1, "n-1", True)
-    audit.ended("j-000100/3", 40.0)
-    rules.ends("j-000100/3", 1, "n-1", False)
-    audit.stopped("j-000100/3", "n-1", 40.0)
-    rules.starts("j-000200/0", 1, machine, 41.0)
-    audit.starts("j-000200/0", "n-1", 41.0)
+        audit.record_upcoming_end(f"j-000100/{task}", 21.0)
+        rules.record_end(f"j-000100/{task}", 1, "n-1", True)
+    audit.record_upcoming_end("j-000100/3", 40.0)
+    rules.record_end("j-000100/3", 1, "n-1", False)
+    audit.record_stop("j-000100/3", "n-1", 40.0)
+    rules.record_start("j-000200/0", 1, machine, 41.0)
+    audit.record_start("j-000200/0", "n-1", 41.0)
     assert "reclaimed below the guarantee of others" in audit.breaches[1]
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -26,55 +26,55 @@
 def day(job: wire.Spec | None = None) -> Rules:
     """A job that was accepted at 1 s, its task 0 on n-0 since 2 s."""
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
-    rules.submits(job or batch(REF, 2))
-    rules.answered("submit", REF, 0.5, 1.0, 201, {"ref": REF, "stage": "pending"})
-    rules.starts(f"{REF}/0", 1, listed("n-0"), 2.0)
+    rules.record_submission(job or batch(REF, 2))
+    rules.record_reply("submit", REF, 0.5, 1.0, 201, {"ref": REF, "stage": "pending"})
+    rules.record_start(f"{REF}/0", 1, listed("n-0"), 2.0)
     return rules
 
 
 def told(rules: Rules, stage: str, asked_at: float, at: float, ref: str = REF) -> None:
-    rules.answered("poll", ref, asked_at, at, 200, {"ref": ref, "stage": stage})
+    rules.record_reply("poll", ref, asked_at, at, 200, {"ref": ref, "stage": stage})
 
 
 def cancelled(rules: Rules) -> None:
-    rules.asks_to_cancel(REF)
+    rules.record_cancel_request(REF)
     told(rules, wire.ABORTED, 3.0, 3.1)
 
 
 def ran_twice(rules: Rules) -> None:
-    rules.starts(f"{REF}/0", 2, listed("n-1"), 3.0)
+    rules.record_start(f"{REF}/0", 2, listed("n-1"), 3.0)
 
 
 def quota(rules: Rules) -> None:
-    rules.submits(spec("j-000002", tasks=9))
+    rules.record_submission(spec("j-000002", tasks=9))
     for number in range(9):
-        rules.starts(f"j-000002/{number}", 1, listed(f"n-{number}", "ab"[number % 2]), 3.0)
+        rules.record_start(f"j-000002/{number}", 1, listed(f"n-{number}", "ab"[number % 2]), 3.0)
 
 
 def ran_cancelled(rules: Rules) -> None:
     cancelled(rules)
-    rules.look(3.0 + CANCEL_S)
+    rules.check_deadlines(3.0 + CANCEL_S)
     assert not rules.broken
-    rules.look(3.2 + CANCEL_S)
+    rules.check_deadlines(3.2 + CANCEL_S)
 
 
 def started_cancelled(rules: Rules) -> None:
     cancelled(rules)
-    rules.starts(f"{REF}/1", 1, listed("n-1"), 4.0)
+    rules.record_start(f"{REF}/1", 1, listed("n-1"), 4.0)
 
 
 def forgotten(rules: Rules) -> None:
-    rules.answered("poll", REF, 2.0, 2.1, 404, None)
+    rules.record_reply("poll", REF, 2.0, 2.1, 404, None)
 
 
 def refused_again(rules: Rules) -> None:
-    rules.answered("submit", REF, 2.0, 2.1, 422, None)
+    rules.record_reply("submit", REF, 2.0, 2.1, 422, None)
 
 
 def unanswered(rules: Rules) -> None:
-    rules.look_when_calm(84.0, 10.0, [])
+    rules.check_after_faults(84.0, 10.0, [])
     assert not rules.broken
-    rules.look_when_calm(86.0, 10.0, [])
+    rules.check_after_faults(86.0, 10.0, [])
 
 
 def invented(rules: Rules) -> None:
@@ -82,7 +82,7 @@
 
 
 def not_done(rules: Rules) -> None:
-    rules.ends(f"{REF}/0", 1, "n-0", True)
+    rules.record_end(f"{REF}/0", 1, "n-0", True)
     told(rules, wire.DONE, 3.0, 3.1)
 
 
@@ -99,20 +99,20 @@
 
 
 def wrong_job(rules: Rules) -> None:
-    rules.answered("poll", REF, 3.0, 3.1, 200, {"ref": "j-000002", "stage": "pending"})
+    rules.record_reply("poll", REF, 3.0, 3.1, 200, {"ref": "j-000002", "stage": "pending"})
 
 
 def accepted(rules: Rules) -> None:
-    rules.submits(spec("j-000003", cores=1000.0))
-    rules.answered("submit", "j-000003", 3.0, 3.1, 201, {"ref": "j-000003", "stage": "pending"})
+    rules.record_submission(spec("j-000003", cores=1000.0))
+    rules.record_reply("submit", "j-000003", 3.0, 3.1, 201, {"ref": "j-000003", "stage": "pending"})
 
 
 def left_waiting(rules: Rules) -> None:
     for at in range(10, 101):
-        rules.answered("poll", REF, at, at, 200, {"ref": REF, "stage": "running"})
-        rules.look_when_calm(at, 10.0, [(listed("n-0"), {f"{REF}/0"}), (listed("n-1"), set())])
+        rules.record_reply("poll", REF, at, at, 200, {"ref": REF, "stage": "running"})
+        rules.check_after_faults(at, 10.0, [(listed("n-0"), {f"{REF}/0"}), (listed("n-1"), set())])
     assert not rules.broken
-    rules.look_when_calm(101.0, 10.0, [(listed("n-0"), {f"{REF}/0"}), (listed("n-1"), set())])
+    rules.check_after_faults(101.0, 10.0, [(listed("n-0"), {f"{REF}/0"}), (listed("n-1"), set())])
 
 
 FAULTS: dict[str, list[Callable[[Rules], None]]] = {
@@ -155,20 +155,24 @@
 def test_a_task_in_the_wrong_place_is_seen(change: dict[str, object]) -> None:
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     job = msgspec.structs.replace(batch(REF, 4), **change)
-    rules.submits(job)
-    rules.starts(f"{REF}/0", 1, listed("n-0", "a", "spread" in change or "one_zone" in change), 1.0)
+    rules.record_submission(job)
+    rules.record_start(
+        f"{REF}/0", 1, listed("n-0", "a", "spread" in change or "one_zone" in change), 1.0
+    )
     right = not rules.broken
-    rules.starts(f"{REF}/1", 1, listed("n-1", "b" if "one_zone" in change else "a", True), 2.0)
+    rules.record_start(
+        f"{REF}/1", 1, listed("n-1", "b" if "one_zone" in change else "a", True), 2.0
+    )
     assert [broken.split()[1] for broken in rules.broken][-1:] == ["wrong_place:"]
     assert right or set(change) <= {"machine_types", "zone"}
 
 
 def test_a_day_without_faults_breaks_nothing() -> None:
     rules = day(batch(REF, 1))
-    rules.ends(f"{REF}/0", 1, "n-0", True)
+    rules.record_end(f"{REF}/0", 1, "n-0", True)
     told(rules, wire.DONE, 3.0, 3.1)
     told(rules, wire.DONE, 3.2, 3.3)
-    rules.answered("poll", "j-000404", 3.0, 3.1, 404, None)
-    rules.look(500.0)
-    rules.look_when_calm(500.0, 10.0, [(listed("n-0"), set())])
+    rules.record_reply("poll", "j-000404", 3.0, 3.1, 404, None)
+    rules.check_deadlines(500.0)
+    rules.check_after_faults(500.0, 10.0, [(listed("n-0"), set())])
     assert rules.broken == []
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -22,7 +22,7 @@
 from flaxtally.cells.directory import Directory, Entry
 from flaxtally.cells.map import Cell, CellIndex, CellMap
 from flaxtally.cells.shares import Amount, TeamShares, equal_shares
-from flaxtally.emulator.fit import fit, table
+from flaxtally.emulator.fit import fit, format_table
 from flaxtally.ledger.cluster_state import ClusterState
 from flaxtally.planning.fleet import Machine
 from flaxtally.protocol import wire
@@ -241,7 +241,7 @@
         print(f"{figure.name}: " + ", ".join(f"{size}: {value:.4g}" for size, value in measured))
         fits.append(fit(figure.name, figure.sizes, values, figure.target))
     print()
-    print("\n".join(table(fits)))
+    print("\n".join(format_table(fits)))
 
 
 if __name__ == "__main__":
