--- a/flaxtally/emulator/child_process.py
+++ b/flaxtally/emulator/child_process.py
@@ -11,17 +11,19 @@
 import sys
 from pathlib import Path
 
-from .fake_environment import Outside
-from .link import OUTSIDE, WORKERS, Duty, Link
+from .fake_environment import FakeEnvironment
+from .link import ENVIRONMENT, WORKERS, CoordinatorLink, RoleHandler
 from .measured import CountingLoop
 from .plan import Plan, load
 from .users import Users
 from .workers import Workers
 
 
-def _duty(loop: CountingLoop, plan: Plan, role: str, number: int, link: Link) -> Duty:
-    if role == OUTSIDE:
-        return Outside(loop, plan, link)
+def _create_handler(
+    loop: CountingLoop, plan: Plan, role: str, number: int, link: CoordinatorLink
+) -> RoleHandler:
+    if role == ENVIRONMENT:
+        return FakeEnvironment(loop, plan, link)
     if role == WORKERS:
         return Workers(loop, plan, number, link)
     return Users(loop, plan, link)
@@ -34,8 +36,8 @@
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
     )
     loop = CountingLoop()
-    link = Link(loop, plan, role, number)
-    link.start(_duty(loop, plan, role, number, link))
+    link = CoordinatorLink(loop, plan, role, number)
+    link.start(_create_handler(loop, plan, role, number, link))
     gc.freeze()
     loop.run()
     return 0
--- a/flaxtally/emulator/command.py
+++ b/flaxtally/emulator/command.py
@@ -13,40 +13,40 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-DONE, FAILED, INVALID_INPUT = 0, 1, 2
-SMALLEST = 4
-DEFAULT = Plan(workers=250)
+EXIT_OK, EXIT_FAILED, EXIT_INVALID_INPUT = 0, 1, 2
+MIN_WORKERS = 4
+DEFAULT_PLAN = Plan(workers=250)
 
 
-class Played(NamedTuple):
+class CompletedRun(NamedTuple):
     """A run that came to its end."""
 
     report: list[str]
     is_good: bool
 
 
-def _positive(text: str) -> float:
+def _parse_positive(text: str) -> float:
     value = float(text)
     if not 0 < value < float("inf"):
         raise argparse.ArgumentTypeError(f"{text} is not above 0")
     return value
 
 
-def _count(text: str) -> int:
+def _parse_count(text: str) -> int:
     value = int(text)
     if value < 1:
         raise argparse.ArgumentTypeError(f"{text} is not above 0")
     return value
 
 
-def _sizes(text: str) -> list[int]:
+def _parse_sizes(text: str) -> list[int]:
     sizes = [int(entry) for entry in text.split(",")]
-    if any(size < SMALLEST for size in sizes):
-        raise argparse.ArgumentTypeError(f"a size is below {SMALLEST}")
+    if any(size < MIN_WORKERS for size in sizes):
+        raise argparse.ArgumentTypeError(f"a size is below {MIN_WORKERS}")
     return sizes
 
 
-def parser() -> argparse.ArgumentParser:
+def create_parser() -> argparse.ArgumentParser:
     """The emulator's own command line."""
     emulate = argparse.ArgumentParser(
         prog="flaxtally emulate",
@@ -64,7 +64,7 @@
     scale.set_defaults(run=run_scale)
     scale.add_argument(
         "--workers",
-        type=_sizes,
+        type=_parse_sizes,
         default=[250, 500],
         metavar="N,N,…",
         help="sizes to play, in this order; default: 250,500",
@@ -83,26 +83,26 @@
     lending.set_defaults(run=run_lending)
     lending.add_argument("--out", type=Path, required=True, metavar="DIR", help="results and logs")
     for name, kind, default, meaning in (
-        ("--seconds", _positive, 60.0, "how long it is played"),
+        ("--seconds", _parse_positive, 60.0, "how long it is played"),
         ("--seed", int, 1, "draws the faults"),
-        ("--port", _count, 23500, "the first of the ports"),
-        ("--fault-every", _positive, 10.0, "seconds between two faults"),
-        ("--swap-every", _positive, 8.0, "seconds until the next team comes back, or leaves"),
-        ("--most-s", _positive, 10.0, "seconds that a team may lack what it is entitled to"),
+        ("--port", _parse_count, 23500, "the first of the ports"),
+        ("--fault-every", _parse_positive, 10.0, "seconds between two faults"),
+        ("--swap-every", _parse_positive, 8.0, "seconds until the next team comes back, or leaves"),
+        ("--most-s", _parse_positive, 10.0, "seconds that a team may lack what it is entitled to"),
     ):
         lending.add_argument(
             name, type=kind, default=default, metavar="N", help=f"{meaning}; default: {default:g}"
         )
     text = "print the results of runs again, several as one; aims and lines are reckoned anew"
-    again = commands.add_parser("report", help=text, description=text)
-    again.set_defaults(run=run_report)
-    again.add_argument("folders", type=Path, nargs="+", metavar="DIR", help="a run's --out")
+    report = commands.add_parser("report", help=text, description=text)
+    report.set_defaults(run=run_report)
+    report.add_argument("folders", type=Path, nargs="+", metavar="DIR", help="a run's --out")
     return emulate
 
 
-def main(words: list[str]) -> int:
+def main(argv: list[str]) -> int:
     """Runs the command line; returns the exit code."""
-    arguments = parser().parse_args(words)
+    arguments = create_parser().parse_args(argv)
     code: int = arguments.run(arguments)
     return code
 
@@ -110,26 +110,26 @@
 def _add_plan_options(scale: argparse.ArgumentParser) -> None:
     def add(name: str, kind: Any, text: str) -> None:
         field = name.removeprefix("--").replace("-", "_")
-        default = getattr(DEFAULT, field)
+        default = getattr(DEFAULT_PLAN, field)
         scale.add_argument(
             name, type=kind, default=default, metavar="N", help=f"{text}; default: {default:g}"
         )
 
-    add("--seconds", _positive, "how long a size is held, and at least disturbed")
-    add("--warm-up", _positive, "seconds at most until the standing replicas run")
+    add("--seconds", _parse_positive, "how long a size is held, and at least disturbed")
+    add("--warm-up", _parse_positive, "seconds at most until the standing replicas run")
     add("--seed", int, "the same seed draws the same load")
-    add("--port", _count, "the first of the ports")
-    add("--controllers", _count, "real controllers a cell")
-    add("--cells", _count, "cells, each with controllers and a state service of its own")
-    add("--zones", _count, "zones; the last one falls silent")
-    add("--workers-per-process", _count, "hollow workers that a process plays")
-    add("--state-rps", _positive, "the state service's requests a second")
-    add("--state-write-rps", _positive, "the state service's changes a second")
-    add("--report-s", _positive, "seconds between a worker's reports")
-    add("--lease-s", _positive, "a worker's lease, in seconds")
-    add("--tasks-per-worker", _positive, "running tasks a worker")
-    add("--starts-per-worker", _positive, "starts a second and worker")
-    add("--array-tasks", _count, "mean tasks of a batch job")
+    add("--port", _parse_count, "the first of the ports")
+    add("--controllers", _parse_count, "real controllers a cell")
+    add("--cells", _parse_count, "cells, each with controllers and a state service of its own")
+    add("--zones", _parse_count, "zones; the last one falls silent")
+    add("--workers-per-process", _parse_count, "hollow workers that a process plays")
+    add("--state-rps", _parse_positive, "the state service's requests a second")
+    add("--state-write-rps", _parse_positive, "the state service's changes a second")
+    add("--report-s", _parse_positive, "seconds between a worker's reports")
+    add("--lease-s", _parse_positive, "a worker's lease, in seconds")
+    add("--tasks-per-worker", _parse_positive, "running tasks a worker")
+    add("--starts-per-worker", _parse_positive, "starts a second and worker")
+    add("--array-tasks", _parse_count, "mean tasks of a batch job")
     scale.add_argument("--policy", metavar="FILE", help="the controllers' policy (docs/policy.md)")
     scale.add_argument(
         "--break-rule",
@@ -138,7 +138,7 @@
     )
 
 
-def _plans(arguments: argparse.Namespace) -> list[Plan]:
+def _create_plans(arguments: argparse.Namespace) -> list[Plan]:
     fields = {name for name in Plan.__struct_fields__ if name != "workers"}
     options = {name: value for name, value in vars(arguments).items() if name in fields}
     return [Plan(workers=workers, **options) for workers in arguments.workers]
@@ -150,76 +150,78 @@
         import msgspec
 
         from . import scale
-    except ModuleNotFoundError as fault:
-        return _missing(fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_module(error)
     try:
         result = scale.combine(arguments.folders)
-    except (OSError, msgspec.DecodeError) as fault:
-        print(f"flaxtally: {fault}", file=sys.stderr)
-        return INVALID_INPUT
-    print("\n".join(scale.report(result)))
-    return FAILED if result.rules_broken else DONE
+    except (OSError, msgspec.DecodeError) as error:
+        print(f"flaxtally: {error}", file=sys.stderr)
+        return EXIT_INVALID_INPUT
+    print("\n".join(scale.format_report(result)))
+    return EXIT_FAILED if result.rules_broken else EXIT_OK
 
 
-def _missing(fault: ModuleNotFoundError) -> int:
+def _report_missing_module(error: ModuleNotFoundError) -> int:
     print(
-        f"flaxtally: {fault.name} is missing: pip install -r requirements-emulator.txt",
+        f"flaxtally: {error.name} is missing: pip install -r requirements-emulator.txt",
         file=sys.stderr,
     )
-    return INVALID_INPUT
+    return EXIT_INVALID_INPUT
 
 
-def _terminated(*_: object) -> NoReturn:
+def _raise_interrupt(*_: object) -> NoReturn:
     raise KeyboardInterrupt
 
 
-def _play(out: Path, refused: tuple[type[Exception], ...], play: Callable[[], Played]) -> int:
+def _run_and_report(
+    out: Path, refusals: tuple[type[Exception], ...], play: Callable[[], CompletedRun]
+) -> int:
     """Plays a run that leaves its files in `out`; returns the exit code.
 
-    `refused`: what says that the machine, or an option, doesn't allow the run.
+    `refusals`: what says that the machine, or an option, doesn't allow the run.
     """
     from .processes import ProcessEndedError
 
     # Set for both: in a background job of a shell an interrupt would be ignored.
-    signal.signal(signal.SIGINT, _terminated)
-    signal.signal(signal.SIGTERM, _terminated)
+    signal.signal(signal.SIGINT, _raise_interrupt)
+    signal.signal(signal.SIGTERM, _raise_interrupt)
     try:
         out.mkdir(parents=True, exist_ok=True)
-        played = play()
-    except refused as fault:
-        print(f"flaxtally: {fault}", file=sys.stderr)
-        return INVALID_INPUT
-    except ProcessEndedError as fault:
-        print(f"flaxtally: {fault}", file=sys.stderr)
-        return FAILED
-    print("\n".join(played.report))
-    return DONE if played.is_good else FAILED
+        completed = play()
+    except refusals as error:
+        print(f"flaxtally: {error}", file=sys.stderr)
+        return EXIT_INVALID_INPUT
+    except ProcessEndedError as error:
+        print(f"flaxtally: {error}", file=sys.stderr)
+        return EXIT_FAILED
+    print("\n".join(completed.report))
+    return EXIT_OK if completed.is_good else EXIT_FAILED
 
 
 def run_lending(arguments: argparse.Namespace) -> int:
     """Plays the scenario; the verdict goes to standard output."""
     try:
         from . import lending
-    except ModuleNotFoundError as fault:
-        return _missing(fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_module(error)
     options = {name: getattr(arguments, name) for name in lending.Options.__struct_fields__}
 
-    def play() -> Played:
+    def play() -> CompletedRun:
         verdict = lending.run(lending.Options(**options), arguments.out)
-        return Played(lending.report(verdict), verdict.is_good)
+        return CompletedRun(lending.format_report(verdict), verdict.is_good)
 
-    return _play(arguments.out, (OSError,), play)
+    return _run_and_report(arguments.out, (OSError,), play)
 
 
 def run_scale(arguments: argparse.Namespace) -> int:
     """Plays the sizes; results go to standard output, progress to standard error."""
     try:
         from . import limits, scale
-    except ModuleNotFoundError as fault:
-        return _missing(fault)
+    except ModuleNotFoundError as error:
+        return _report_missing_module(error)
 
-    def play() -> Played:
-        result = scale.run(_plans(arguments), arguments.out)
-        return Played(scale.report(result), not result.rules_broken)
+    def play() -> CompletedRun:
+        result = scale.run(_create_plans(arguments), arguments.out)
+        return CompletedRun(scale.format_report(result), not result.rules_broken)
 
-    return _play(arguments.out, (limits.LimitError, OSError), play)
+    return _run_and_report(arguments.out, (limits.LimitError, OSError), play)
--- a/flaxtally/emulator/controller_settings.py
+++ b/flaxtally/emulator/controller_settings.py
@@ -6,7 +6,7 @@
 
 from ..fakes.settings_text import settings_text
 from ..settings import Objective, Settings, StateLimits
-from .plan import HOST, URGENT_LANE, URGENT_SHARE, URGENT_WITHIN_S, Plan
+from .plan import HOST, URGENT_AIM_FRACTION, URGENT_CLASS, URGENT_START_AIM_S, Plan
 
 if TYPE_CHECKING:
     from ..runtime.loop import Address
@@ -14,19 +14,19 @@
 LIST_LAG_S = 2.0
 
 
-def _peers_address(plan: Plan, number: int) -> Address:
+def _peer_address(plan: Plan, number: int) -> Address:
     return HOST, plan.users_address(number)[1] + 1
 
 
-def node_settings(plan: Plan, number: int) -> Settings:
+def create_settings(plan: Plan, number: int) -> Settings:
     """The platform's settings of one controller."""
     return Settings(
         node=plan.nodes[number],
         zone=plan.zone_of_node(number),
         listen=plan.users_address(number),
-        peer_listen=_peers_address(plan, number),
+        peer_listen=_peer_address(plan, number),
         peers={
-            name: (plan.zone_of_node(other), _peers_address(plan, other))
+            name: (plan.zone_of_node(other), _peer_address(plan, other))
             for other, name in enumerate(plan.nodes)
             if other != number
         },
@@ -34,7 +34,7 @@
         state=plan.state(plan.cell_of_node(number)),
         zones=tuple(plan.zone_names),
         teams={team.name: team for team in plan.teams},
-        objectives=(Objective("wait", URGENT_LANE, URGENT_WITHIN_S, URGENT_SHARE),),
+        objectives=(Objective("wait", URGENT_CLASS, URGENT_START_AIM_S, URGENT_AIM_FRACTION),),
         report_s=plan.report_s,
         lease_s=plan.lease_s,
         gang_wait_s=plan.gang_wait_s,
@@ -50,10 +50,10 @@
 
 def render_settings(plan: Plan, number: int) -> str:
     """The settings of one controller as a file (TOML)."""
-    return settings_text(node_settings(plan, number))
+    return settings_text(create_settings(plan, number))
 
 
-def cells_page(plan: Plan) -> str:
+def render_deploy_file(plan: Plan) -> str:
     """The deploy file (TOML) that divides the fleet into the plan's cells."""
     state = "{}:{}".format(*plan.shared_state)
     lines = ["[cells]", "version = 1", f'state = "{state}"']
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -7,24 +7,24 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from ..runtime.actor import Actor
-from .controller_settings import cells_page, render_settings
+from .controller_settings import render_deploy_file, render_settings
 from .history import History
-from .link import LATE_S, OUTSIDE, USERS, WORKERS
+from .link import ENVIRONMENT, LOOP_LATE_THRESHOLD_S, USERS, WORKERS
 from .load import Load
 from .messages import (
-    Begin,
     Channel,
     Counters,
     Events,
     Hello,
     LoopLate,
-    MachinesTaken,
-    MachineUp,
+    MachinesRemoved,
+    MachineStarted,
     Message,
+    RemoveMachines,
     RestartWorkers,
     Samples,
     SilenceZone,
-    TakeMachines,
+    StartLoad,
 )
 from .plan import Plan, save
 from .processes import ProcessEndedError, Processes
@@ -40,23 +40,23 @@
 
 STEADY, DISTURBED = "steady", "disturbed"
 """The phases: nothing happens; a leader ends, workers restart, a zone falls silent."""
-FIRST_CELL = 0
+FAULTED_CELL = 0
 """The cell whose leader is ended."""
-LED = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
-TAKEOVER_POLL_S = 0.1
+LEADER_ELECTED_PATTERN = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
+TAKEOVER_POLL_INTERVAL_S = 0.1
 DRAIN_S = 1.5
 """After the last phase: until then every part has told what happened in it."""
-SAMPLE_S = 1.0
-CONNECT_PATIENCE_S = 30.0
-READY_SHARE = 0.95
+SAMPLE_INTERVAL_S = 1.0
+CONNECT_TIMEOUT_S = 30.0
+READY_FRACTION = 0.95
 """The warm-up is over when so much of the standing replicas runs."""
 RESTART_DELAY_S = 2.0
 """A controller that was ended is started again after this."""
-RESTARTED_SHARE = 0.05
-SILENCE_LEASES = 1.5
-LEADER_ENDS_AT, WORKERS_RESTART_AT, ZONE_SILENT_AT = 0.0, 0.2, 0.35
+RESTARTED_FRACTION = 0.05
+SILENCE_DURATION_LEASES = 1.5
+LEADER_KILL_FRACTION, WORKER_RESTART_FRACTION, ZONE_SILENCE_FRACTION = 0.0, 0.2, 0.35
 """When the faults come, by the length of the disturbed phase."""
-AFTER_SILENCE_LEASES = 1.0
+MIN_RECOVERY_LEASES = 1.0
 """The disturbed phase lasts at least so long after the zone is heard again."""
 
 
@@ -64,8 +64,8 @@
     """A stretch of the run that is measured by itself; times of the steady clock in seconds."""
 
     name: str
-    begins: float
-    ends: float
+    begins_at: float
+    ends_at: float
 
 
 class Term(NamedTuple):
@@ -83,14 +83,14 @@
         self.samples: dict[str, list[tuple[float, list[float]]]] = {}
         """Delays by what was measured, in pieces with the time at which each came."""
         self.counters: dict[str, list[Counters]] = {}
-        self.late_s = 0.0
+        self.max_timer_delay_s = 0.0
         """The latest timer of the emulator's own processes."""
         self.phases: list[Phase] = []
         self.warm_up_s: float | None = None
         """How long the standing replicas took to run; None: longer than was waited for."""
         self.leaders: dict[str, list[str]] = {}
         """Which controllers led when a phase began, one a cell, by the phase."""
-        self.leader_ended_at: float | None = None
+        self.leader_killed_at: float | None = None
         self.taken_over_at: float | None = None
         """When another controller had begun to lead."""
 
@@ -104,7 +104,7 @@
         self._load = Load(plan)
         self._channels: list[Channel] = []
         self._failure: Exception | None = None
-        self._began = False
+        self._has_begun = False
         self._started_at = loop.now()
         self.processes = Processes()
         self.recording = Recording(plan)
@@ -116,24 +116,24 @@
         plan_file = self._folder / "plan.json"
         save(self._plan, plan_file)
         self._loop.listen(self._plan.control, self._accept)
-        self._loop.on_delay(LATE_S, SAMPLE_S, self._on_delay)
+        self._loop.on_delay(LOOP_LATE_THRESHOLD_S, SAMPLE_INTERVAL_S, self._on_delay)
         try:
-            self._start_part(plan_file, OUTSIDE, 0)
+            self._start_child(plan_file, ENVIRONMENT, 0)
             for number in range(self._plan.worker_processes):
-                self._start_part(plan_file, WORKERS, number)
-            self._start_part(plan_file, USERS, 0)
+                self._start_child(plan_file, WORKERS, number)
+            self._start_child(plan_file, USERS, 0)
             for number, name in enumerate(self._plan.nodes):
                 self._start_controller(number, name)
-            self.every(SAMPLE_S, self._sample)
+            self.every(SAMPLE_INTERVAL_S, self._sample)
             self._loop.run()
         finally:
-            self.processes.end_all()
+            self.processes.kill_all()
             self._loop.close()
         if self._failure is not None:
             raise self._failure
         return self.recording
 
-    def _start_part(self, plan_file: Path, role: str, number: int) -> None:
+    def _start_child(self, plan_file: Path, role: str, number: int) -> None:
         name = f"{role}-{number}"
         arguments = ["-m", "flaxtally.emulator.child_process", str(plan_file), role, str(number)]
         self.processes.start(name, arguments, self._folder / f"{name}.log")
@@ -146,7 +146,7 @@
             arguments += ["--policy", self._plan.policy]
         if self._plan.cells > 1:
             cells = self._folder / "cells.toml"
-            cells.write_text(cells_page(self._plan), encoding="utf-8")
+            cells.write_text(render_deploy_file(self._plan), encoding="utf-8")
             arguments += ["--cells", str(cells)]
         self.processes.start(name, arguments, self._folder / f"{name}.log")
 
@@ -155,14 +155,14 @@
         self._loop.stop()
 
     def _on_delay(self, delay: LoopDelay) -> None:
-        self.recording.late_s = max(self.recording.late_s, delay.late)
+        self.recording.max_timer_delay_s = max(self.recording.max_timer_delay_s, delay.late)
 
     # Parts
 
     def _accept(self, stream: Stream) -> None:
-        self._channels.append(Channel(stream, self._receive, self._closed))
+        self._channels.append(Channel(stream, self._receive, self._on_closed))
 
-    def _closed(self, channel: Channel) -> None:
+    def _on_closed(self, channel: Channel) -> None:
         self._channels.remove(channel)
         self._fail(ProcessEndedError(f"{channel.name} ended: see its log in {self._folder}"))
 
@@ -180,17 +180,17 @@
         elif isinstance(message, Counters):
             recording.counters.setdefault(channel.name, []).append(message)
         elif isinstance(message, LoopLate):
-            recording.late_s = max(recording.late_s, message.late)
-        elif isinstance(message, MachineUp):
+            recording.max_timer_delay_s = max(recording.max_timer_delay_s, message.late)
+        elif isinstance(message, MachineStarted):
             recording.history.add_machine(message.machine)
-            player = f"{WORKERS}-{self._plan.process_of(message.machine.machine)}"
+            child_name = f"{WORKERS}-{self._plan.get_worker_process(message.machine.machine)}"
             for other in self._channels:
-                if other.name == player:
+                if other.name == child_name:
                     other.send(message)
-        elif isinstance(message, TakeMachines):
+        elif isinstance(message, RemoveMachines):
             self._send(message, WORKERS)
-        elif isinstance(message, MachinesTaken):
-            self._send(message, OUTSIDE)
+        elif isinstance(message, MachinesRemoved):
+            self._send(message, ENVIRONMENT)
         elif isinstance(message, Hello):
             channel.role, channel.number = message.role, message.number
 
@@ -204,25 +204,25 @@
         except ProcessEndedError as failure:
             self._fail(failure)
             return
-        if not self._began:
+        if not self._has_begun:
             self._begin_when_connected(now)
         elif not self.recording.phases:
-            self._hold_when_warm(now)
+            self._start_phases_when_warm(now)
 
     def _begin_when_connected(self, now: float) -> None:
         roles = [channel.role for channel in self._channels]
         if (
             roles.count(WORKERS) == self._plan.worker_processes
-            and OUTSIDE in roles
+            and ENVIRONMENT in roles
             and USERS in roles
         ):
-            self._began, self._started_at = True, now
-            self._send(Begin(), USERS)
+            self._has_begun, self._started_at = True, now
+            self._send(StartLoad(), USERS)
             self._progress(f"{self._plan.workers} workers: the load begins")
-        elif now - self._started_at > CONNECT_PATIENCE_S:
-            self._fail(ProcessEndedError(f"not all parts began in {CONNECT_PATIENCE_S:g} s"))
+        elif now - self._started_at > CONNECT_TIMEOUT_S:
+            self._fail(ProcessEndedError(f"not all parts began in {CONNECT_TIMEOUT_S:g} s"))
 
-    def running(self) -> float:
+    def count_running_tasks(self) -> float:
         """Tasks that run, as the workers counted last."""
         last = [
             counters[-1].totals["running"]
@@ -231,83 +231,88 @@
         ]
         return sum(last)
 
-    def _hold_when_warm(self, now: float) -> None:
-        warming, wanted = now - self._started_at, READY_SHARE * self._load.service_replicas
-        running = self.running()
-        if running < wanted and warming < self._plan.warm_up:
+    def _start_phases_when_warm(self, now: float) -> None:
+        elapsed_s, ready_count = (
+            now - self._started_at,
+            READY_FRACTION * self._load.service_replica_count,
+        )
+        running = self.count_running_tasks()
+        if running < ready_count and elapsed_s < self._plan.warm_up:
             return
-        if running >= wanted:
-            self.recording.warm_up_s = warming
+        if running >= ready_count:
+            self.recording.warm_up_s = elapsed_s
         self._progress(
-            f"{self._plan.workers} workers: held after {warming:.0f} s, {running:.0f} tasks run"
+            f"{self._plan.workers} workers: held after {elapsed_s:.0f} s, {running:.0f} tasks run"
         )
         steady = Phase(STEADY, now, now + self._plan.seconds)
-        silence = SILENCE_LEASES * self._plan.lease_s
+        silence_s = SILENCE_DURATION_LEASES * self._plan.lease_s
         disturbed_s = max(
             self._plan.seconds,
-            (silence + AFTER_SILENCE_LEASES * self._plan.lease_s) / (1 - ZONE_SILENT_AT),
+            (silence_s + MIN_RECOVERY_LEASES * self._plan.lease_s) / (1 - ZONE_SILENCE_FRACTION),
         )
-        disturbed = Phase(DISTURBED, steady.ends, steady.ends + disturbed_s)
+        disturbed = Phase(DISTURBED, steady.ends_at, steady.ends_at + disturbed_s)
         self.recording.phases += [steady, disturbed]
-        self.recording.leaders[steady.name] = leaders(self._plan, self._folder)
-        self.later(steady.ends - now, self._disturb, disturbed)
-        self.recording.history.until = disturbed.ends
-        self.later(disturbed.ends + DRAIN_S - now, self._loop.stop)
-
-    def _disturb(self, phase: Phase) -> None:
-        length = phase.ends - phase.begins
-        self.later(LEADER_ENDS_AT * length, self._end_leader)
-        self.later(WORKERS_RESTART_AT * length, self._restart_workers)
-        self.later(ZONE_SILENT_AT * length, self._silence_zone)
-
-    def _end_leader(self) -> None:
-        ended = highest_term(self._plan, self._folder, FIRST_CELL)
-        name = ended.leader
+        self.recording.leaders[steady.name] = find_leaders(self._plan, self._folder)
+        self.later(steady.ends_at - now, self._schedule_faults, disturbed)
+        self.recording.history.until = disturbed.ends_at
+        self.later(disturbed.ends_at + DRAIN_S - now, self._loop.stop)
+
+    def _schedule_faults(self, phase: Phase) -> None:
+        length_s = phase.ends_at - phase.begins_at
+        self.later(LEADER_KILL_FRACTION * length_s, self._kill_leader)
+        self.later(WORKER_RESTART_FRACTION * length_s, self._restart_workers)
+        self.later(ZONE_SILENCE_FRACTION * length_s, self._silence_zone)
+
+    def _kill_leader(self) -> None:
+        killed_term = find_newest_cell_term(self._plan, self._folder, FAULTED_CELL)
+        name = killed_term.leader
         if not name:
             self._progress("no controller leads: none is ended")
             return
         self._progress(f"{name} leads and is ended")
         controller = self.processes[name]
         controller.kill()
-        self.recording.leader_ended_at = self.runtime.now()
+        self.recording.leader_killed_at = self.runtime.now()
         self.later(RESTART_DELAY_S, controller.start)
-        self._wait_for_takeover(ended)
+        self._wait_for_takeover(killed_term)
 
-    def _wait_for_takeover(self, ended: Term) -> None:
-        newest = highest_term(self._plan, self._folder, FIRST_CELL)
-        if newest.number > ended.number:
+    def _wait_for_takeover(self, killed_term: Term) -> None:
+        newest_found = find_newest_cell_term(self._plan, self._folder, FAULTED_CELL)
+        if newest_found.number > killed_term.number:
             self.recording.taken_over_at = self.runtime.now()
-            self.recording.leaders[DISTURBED] = leaders(self._plan, self._folder)
+            self.recording.leaders[DISTURBED] = find_leaders(self._plan, self._folder)
         else:
-            self.later(TAKEOVER_POLL_S, self._wait_for_takeover, ended)
+            self.later(TAKEOVER_POLL_INTERVAL_S, self._wait_for_takeover, killed_term)
 
     def _restart_workers(self) -> None:
-        self._progress(f"{RESTARTED_SHARE:.0%} of the workers restart")
-        self._send(RestartWorkers(RESTARTED_SHARE), WORKERS)
+        self._progress(f"{RESTARTED_FRACTION:.0%} of the workers restart")
+        self._send(RestartWorkers(RESTARTED_FRACTION), WORKERS)
 
     def _silence_zone(self) -> None:
-        zone, seconds = self._plan.zone_names[-1], SILENCE_LEASES * self._plan.lease_s
+        zone, seconds = self._plan.zone_names[-1], SILENCE_DURATION_LEASES * self._plan.lease_s
         self._progress(f"{zone} is silent for {seconds:g} s")
         self._send(SilenceZone(zone, seconds), WORKERS)
 
 
-def leaders(plan: Plan, folder: Path) -> list[str]:
+def find_leaders(plan: Plan, folder: Path) -> list[str]:
     """Who leads, one a cell; a cell without a leader is left out."""
-    found = [highest_term(plan, folder, cell).leader for cell in range(plan.cells)]
+    found = [find_newest_cell_term(plan, folder, cell).leader for cell in range(plan.cells)]
     return [name for name in found if name]
 
 
-def highest_term(plan: Plan, folder: Path, cell: int) -> Term:
+def find_newest_cell_term(plan: Plan, folder: Path, cell: int) -> Term:
     """A cell's newest term."""
-    return newest_term(folder, plan.nodes_of(cell))
+    return find_newest_term(folder, plan.nodes_of(cell))
 
 
-def newest_term(folder: Path, names: Iterable[str]) -> Term:
+def find_newest_term(folder: Path, names: Iterable[str]) -> Term:
     """The newest term of these controllers, by their logs."""
     found = Term(0, "")
     for name in names:
         log_file = folder / f"{name}.log"
         if log_file.exists():
             text = log_file.read_text(encoding="utf-8", errors="replace")
-            found = max([found, *(Term(int(term), name) for term in LED.findall(text))])
+            found = max(
+                [found, *(Term(int(term), name) for term in LEADER_ELECTED_PATTERN.findall(text))]
+            )
     return found
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -9,20 +9,20 @@
 from ..fakes.cloud import Cloud
 from ..fakes.key_value_store import FakeKeyValueStore
 from ..runtime.token_bucket import TokenBucket
-from .messages import MachinesTaken, MachineUp, Message, TakeMachines
+from .messages import MachinesRemoved, MachineStarted, Message, RemoveMachines
 
 if TYPE_CHECKING:
     from ..runtime.http import Request
     from ..runtime.loop import Address
-    from .link import Link
+    from .link import CoordinatorLink
     from .measured import CountingLoop
     from .plan import Plan
 
-PAGE = re.compile(r"(^|/)p/[0-9]+$")
+PAGE_KEY_PATTERN = re.compile(r"(^|/)p/[0-9]+$")
 STATE_BURST_S, CLOUD_BURST_S = 1.0, 2.0
 
 
-def _bucket(loop: CountingLoop, rate: float, burst_s: float) -> TokenBucket:
+def _create_bucket(loop: CountingLoop, rate: float, burst_s: float) -> TokenBucket:
     """PROTOCOL: bursts of so many seconds' worth are allowed."""
     return TokenBucket(loop, rate, rate * burst_s)
 
@@ -33,9 +33,9 @@
     A release is answered only when all of them say that the machines are gone: the answer is proof.
     """
 
-    def __init__(self, loop: CountingLoop, plan: Plan, link: Link) -> None:
+    def __init__(self, loop: CountingLoop, plan: Plan, link: CoordinatorLink) -> None:
         self._link, self._processes = link, plan.worker_processes
-        self._releases: dict[int, tuple[Request, int]] = {}
+        self._pending_releases: dict[int, tuple[Request, int]] = {}
         self._release_count = 0
         super().__init__(
             loop,
@@ -43,7 +43,7 @@
             plan.types,
             plan.capacity,
             lambda count: "{}:{}".format(*plan.worker_address(count)),
-            lambda machine: link.send(MachineUp(machine)),
+            lambda machine: link.send(MachineStarted(machine)),
             lambda _: None,
             random.Random(f"{plan.seed}/cloud"),
         )
@@ -54,45 +54,45 @@
         for name in names:
             self.take(name)
         self._release_count += 1
-        self._releases[self._release_count] = request, self._processes
-        self._link.send(TakeMachines(self._release_count, names))
+        self._pending_releases[self._release_count] = request, self._processes
+        self._link.send(RemoveMachines(self._release_count, names))
 
-    def taken(self, number: int) -> None:
+    def record_machines_removed(self, release_number: int) -> None:
         """One of the workers' processes has ended the machines of a release."""
-        request, missing = self._releases.pop(number)
-        if missing > 1:
-            self._releases[number] = request, missing - 1
+        request, unconfirmed_count = self._pending_releases.pop(release_number)
+        if unconfirmed_count > 1:
+            self._pending_releases[release_number] = request, unconfirmed_count - 1
         else:
             request.reply(200, {})
 
 
-class Outside:
+class FakeEnvironment:
     """Owns the cloud, each cell's state service, and the one that all cells share."""
 
-    def __init__(self, loop: CountingLoop, plan: Plan, link: Link) -> None:
+    def __init__(self, loop: CountingLoop, plan: Plan, link: CoordinatorLink) -> None:
         self._loop, self._plan = loop, plan
-        self._states = [self._state_service(plan.state(cell)) for cell in range(plan.cells)]
-        self._shared = self._state_service(plan.shared_state)
+        self._states = [self._create_state_service(plan.state(cell)) for cell in range(plan.cells)]
+        self._shared = self._create_state_service(plan.shared_state)
         self._cloud = RemoteCloud(loop, plan, link)
-        self._cloud.limit = _bucket(loop, plan.cloud_rps, CLOUD_BURST_S)
+        self._cloud.limit = _create_bucket(loop, plan.cloud_rps, CLOUD_BURST_S)
 
-    def _state_service(self, where: Address) -> FakeKeyValueStore:
+    def _create_state_service(self, address: Address) -> FakeKeyValueStore:
         plan = self._plan
         service = FakeKeyValueStore(
-            self._loop, where, random.Random(f"{plan.seed}/state/{where[1]}")
+            self._loop, address, random.Random(f"{plan.seed}/state/{address[1]}")
         )
         service.txn_ops, service.value_bytes = plan.txn_ops, int(plan.value_kb * 1024)
-        service.request_limit = _bucket(self._loop, plan.state_rps, STATE_BURST_S)
-        service.change_limit = _bucket(self._loop, plan.state_write_rps, STATE_BURST_S)
+        service.request_limit = _create_bucket(self._loop, plan.state_rps, STATE_BURST_S)
+        service.change_limit = _create_bucket(self._loop, plan.state_write_rps, STATE_BURST_S)
         return service
 
     def receive(self, message: Message) -> None:
-        if isinstance(message, MachinesTaken):
-            self._cloud.taken(message.request)
+        if isinstance(message, MachinesRemoved):
+            self._cloud.record_machines_removed(message.request)
 
     def totals(self) -> dict[str, float]:
         states = self._states
-        pages = [key for state in states for key in state.rows if PAGE.search(key)]
+        pages = [key for state in states for key in state.rows if PAGE_KEY_PATTERN.search(key)]
         return {
             "state_requests": sum(state.requests for state in states),
             "state_changes": sum(state.changes for state in states),
--- a/flaxtally/emulator/fit.py
+++ b/flaxtally/emulator/fit.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-FEWEST_SIZES = 4
-NOT_LINEAR = 0.25
+MIN_SIZES = 4
+MAX_POWER_DEVIATION = 0.25
 """A power of the size that differs from 1 by more than this is said to be not linear."""
 
 
@@ -32,19 +32,19 @@
     """The target by the largest size measured."""
 
     @property
-    def linear(self) -> bool:
-        return self.power is None or abs(self.power - 1) <= NOT_LINEAR
+    def is_linear(self) -> bool:
+        return self.power is None or abs(self.power - 1) <= MAX_POWER_DEVIATION
 
 
 def fit(figure: str, sizes: Sequence[float], values: Sequence[float], target: int) -> Fit:
     """The line of least squares; at least two sizes are needed."""
     line = statistics.linear_regression(sizes, values)
-    missed = [
+    errors = [
         value - line.intercept - line.slope * size
         for size, value in zip(sizes, values, strict=True)
     ]
     mean = statistics.fmean(values)
-    residual = math.sqrt(statistics.fmean(miss * miss for miss in missed))
+    residual = math.sqrt(statistics.fmean(error * error for error in errors))
     power = None
     if all(value > 0 for value in values):
         logs = [math.log(size) for size in sizes], [math.log(value) for value in values]
@@ -72,6 +72,6 @@
         lines.append(
             f"{entry.figure:34} {entry.at_zero:11.4g} {entry.per_worker:12.4g} "
             f"{entry.residual:9.1%} {power:>6} {entry.at_target:11.4g} {entry.factor:7.1f}"
-            f"{'' if entry.linear else '  not linear'}"
+            f"{'' if entry.is_linear else '  not linear'}"
         )
     return lines
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -7,8 +7,8 @@
 from typing import TYPE_CHECKING
 
 from ..protocol import wire
-from .load import Load, number_of
-from .messages import ANSWERED_SUBMIT, ANSWERS, CANCEL_ASKED, ENDED, STARTED, SUBMITTED, Event
+from .load import Load, parse_job_number
+from .messages import CANCEL_REQUESTED, ENDED, REPLY_KINDS, STARTED, SUBMIT_REPLY, SUBMITTED, Event
 from .rules import Rules
 
 if TYPE_CHECKING:
@@ -16,10 +16,10 @@
 
     from .plan import Plan
 
-LOOK_EVERY_S = 1.0
-OK, CREATED = 200, 201
-EVENTS_SHOWN = 12
-TASK_OR_JOB = re.compile(r"j-[0-9]+(/[0-9]+)?")
+CHECK_INTERVAL_S = 1.0
+HTTP_OK, HTTP_CREATED = 200, 201
+MAX_EVENTS_SHOWN = 12
+TASK_OR_JOB_PATTERN = re.compile(r"j-[0-9]+(/[0-9]+)?")
 
 
 class BrokenRule:
@@ -28,11 +28,11 @@
     def __init__(self, text: str, events: list[Event]) -> None:
         self.text, self.events = text, events
 
-    def lines(self) -> list[str]:
-        return [self.text, *(f"    {describe(event)}" for event in self.events)]
+    def format_lines(self) -> list[str]:
+        return [self.text, *(f"    {format_event(event)}" for event in self.events)]
 
 
-def describe(event: Event) -> str:
+def format_event(event: Event) -> str:
     """An event as one line."""
     words = [f"{event.at:.3f}", event.kind, event.subject]
     if event.machine:
@@ -68,19 +68,19 @@
             (event for event in self.events if event.at <= self.until), key=lambda event: event.at
         )
         found: list[BrokenRule] = []
-        next_look = self.events[0].at if self.events else 0.0
+        next_check_at = self.events[0].at if self.events else 0.0
         for position, event in enumerate(self.events):
-            while event.at >= next_look:
-                rules.check_deadlines(next_look)
-                next_look += LOOK_EVERY_S
-            self._feed(rules, event)
+            while event.at >= next_check_at:
+                rules.check_deadlines(next_check_at)
+                next_check_at += CHECK_INTERVAL_S
+            self._apply_event(rules, event)
             while len(rules.broken) > len(found):
-                found.append(self._explain(rules.broken[len(found)], event, position))
+                found.append(self._collect_evidence(rules.broken[len(found)], event, position))
         if not any(event.kind == STARTED for event in self.events):
             found.append(BrokenRule("nothing_ran", []))
         return found
 
-    def _feed(self, rules: Rules, event: Event) -> None:
+    def _apply_event(self, rules: Rules, event: Event) -> None:
         if event.kind == STARTED:
             machine = self._machines[event.machine]
             rules.record_start(event.subject, event.attempt, machine, event.at)
@@ -88,29 +88,29 @@
             done = event.stage == wire.CAUSE_DONE
             rules.record_end(event.subject, event.attempt, event.machine, done)
         elif event.kind == SUBMITTED:
-            rules.record_submission(self._load.job(number_of(event.subject)).spec)
-        elif event.kind == CANCEL_ASKED:
+            rules.record_submission(self._load.job(parse_job_number(event.subject)).spec)
+        elif event.kind == CANCEL_REQUESTED:
             rules.record_cancel_request(event.subject)
-        elif event.kind in ANSWERS:
+        elif event.kind in REPLY_KINDS:
             body = {"ref": event.body_ref, "stage": event.stage}
             rules.record_reply(
                 event.kind, event.subject, event.asked_at, event.at, event.status, body
             )
 
-    def _explain(self, text: str, event: Event, position: int) -> BrokenRule:
+    def _collect_evidence(self, text: str, event: Event, position: int) -> BrokenRule:
         """The last events of the task or job that the rule names."""
-        named = TASK_OR_JOB.search(text)
+        named = TASK_OR_JOB_PATTERN.search(text)
         subject = named.group() if named else event.subject
         related = [
             other
             for other in self.events[: position + 1]
             if other.subject in (subject, subject.partition("/")[0])
         ]
-        return BrokenRule(text, related[-EVENTS_SHOWN:])
+        return BrokenRule(text, related[-MAX_EVENTS_SHOWN:])
 
     # Figures
 
-    def start_delays(self, since: float, until: float) -> dict[str, list[float]]:
+    def compute_start_delays(self, since: float, until: float) -> dict[str, list[float]]:
         """By lane: seconds from the first attempt to submit a job to the start of each task.
 
         Of tasks of jobs that were submitted in that time; tasks that didn't start are not in it.
@@ -125,14 +125,14 @@
                 started.add(event.subject)
                 first = submitted.get(event.subject.partition("/")[0])
                 if first is not None:
-                    job_class = self._load.job(number_of(event.subject)).spec.job_class
+                    job_class = self._load.job(parse_job_number(event.subject)).spec.job_class
                     delays.setdefault(job_class, []).append(event.at - first)
         return delays
 
-    def submitted_tasks(self, since: float, until: float) -> int:
+    def count_submitted_tasks(self, since: float, until: float) -> int:
         """Tasks of the jobs that were submitted in that time."""
         return sum(
-            self._load.job(number_of(event.subject)).spec.tasks
+            self._load.job(parse_job_number(event.subject)).spec.tasks
             for event in self.events
             if event.kind == SUBMITTED and since <= event.at < until
         )
@@ -141,25 +141,27 @@
         """Starts of tasks in that time."""
         return sum(event.kind == STARTED and since <= event.at < until for event in self.events)
 
-    def first_acceptance_after(self, at: float) -> float | None:
+    def find_first_acceptance(self, at: float) -> float | None:
         """When the first job was accepted whose user asked after that."""
         return min(
             (
                 event.at
                 for event in self.events
-                if event.kind == ANSWERED_SUBMIT
-                and event.status == CREATED
+                if event.kind == SUBMIT_REPLY
+                and event.status == HTTP_CREATED
                 and event.asked_at >= at
             ),
             default=None,
         )
 
-    def longest_without(self, kinds: tuple[str, ...], since: float, until: float) -> float:
+    def compute_longest_gap_s(self, kinds: tuple[str, ...], since: float, until: float) -> float:
         """The longest time between two accepted answers of these kinds."""
         times = [
             event.at
             for event in self.events
-            if event.kind in kinds and event.status in (OK, CREATED) and since <= event.at < until
+            if event.kind in kinds
+            and event.status in (HTTP_OK, HTTP_CREATED)
+            and since <= event.at < until
         ]
         marks = [since, *sorted(times), until]
         return max(later - earlier for earlier, later in pairwise(marks))
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -6,7 +6,7 @@
 
 from ..fakes.worker import Worker
 from ..protocol import wire
-from .load import Load, number_of
+from .load import Load, parse_job_number
 from .measured import CountingLoop, MeasuredClient
 
 if TYPE_CHECKING:
@@ -17,9 +17,9 @@
     from ..runtime.loop import Address
     from .plan import Plan
 
-REPORT_GAP_S = 0.5
+MIN_REPORT_INTERVAL_S = 0.5
 """PROTOCOL: what changes is reported at once, but not more often than this."""
-FETCH_VARIATION = 0.33
+FETCH_VARIATION_FRACTION = 0.33
 """PROTOCOL: an image fetch takes its usual time give or take a third."""
 
 
@@ -33,12 +33,12 @@
         load: Load,
         machine: wire.Listed,
         address: Address,
-        watch: Callable[[str, str, str, int], None],
-        took: Callable[[float], None],
+        on_task_event: Callable[[str, str, str, int], None],
+        on_report_answered: Callable[[float], None],
         rng: random.Random,
     ) -> None:
         self._reported_at = float("-inf")
-        self._change_waits = False
+        self._has_unreported_change = False
         self._fetched_at: dict[str, float] = {}
         kind = next(entry for entry in plan.types if entry.name == machine.machine_type)
         super().__init__(
@@ -49,16 +49,16 @@
             plan.node_addresses,
             plan.report_s,
             plan.lease_s,
-            lambda ref: load.job(number_of(ref)).spec,
-            lambda ref: load.job(number_of(ref)).run_s,
-            watch,
+            lambda ref: load.job(parse_job_number(ref)).spec,
+            lambda ref: load.job(parse_job_number(ref)).run_s,
+            on_task_event,
             rng,
         )
         for name, where in plan.node_addresses.items():
-            self._clients[name] = MeasuredClient(loop, where, took)
+            self._clients[name] = MeasuredClient(loop, where, on_report_answered)
 
     @property
-    def running(self) -> int:
+    def running_count(self) -> int:
         """Tasks that run."""
         return sum(held.state == wire.RUNNING for held in self.tasks.values())
 
@@ -70,51 +70,53 @@
     def silence(self, seconds: float) -> None:
         """Nothing that it sends arrives, nothing sent to it reaches it, for so long."""
         self.mute = self.deaf = True
-        self._runtime.after(seconds, self._hear_again)
+        self._runtime.after(seconds, self._end_silence)
 
-    def _hear_again(self) -> None:
+    def _end_silence(self) -> None:
         self.mute = self.deaf = False
 
     def changed(self) -> None:
         if self._busy:
-            self._change_waits = True
+            self._has_unreported_change = True
             return
-        self._due(self._earliest())
+        self._due(self._get_min_delay_s())
 
-    def _earliest(self) -> float:
+    def _get_min_delay_s(self) -> float:
         """Seconds until a change may be reported."""
-        return max(0.0, REPORT_GAP_S - (self._runtime.now() - self._reported_at))
+        return max(0.0, MIN_REPORT_INTERVAL_S - (self._runtime.now() - self._reported_at))
 
     def _due(self, delay: float) -> None:
-        if self._change_waits and not self._busy:
-            self._change_waits = False
-            delay = min(delay, self._earliest())
+        if self._has_unreported_change and not self._busy:
+            self._has_unreported_change = False
+            delay = min(delay, self._get_min_delay_s())
         super()._due(delay)
 
     def _beat(self) -> None:
         self._reported_at = self._runtime.now()
         super()._beat()
 
-    def _launch(self, order: wire.Command) -> None:
-        super()._launch(order)
-        held = self.tasks[order.task, order.attempt]
+    def _launch(self, command: wire.Command) -> None:
+        super()._launch(command)
+        held = self.tasks[command.task, command.attempt]
         if held.timer is not None and held.state == wire.FETCHING:
             # The stand-in's fetch takes its usual time; here it takes the drawn one.
             held.timer.cancel()
-            held.timer = self._runtime.after(self._fetch_s(order.task), self._run, held)
+            held.timer = self._runtime.after(self._draw_fetch_s(command.task), self._run, held)
 
-    def run_at_once(self, held: Held) -> None:
+    def start_unassigned(self, held: Held) -> None:
         """Starts a task that nobody ordered, for runs that plant a fault."""
         self._run(held)
 
-    def _fetch_s(self, task: str) -> float:
+    def _draw_fetch_s(self, task: str) -> float:
         """Seconds until the task's image is there; 0 if it is there already."""
         spec = self._spec(task.partition("/")[0])
         if spec is None:
             return 0.0
         now = self._runtime.now()
         if spec.image not in self._fetched_at:
-            usual = spec.image_gb / self._kind.fetch_gb_per_s
-            drawn = usual * self._rng.uniform(1 - FETCH_VARIATION, 1 + FETCH_VARIATION)
-            self._fetched_at[spec.image] = now + drawn
+            usual_s = spec.image_gb / self._kind.fetch_gb_per_s
+            drawn_s = usual_s * self._rng.uniform(
+                1 - FETCH_VARIATION_FRACTION, 1 + FETCH_VARIATION_FRACTION
+            )
+            self._fetched_at[spec.image] = now + drawn_s
         return max(0.0, self._fetched_at[spec.image] - now)
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -20,7 +20,7 @@
 from ..runtime.http import Client, Reply
 from ..runtime.loop import Address, Loop
 from ..settings import Settings, StateLimits, Team
-from .coordinator import newest_term
+from .coordinator import find_newest_term
 from .loan_audit import LoanAudit
 from .processes import ProcessEndedError, Processes
 from .rules import Rules
@@ -31,16 +31,20 @@
 HOST = "127.0.0.1"
 NODES = ("controller-0", "controller-1", "controller-2")
 ZONES = ("a", "b")
-GPUS = 8.0
-KIND = wire.MachineType("g8", 64.0, GPUS, 256.0, 200.0, 8.0, 12.0, 4.0, 1.0, list(ZONES))
-TEAMS = {name: Team(name, 0.0, 0.0, GPUS, 4 * GPUS) for name in ("day", "night")}
-TASKS = 16
+GPUS_PER_MACHINE = 8.0
+MACHINE_TYPE = wire.MachineType(
+    "g8", 64.0, GPUS_PER_MACHINE, 256.0, 200.0, 8.0, 12.0, 4.0, 1.0, list(ZONES)
+)
+TEAMS = {
+    name: Team(name, 0.0, 0.0, GPUS_PER_MACHINE, 4 * GPUS_PER_MACHINE) for name in ("day", "night")
+}
+TASKS_PER_JOB = 16
 REPORT_S, LEASE_S, CANCEL_S = 0.8, 4.0, 20.0
-LOOK_S = 0.25
-BACK_AFTER_S = (0.3, 3.0)
-PAUSED_LEASES = 1.5
-USERS_PATIENCE_S, RETRY_S = 5.0, 1.0
-FIRST_WORKER_PORT = 20
+CHECK_INTERVAL_S = 0.25
+RESTART_DELAY_RANGE_S = (0.3, 3.0)
+PAUSE_DURATION_LEASES = 1.5
+REQUEST_TIMEOUT_S, RETRY_BACKOFF_S = 5.0, 1.0
+FIRST_WORKER_PORT_OFFSET = 20
 
 
 class Options(msgspec.Struct, frozen=True):
@@ -82,32 +86,34 @@
         self._specs: dict[str, wire.Spec] = {}
         self._workers: dict[str, Worker] = {}
         self._borrowed: dict[str, tuple[float, float]] = {}
-        self._turn = 0
+        self._swap_count = 0
         self._faults: list[str] = []
-        self._recalled = 0
+        self._reclaimed_count = 0
         self._failure: ProcessEndedError | None = None
         self.processes = Processes()
-        self._rules = Rules(TEAMS, [KIND], CANCEL_S)
+        self._rules = Rules(TEAMS, [MACHINE_TYPE], CANCEL_S)
         self._audit = LoanAudit(self._rules, TEAMS, options.most_s)
-        self._loans = (folder / "loans.jsonl").open("wb")
+        self._loans_file = (folder / "loans.jsonl").open("wb")
         FakeKeyValueStore(loop, self._address(0), random.Random(options.seed))
         Cloud(
             loop,
             self._address(1),
-            [KIND],
-            {(KIND.name, zone, False): 1 for zone in ZONES},
-            lambda count: "{}:{}".format(*self._address(FIRST_WORKER_PORT + count)),
+            [MACHINE_TYPE],
+            {(MACHINE_TYPE.name, zone, False): 1 for zone in ZONES},
+            lambda count: "{}:{}".format(*self._address(FIRST_WORKER_PORT_OFFSET + count)),
             self._start_worker,
             self._end_worker,
             self._rng,
         )
-        self._clients = [Client(loop, self._users(number), 8) for number in range(len(NODES))]
-        self._began = loop.now()
+        self._clients = [
+            Client(loop, self._user_address(number), 8) for number in range(len(NODES))
+        ]
+        self._started_at = loop.now()
 
     def _address(self, offset: int) -> Address:
         return HOST, self._options.port + offset
 
-    def _users(self, number: int) -> Address:
+    def _user_address(self, number: int) -> Address:
         return self._address(2 + 2 * number)
 
     def run(self) -> Verdict:
@@ -118,18 +124,20 @@
             for number, name in enumerate(NODES):
                 config = self._folder / f"{name}.toml"
                 config.write_text(settings_text(self._settings(number)), encoding="utf-8")
-                words = ["-m", "flaxtally", "serve", "--config", str(config)]
-                words += ["--features", str(features)]
-                self.processes.start(name, words, self._folder / f"{name}.log")
-            self.every(LOOK_S, self._look)
-            self.every(self._options.swap_every, self._swap)
-            self.later(self._options.fault_every, self.every, self._options.fault_every, self._fail)
+                arguments = ["-m", "flaxtally", "serve", "--config", str(config)]
+                arguments += ["--features", str(features)]
+                self.processes.start(name, arguments, self._folder / f"{name}.log")
+            self.every(CHECK_INTERVAL_S, self._check)
+            self.every(self._options.swap_every, self._swap_teams)
+            self.later(
+                self._options.fault_every, self.every, self._options.fault_every, self._inject_fault
+            )
             self.later(self._options.seconds, self._loop.stop)
             self._loop.run()
         finally:
-            self.processes.end_all()
+            self.processes.kill_all()
             self._loop.close()
-            self._loans.close()
+            self._loans_file.close()
         if self._failure is not None:
             raise self._failure
         return Verdict(
@@ -140,21 +148,21 @@
                 team: round(longest_shortfall_s, 2)
                 for team, longest_shortfall_s in self._audit.longest_shortfall_s.items()
             },
-            self._recalled,
+            self._reclaimed_count,
             self._faults,
         )
 
     def _settings(self, number: int) -> Settings:
-        def peers(of: int) -> Address:
-            return self._address(3 + 2 * of)
+        def get_peer_address(node_number: int) -> Address:
+            return self._address(3 + 2 * node_number)
 
         return Settings(
             node=NODES[number],
             zone=ZONES[number % len(ZONES)],
-            listen=self._users(number),
-            peer_listen=peers(number),
+            listen=self._user_address(number),
+            peer_listen=get_peer_address(number),
             peers={
-                name: (ZONES[other % len(ZONES)], peers(other))
+                name: (ZONES[other % len(ZONES)], get_peer_address(other))
                 for other, name in enumerate(NODES)
                 if other != number
             },
@@ -182,14 +190,14 @@
         worker = self._workers[machine.machine] = Worker(
             self._loop,
             machine,
-            KIND,
+            MACHINE_TYPE,
             (host, int(port)),
-            {name: self._users(number) for number, name in enumerate(NODES)},
+            {name: self._user_address(number) for number, name in enumerate(NODES)},
             REPORT_S,
             LEASE_S,
             self._specs.get,
             lambda _: None,
-            self._watch,
+            self._on_task_event,
             self._rng,
         )
         worker.saves = True
@@ -199,38 +207,38 @@
         if worker is not None:
             worker.gone()
 
-    def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
-        now = self._now()
+    def _on_task_event(self, event: str, machine: str, task: str, attempt: int) -> None:
+        now = self._get_elapsed_s()
         if event == "start":
             self._rules.record_start(task, attempt, self._workers[machine].machine, now)
             self._audit.record_start(task, machine, now)
         else:
             self._audit.record_upcoming_end(task, now)
             self._rules.record_end(task, attempt, machine, event == "end done")
-            asked = self._rules.job(task.partition("/")[0]).asked_to_cancel
-            if event == "end halted" and not asked:
-                self._recalled += 1
+            is_cancelled = self._rules.job(task.partition("/")[0]).asked_to_cancel
+            if event == "end halted" and not is_cancelled:
+                self._reclaimed_count += 1
                 self._audit.record_stop(task, machine, now)
-        self._log_loans(now)
+        self._write_loan_changes(now)
 
-    def _log_loans(self, now: float) -> None:
+    def _write_loan_changes(self, now: float) -> None:
         """A line for each team whose borrowing begins, changes or ends."""
-        borrowed = self._audit.borrowed()
+        borrowed = self._audit.compute_borrowed()
         for team in TEAMS:
             before, after = self._borrowed.get(team), borrowed.get(team)
             if before != after:
                 cores, gpus = after or (0.0, 0.0)
                 line = {"at": round(now, 3), "borrower": team, "cores": cores, "gpus": gpus}
-                self._loans.write(msgspec.json.encode(line) + b"\n")
+                self._loans_file.write(msgspec.json.encode(line) + b"\n")
         self._borrowed = borrowed
 
-    def _now(self) -> float:
-        return self.runtime.now() - self._began
+    def _get_elapsed_s(self) -> float:
+        return self.runtime.now() - self._started_at
 
-    def _look(self) -> None:
-        up = [worker.machine for worker in self._workers.values()]
-        self._audit.check_deadlines(self._now(), up)
-        self._rules.check_deadlines(self._now())
+    def _check(self) -> None:
+        machines = [worker.machine for worker in self._workers.values()]
+        self._audit.check_deadlines(self._get_elapsed_s(), machines)
+        self._rules.check_deadlines(self._get_elapsed_s())
         try:
             self.processes.check()
         except ProcessEndedError as failure:
@@ -239,23 +247,23 @@
 
     # Users
 
-    def _swap(self) -> None:
+    def _swap_teams(self) -> None:
         """A team comes back, or the one before it leaves: each time the other's turn."""
-        team = sorted(TEAMS)[self._turn // 2 % len(TEAMS)]
-        if self._turn % 2 == 0:
-            self._submit(self._job(team))
-        elif self._turn > 2:
-            self._cancel(f"j-{self._turn // 2 - 1:06d}")
-        self._turn += 1
-
-    def _job(self, team: str) -> wire.Spec:
+        team = sorted(TEAMS)[self._swap_count // 2 % len(TEAMS)]
+        if self._swap_count % 2 == 0:
+            self._submit(self._create_job(team))
+        elif self._swap_count > 2:
+            self._cancel(f"j-{self._swap_count // 2 - 1:06d}")
+        self._swap_count += 1
+
+    def _create_job(self, team: str) -> wire.Spec:
         return wire.Spec(
-            f"j-{self._turn // 2:06d}",
+            f"j-{self._swap_count // 2:06d}",
             "batch",
             team,
             wire.ARRAY,
             "standard",
-            TASKS,
+            TASKS_PER_JOB,
             4.0,
             1.0,
             8.0,
@@ -275,43 +283,45 @@
     def _submit(self, spec: wire.Spec) -> None:
         self._specs[spec.ref] = spec
         self._rules.record_submission(spec)
-        self._ask("submit", spec.ref, "POST", wire.WORK, wire.submission(spec))
+        self._send_request("submit", spec.ref, "POST", wire.WORK, wire.submission(spec))
 
     def _cancel(self, ref: str) -> None:
         self._rules.record_cancel_request(ref)
-        self._ask("cancel", ref, "POST", f"{wire.WORK}/{ref}/cancel", None)
+        self._send_request("cancel", ref, "POST", f"{wire.WORK}/{ref}/cancel", None)
 
-    def _ask(self, what: str, ref: str, method: str, path: str, body: Any) -> None:
+    def _send_request(self, what: str, ref: str, method: str, path: str, body: Any) -> None:
         """Asks one controller after the other until one answers for good."""
-        asked_at = self._now()
+        asked_at = self._get_elapsed_s()
 
-        def told(reply: Reply) -> None:
-            answer = msgspec.msgpack.decode(reply.body) if reply.body else None
-            self._rules.record_reply(what, ref, asked_at, self._now(), reply.status, answer)
+        def on_reply(reply: Reply) -> None:
+            reply_body = msgspec.msgpack.decode(reply.body) if reply.body else None
+            self._rules.record_reply(
+                what, ref, asked_at, self._get_elapsed_s(), reply.status, reply_body
+            )
             if reply.status not in (200, 201):
-                self.later(RETRY_S, self._ask, what, ref, method, path, body)
+                self.later(RETRY_BACKOFF_S, self._send_request, what, ref, method, path, body)
 
         client = self._rng.choice(self._clients)
-        client.request(method, path, body, USERS_PATIENCE_S, told)
+        client.request(method, path, body, REQUEST_TIMEOUT_S, on_reply)
 
     # Faults
 
-    def _fail(self) -> None:
+    def _inject_fault(self) -> None:
         """The leader, or any controller, is killed, or stands still for longer than its lease."""
-        leader = newest_term(self._folder, NODES).leader
+        leader = find_newest_term(self._folder, NODES).leader
         name = leader if leader and self._rng.random() < 0.7 else self._rng.choice(NODES)
         controller = self.processes[name]
         if self._rng.random() < 0.5:
-            back_after = self._rng.uniform(*BACK_AFTER_S)
+            restart_delay_s = self._rng.uniform(*RESTART_DELAY_RANGE_S)
             controller.kill()
-            self.later(back_after, controller.start)
-            what = f"killed, back after {back_after:.1f} s"
+            self.later(restart_delay_s, controller.start)
+            what = f"killed, back after {restart_delay_s:.1f} s"
         else:
             controller.pause()
-            self.later(PAUSED_LEASES * LEASE_S, controller.resume)
-            what = f"stopped for {PAUSED_LEASES * LEASE_S:g} s"
+            self.later(PAUSE_DURATION_LEASES * LEASE_S, controller.resume)
+            what = f"stopped for {PAUSE_DURATION_LEASES * LEASE_S:g} s"
         role = "the leader" if name == leader else "no leader"
-        self._faults.append(f"{self._now():.1f} {name} ({role}) {what}")
+        self._faults.append(f"{self._get_elapsed_s():.1f} {name} ({role}) {what}")
 
 
 def run(options: Options, folder: Path) -> Verdict:
@@ -321,7 +331,7 @@
     return verdict
 
 
-def report(verdict: Verdict) -> list[str]:
+def format_report(verdict: Verdict) -> list[str]:
     """The verdict in words."""
     lines = [f"{verdict.seconds:g} s, {len(verdict.faults)} faults, {verdict.recalled} recalled"]
     lines += [f"  {fault}" for fault in verdict.faults]
--- a/flaxtally/emulator/limits.py
+++ b/flaxtally/emulator/limits.py
@@ -13,16 +13,16 @@
 if TYPE_CHECKING:
     from ..runtime.loop import Address
 
-FILES_PER_WORKER = 5
+OPEN_FILES_PER_WORKER = 5
 """Its listening socket, its own connection, and those of up to three controllers."""
-OTHER_FILES = 200
-MOST_PROCESSES = 200
-OTHER_PARTS = 3
+OTHER_OPEN_FILES = 200
+MAX_PROCESSES = 200
+OTHER_PROCESSES = 3
 """The coordinator, the users, and state services with the cloud."""
-MEMORY_SHARE = 0.5
-MB = 2**20
-CONTROLLER_MB, PART_MB = 80, 60
-WORKER_KB, START_KB = 120, 2
+MAX_MEMORY_FRACTION = 0.5
+BYTES_PER_MB = 2**20
+MB_PER_CONTROLLER, MB_PER_CHILD = 80, 60
+KB_PER_WORKER, KB_PER_START = 120, 2
 """A hollow worker with its tasks; what the history keeps of a start."""
 
 
@@ -30,57 +30,60 @@
     """The machine can't carry the run; the text says what is missing and which option lowers it."""
 
 
-def files_needed(plan: Plan) -> int:
+def compute_open_files_needed(plan: Plan) -> int:
     """Open files of the process that needs most."""
-    hollow = min(plan.workers, plan.workers_per_process) * FILES_PER_WORKER
-    return max(hollow, plan.sockets) + OTHER_FILES
+    hollow = min(plan.workers, plan.workers_per_process) * OPEN_FILES_PER_WORKER
+    return max(hollow, plan.sockets) + OTHER_OPEN_FILES
 
 
-def memory_needed(plan: Plan) -> int:
+def estimate_memory_bytes(plan: Plan) -> int:
     """Bytes, about, of all processes of the run."""
-    parts = plan.worker_processes + OTHER_PARTS
+    children = plan.worker_processes + OTHER_PROCESSES
     seconds = plan.warm_up + 2 * plan.seconds
     starts = plan.workers * (plan.tasks_per_worker + plan.starts_per_worker * seconds)
-    fixed = (len(plan.nodes) * CONTROLLER_MB + parts * PART_MB) * MB
-    return round(fixed + plan.workers * WORKER_KB * 1024 + starts * START_KB * 1024)
+    fixed_bytes = (len(plan.nodes) * MB_PER_CONTROLLER + children * MB_PER_CHILD) * BYTES_PER_MB
+    return round(fixed_bytes + plan.workers * KB_PER_WORKER * 1024 + starts * KB_PER_START * 1024)
 
 
 def check(plan: Plan) -> None:
     """Raises `LimitError` for the first thing that is missing."""
     if plan.zones < plan.cells:
         raise LimitError(f"{plan.cells} cells need as many zones: raise --zones")
-    processes = len(plan.nodes) + plan.worker_processes + OTHER_PARTS
-    if processes > MOST_PROCESSES:
+    processes = len(plan.nodes) + plan.worker_processes + OTHER_PROCESSES
+    if processes > MAX_PROCESSES:
         raise LimitError(
-            f"{processes} processes are more than {MOST_PROCESSES}: lower --workers or "
+            f"{processes} processes are more than {MAX_PROCESSES}: lower --workers or "
             "--controllers, or raise --workers-per-process"
         )
-    files, allowed = files_needed(plan), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    files, allowed = compute_open_files_needed(plan), resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     if files > allowed:
         raise LimitError(
             f"a process needs {files} open files and may have {allowed} (ulimit -n): "
             "lower --workers-per-process, or --workers if that is not enough"
         )
-    memory = memory_needed(plan)
-    available = min(psutil.virtual_memory().total * MEMORY_SHARE, psutil.virtual_memory().available)
+    memory = estimate_memory_bytes(plan)
+    available = min(
+        psutil.virtual_memory().total * MAX_MEMORY_FRACTION, psutil.virtual_memory().available
+    )
     if memory > available:
         raise LimitError(
-            f"about {memory // MB} MB are needed and {int(available) // MB} MB may be used (half "
+            f"about {memory // BYTES_PER_MB} MB are needed and "
+            f"{int(available) // BYTES_PER_MB} MB may be used (half "
             "of the machine's memory at most): lower --workers or --seconds"
         )
     if plan.ports[-1] > 65535:
         raise LimitError(f"port {plan.ports[-1]} is too high: lower --port or --controllers")
     for port in plan.ports:
-        _check_free((HOST, port))
-    _check_free(plan.worker_address(0))
+        _check_port_is_free((HOST, port))
+    _check_port_is_free(plan.worker_address(0))
 
 
-def _check_free(address: Address) -> None:
+def _check_port_is_free(address: Address) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             sock.bind(address)
-        except OSError as fault:
+        except OSError as error:
             raise LimitError(
-                f"{address[0]}:{address[1]} can't be used ({fault.strerror}): choose another --port"
+                f"{address[0]}:{address[1]} can't be used ({error.strerror}): choose another --port"
             ) from None
--- a/flaxtally/emulator/load.py
+++ b/flaxtally/emulator/load.py
@@ -10,26 +10,26 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from ..protocol import wire
-from .plan import BATCH_LANE, CORES_PER_TASK, RAM_PER_TASK, SERVICE_LANE, URGENT_LANE, Plan
+from .plan import BATCH_CLASS, CORES_PER_TASK, RAM_GB_PER_TASK, SERVICE_CLASS, URGENT_CLASS, Plan
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-REPLICAS = (2, 4, 8, 16)
-MEAN_REPLICAS = sum(REPLICAS) / len(REPLICAS)
-URGENT_TASKS = 4
-URGENT_JOB_SHARE = 0.3
+REPLICA_COUNTS = (2, 4, 8, 16)
+MEAN_REPLICAS = sum(REPLICA_COUNTS) / len(REPLICA_COUNTS)
+TASKS_PER_URGENT_JOB = 4
+URGENT_JOB_FRACTION = 0.3
 """Of the jobs that arrive; they are small, so that most starts belong to batch jobs."""
-SERVICE_IMAGES, BATCH_IMAGES = 16, 12
-IMAGE_GB = (0.5, 2.0)
-RUN_S = (5.0, 15.0)
-MEAN_RUN_S = sum(RUN_S) / 2
-GPU_JOB_SHARE = 0.13
+SERVICE_IMAGE_COUNT, BATCH_IMAGE_COUNT = 16, 12
+IMAGE_SIZE_RANGE_GB = (0.5, 2.0)
+RUN_TIME_RANGE_S = (5.0, 15.0)
+MEAN_RUN_TIME_S = sum(RUN_TIME_RANGE_S) / 2
+GPU_JOB_FRACTION = 0.13
 """Of services and batch jobs: 1.2 tasks with a GPU a machine that has 1.6 GPUs on average."""
-BATCH_SPREAD = (0.2, 1.8)
+BATCH_SIZE_RATIO_RANGE = (0.2, 1.8)
 """The size of a batch job, by the mean."""
-CANCELLED_SHARE = 0.02
-CANCEL_AFTER_S = (1.0, 10.0)
+CANCELLED_JOB_FRACTION = 0.02
+CANCEL_DELAY_RANGE_S = (1.0, 10.0)
 
 
 class JobPlan(NamedTuple):
@@ -38,15 +38,15 @@
     spec: wire.Spec
     run_s: float | None
     """How long its tasks run; None: until they are stopped."""
-    cancel_after: float | None
+    cancel_after_s: float | None
 
 
-def reference(number: int) -> str:
+def format_ref(number: int) -> str:
     """The id of a job."""
     return f"j-{number:06d}"
 
 
-def number_of(ref: str) -> int:
+def parse_job_number(ref: str) -> int:
     """The number of a job, or of a task's job."""
     return int(ref.partition("/")[0].removeprefix("j-"))
 
@@ -58,55 +58,68 @@
         self._plan = plan
         self._teams = [team.name for team in plan.teams]
         replicas = plan.workers * plan.tasks_per_worker * plan.service_share
-        self.services = max(1, round(replicas / MEAN_REPLICAS))
+        self.service_count = max(1, round(replicas / MEAN_REPLICAS))
         self._jobs: dict[int, JobPlan] = {}
-        tasks_per_job = URGENT_JOB_SHARE * URGENT_TASKS + (1 - URGENT_JOB_SHARE) * plan.array_tasks
-        self.arrivals_a_second = plan.workers * plan.starts_per_worker / tasks_per_job
+        tasks_per_job = (
+            URGENT_JOB_FRACTION * TASKS_PER_URGENT_JOB
+            + (1 - URGENT_JOB_FRACTION) * plan.array_tasks
+        )
+        self.arrivals_per_s = plan.workers * plan.starts_per_worker / tasks_per_job
 
     @property
-    def service_replicas(self) -> int:
+    def service_replica_count(self) -> int:
         """Standing replicas in all."""
-        return sum(self.job(number).spec.tasks for number in range(1, self.services + 1))
+        return sum(self.job(number).spec.tasks for number in range(1, self.service_count + 1))
 
-    def arrivals(self) -> Iterator[tuple[float, int]]:
+    def generate_arrivals(self) -> Iterator[tuple[float, int]]:
         """Seconds since the load began, and the job that comes then, without an end."""
-        rng, at, number = random.Random(f"{self._plan.seed}/arrivals"), 0.0, self.services
+        rng, at, number = random.Random(f"{self._plan.seed}/arrivals"), 0.0, self.service_count
         while True:
-            at += rng.expovariate(self.arrivals_a_second)
+            at += rng.expovariate(self.arrivals_per_s)
             number += 1
             yield at, number
 
     def job(self, number: int) -> JobPlan:
         found = self._jobs.get(number)
         if found is None:
-            found = self._jobs[number] = self._draw(number)
+            found = self._jobs[number] = self._draw_job(number)
         return found
 
-    def _draw(self, number: int) -> JobPlan:
+    def _draw_job(self, number: int) -> JobPlan:
         rng = random.Random(f"{self._plan.seed}/job/{number}")
         team = rng.choice(self._teams)
-        gpus = 1.0 if rng.random() < GPU_JOB_SHARE else 0.0
-        if number <= self.services:
-            image = f"service-{rng.randrange(SERVICE_IMAGES)}"
-            replicas = rng.choice(REPLICAS)
-            spec = self._spec(
-                number, SERVICE_LANE, team, wire.SERVICE, "high", replicas, gpus, image, rng
+        gpus = 1.0 if rng.random() < GPU_JOB_FRACTION else 0.0
+        if number <= self.service_count:
+            image = f"service-{rng.randrange(SERVICE_IMAGE_COUNT)}"
+            replicas = rng.choice(REPLICA_COUNTS)
+            spec = self._build_spec(
+                number, SERVICE_CLASS, team, wire.SERVICE, "high", replicas, gpus, image, rng
             )
             return JobPlan(spec, None, None)
-        run_s = rng.uniform(*RUN_S)
-        image = f"batch-{rng.randrange(BATCH_IMAGES)}"
-        if rng.random() < URGENT_JOB_SHARE:
-            spec = self._spec(
-                number, URGENT_LANE, team, wire.ARRAY, "critical", URGENT_TASKS, 0.0, image, rng
+        run_s = rng.uniform(*RUN_TIME_RANGE_S)
+        image = f"batch-{rng.randrange(BATCH_IMAGE_COUNT)}"
+        if rng.random() < URGENT_JOB_FRACTION:
+            spec = self._build_spec(
+                number,
+                URGENT_CLASS,
+                team,
+                wire.ARRAY,
+                "critical",
+                TASKS_PER_URGENT_JOB,
+                0.0,
+                image,
+                rng,
             )
             return JobPlan(spec, run_s, None)
-        tasks = max(1, round(self._plan.array_tasks * rng.uniform(*BATCH_SPREAD)))
-        spec = self._spec(number, BATCH_LANE, team, wire.ARRAY, "standard", tasks, gpus, image, rng)
-        cancelled = rng.random() < CANCELLED_SHARE
-        return JobPlan(spec, run_s, rng.uniform(*CANCEL_AFTER_S) if cancelled else None)
+        tasks = max(1, round(self._plan.array_tasks * rng.uniform(*BATCH_SIZE_RATIO_RANGE)))
+        spec = self._build_spec(
+            number, BATCH_CLASS, team, wire.ARRAY, "standard", tasks, gpus, image, rng
+        )
+        cancelled = rng.random() < CANCELLED_JOB_FRACTION
+        return JobPlan(spec, run_s, rng.uniform(*CANCEL_DELAY_RANGE_S) if cancelled else None)
 
     @staticmethod
-    def _spec(
+    def _build_spec(
         number: int,
         job_class: str,
         team: str,
@@ -117,10 +130,10 @@
         image: str,
         rng: random.Random,
     ) -> wire.Spec:
-        service = kind == wire.SERVICE
-        size = random.Random(image).uniform(*IMAGE_GB)
+        is_service = kind == wire.SERVICE
+        image_gb = random.Random(image).uniform(*IMAGE_SIZE_RANGE_GB)
         return wire.Spec(
-            reference(number),
+            format_ref(number),
             job_class,
             team,
             kind,
@@ -128,15 +141,15 @@
             tasks,
             CORES_PER_TASK,
             gpus,
-            RAM_PER_TASK,
+            RAM_GB_PER_TASK,
             image,
-            size,
+            image_gb,
             machine_types=None,
             zone=None,
             one_zone=False,
-            spread=service,
-            spot=not service,
-            estimated_run_s=0.0 if service else MEAN_RUN_S * rng.uniform(0.7, 1.4),
+            spread=is_service,
+            spot=not is_service,
+            estimated_run_s=0.0 if is_service else MEAN_RUN_TIME_S * rng.uniform(0.7, 1.4),
             checkpoint_interval_s=0.0,
             checkpoint_save_s=0.0,
             deadline=None,
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -10,20 +10,20 @@
 from typing import TYPE_CHECKING
 
 from ..protocol import wire
-from .rules import Rules, allowed
+from .rules import Rules, may_run_on
 
 if TYPE_CHECKING:
     from collections.abc import Collection
 
     from ..settings import Team
 
-SLACK = 1e-6
-CHOSEN_S = 2.0
+RESOURCE_TOLERANCE = 1e-6
+VICTIM_STOP_DELAY_S = 2.0
 """From the choice of a task until it is told and, if it saves, begins to."""
 
 
 @dataclass(frozen=True)
-class _Owed:
+class _OwedCapacity:
     """Room on a machine that a task left although its team was within its guarantee."""
 
     task: str
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class _Lent:
+class _BorrowedCapacity:
     """Room on a machine that a team borrows."""
 
     machine: wire.Listed
@@ -47,55 +47,62 @@
 class LoanAudit:
     """Owns what was seen of guarantees. Breaches are kept in `breaches`."""
 
-    def __init__(self, rules: Rules, teams: dict[str, Team], most_s: float) -> None:
-        """`most_s`: how long a team may lack what it is entitled to while others borrow it."""
-        self._rules, self._teams, self.most_s = rules, teams, most_s
+    def __init__(self, rules: Rules, teams: dict[str, Team], max_shortfall_s: float) -> None:
+        """Creates an audit without observations.
+
+        `max_shortfall_s`: how long a team may wait for capacity within its guarantee while other
+        teams borrow that capacity.
+        """
+        self._rules, self._teams, self.max_shortfall_s = rules, teams, max_shortfall_s
         self.breaches: list[str] = []
         self.longest_shortfall_s: dict[str, float] = {}
         """The longest that a team lacked it, in seconds."""
-        self._lacks_since: dict[str, float] = {}
-        self._above_at: dict[str, float] = {}
+        self._shortfall_since: dict[str, float] = {}
+        self._last_above_guarantee_at: dict[str, float] = {}
         """When a team last used more than its guarantee: who gave way was chosen a while ago."""
-        self._owed: dict[str, list[_Owed]] = {}
+        self._owed_by_machine: dict[str, list[_OwedCapacity]] = {}
 
     # Within a guarantee
 
-    def _within(self, team: str, cores: float, gpus: float) -> bool:
+    def _is_within_guarantee(self, team: str, cores: float, gpus: float) -> bool:
         """Whether that much use is within the team's guarantee."""
         found = self._teams[team]
         return bool(found.cores or found.gpus) and all(
-            not guaranteed or used <= guaranteed + SLACK
+            not guaranteed or used <= guaranteed + RESOURCE_TOLERANCE
             for guaranteed, used in ((found.cores, cores), (found.gpus, gpus))
         )
 
     def _is_entitled(self, spec: wire.Spec) -> bool:
         """Whether one more task, or the gang, is within the guarantee beside what runs."""
-        cores, gpus = self._rules.used.get(spec.team, [0.0, 0.0])
+        cores, gpus = self._rules.usage_by_team.get(spec.team, [0.0, 0.0])
         count = spec.tasks if spec.job_kind == wire.GANG else 1
-        return self._within(spec.team, cores + spec.cores * count, gpus + spec.gpus * count)
+        return self._is_within_guarantee(
+            spec.team, cores + spec.cores * count, gpus + spec.gpus * count
+        )
 
     def _is_borrowed(self, spec: wire.Spec) -> bool:
         """Whether the task's team is at or above its guarantee without it, in what it takes."""
-        team, used = self._teams[spec.team], self._rules.used.get(spec.team, [0.0, 0.0])
-        without = used[0] - spec.cores, used[1] - spec.gpus
-        has_none = not (team.cores or team.gpus)
+        team, used = self._teams[spec.team], self._rules.usage_by_team.get(spec.team, [0.0, 0.0])
+        usage_without_task = used[0] - spec.cores, used[1] - spec.gpus
+        has_no_guarantee = not (team.cores or team.gpus)
         return any(
-            takes > 0 and (has_none or (guaranteed and left >= guaranteed - SLACK))
-            for takes, left, guaranteed in zip(
-                (spec.cores, spec.gpus), without, (team.cores, team.gpus), strict=True
+            needed > 0
+            and (has_no_guarantee or (guaranteed and left >= guaranteed - RESOURCE_TOLERANCE))
+            for needed, left, guaranteed in zip(
+                (spec.cores, spec.gpus), usage_without_task, (team.cores, team.gpus), strict=True
             )
         )
 
-    def borrowed(self) -> dict[str, tuple[float, float]]:
+    def compute_borrowed(self) -> dict[str, tuple[float, float]]:
         """What each team uses beyond its guarantee, in cores and GPUs; who does not is left out."""
         found = {}
         for name, team in self._teams.items():
-            used = self._rules.used.get(name, [0.0, 0.0])
-            if not self._within(name, *used):
-                has_none = not (team.cores or team.gpus)
+            used = self._rules.usage_by_team.get(name, [0.0, 0.0])
+            if not self._is_within_guarantee(name, *used):
+                has_no_guarantee = not (team.cores or team.gpus)
                 found[name] = (
-                    max(0.0, used[0] - team.cores) if team.cores or has_none else 0.0,
-                    max(0.0, used[1] - team.gpus) if team.gpus or has_none else 0.0,
+                    max(0.0, used[0] - team.cores) if team.cores or has_no_guarantee else 0.0,
+                    max(0.0, used[1] - team.gpus) if team.gpus or has_no_guarantee else 0.0,
                 )
         return {name: amounts for name, amounts in found.items() if any(amounts)}
 
@@ -103,105 +110,110 @@
 
     def record_start(self, task: str, machine: str, now: float) -> None:
         """A task was seen to start, after the rules saw it."""
-        spec = self._spec(task)
-        for owed in self._owed.get(machine, []):
-            took = spec.team != owed.team and (
+        spec = self._get_spec(task)
+        for owed in self._owed_by_machine.get(machine, []):
+            is_same_resource = spec.team != owed.team and (
                 (spec.gpus > 0 and owed.gpus > 0) or (not spec.gpus and not owed.gpus)
             )
-            if took and task != owed.task and self._still_waits(owed):
+            if is_same_resource and task != owed.task and self._is_still_waiting(owed):
                 self.breaches.append(
                     f"{now:.2f} reclaimed below the guarantee of {owed.team}: {owed.task} gave way "
                     f"to {task} on {machine}"
                 )
-        self._owed.pop(machine, None)
-        self._note_use(spec.team, now)
+        self._owed_by_machine.pop(machine, None)
+        self._record_usage(spec.team, now)
 
     def record_upcoming_end(self, task: str, now: float) -> None:
         """A task is about to end, for whatever reason: the rules did not see it yet."""
-        self._note_use(self._spec(task).team, now)
+        self._record_usage(self._get_spec(task).team, now)
 
-    def _note_use(self, team: str, now: float) -> None:
-        if not self._within(team, *self._rules.used.get(team, [0.0, 0.0])):
-            self._above_at[team] = now
+    def _record_usage(self, team: str, now: float) -> None:
+        if not self._is_within_guarantee(team, *self._rules.usage_by_team.get(team, [0.0, 0.0])):
+            self._last_above_guarantee_at[team] = now
 
     def record_stop(self, task: str, machine: str, now: float) -> None:
         """A task ended because it was told to, and may start again."""
-        spec = self._spec(task)
-        if now - self._above_at.get(spec.team, float("-inf")) <= CHOSEN_S + spec.checkpoint_save_s:
+        spec = self._get_spec(task)
+        if (
+            now - self._last_above_guarantee_at.get(spec.team, float("-inf"))
+            <= VICTIM_STOP_DELAY_S + spec.checkpoint_save_s
+        ):
             return
         if not self._rules.job(task.partition("/")[0]).asked_to_cancel and self._is_entitled(spec):
-            owed = _Owed(task, spec.team, spec.gpus, spec.cores)
-            self._owed.setdefault(machine, []).append(owed)
+            owed = _OwedCapacity(task, spec.team, spec.gpus, spec.cores)
+            self._owed_by_machine.setdefault(machine, []).append(owed)
 
-    def _still_waits(self, owed: _Owed) -> bool:
+    def _is_still_waiting(self, owed: _OwedCapacity) -> bool:
         ref = owed.task.partition("/")[0]
         job = self._rules.job(ref)
         return owed.task not in self._rules.placements and not job.asked_to_cancel
 
     def check_deadlines(self, now: float, machines: Collection[wire.Listed]) -> None:
         """At any moment: who lacks room that others borrow. `machines`: those that are up."""
-        lacking = {spec.team for spec in self._lacking(machines)}
-        for team in list(self._lacks_since):
-            if team not in lacking:
-                del self._lacks_since[team]
-        for team in lacking:
-            lacks = now - self._lacks_since.setdefault(team, now)
-            before = self.longest_shortfall_s.get(team, 0.0)
-            self.longest_shortfall_s[team] = max(before, lacks)
-            if before <= self.most_s < lacks:
-                self.breaches.append(f"{now:.2f} {team} is below its guarantee for {lacks:.1f} s")
-
-    def _lacking(self, machines: Collection[wire.Listed]) -> list[wire.Spec]:
+        teams_with_shortfall = {spec.team for spec in self._find_jobs_with_shortfall(machines)}
+        for team in list(self._shortfall_since):
+            if team not in teams_with_shortfall:
+                del self._shortfall_since[team]
+        for team in teams_with_shortfall:
+            shortfall_s = now - self._shortfall_since.setdefault(team, now)
+            longest_before_s = self.longest_shortfall_s.get(team, 0.0)
+            self.longest_shortfall_s[team] = max(longest_before_s, shortfall_s)
+            if longest_before_s <= self.max_shortfall_s < shortfall_s:
+                self.breaches.append(
+                    f"{now:.2f} {team} is below its guarantee for {shortfall_s:.1f} s"
+                )
+
+    def _find_jobs_with_shortfall(self, machines: Collection[wire.Listed]) -> list[wire.Spec]:
         """Jobs with a waiting task that is entitled to room which others borrow."""
-        lent = self._lent(machines)
+        loan = self._find_borrowed_capacity(machines)
         found = []
         for ref, job in self._rules.jobs.items():
             spec = job.spec
             if not job.accepted or job.asked_to_cancel or spec is None or job.told is not None:
                 continue
-            left = spec.tasks - len(job.done) - len(job.placements)
-            if left > 0 and self._is_entitled(spec) and self._could_have(ref, spec, lent):
+            left = spec.tasks - len(job.done) - len(job.task_zones)
+            if left > 0 and self._is_entitled(spec) and self._could_use_a_loan(ref, spec, loan):
                 found.append(spec)
         return found
 
-    def _lent(self, machines: Collection[wire.Listed]) -> list[_Lent]:
+    def _find_borrowed_capacity(self, machines: Collection[wire.Listed]) -> list[_BorrowedCapacity]:
         """Borrowed room on the machines, by machine and team."""
         by_name = {machine.machine: machine for machine in machines}
-        found: dict[tuple[str, str], _Lent] = {}
+        found: dict[tuple[str, str], _BorrowedCapacity] = {}
         for task, (machine, _) in self._rules.placements.items():
-            spec = self._spec(task)
+            spec = self._get_spec(task)
             if machine.machine not in by_name or not self._is_borrowed(spec):
                 continue
             key = machine.machine, spec.team
-            lent = found.setdefault(key, _Lent(by_name[machine.machine], spec.team))
-            lent.cores += spec.cores
-            lent.gpus += spec.gpus
+            loan = found.setdefault(key, _BorrowedCapacity(by_name[machine.machine], spec.team))
+            loan.cores += spec.cores
+            loan.gpus += spec.gpus
             if spec.job_kind == wire.SERVICE:
-                lent.rank = min(lent.rank, wire.RANKS[spec.rank])
-        for lent in found.values():
-            self._cap(lent)
+                loan.rank = min(loan.rank, wire.RANKS[spec.rank])
+        for loan in found.values():
+            self._cap_at_team_loan(loan)
         return list(found.values())
 
-    def _cap(self, lent: _Lent) -> None:
+    def _cap_at_team_loan(self, loan: _BorrowedCapacity) -> None:
         """Each task is borrowed by itself; together they are no more than the team borrows."""
-        team, used = self._teams[lent.team], self._rules.used[lent.team]
-        if lent.gpus and team.gpus:
-            lent.gpus = min(lent.gpus, used[1] - team.gpus)
-        elif not lent.gpus and team.cores:
-            lent.cores = min(lent.cores, used[0] - team.cores)
-
-    def _could_have(self, ref: str, spec: wire.Spec, rooms: list[_Lent]) -> bool:
-        zones = list(self._rules.job(ref).placements.values())
+        team, used = self._teams[loan.team], self._rules.usage_by_team[loan.team]
+        if loan.gpus and team.gpus:
+            loan.gpus = min(loan.gpus, used[1] - team.gpus)
+        elif not loan.gpus and team.cores:
+            loan.cores = min(loan.cores, used[0] - team.cores)
+
+    def _could_use_a_loan(self, ref: str, spec: wire.Spec, loans: list[_BorrowedCapacity]) -> bool:
+        zones = list(self._rules.job(ref).task_zones.values())
         return any(
-            lent.team != spec.team
-            and lent.cores >= spec.cores - SLACK
-            and lent.gpus >= spec.gpus - SLACK
-            and lent.rank >= wire.RANKS[spec.rank]
-            and allowed(spec, lent.machine, zones)
-            for lent in rooms
+            loan.team != spec.team
+            and loan.cores >= spec.cores - RESOURCE_TOLERANCE
+            and loan.gpus >= spec.gpus - RESOURCE_TOLERANCE
+            and loan.rank >= wire.RANKS[spec.rank]
+            and may_run_on(spec, loan.machine, zones)
+            for loan in loans
         )
 
-    def _spec(self, task: str) -> wire.Spec:
+    def _get_spec(self, task: str) -> wire.Spec:
         spec = self._rules.job(task.partition("/")[0]).spec
         assert spec is not None, task
         return spec
--- a/flaxtally/emulator/measured.py
+++ b/flaxtally/emulator/measured.py
@@ -26,7 +26,7 @@
         self._stream, self._traffic = stream, traffic
         self._on_data: Callable[[bytes], None] = lambda _: None
         self.far = stream.far
-        stream.on_data = self._received
+        stream.on_data = self._on_received
 
     @property
     def on_data(self) -> Callable[[bytes], None]:
@@ -51,7 +51,7 @@
     def close(self) -> None:
         self._stream.close()
 
-    def _received(self, data: bytes) -> None:
+    def _on_received(self, data: bytes) -> None:
         self._traffic.received += len(data)
         self._on_data(data)
 
@@ -72,17 +72,21 @@
     """Tells how long each request took that was answered."""
 
     def __init__(
-        self, runtime: Loop, address: Address, took: Callable[[float], None], most: int = 1
+        self,
+        runtime: Loop,
+        address: Address,
+        on_answered: Callable[[float], None],
+        max_connections: int = 1,
     ) -> None:
-        super().__init__(runtime, address, most)
-        self._clock, self._took = runtime.now, took
+        super().__init__(runtime, address, max_connections)
+        self._clock, self._on_answered = runtime.now, on_answered
 
-    def request(self, method: str, path: str, body: Any, timeout: float, done: Done) -> None:
-        began = self._clock()
+    def request(self, method: str, path: str, body: Any, timeout: float, on_reply: Done) -> None:
+        started_at = self._clock()
 
-        def told(reply: Reply) -> None:
+        def measure_reply(reply: Reply) -> None:
             if reply.status:
-                self._took(self._clock() - began)
-            done(reply)
+                self._on_answered(self._clock() - started_at)
+            on_reply(reply)
 
-        super().request(method, path, body, timeout, told)
+        super().request(method, path, body, timeout, measure_reply)
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -34,9 +34,9 @@
     """The job that an answer speaks of."""
 
 
-STARTED, ENDED, SUBMITTED, CANCEL_ASKED = "started", "ended", "submitted", "cancel_asked"
-ANSWERED_SUBMIT, ANSWERED_POLL, ANSWERED_CANCEL = "submit", "poll", "cancel"
-ANSWERS = (ANSWERED_SUBMIT, ANSWERED_POLL, ANSWERED_CANCEL)
+STARTED, ENDED, SUBMITTED, CANCEL_REQUESTED = "started", "ended", "submitted", "cancel_asked"
+SUBMIT_REPLY, POLL_REPLY, CANCEL_REPLY = "submit", "poll", "cancel"
+REPLY_KINDS = (SUBMIT_REPLY, POLL_REPLY, CANCEL_REPLY)
 
 
 class Hello(msgspec.Struct, tag_field="k", tag="hello"):
@@ -46,7 +46,7 @@
     number: int
 
 
-class Begin(msgspec.Struct, tag_field="k", tag="begin"):
+class StartLoad(msgspec.Struct, tag_field="k", tag="begin"):
     """The load begins."""
 
 
@@ -76,21 +76,21 @@
     late: float
 
 
-class MachineUp(msgspec.Struct, tag_field="k", tag="machine_up"):
+class MachineStarted(msgspec.Struct, tag_field="k", tag="machine_up"):
     """The cloud started a machine."""
 
     machine: wire.Listed
 
 
-class TakeMachines(msgspec.Struct, tag_field="k", tag="take_machines"):
+class RemoveMachines(msgspec.Struct, tag_field="k", tag="take_machines"):
     """The cloud takes machines; nothing may run on them once this is answered."""
 
     request: int
     machines: list[str]
 
 
-class MachinesTaken(msgspec.Struct, tag_field="k", tag="machines_taken"):
-    """The answer to `TakeMachines`."""
+class MachinesRemoved(msgspec.Struct, tag_field="k", tag="machines_taken"):
+    """The answer to `RemoveMachines`."""
 
     request: int
 
@@ -110,14 +110,14 @@
 
 Message = (
     Hello
-    | Begin
+    | StartLoad
     | Events
     | Samples
     | Counters
     | LoopLate
-    | MachineUp
-    | TakeMachines
-    | MachinesTaken
+    | MachineStarted
+    | RemoveMachines
+    | MachinesRemoved
     | RestartWorkers
     | SilenceZone
 )
@@ -129,13 +129,13 @@
     def __init__(
         self,
         stream: Stream,
-        receive: Callable[[Channel, Any], None],
-        closed: Callable[[Channel], None],
+        on_message: Callable[[Channel, Any], None],
+        on_closed: Callable[[Channel], None],
     ) -> None:
-        self._stream, self._receive, self._frames = stream, receive, FrameDecoder()
+        self._stream, self._on_message, self._frames = stream, on_message, FrameDecoder()
         self.role, self.number = "", 0
-        stream.on_data = self._data
-        stream.on_close = lambda: closed(self)
+        stream.on_data = self._on_data
+        stream.on_close = lambda: on_closed(self)
 
     @property
     def name(self) -> str:
@@ -145,17 +145,17 @@
     def send(self, message: Message) -> None:
         self._stream.send(encode_frame(msgspec.to_builtins(message)))
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         try:
             frames = self._frames.feed(data)
-        except ValueError as fault:
-            log.error("event=malformed_stream part=%s why=%s", self.name, fault)
+        except ValueError as error:
+            log.error("event=malformed_stream part=%s why=%s", self.name, error)
             self._stream.close()
             return
         for frame in frames:
             try:
                 message = msgspec.convert(frame, Message)
-            except msgspec.ValidationError as fault:
-                log.error("event=malformed_message part=%s why=%s", self.name, fault)
+            except msgspec.ValidationError as error:
+                log.error("event=malformed_message part=%s why=%s", self.name, error)
                 continue
-            self._receive(self, message)
+            self._on_message(self, message)
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -22,23 +22,29 @@
 HOST = "127.0.0.1"
 FIRST_WORKER_HOST = int(ipaddress.IPv4Address("127.1.0.1"))
 """Hollow workers listen on loopback addresses from this one on, one each."""
-MOST_HOSTS = 60_000
+MAX_WORKER_HOSTS = 60_000
 CONTROLLER = "controller"
 GPU_TYPE, CPU_TYPE = "g8", "c64"
-GPU_EVERY = 5
+MACHINES_PER_GPU_MACHINE = 5
 """One machine in so many has GPUs: 8 of them, so 1.6 a machine (31,000 GPUs on 20,000 workers)."""
-CPU_CORES, GPU_CORES, GPUS = 64.0, 96.0, 8.0
-CORES_PER_TASK, RAM_PER_TASK = 6.0, 8.0
+CORES_PER_CPU_MACHINE, CORES_PER_GPU_MACHINE, GPUS_PER_GPU_MACHINE = 64.0, 96.0, 8.0
+CORES_PER_TASK, RAM_GB_PER_TASK = 6.0, 8.0
 WORKERS_PER_TEAM = 27
 """20,000 workers have 750 teams."""
-FEWEST_TEAMS = 4
+MIN_TEAMS = 4
 LIMIT_RATIO, GUARANTEE_RATIO = 2.0, 0.8
 """A team's limit and guarantee, by its mean share of the fleet."""
-SOCKETS_PER_WORKER, FEWEST_SOCKETS = 4, 700
-URGENT_LANE, SERVICE_LANE, BATCH_LANE = "gate", "serve", "batch"
-URGENT_WITHIN_S, URGENT_SHARE = 3.6, 0.95
-
-SHARED_STATE_PORT, CLOUD_PORT, CONTROL_PORT, WORKER_PORT, FIRST_STATE_PORT = 0, 1, 2, 3, 4
+SOCKETS_PER_WORKER, MIN_SOCKETS = 4, 700
+URGENT_CLASS, SERVICE_CLASS, BATCH_CLASS = "gate", "serve", "batch"
+URGENT_START_AIM_S, URGENT_AIM_FRACTION = 3.6, 0.95
+
+(
+    SHARED_STATE_PORT_OFFSET,
+    CLOUD_PORT_OFFSET,
+    CONTROL_PORT_OFFSET,
+    WORKER_PORT_OFFSET,
+    FIRST_STATE_PORT_OFFSET,
+) = 0, 1, 2, 3, 4
 """Offsets from the first port; from the last on a state service a cell, then two a controller."""
 
 
@@ -108,28 +114,28 @@
     @property
     def sockets(self) -> int:
         """What a controller may use: all workers at one of them, twice."""
-        return max(FEWEST_SOCKETS, SOCKETS_PER_WORKER * self.workers)
+        return max(MIN_SOCKETS, SOCKETS_PER_WORKER * self.workers)
 
     @property
     def shared_state(self) -> Address:
         """The state service that all cells share, where there are several."""
-        return HOST, self.port + SHARED_STATE_PORT
+        return HOST, self.port + SHARED_STATE_PORT_OFFSET
 
     def state(self, cell: int) -> Address:
         """A cell's own state service."""
-        return HOST, self.port + FIRST_STATE_PORT + cell
+        return HOST, self.port + FIRST_STATE_PORT_OFFSET + cell
 
     @property
     def cloud(self) -> Address:
-        return HOST, self.port + CLOUD_PORT
+        return HOST, self.port + CLOUD_PORT_OFFSET
 
     @property
     def control(self) -> Address:
-        return HOST, self.port + CONTROL_PORT
+        return HOST, self.port + CONTROL_PORT_OFFSET
 
     def users_address(self, number: int) -> Address:
         """Where a controller listens to users and workers; its peers are one port higher."""
-        return HOST, self.port + FIRST_STATE_PORT + self.cells + 2 * number
+        return HOST, self.port + FIRST_STATE_PORT_OFFSET + self.cells + 2 * number
 
     @property
     def node_addresses(self) -> dict[str, Address]:
@@ -138,37 +144,58 @@
     @property
     def ports(self) -> list[int]:
         """All ports on the first loopback address."""
-        from_states = range(
-            FIRST_STATE_PORT, FIRST_STATE_PORT + self.cells + 2 * self.controllers * self.cells
+        controller_and_state_offsets = range(
+            FIRST_STATE_PORT_OFFSET,
+            FIRST_STATE_PORT_OFFSET + self.cells + 2 * self.controllers * self.cells,
+        )
+        offsets = (
+            SHARED_STATE_PORT_OFFSET,
+            CLOUD_PORT_OFFSET,
+            CONTROL_PORT_OFFSET,
+            *controller_and_state_offsets,
         )
-        offsets = (SHARED_STATE_PORT, CLOUD_PORT, CONTROL_PORT, *from_states)
         return [self.port + offset for offset in offsets]
 
     def worker_address(self, number: int) -> Address:
         """The machine's own loopback address: hosts are never used again within a run."""
-        host = ipaddress.IPv4Address(FIRST_WORKER_HOST + number % MOST_HOSTS)
-        return str(host), self.port + WORKER_PORT
+        host = ipaddress.IPv4Address(FIRST_WORKER_HOST + number % MAX_WORKER_HOSTS)
+        return str(host), self.port + WORKER_PORT_OFFSET
 
     @property
     def types(self) -> list[wire.MachineType]:
         zones = self.zone_names
         return [
-            wire.MachineType(CPU_TYPE, CPU_CORES, 0.0, 256.0, 80.0, 1.0, 1.0, 0.4, 10.0, zones),
-            wire.MachineType(GPU_TYPE, GPU_CORES, GPUS, 768.0, 400.0, 4.0, 12.0, 4.5, 15.0, zones),
+            wire.MachineType(
+                CPU_TYPE, CORES_PER_CPU_MACHINE, 0.0, 256.0, 80.0, 1.0, 1.0, 0.4, 10.0, zones
+            ),
+            wire.MachineType(
+                GPU_TYPE,
+                CORES_PER_GPU_MACHINE,
+                GPUS_PER_GPU_MACHINE,
+                768.0,
+                400.0,
+                4.0,
+                12.0,
+                4.5,
+                15.0,
+                zones,
+            ),
         ]
 
     @property
     def machines(self) -> list[wire.Listed]:
         """The fleet at the start. Zones and types are spread evenly."""
         zones = self.zone_names
-        found = []
+        machines_found = []
         for number in range(self.workers):
-            kind = GPU_TYPE if number % GPU_EVERY == 0 else CPU_TYPE
+            machine_type = GPU_TYPE if number % MACHINES_PER_GPU_MACHINE == 0 else CPU_TYPE
             zone = zones[number % self.zones]
             host, port = self.worker_address(number)
             name = f"n-{number:06d}"
-            found.append(wire.Listed(name, kind, zone, False, "running", 0.0, f"{host}:{port}"))
-        return found
+            machines_found.append(
+                wire.Listed(name, machine_type, zone, False, "running", 0.0, f"{host}:{port}")
+            )
+        return machines_found
 
     @property
     def capacity(self) -> dict[tuple[str, str, bool], int]:
@@ -181,18 +208,23 @@
 
     @property
     def teams(self) -> list[Team]:
-        count = max(FEWEST_TEAMS, self.workers // WORKERS_PER_TEAM)
-        gpu_machines = -(-self.workers // GPU_EVERY)
-        cores = (self.workers - gpu_machines) * CPU_CORES + gpu_machines * GPU_CORES
-        gpus = gpu_machines * GPUS
-
-        def amounts(whole: float) -> tuple[float, float]:
-            mean = whole / count
+        count = max(MIN_TEAMS, self.workers // WORKERS_PER_TEAM)
+        gpu_machines = -(-self.workers // MACHINES_PER_GPU_MACHINE)
+        cores = (
+            self.workers - gpu_machines
+        ) * CORES_PER_CPU_MACHINE + gpu_machines * CORES_PER_GPU_MACHINE
+        gpus = gpu_machines * GPUS_PER_GPU_MACHINE
+
+        def compute_amounts(total: float) -> tuple[float, float]:
+            mean = total / count
             return round(GUARANTEE_RATIO * mean, 1), round(LIMIT_RATIO * mean, 1)
 
-        return [Team(f"team-{number}", *amounts(cores), *amounts(gpus)) for number in range(count)]
+        return [
+            Team(f"team-{number}", *compute_amounts(cores), *compute_amounts(gpus))
+            for number in range(count)
+        ]
 
-    def process_of(self, machine: str) -> int:
+    def get_worker_process(self, machine: str) -> int:
         """Which of the workers' processes plays the machine."""
         return int(machine.removeprefix("n-")) % self.worker_processes
 
--- a/flaxtally/emulator/processes.py
+++ b/flaxtally/emulator/processes.py
@@ -11,8 +11,8 @@
 
 import psutil
 
-SOURCES = Path(__file__).resolve().parent.parent.parent
-END_PATIENCE_S = 5.0
+SOURCE_ROOT = Path(__file__).resolve().parent.parent.parent
+KILL_TIMEOUT_S = 5.0
 
 
 class ResourceUsage(NamedTuple):
@@ -28,20 +28,23 @@
     """A process ended that should run; the text says which, how, and where its log is."""
 
 
-class Managed:
+class ManagedProcess:
     """A process that belongs to the run, and what it used over time."""
 
     def __init__(self, name: str, arguments: list[str], log: Path) -> None:
         self.name, self.log, self.usages = name, log, list[ResourceUsage]()
         self._arguments = arguments
         self._process: subprocess.Popen[bytes] | None = None
-        self._watched: psutil.Process | None = None
-        self._before = 0.0
+        self._psutil_process: psutil.Process | None = None
+        self._earlier_processor_s = 0.0
         """Processor time of earlier lives."""
 
     def start(self) -> None:
-        paths = [str(SOURCES), *filter(None, [os.environ.get("PYTHONPATH")])]
-        environment = os.environ | {"PYTHONPATH": os.pathsep.join(paths), "LOG_LEVEL": "info"}
+        import_paths = [str(SOURCE_ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
+        environment = os.environ | {
+            "PYTHONPATH": os.pathsep.join(import_paths),
+            "LOG_LEVEL": "info",
+        }
         with self.log.open("ab") as log:
             self._process = subprocess.Popen(
                 [sys.executable, *self._arguments],
@@ -50,7 +53,7 @@
                 stderr=log,
                 env=environment,
             )
-        self._watched = psutil.Process(self._process.pid)
+        self._psutil_process = psutil.Process(self._process.pid)
 
     def check(self) -> None:
         """Raises `ProcessEndedError` if it should run and doesn't."""
@@ -64,10 +67,10 @@
         if self._process is None:
             return
         if self.usages:
-            self._before = self.usages[-1].processor_s
+            self._earlier_processor_s = self.usages[-1].processor_s
         self._process.kill()
-        self._process.wait(END_PATIENCE_S)
-        self._process = self._watched = None
+        self._process.wait(KILL_TIMEOUT_S)
+        self._process = self._psutil_process = None
 
     def pause(self) -> None:
         """Stands still until `resume`, with all that reaches it waiting."""
@@ -81,17 +84,17 @@
 
     def sample(self, now: float) -> None:
         """Notes what it uses; a process that just ended is passed over."""
-        if self._watched is None:
+        if self._psutil_process is None:
             return
         try:
-            with self._watched.oneshot():
-                times = self._watched.cpu_times()
-                memory = self._watched.memory_info().rss
-                files = self._watched.num_fds()
+            with self._psutil_process.oneshot():
+                times = self._psutil_process.cpu_times()
+                memory = self._psutil_process.memory_info().rss
+                files = self._psutil_process.num_fds()
         except psutil.Error:
             return
         self.usages.append(
-            ResourceUsage(now, self._before + times.user + times.system, memory, files)
+            ResourceUsage(now, self._earlier_processor_s + times.user + times.system, memory, files)
         )
 
 
@@ -99,27 +102,27 @@
     """Owns all processes of a run."""
 
     def __init__(self) -> None:
-        self._all: dict[str, Managed] = {}
+        self._by_name: dict[str, ManagedProcess] = {}
 
     def start(self, name: str, arguments: list[str], log: Path) -> None:
-        process = self._all[name] = Managed(name, arguments, log)
+        process = self._by_name[name] = ManagedProcess(name, arguments, log)
         process.start()
 
-    def __getitem__(self, name: str) -> Managed:
-        return self._all[name]
+    def __getitem__(self, name: str) -> ManagedProcess:
+        return self._by_name[name]
 
     def check(self) -> None:
         """Raises `ProcessEndedError` for the first that ended by itself."""
-        for process in self._all.values():
+        for process in self._by_name.values():
             process.check()
 
     def sample(self, now: float) -> None:
-        for process in self._all.values():
+        for process in self._by_name.values():
             process.sample(now)
 
     def names(self) -> list[str]:
-        return list(self._all)
+        return list(self._by_name)
 
-    def end_all(self) -> None:
-        for process in self._all.values():
+    def kill_all(self) -> None:
+        for process in self._by_name.values():
             process.kill()
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -8,9 +8,9 @@
 import psutil
 from ddsketch import DDSketch
 
-from .link import OUTSIDE, USERS, WORKERS
-from .messages import ANSWERED_POLL, ANSWERED_SUBMIT
-from .plan import URGENT_LANE, URGENT_WITHIN_S, Plan
+from .link import ENVIRONMENT, USERS, WORKERS
+from .messages import POLL_REPLY, SUBMIT_REPLY
+from .plan import URGENT_CLASS, URGENT_START_AIM_S, Plan
 from .users import SUBMISSION
 from .workers import REPORT_ANSWER
 
@@ -21,13 +21,13 @@
     from .history import BrokenRule
     from .processes import Processes
 
-ACCURACY = 0.01
+RELATIVE_ERROR = 0.01
 """Relative error of a percentile."""
-REPORT_ANSWER_S, SUBMISSION_S, STARTED_SHARE = 4.0, 5.0, 0.9
+REPORT_REPLY_AIM_S, SUBMISSION_AIM_S, MIN_STARTED_FRACTION = 4.0, 5.0, 0.9
 """Aims: PROTOCOL's time limits of workers and users; of the tasks that are submitted."""
-FULL = 0.7
+SATURATION_FRACTION = 0.7
 """A resource of which more than this is used is named as saturated; of processors, at the peak."""
-USAGE_WINDOW_S = 5.0
+PEAK_WINDOW_S = 5.0
 
 
 class Percentiles(msgspec.Struct):
@@ -103,7 +103,7 @@
 
 def percentiles(values: Iterable[float]) -> Percentiles:
     """By a histogram with a bounded relative error."""
-    sketch = DDSketch(ACCURACY)
+    sketch = DDSketch(RELATIVE_ERROR)
     largest = 0.0
     for value in values:
         sketch.add(value)
@@ -111,11 +111,13 @@
     if not sketch.count:
         return Percentiles()
 
-    def at(share: float) -> float:
-        found = sketch.get_quantile_value(share)
+    def quantile(fraction: float) -> float:
+        found = sketch.get_quantile_value(fraction)
         return round(found or 0.0, 4)
 
-    return Percentiles(int(sketch.count), at(0.5), at(0.95), at(0.99), round(largest, 4))
+    return Percentiles(
+        int(sketch.count), quantile(0.5), quantile(0.95), quantile(0.99), round(largest, 4)
+    )
 
 
 class Analysis:
@@ -127,105 +129,111 @@
     def result(self, broken: list[BrokenRule], loop_behind: dict[str, float]) -> SizeResult:
         """The figures of the whole run."""
         recording = self._recording
-        phases = [self._phase(phase) for phase in recording.phases]
-        pages = recording.counters.get(f"{OUTSIDE}-0", [])
+        phases = [self._analyse_phase(phase) for phase in recording.phases]
+        environment_counters = recording.counters.get(f"{ENVIRONMENT}-0", [])
         result = SizeResult(
             plan=self._plan,
             warm_up_s=recording.warm_up_s,
             phases=phases,
             takeover_s=self._takeover(),
-            ledger_pages=pages[-1].totals["ledger_pages"] if pages else 0.0,
+            ledger_pages=environment_counters[-1].totals["ledger_pages"]
+            if environment_counters
+            else 0.0,
             loop_behind_s=loop_behind,
-            emulator_late_s=recording.late_s,
+            emulator_late_s=recording.max_timer_delay_s,
             missed_aims=[],
             saturated="",
-            rules_broken=[rule.lines() for rule in broken],
+            rules_broken=[rule.format_lines() for rule in broken],
         )
-        judge(result)
+        evaluate_aims(result)
         return result
 
     def _takeover(self) -> float | None:
-        ended, led = self._recording.leader_ended_at, self._recording.taken_over_at
-        if ended is None or led is None:
+        ended, taken_over_at_s = self._recording.leader_killed_at, self._recording.taken_over_at
+        if ended is None or taken_over_at_s is None:
             return None
-        accepted = self._recording.history.first_acceptance_after(led)
+        accepted = self._recording.history.find_first_acceptance(taken_over_at_s)
         return None if accepted is None else round(accepted - ended, 2)
 
     # A phase
 
-    def _total(self, role: str, counter: str, at: float) -> float:
+    def _compute_total(self, role: str, counter: str, at: float) -> float:
         """What all parts of a role counted up to a time."""
-        whole = 0.0
+        total = 0.0
         for name, counters in self._recording.counters.items():
             if name.startswith(role):
                 before = [entry for entry in counters if entry.at <= at]
-                whole += before[-1].totals[counter] if before else 0.0
-        return whole
+                total += before[-1].totals[counter] if before else 0.0
+        return total
 
-    def _rate(self, role: str, counter: str, phase: Phase) -> float:
-        grown = self._total(role, counter, phase.ends) - self._total(role, counter, phase.begins)
-        return round(grown / (phase.ends - phase.begins), 3)
+    def _compute_rate(self, role: str, counter: str, phase: Phase) -> float:
+        increase = self._compute_total(role, counter, phase.ends_at) - self._compute_total(
+            role, counter, phase.begins_at
+        )
+        return round(increase / (phase.ends_at - phase.begins_at), 3)
 
-    def _sampled(self, name: str, phase: Phase) -> Percentiles:
+    def _compute_sampled(self, name: str, phase: Phase) -> Percentiles:
         pieces = self._recording.samples.get(name, [])
-        inside = (values for at, values in pieces if phase.begins <= at < phase.ends)
+        inside = (values for at, values in pieces if phase.begins_at <= at < phase.ends_at)
         return percentiles(value for values in inside for value in values)
 
-    def _phase(self, phase: Phase) -> PhaseResult:
-        history, length = self._recording.history, phase.ends - phase.begins
-        delays = history.start_delays(phase.begins, phase.ends)
-        workers = self._total(WORKERS, "workers", phase.ends)
-        moved = self._rate(WORKERS, "bytes_sent", phase)
-        moved += self._rate(WORKERS, "bytes_received", phase)
-        uses = {name: self._use(name, phase) for name in self._processes.names()}
+    def _analyse_phase(self, phase: Phase) -> PhaseResult:
+        history, length_s = self._recording.history, phase.ends_at - phase.begins_at
+        delays = history.compute_start_delays(phase.begins_at, phase.ends_at)
+        workers = self._compute_total(WORKERS, "workers", phase.ends_at)
+        bytes_per_s = self._compute_rate(WORKERS, "bytes_sent", phase)
+        bytes_per_s += self._compute_rate(WORKERS, "bytes_received", phase)
+        uses = {name: self._compute_process_use(name, phase) for name in self._processes.names()}
         cores = sum(use.processor_mean for use in uses.values() if use is not None)
         return PhaseResult(
             name=phase.name,
-            seconds=round(length, 1),
+            seconds=round(length_s, 1),
             workers=workers,
-            running_tasks=self._total(WORKERS, "running", phase.ends),
-            submitted_tasks=history.submitted_tasks(phase.begins, phase.ends),
-            starts_per_s=round(history.count_starts(phase.begins, phase.ends) / length, 2),
+            running_tasks=self._compute_total(WORKERS, "running", phase.ends_at),
+            submitted_tasks=history.count_submitted_tasks(phase.begins_at, phase.ends_at),
+            starts_per_s=round(history.count_starts(phase.begins_at, phase.ends_at) / length_s, 2),
             start_delay={job_class: percentiles(values) for job_class, values in delays.items()},
-            submission=self._sampled(SUBMISSION, phase),
-            report_answer=self._sampled(REPORT_ANSWER, phase),
-            reports_per_s=self._rate(WORKERS, "reports", phase),
-            bytes_per_worker_s=round(moved / max(1.0, workers), 1),
-            state_requests_per_s=self._rate(OUTSIDE, "state_requests", phase),
-            state_changes_per_s=self._rate(OUTSIDE, "state_changes", phase),
-            state_limited_per_s=self._rate(OUTSIDE, "state_limited", phase),
-            polls_per_s=self._rate(USERS, "asked", phase),
-            polls_unanswered_per_s=self._rate(USERS, "polls_unanswered", phase),
+            submission=self._compute_sampled(SUBMISSION, phase),
+            report_answer=self._compute_sampled(REPORT_ANSWER, phase),
+            reports_per_s=self._compute_rate(WORKERS, "reports", phase),
+            bytes_per_worker_s=round(bytes_per_s / max(1.0, workers), 1),
+            state_requests_per_s=self._compute_rate(ENVIRONMENT, "state_requests", phase),
+            state_changes_per_s=self._compute_rate(ENVIRONMENT, "state_changes", phase),
+            state_limited_per_s=self._compute_rate(ENVIRONMENT, "state_limited", phase),
+            polls_per_s=self._compute_rate(USERS, "asked", phase),
+            polls_unanswered_per_s=self._compute_rate(USERS, "polls_unanswered", phase),
             longest_without_answer_s=round(
-                history.longest_without((ANSWERED_SUBMIT, ANSWERED_POLL), phase.begins, phase.ends),
+                history.compute_longest_gap_s(
+                    (SUBMIT_REPLY, POLL_REPLY), phase.begins_at, phase.ends_at
+                ),
                 2,
             ),
             processes={name: use for name, use in uses.items() if use is not None},
-            shared_changes_per_s=self._rate(OUTSIDE, "shared_changes", phase),
-            shared_requests_per_s=self._rate(OUTSIDE, "shared_requests", phase),
+            shared_changes_per_s=self._compute_rate(ENVIRONMENT, "shared_changes", phase),
+            shared_requests_per_s=self._compute_rate(ENVIRONMENT, "shared_requests", phase),
             leaders=self._recording.leaders.get(phase.name, []),
             machine_processor=round(cores / (psutil.cpu_count() or 1), 3),
         )
 
-    def _use(self, name: str, phase: Phase) -> ProcessUse | None:
+    def _compute_process_use(self, name: str, phase: Phase) -> ProcessUse | None:
         usages = [
             usage
             for usage in self._processes[name].usages
-            if phase.begins <= usage.at <= phase.ends
+            if phase.begins_at <= usage.at <= phase.ends_at
         ]
         if len(usages) < 2:
             return None
-        shares = []
+        window_means = []
         for first in usages:
-            later = [usage for usage in usages if usage.at - first.at >= USAGE_WINDOW_S]
+            later = [usage for usage in usages if usage.at - first.at >= PEAK_WINDOW_S]
             if later:
                 used = later[0].processor_s - first.processor_s
-                shares.append(used / (later[0].at - first.at))
+                window_means.append(used / (later[0].at - first.at))
         mean = (usages[-1].processor_s - usages[0].processor_s) / (usages[-1].at - usages[0].at)
         memory = max(usage.memory_bytes for usage in usages) / 2**20
         return ProcessUse(
             round(mean, 4),
-            round(max([*shares, mean]), 4),
+            round(max([*window_means, mean]), 4),
             round(memory, 1),
             max(usage.files for usage in usages),
         )
@@ -234,36 +242,38 @@
 # What was missed, and why
 
 
-def judge(size: SizeResult) -> None:
+def evaluate_aims(size: SizeResult) -> None:
     """Sets which aims the steady phase missed, and what was saturated if it did."""
     if not size.phases:
         size.missed_aims, size.saturated = ["the steady phase was not reached"], "unknown"
         return
-    size.missed_aims = missed_aims(size)
-    size.saturated = saturated(size.plan, size.phases[0]) if size.missed_aims else "nothing"
+    size.missed_aims = find_missed_aims(size)
+    size.saturated = (
+        find_saturated_resource(size.plan, size.phases[0]) if size.missed_aims else "nothing"
+    )
 
 
-def missed_aims(size: SizeResult) -> list[str]:
+def find_missed_aims(size: SizeResult) -> list[str]:
     """The aims that the steady phase missed, in words."""
     plan, phase, missed = size.plan, size.phases[0], []
     if size.warm_up_s is None:
         missed.append(f"standing replicas ran not within {plan.warm_up:g} s")
-    urgent = phase.start_delay.get(URGENT_LANE, Percentiles())
-    if urgent.p95 > URGENT_WITHIN_S:
-        missed.append(f"urgent starts: p95 {urgent.p95:.1f} s, aim {URGENT_WITHIN_S:g} s")
-    if phase.report_answer.p99 > REPORT_ANSWER_S:
+    urgent = phase.start_delay.get(URGENT_CLASS, Percentiles())
+    if urgent.p95 > URGENT_START_AIM_S:
+        missed.append(f"urgent starts: p95 {urgent.p95:.1f} s, aim {URGENT_START_AIM_S:g} s")
+    if phase.report_answer.p99 > REPORT_REPLY_AIM_S:
         missed.append(f"report answers: p99 {phase.report_answer.p99:.1f} s")
-    if phase.submission.p99 > SUBMISSION_S:
+    if phase.submission.p99 > SUBMISSION_AIM_S:
         missed.append(f"submissions: p99 {phase.submission.p99:.1f} s")
-    wanted = phase.submitted_tasks / phase.seconds
+    submitted_per_s = phase.submitted_tasks / phase.seconds
     # Few jobs vary much: where more runs than the size is meant to, the machines are full.
-    full = phase.running_tasks >= plan.tasks_per_worker * phase.workers
-    if phase.starts_per_s < STARTED_SHARE * wanted and not full:
-        missed.append(f"starts: {phase.starts_per_s:.0f} of {wanted:.0f} a second")
+    is_fleet_full = phase.running_tasks >= plan.tasks_per_worker * phase.workers
+    if phase.starts_per_s < MIN_STARTED_FRACTION * submitted_per_s and not is_fleet_full:
+        missed.append(f"starts: {phase.starts_per_s:.0f} of {submitted_per_s:.0f} a second")
     return missed
 
 
-def saturated(plan: Plan, phase: PhaseResult) -> str:
+def find_saturated_resource(plan: Plan, phase: PhaseResult) -> str:
     """The resource that was used most, if any was nearly used up."""
     used = {
         "state services, changes": phase.state_changes_per_s / plan.cells / plan.state_write_rps,
@@ -276,6 +286,6 @@
         role = "leader" if name in phase.leaders else name
         used[f"processor of {role}, peak"] = use.processor_peak
     name = max(used, key=lambda resource: used[resource])
-    if used[name] >= FULL:
+    if used[name] >= SATURATION_FRACTION:
         return f"{name} ({used[name]:.0%})"
     return f"none measured is full; most used: {name} ({used[name]:.0%})"
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -15,10 +15,10 @@
 
     from ..settings import Team
 
-FINAL = (wire.DONE, wire.ABORTED)
-UNANSWERED_S = 75.0
-WAITING_S = 90.0
-SLACK = 1e-6
+FINAL_STAGES = (wire.DONE, wire.ABORTED)
+MAX_UNANSWERED_S = 75.0
+MAX_WAITING_S = 90.0
+RESOURCE_TOLERANCE = 1e-6
 
 
 class _Job:
@@ -30,20 +30,20 @@
         self.told: str | None = None
         self.told_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
-        self.placements: dict[str, str] = {}
+        self.task_zones: dict[str, str] = {}
         """The zone of each of its tasks that is on a machine."""
-        self.answered_at = 0.0
-        self.waits_since: float | None = None
+        self.last_reply_at = 0.0
+        self.waiting_since: float | None = None
 
 
-def _over(team: Team, cores: float, gpus: float) -> bool:
+def _exceeds_limit(team: Team, cores: float, gpus: float) -> bool:
     """Whether that much is beyond the team's limit."""
     return bool(
         (team.cores_max and cores > team.cores_max) or (team.gpus_max and gpus > team.gpus_max)
     )
 
 
-def allowed(spec: wire.Spec, machine: wire.Listed, zones: list[str]) -> bool:
+def may_run_on(spec: wire.Spec, machine: wire.Listed, zones: list[str]) -> bool:
     """Whether one more task of the job may be there, given the zones of its others."""
     return (
         (spec.machine_types is None or machine.machine_type in spec.machine_types)
@@ -64,9 +64,9 @@
         self.jobs: dict[str, _Job] = {}
         self.placements: dict[str, tuple[wire.Listed, int]] = {}
         """Where each task is that is on a machine, also while that hangs or can't be reached."""
-        self.used: dict[str, list[float]] = {}
+        self.usage_by_team: dict[str, list[float]] = {}
         self.broken: list[str] = []
-        self.crossed = 0
+        self.reordered_replies = 0
         """Answers older than one given before them, to questions asked before that one was given.
         """
 
@@ -94,19 +94,21 @@
         if spec is None:
             self.record_violation("nobody_asked", task, now)
             return
-        if not allowed(spec, machine, list(job.placements.values())):
+        if not may_run_on(spec, machine, list(job.task_zones.values())):
             self.record_violation(
                 "wrong_place",
                 f"{task} on {machine.machine_type} {machine.zone} spot={machine.spot}",
                 now,
             )
-        job.waits_since = None
+        job.waiting_since = None
         self.placements[task] = machine, attempt
-        job.placements[task] = machine.zone
-        used = self.used.setdefault(spec.team, [0.0, 0.0])
+        job.task_zones[task] = machine.zone
+        used = self.usage_by_team.setdefault(spec.team, [0.0, 0.0])
         used[0] += spec.cores
         used[1] += spec.gpus
-        if _over(self.teams[spec.team], used[0] - SLACK, used[1] - SLACK):
+        if _exceeds_limit(
+            self.teams[spec.team], used[0] - RESOURCE_TOLERANCE, used[1] - RESOURCE_TOLERANCE
+        ):
             self.record_violation("quota", f"{spec.team} uses {used}", now)
 
     def record_end(self, task: str, attempt: int, machine: str, done: bool) -> None:
@@ -115,10 +117,10 @@
             return
         del self.placements[task]
         job = self.job(task.partition("/")[0])
-        del job.placements[task]
+        del job.task_zones[task]
         assert job.spec is not None
-        self.used[job.spec.team][0] -= job.spec.cores
-        self.used[job.spec.team][1] -= job.spec.gpus
+        self.usage_by_team[job.spec.team][0] -= job.spec.cores
+        self.usage_by_team[job.spec.team][1] -= job.spec.gpus
         if done:
             job.done.add(task)
 
@@ -137,7 +139,7 @@
         """An answer as it reached its user. `what`: submit, poll or cancel."""
         job = self.job(ref)
         if status in (200, 201):
-            job.answered_at = now
+            job.last_reply_at = now
             if not job.submitted:
                 self.record_violation("invented", f"{what} of {ref}", now)
                 return
@@ -146,10 +148,10 @@
                     "wrong_job", f"{what} of {ref} is answered about {body['ref']}", now
                 )
                 return
-            self._told(job, ref, asked_at, now, body["stage"])
+            self._check_reply_stage(job, ref, asked_at, now, body["stage"])
             if what == "submit" and not job.accepted:
                 job.accepted, job.accepted_at = True, now
-                why = self._cannot_run(job.spec)
+                why = self._find_rejection_reason(job.spec)
                 if why:
                     self.record_violation("accepted", f"{ref}: {why}", now)
         elif asked_at >= job.accepted_at and (
@@ -157,13 +159,15 @@
         ):
             self.record_violation("forgotten", f"{what} of {ref} answered {status}", now)
 
-    def _told(self, job: _Job, ref: str, asked_at: float, now: float, stage: str) -> None:
+    def _check_reply_stage(
+        self, job: _Job, ref: str, asked_at: float, now: float, stage: str
+    ) -> None:
         assert job.spec is not None
         if job.told is not None and stage != job.told:
-            if asked_at >= job.told_at or stage in FINAL:
+            if asked_at >= job.told_at or stage in FINAL_STAGES:
                 self.record_violation("went_back", f"{ref} was {job.told}, then {stage}", now)
             else:
-                self.crossed += 1
+                self.reordered_replies += 1
         if stage == wire.ABORTED and not job.asked_to_cancel:
             self.record_violation(
                 "went_back", f"{ref} is called cancelled, and its user did not ask", now
@@ -174,17 +178,17 @@
             self.record_violation(
                 "not_done", f"{ref} with {len(job.done)} of {job.spec.tasks}", now
             )
-        if stage in FINAL and job.told is None:
+        if stage in FINAL_STAGES and job.told is None:
             job.told, job.told_at = stage, now
 
-    def _cannot_run(self, spec: wire.Spec | None) -> str | None:
+    def _find_rejection_reason(self, spec: wire.Spec | None) -> str | None:
         if spec is None:
             return "lacks a field"
         team = self.teams.get(spec.team)
         if team is None:
             return "unknown team"
         count = 1 if spec.job_kind == wire.ARRAY else spec.tasks
-        if _over(team, spec.cores * count, spec.gpus * count):
+        if _exceeds_limit(team, spec.cores * count, spec.gpus * count):
             return "beyond its team's limit"
         fits = any(
             kind.cores >= spec.cores
@@ -208,30 +212,34 @@
                 )
 
     def check_after_faults(
-        self, now: float, calm_since: float, machines: list[tuple[wire.Listed, set[str]]]
+        self, now: float, faults_ended_at: float, machines: list[tuple[wire.Listed, set[str]]]
     ) -> None:
         """Once all troubles are over.
 
         `machines`: those that are up, and the tasks on each, with those that fetch.
         """
         held = {task for _, tasks in machines for task in tasks}
-        rooms = [(machine, self._room(machine, tasks)) for machine, tasks in machines]
+        free_by_machine = [
+            (machine, self._compute_free_resources(machine, tasks)) for machine, tasks in machines
+        ]
         for ref, job in self.jobs.items():
             spec = job.spec
             if not job.accepted or spec is None or job.told is not None:
                 continue
-            if now - max(job.answered_at, calm_since) > UNANSWERED_S:
+            if now - max(job.last_reply_at, faults_ended_at) > MAX_UNANSWERED_S:
                 self.record_violation("forgotten", f"no question about {ref} is answered", now)
             tasks = {f"{ref}/{number}" for number in range(spec.tasks)} - job.done - held
-            if job.asked_to_cancel or not tasks or not self._could_start(spec, rooms):
-                job.waits_since = None
-            elif job.waits_since is None:
-                job.waits_since = now
-            elif now - max(job.waits_since, calm_since) > WAITING_S:
+            if job.asked_to_cancel or not tasks or not self._could_start(spec, free_by_machine):
+                job.waiting_since = None
+            elif job.waiting_since is None:
+                job.waiting_since = now
+            elif now - max(job.waiting_since, faults_ended_at) > MAX_WAITING_S:
                 # Nothing of it began in that time, though there was room for it all along.
                 self.record_violation("left_waiting", f"{ref} while a machine fits", now)
 
-    def _room(self, machine: wire.Listed, tasks: set[str]) -> tuple[float, float, float]:
+    def _compute_free_resources(
+        self, machine: wire.Listed, tasks: set[str]
+    ) -> tuple[float, float, float]:
         kind, specs = (
             self.types[machine.machine_type],
             [self.job(task.partition("/")[0]).spec for task in tasks],
@@ -243,16 +251,16 @@
         )
 
     def _could_start(
-        self, spec: wire.Spec, rooms: list[tuple[wire.Listed, tuple[float, float, float]]]
+        self, spec: wire.Spec, free_by_machine: list[tuple[wire.Listed, tuple[float, float, float]]]
     ) -> bool:
-        team, used = self.teams[spec.team], self.used.get(spec.team, [0.0, 0.0])
-        if _over(team, used[0] + spec.cores, used[1] + spec.gpus):
+        team, used = self.teams[spec.team], self.usage_by_team.get(spec.team, [0.0, 0.0])
+        if _exceeds_limit(team, used[0] + spec.cores, used[1] + spec.gpus):
             return False
-        zones = list(self.job(spec.ref).placements.values())
+        zones = list(self.job(spec.ref).task_zones.values())
         return any(
-            room[0] >= spec.cores
-            and room[1] >= spec.gpus
-            and room[2] >= spec.memory_gb
-            and allowed(spec, machine, zones)
-            for machine, room in rooms
+            free[0] >= spec.cores
+            and free[1] >= spec.gpus
+            and free[2] >= spec.memory_gb
+            and may_run_on(spec, machine, zones)
+            for machine, free in free_by_machine
         )
--- a/flaxtally/emulator/scale.py
+++ b/flaxtally/emulator/scale.py
@@ -11,17 +11,17 @@
 from ..runtime.loop import Loop
 from . import limits
 from .coordinator import Coordinator
-from .fit import FEWEST_SIZES, Fit, fit, format_table
-from .plan import BATCH_LANE, CONTROLLER, URGENT_LANE, Plan
-from .results import Analysis, Percentiles, PhaseResult, ProcessUse, SizeResult, judge
+from .fit import MIN_SIZES, Fit, fit, format_table
+from .plan import BATCH_CLASS, CONTROLLER, URGENT_CLASS, Plan
+from .results import Analysis, Percentiles, PhaseResult, ProcessUse, SizeResult, evaluate_aims
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
     from pathlib import Path
 
-LATE = re.compile(r"event=loop_behind .*late=([0-9.]+)")
-RESULTS = "results.json"
-MOST_SHOWN = 5
+LOOP_BEHIND_PATTERN = re.compile(r"event=loop_behind .*late=([0-9.]+)")
+RESULTS_FILE = "results.json"
+MAX_RULES_SHOWN = 5
 """Broken rules that are printed; results.json has all of them."""
 TARGET_WORKERS = 20_000
 """The size that the operators expect."""
@@ -38,7 +38,7 @@
         return any(size.rules_broken for size in self.sizes)
 
 
-def progress(text: str) -> None:
+def print_progress(text: str) -> None:
     """A line for whoever watches."""
     print(text, file=sys.stderr, flush=True)
 
@@ -52,9 +52,9 @@
         limits.check(plan)
     result = ScaleResult([], [])
     for plan in plans:
-        result.sizes.append(play(plan, folder / f"workers-{plan.workers}"))
-        result.fits = fits(result.sizes)
-        save(result, folder / RESULTS)
+        result.sizes.append(run_size(plan, folder / f"workers-{plan.workers}"))
+        result.fits = fit_steady_phases(result.sizes)
+        save(result, folder / RESULTS_FILE)
         if result.rules_broken:
             break
     return result
@@ -69,40 +69,40 @@
     """The results of several runs as one, by size; aims and lines are reckoned anew."""
     result = ScaleResult([], [])
     for folder in folders:
-        content = (folder / RESULTS).read_bytes()
+        content = (folder / RESULTS_FILE).read_bytes()
         result.sizes += msgspec.json.decode(content, type=ScaleResult).sizes
     result.sizes.sort(key=lambda size: (size.plan.cells, size.plan.workers))
     for size in result.sizes:
-        judge(size)
-    result.fits = fits(result.sizes)
+        evaluate_aims(size)
+    result.fits = fit_steady_phases(result.sizes)
     return result
 
 
-def play(plan: Plan, folder: Path) -> SizeResult:
+def run_size(plan: Plan, folder: Path) -> SizeResult:
     """One size, from the start of its processes to their end."""
     folder.mkdir(parents=True, exist_ok=True)
     for old in folder.glob("*.log"):
         old.unlink()
-    coordinator = Coordinator(Loop(), plan, folder, progress)
+    coordinator = Coordinator(Loop(), plan, folder, print_progress)
     recording = coordinator.run()
-    progress(f"{plan.workers} workers: {len(recording.history.events)} events are checked")
+    print_progress(f"{plan.workers} workers: {len(recording.history.events)} events are checked")
     broken = recording.history.check()
     analysis = Analysis(plan, recording, coordinator.processes)
-    return analysis.result(broken, loop_behind(plan, folder))
+    return analysis.result(broken, read_loop_delays(plan, folder))
 
 
-def loop_behind(plan: Plan, folder: Path) -> dict[str, float]:
+def read_loop_delays(plan: Plan, folder: Path) -> dict[str, float]:
     """How late timers were, in seconds, for each controller that logged it."""
     found: dict[str, float] = {}
     for name in plan.nodes:
         text = (folder / f"{name}.log").read_text(encoding="utf-8", errors="replace")
-        late = [float(match.group(1)) for match in LATE.finditer(text)]
+        late = [float(match.group(1)) for match in LOOP_BEHIND_PATTERN.finditer(text)]
         if late:
             found[name] = max(late)
     return found
 
 
-def _followers(phase: PhaseResult, figure: Callable[[ProcessUse], float]) -> float:
+def _compute_followers_mean(phase: PhaseResult, figure: Callable[[ProcessUse], float]) -> float:
     """The mean over the controllers that don't lead."""
     uses = [
         use
@@ -112,18 +112,26 @@
     return sum(figure(use) for use in uses) / max(1, len(uses))
 
 
-def _leader(phase: PhaseResult, figure: Callable[[ProcessUse], float]) -> float:
+def _compute_leaders_max(phase: PhaseResult, figure: Callable[[ProcessUse], float]) -> float:
     """The highest of the cells' leaders."""
     uses = [phase.processes[name] for name in phase.leaders if name in phase.processes]
     return max((figure(use) for use in uses), default=0.0)
 
 
 FIGURES: dict[str, Callable[[PhaseResult], float]] = {
-    "leader, processor (cores)": lambda phase: _leader(phase, lambda use: use.processor_mean),
-    "leader, processor peak (cores)": lambda phase: _leader(phase, lambda use: use.processor_peak),
-    "leader, memory (MB)": lambda phase: _leader(phase, lambda use: use.memory_mb),
-    "follower, processor (cores)": lambda phase: _followers(phase, lambda use: use.processor_mean),
-    "follower, memory (MB)": lambda phase: _followers(phase, lambda use: use.memory_mb),
+    "leader, processor (cores)": lambda phase: _compute_leaders_max(
+        phase, lambda use: use.processor_mean
+    ),
+    "leader, processor peak (cores)": lambda phase: _compute_leaders_max(
+        phase, lambda use: use.processor_peak
+    ),
+    "leader, memory (MB)": lambda phase: _compute_leaders_max(phase, lambda use: use.memory_mb),
+    "follower, processor (cores)": lambda phase: _compute_followers_mean(
+        phase, lambda use: use.processor_mean
+    ),
+    "follower, memory (MB)": lambda phase: _compute_followers_mean(
+        phase, lambda use: use.memory_mb
+    ),
     "reports a second": lambda phase: phase.reports_per_s,
     "bytes a worker and second": lambda phase: phase.bytes_per_worker_s,
     "state service, changes a second": lambda phase: phase.state_changes_per_s,
@@ -135,7 +143,7 @@
 """What is fitted over the sizes, of the steady phase."""
 
 
-def fits(sizes: Sequence[SizeResult]) -> list[Fit]:
+def fit_steady_phases(sizes: Sequence[SizeResult]) -> list[Fit]:
     """Lines through the steady phases of the sizes that met the aims, once there are enough.
 
     Beyond them a figure shows what is lacking, not what the size needs.
@@ -145,7 +153,7 @@
         for size in sizes
         if size.phases and not size.missed_aims and size.plan.cells == 1
     ]
-    if len(steady) < FEWEST_SIZES:
+    if len(steady) < MIN_SIZES:
         return []
     workers = [phase.workers for phase in steady]
     return [
@@ -154,12 +162,12 @@
     ]
 
 
-def _delay(phase: PhaseResult, job_class: str) -> str:
+def _format_delay(phase: PhaseResult, job_class: str) -> str:
     delay = phase.start_delay.get(job_class, Percentiles())
     return f"{delay.median:.2f}/{delay.p95:.2f}" if delay.count else "-"
 
 
-def report(result: ScaleResult) -> list[str]:
+def format_report(result: ScaleResult) -> list[str]:
     """The results as lines for people."""
     lines = [
         f"{'workers':>7} {'phase':10} {'tasks':>6} {'starts/s':>8} {'asked/s':>8} "
@@ -171,22 +179,22 @@
             lines.append(
                 f"{phase.workers:7.0f} {phase.name:10} {phase.running_tasks:6.0f} "
                 f"{phase.starts_per_s:8.1f} {phase.submitted_tasks / phase.seconds:8.1f} "
-                f"{_delay(phase, URGENT_LANE):>14} {_delay(phase, BATCH_LANE):>14} "
+                f"{_format_delay(phase, URGENT_CLASS):>14} {_format_delay(phase, BATCH_CLASS):>14} "
                 f"{phase.report_answer.p99:10.3f} {phase.submission.p99:10.3f} "
                 f"{phase.state_changes_per_s:9.1f} "
-                f"{_leader(phase, lambda use: use.processor_mean):10.2f} "
-                f"{_leader(phase, lambda use: use.processor_peak):5.2f} "
-                f"{_leader(phase, lambda use: use.memory_mb):5.0f} "
+                f"{_compute_leaders_max(phase, lambda use: use.processor_mean):10.2f} "
+                f"{_compute_leaders_max(phase, lambda use: use.processor_peak):5.2f} "
+                f"{_compute_leaders_max(phase, lambda use: use.memory_mb):5.0f} "
                 f"{phase.bytes_per_worker_s:10.0f}"
             )
-        lines += _remarks(size)
+        lines += _format_remarks(size)
     if result.fits:
         lines += ["", "lines through the steady phases (not the bench's figures):"]
         lines += format_table(result.fits)
     return lines
 
 
-def _remarks(size: SizeResult) -> list[str]:
+def _format_remarks(size: SizeResult) -> list[str]:
     """What a size shows besides its figures."""
     warm = "not reached" if size.warm_up_s is None else f"{size.warm_up_s:.0f} s"
     taken = "not seen" if size.takeover_s is None else f"{size.takeover_s:.1f} s"
@@ -199,8 +207,8 @@
         lines.append(f"        timers late: {behind}")
     if size.emulator_late_s:
         lines.append(f"        the emulator itself was late by {size.emulator_late_s:.2f} s")
-    if len(size.rules_broken) > MOST_SHOWN:
-        lines.append(f"        {len(size.rules_broken)} rules broken, the first {MOST_SHOWN}:")
-    for rule in size.rules_broken[:MOST_SHOWN]:
+    if len(size.rules_broken) > MAX_RULES_SHOWN:
+        lines.append(f"        {len(size.rules_broken)} rules broken, the first {MAX_RULES_SHOWN}:")
+    for rule in size.rules_broken[:MAX_RULES_SHOWN]:
         lines += [f"        RULE BROKEN: {rule[0]}", *(f"        {line}" for line in rule[1:])]
     return lines
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -14,16 +14,16 @@
     ENDED,
     STARTED,
     Event,
-    MachinesTaken,
-    MachineUp,
+    MachinesRemoved,
+    MachineStarted,
     Message,
+    RemoveMachines,
     RestartWorkers,
     SilenceZone,
-    TakeMachines,
 )
 
 if TYPE_CHECKING:
-    from .link import Link
+    from .link import CoordinatorLink
     from .measured import CountingLoop
     from .plan import Plan
 
@@ -35,64 +35,64 @@
 class Workers:
     """Owns this process's hollow workers."""
 
-    def __init__(self, loop: CountingLoop, plan: Plan, number: int, link: Link) -> None:
+    def __init__(self, loop: CountingLoop, plan: Plan, number: int, link: CoordinatorLink) -> None:
         self._loop, self._plan, self._link = loop, plan, link
         self._load = Load(plan)
         self._rng = random.Random(f"{plan.seed}/workers/{number}")
         self._workers: dict[str, HollowWorker] = {}
-        self._starts = 0
-        self._reports = 0
-        self._fault_due = plan.break_rule and number == 0
+        self._start_count = 0
+        self._report_count = 0
+        self._should_break_rule = plan.break_rule and number == 0
         for machine in plan.machines:
-            if plan.process_of(machine.machine) == number:
-                self._add(machine)
+            if plan.get_worker_process(machine.machine) == number:
+                self._add_worker(machine)
 
-    def _add(self, machine: wire.Listed) -> None:
-        where = address(str(machine.address))
-        assert where is not None, machine.address
+    def _add_worker(self, machine: wire.Listed) -> None:
+        listen_address = address(str(machine.address))
+        assert listen_address is not None, machine.address
         worker = HollowWorker(
             self._loop,
             self._plan,
             self._load,
             machine,
-            where,
-            self._watch,
-            self._took,
+            listen_address,
+            self._on_task_event,
+            self._on_report_answered,
             random.Random(self._rng.random()),
         )
         self._workers[machine.machine] = worker
 
-    def _took(self, seconds: float) -> None:
-        self._reports += 1
-        self._link.sample(REPORT_ANSWER, seconds)
+    def _on_report_answered(self, seconds: float) -> None:
+        self._report_count += 1
+        self._link.add_sample(REPORT_ANSWER, seconds)
 
-    def _watch(self, event: str, machine: str, task: str, attempt: int) -> None:
+    def _on_task_event(self, event: str, machine: str, task: str, attempt: int) -> None:
         at = self._loop.now()
         if event == "start":
-            self._link.event(Event(at, STARTED, task, machine, attempt))
-            self._starts += 1
-            if self._fault_due and self._starts > STARTS_BEFORE_FAULT:
-                self._fault_due = False
+            self._link.add_event(Event(at, STARTED, task, machine, attempt))
+            self._start_count += 1
+            if self._should_break_rule and self._start_count > STARTS_BEFORE_FAULT:
+                self._should_break_rule = False
                 self._loop.soon(self._start_twice, machine, task, attempt)
         else:
-            why = event.removeprefix("end ")
-            self._link.event(Event(at, ENDED, task, machine, attempt, stage=why))
+            cause = event.removeprefix("end ")
+            self._link.add_event(Event(at, ENDED, task, machine, attempt, stage=cause))
 
     def _start_twice(self, machine: str, task: str, attempt: int) -> None:
         """The planted fault: another worker starts the task of its own accord."""
         other = next(worker for name, worker in self._workers.items() if name != machine)
         copy = other.tasks[task, attempt] = Held(task, attempt, wire.FETCHING)
-        other.run_at_once(copy)
+        other.start_unassigned(copy)
 
     def receive(self, message: Message) -> None:
-        if isinstance(message, MachineUp):
-            self._add(message.machine)
-        elif isinstance(message, TakeMachines):
+        if isinstance(message, MachineStarted):
+            self._add_worker(message.machine)
+        elif isinstance(message, RemoveMachines):
             for name in message.machines:
                 worker = self._workers.pop(name, None)
                 if worker is not None:
                     worker.gone()
-            self._link.send(MachinesTaken(message.request))
+            self._link.send(MachinesRemoved(message.request))
         elif isinstance(message, RestartWorkers):
             names = sorted(self._workers)
             for name in self._rng.sample(names, round(message.share * len(names))):
@@ -107,9 +107,9 @@
         workers = self._workers.values()
         return {
             "workers": len(self._workers),
-            "running": sum(worker.running for worker in workers),
-            "reports": self._reports,
-            "starts": self._starts,
+            "running": sum(worker.running_count for worker in workers),
+            "reports": self._report_count,
+            "starts": self._start_count,
             "lapses": sum(worker.session - 1 for worker in workers),
             "bytes_sent": traffic.sent,
             "bytes_received": traffic.received,
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,30 +16,30 @@
 from flaxtally.cli import main
 from flaxtally.cluster.frame_codec import encode_frame
 from flaxtally.emulator import limits
-from flaxtally.emulator.controller_settings import cells_page, node_settings
+from flaxtally.emulator.controller_settings import create_settings, render_deploy_file
 from flaxtally.emulator.fake_environment import RemoteCloud
 from flaxtally.emulator.fit import fit
 from flaxtally.emulator.history import History
-from flaxtally.emulator.hollow_worker import REPORT_GAP_S, HollowWorker
-from flaxtally.emulator.load import Load, reference
+from flaxtally.emulator.hollow_worker import MIN_REPORT_INTERVAL_S, HollowWorker
+from flaxtally.emulator.load import Load, format_ref
 from flaxtally.emulator.messages import (
-    ANSWERED_POLL,
-    ANSWERED_SUBMIT,
     ENDED,
+    POLL_REPLY,
     STARTED,
+    SUBMIT_REPLY,
     SUBMITTED,
     Channel,
     Event,
     Message,
-    TakeMachines,
+    RemoveMachines,
 )
-from flaxtally.emulator.plan import CPU_TYPE, HOST, URGENT_LANE, Plan
+from flaxtally.emulator.plan import CPU_TYPE, HOST, URGENT_CLASS, Plan
 from flaxtally.emulator.results import (
     Percentiles,
     PhaseResult,
     ProcessUse,
     SizeResult,
-    judge,
+    evaluate_aims,
     percentiles,
 )
 from flaxtally.emulator.scale import ScaleResult, combine, save
@@ -73,11 +73,11 @@
 def test_the_load_has_the_expected_fleets_ratios() -> None:
     plan = Plan(workers=2000)
     load = Load(plan)
-    replicas = load.service_replicas / plan.workers
+    replicas = load.service_replica_count / plan.workers
     assert replicas == pytest.approx(9.5 * 0.6, rel=0.05)
     until = 400.0
     tasks, busy = 0, 0.0
-    for at, number in load.arrivals():
+    for at, number in load.generate_arrivals():
         if at > until:
             break
         job = load.job(number)
@@ -91,18 +91,18 @@
 def test_a_controller_reads_back_the_settings_that_are_written_for_it(cells: int) -> None:
     plan = msgspec.structs.replace(PLAN, cells=cells, zones=4)
     for number, name in enumerate(plan.nodes):
-        written = node_settings(plan, number)
+        written = create_settings(plan, number)
         assert parse(tomllib.loads(settings_text(written))) == written
         assert written.node == name
         assert set(written.peers) == set(plan.nodes) - {name}
-    states = {node_settings(plan, number).state for number in range(len(plan.nodes))}
+    states = {create_settings(plan, number).state for number in range(len(plan.nodes))}
     assert len(states) == cells
 
 
 def test_the_cells_of_a_plan_own_all_its_zones_and_controllers(tmp_path: Path) -> None:
     plan = msgspec.structs.replace(PLAN, cells=2, zones=4)
     path = tmp_path / "cells.toml"
-    path.write_text(cells_page(plan))
+    path.write_text(render_deploy_file(plan))
     found = read_file(str(path))
     assert found.state == plan.shared_state
     index = CellIndex(found.map)
@@ -133,7 +133,7 @@
         request.reply(200, wire.HeartbeatReply(1, commands))
 
 
-def hollow(sim: Simulation, events: list[str], number: int = 0) -> HollowWorker:
+def create_worker(sim: Simulation, events: list[str], number: int = 0) -> HollowWorker:
     plan, machine = PLAN, PLAN.machines[number]
     return HollowWorker(
         sim.host("127.1.0.1"),
@@ -147,7 +147,7 @@
     )
 
 
-def gaps(controller: Controller) -> list[float]:
+def compute_report_gaps(controller: Controller) -> list[float]:
     times = [at for at, _ in controller.reports]
     return [later - earlier for earlier, later in pairwise(times)]
 
@@ -155,26 +155,29 @@
 def test_a_change_is_reported_at_once_but_not_more_often_than_the_protocol_says() -> None:
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
-    worker = hollow(sim, events)
+    worker = create_worker(sim, events)
     play(sim, 10.0)
-    assert all(0.7 * PLAN.report_s < gap < 1.3 * PLAN.report_s for gap in gaps(controller)[1:])
+    assert all(
+        0.7 * PLAN.report_s < gap < 1.3 * PLAN.report_s
+        for gap in compute_report_gaps(controller)[1:]
+    )
     before = len(controller.reports)
     for number in range(60):
         sim.at(sim.time + number * 0.05, worker.changed)
     began = sim.time
     play(sim, 3.0)
     changes = controller.reports[before:]
-    assert changes[0][0] - began < REPORT_GAP_S + 0.1
+    assert changes[0][0] - began < MIN_REPORT_INTERVAL_S + 0.1
     # Changes that follow each other fast don't put the report off: one comes every half second.
     assert len(changes) >= 5
-    assert min(gaps(controller)) > REPORT_GAP_S - 0.05
+    assert min(compute_report_gaps(controller)) > MIN_REPORT_INTERVAL_S - 0.05
 
 
 def test_a_silent_worker_loses_its_tasks_with_its_lease_and_begins_a_new_session() -> None:
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
-    worker = hollow(sim, events)
-    task = f"{reference(1)}/0"
+    worker = create_worker(sim, events)
+    task = f"{format_ref(1)}/0"
     controller.commands = [wire.launch(task, 1)]
     play(sim, 10.0)
     assert events == [f"start {task} 1"]
@@ -189,8 +192,8 @@
 def test_a_worker_that_restarts_reports_a_new_session_without_tasks() -> None:
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
-    worker = hollow(sim, events)
-    controller.commands = [wire.launch(f"{reference(1)}/0", 1)]
+    worker = create_worker(sim, events)
+    controller.commands = [wire.launch(f"{format_ref(1)}/0", 1)]
     play(sim, 10.0)
     worker.restart()
     play(sim, 1.0)
@@ -201,7 +204,7 @@
 def test_an_image_is_fetched_once_for_all_tasks_that_wait_for_it() -> None:
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
-    worker = hollow(sim, events, number=1)
+    worker = create_worker(sim, events, number=1)
     assert worker.machine.machine_type == CPU_TYPE
     spec = Load(PLAN).job(1).spec
     controller.commands = [wire.launch(f"{spec.ref}/{task}", 1) for task in range(2)]
@@ -217,17 +220,17 @@
 # Stand-ins with the deployment's rates
 
 
-class Answers:
+class RecordingClient:
     """A client that keeps the answers."""
 
     def __init__(self, host: Host, where: tuple[str, int]) -> None:
         self.client, self.statuses = Client(host, where, 50), list[int]()
         self.bodies: list[bytes] = []
 
-    def ask(self, method: str, path: str, body: object = None) -> None:
-        self.client.request(method, path, body, 5.0, self._told)
+    def send(self, method: str, path: str, body: object = None) -> None:
+        self.client.request(method, path, body, 5.0, self._on_reply)
 
-    def _told(self, reply: Reply) -> None:
+    def _on_reply(self, reply: Reply) -> None:
         self.statuses.append(reply.status)
         self.bodies.append(reply.body)
 
@@ -238,20 +241,20 @@
     host = sim.host(where[0])
     service = FakeKeyValueStore(host, where)
     service.change_limit = TokenBucket(host, 10.0, 10.0)
-    user = Answers(sim.host("10.3.0.1"), where)
+    user = RecordingClient(sim.host("10.3.0.1"), where)
     for number in range(15):
-        user.ask("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
+        user.send("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
     play(sim, 1.0)
     assert (user.statuses.count(200), user.statuses.count(429)) == (10, 5)
     assert service.limited == 5
     assert len(service.rows) == 10
     play(sim, 1.0)
-    user.ask("POST", wire.TXN, wire.Transaction.build({}, {"k/late": 1}, []))
+    user.send("POST", wire.TXN, wire.Transaction.build({}, {"k/late": 1}, []))
     play(sim, 1.0)
     assert user.statuses[-1] == 200
 
 
-class Told:
+class FakeLink:
     """Takes the place of the connection to the coordinator."""
 
     def __init__(self) -> None:
@@ -262,17 +265,17 @@
 
 
 def test_a_release_is_answered_only_when_all_processes_say_that_the_machines_are_gone() -> None:
-    sim, told = Simulation(1), Told()
+    sim, link = Simulation(1), FakeLink()
     plan = msgspec.structs.replace(PLAN, workers_per_process=30)
-    cloud = RemoteCloud(sim.host(HOST), plan, told)  # type: ignore[arg-type]
-    user = Answers(sim.host("10.3.0.1"), plan.cloud)
-    user.ask("POST", wire.RELEASE, wire.TerminateRequest(["n-000000", "n-000001"]))
+    cloud = RemoteCloud(sim.host(HOST), plan, link)  # type: ignore[arg-type]
+    user = RecordingClient(sim.host("10.3.0.1"), plan.cloud)
+    user.send("POST", wire.RELEASE, wire.TerminateRequest(["n-000000", "n-000001"]))
     play(sim, 1.0)
-    assert told.messages == [TakeMachines(1, ["n-000000", "n-000001"])]
-    cloud.taken(1)
+    assert link.messages == [RemoveMachines(1, ["n-000000", "n-000001"])]
+    cloud.record_machines_removed(1)
     play(sim, 1.0)
     assert user.statuses == []
-    cloud.taken(1)
+    cloud.record_machines_removed(1)
     play(sim, 1.0)
     assert user.statuses == [200]
     assert len(cloud.machines) == 58
@@ -281,10 +284,10 @@
 def test_the_clouds_list_comes_in_pages() -> None:
     sim = Simulation(1)
     plan = msgspec.structs.replace(PLAN, workers=700)
-    RemoteCloud(sim.host(HOST), plan, Told())  # type: ignore[arg-type]
-    user = Answers(sim.host("10.3.0.1"), plan.cloud)
-    user.ask("GET", wire.list_machines_path(None, 500))
-    user.ask("GET", wire.list_machines_path("n-000499", 500))
+    RemoteCloud(sim.host(HOST), plan, FakeLink())  # type: ignore[arg-type]
+    user = RecordingClient(sim.host("10.3.0.1"), plan.cloud)
+    user.send("GET", wire.list_machines_path(None, 500))
+    user.send("GET", wire.list_machines_path("n-000499", 500))
     play(sim, 1.0)
     first, second = (msgspec.msgpack.decode(body, type=wire.MachineList) for body in user.bodies)
     assert [len(first.machines), first.more] == [500, True]
@@ -294,62 +297,62 @@
 # History
 
 
-def history(*events: Event) -> History:
+def create_history(*events: Event) -> History:
     found = History(PLAN)
     found.add(reversed(events))
     return found
 
 
-SERVICE = reference(1)
+SERVICE = format_ref(1)
 
 
-def accepted(ref: str, at: float) -> tuple[Event, Event]:
+def create_submission(ref: str, at: float) -> tuple[Event, Event]:
     answer = Event(
-        at + 0.1, ANSWERED_SUBMIT, ref, asked_at=at, status=201, stage="pending", body_ref=ref
+        at + 0.1, SUBMIT_REPLY, ref, asked_at=at, status=201, stage="pending", body_ref=ref
     )
     return Event(at, SUBMITTED, ref), answer
 
 
 def test_a_history_without_faults_breaks_no_rule_whatever_the_order_in_which_it_came() -> None:
     task = f"{SERVICE}/0"
-    found = history(
-        *accepted(SERVICE, 1.0),
+    found = create_history(
+        *create_submission(SERVICE, 1.0),
         Event(2.0, STARTED, task, "n-000000", 1),
         Event(3.0, ENDED, task, "n-000000", 1, stage="lapsed"),
         Event(4.0, STARTED, task, "n-000001", 2),
     )
     assert found.check() == []
-    assert found.start_delays(0.0, 2.0) == {"serve": [1.0]}
+    assert found.compute_start_delays(0.0, 2.0) == {"serve": [1.0]}
     assert found.count_starts(1.5, 3.0) == 1
 
 
 def test_a_task_on_two_machines_is_found_with_the_events_that_show_it() -> None:
     task = f"{SERVICE}/0"
-    found = history(
-        *accepted(SERVICE, 1.0),
+    found = create_history(
+        *create_submission(SERVICE, 1.0),
         Event(2.0, STARTED, task, "n-000000", 1),
         Event(4.0, STARTED, task, "n-000001", 2),
     )
     broken = found.check()
     assert len(broken) == 1
     assert "ran_twice" in broken[0].text
-    shown = "\n".join(broken[0].lines())
+    shown = "\n".join(broken[0].format_lines())
     assert "machine=n-000000 attempt=1" in shown
     assert "machine=n-000001 attempt=2" in shown
 
 
 def test_an_answer_that_goes_back_and_a_run_without_starts_are_found() -> None:
-    gone = Event(3.0, ANSWERED_POLL, SERVICE, asked_at=2.9, status=404)
-    broken = history(*accepted(SERVICE, 1.0), gone).check()
+    not_found = Event(3.0, POLL_REPLY, SERVICE, asked_at=2.9, status=404)
+    broken = create_history(*create_submission(SERVICE, 1.0), not_found).check()
     assert [rule.text.split(":")[0].split()[-1] for rule in broken] == ["forgotten", "nothing_ran"]
 
 
 def test_what_only_some_parts_have_told_at_the_end_is_left_out() -> None:
     # A start was told, and the submission of its job a quarter of a second before it was not yet.
-    found = history(
-        *accepted(SERVICE, 1.0),
+    found = create_history(
+        *create_submission(SERVICE, 1.0),
         Event(2.0, STARTED, f"{SERVICE}/0", "n-000000", 1),
-        Event(9.0, STARTED, f"{reference(2)}/0", "n-000001", 1),
+        Event(9.0, STARTED, f"{format_ref(2)}/0", "n-000001", 1),
     )
     found.until = 8.0
     assert found.check() == []
@@ -367,7 +370,7 @@
     square = fit("x", [100, 200, 400, 800], [1.0, 4.0, 16.0, 64.0], 1600)
     assert square.power == pytest.approx(2.0)
     assert square.residual > 0.1
-    assert not square.linear
+    assert not square.is_linear
 
 
 def test_percentiles_are_within_one_percent() -> None:
@@ -380,7 +383,9 @@
     assert percentiles([]).count == 0
 
 
-def size(workers: int, starts: float, running: float, urgent_p95: float = 1.0) -> SizeResult:
+def create_size_result(
+    workers: int, starts: float, running: float, urgent_p95: float = 1.0
+) -> SizeResult:
     """A size in whose steady phase 100 tasks a second were submitted."""
     nothing = Percentiles()
     phase = PhaseResult(
@@ -390,7 +395,7 @@
         running_tasks=running,
         submitted_tasks=1000,
         starts_per_s=starts,
-        start_delay={URGENT_LANE: Percentiles(50, 0.5, urgent_p95, urgent_p95, urgent_p95)},
+        start_delay={URGENT_CLASS: Percentiles(50, 0.5, urgent_p95, urgent_p95, urgent_p95)},
         submission=nothing,
         report_answer=nothing,
         reports_per_s=0.6 * workers,
@@ -412,13 +417,13 @@
 
 def test_what_was_missed_is_said_with_what_was_used_most() -> None:
     held, slow, queued, full = (
-        size(100, 99.0, 900.0),
-        size(100, 99.0, 900.0, urgent_p95=4.0),
-        size(100, 60.0, 900.0),
-        size(100, 60.0, 960.0),
+        create_size_result(100, 99.0, 900.0),
+        create_size_result(100, 99.0, 900.0, urgent_p95=4.0),
+        create_size_result(100, 60.0, 900.0),
+        create_size_result(100, 60.0, 960.0),
     )
-    for each in (held, slow, queued, full):
-        judge(each)
+    for size in (held, slow, queued, full):
+        evaluate_aims(size)
     assert (held.missed_aims, held.saturated) == ([], "nothing")
     assert slow.missed_aims == ["urgent starts: p95 4.0 s, aim 3.6 s"]
     assert slow.saturated == "state services, changes (90%)"
@@ -432,10 +437,12 @@
 ) -> None:
     for name, sizes in (("a", [500, 125]), ("b", [1000, 250, 2000])):
         (tmp_path / name).mkdir()
-        results = [size(workers, 99.0 if workers < 2000 else 50.0, 1.0) for workers in sizes]
+        results = [
+            create_size_result(workers, 99.0 if workers < 2000 else 50.0, 1.0) for workers in sizes
+        ]
         save(ScaleResult(results, []), tmp_path / name / "results.json")
     found = combine([tmp_path / "a", tmp_path / "b"])
-    assert [each.plan.workers for each in found.sizes] == [125, 250, 500, 1000, 2000]
+    assert [size.plan.workers for size in found.sizes] == [125, 250, 500, 1000, 2000]
     leader = next(line for line in found.fits if line.figure == "leader, processor (cores)")
     assert leader.per_worker == pytest.approx(0.001)
     assert leader.factor == 20.0, "the size that missed its aims is in no line"
@@ -486,7 +493,7 @@
 # Messages
 
 
-class Pipe:
+class FakeStream:
     """A stream whose far end is the test."""
 
     def __init__(self) -> None:
@@ -506,18 +513,18 @@
 def test_a_malformed_message_is_one_log_line_and_the_next_is_taken(
     frame: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
-    pipe, received = Pipe(), list[Message]()
-    Channel(pipe, lambda _, message: received.append(message), lambda _: None)
+    stream, received = FakeStream(), list[Message]()
+    Channel(stream, lambda _, message: received.append(message), lambda _: None)
     with caplog.at_level(logging.ERROR):
-        pipe.on_data(encode_frame(frame) + encode_frame({"k": "begin"}))
+        stream.on_data(encode_frame(frame) + encode_frame({"k": "begin"}))
     assert len(caplog.records) == 1
     assert len(received) == 1
-    assert not pipe.closed
+    assert not stream.closed
 
 
 def test_nonsense_closes_the_connection(caplog: pytest.LogCaptureFixture) -> None:
-    pipe = Pipe()
-    Channel(pipe, lambda *_: None, lambda _: None)
-    pipe.on_data(b"\xff\xff\xff\xff nonsense")
-    assert pipe.closed
+    stream = FakeStream()
+    Channel(stream, lambda *_: None, lambda _: None)
+    stream.on_data(b"\xff\xff\xff\xff nonsense")
+    assert stream.closed
     assert len(caplog.records) == 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
     return wire.Listed(name, kind, zone, spot, "running", 0.0, None)
 
 
-def day(job: wire.Spec | None = None) -> Rules:
+def create_rules(job: wire.Spec | None = None) -> Rules:
     """A job that was accepted at 1 s, its task 0 on n-0 since 2 s."""
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     rules.record_submission(job or batch(REF, 2))
@@ -32,13 +32,15 @@
     return rules
 
 
-def told(rules: Rules, stage: str, asked_at: float, at: float, ref: str = REF) -> None:
+def record_stage_reply(
+    rules: Rules, stage: str, asked_at: float, at: float, ref: str = REF
+) -> None:
     rules.record_reply("poll", ref, asked_at, at, 200, {"ref": ref, "stage": stage})
 
 
 def cancelled(rules: Rules) -> None:
     rules.record_cancel_request(REF)
-    told(rules, wire.ABORTED, 3.0, 3.1)
+    record_stage_reply(rules, wire.ABORTED, 3.0, 3.1)
 
 
 def ran_twice(rules: Rules) -> None:
@@ -78,24 +80,24 @@
 
 
 def invented(rules: Rules) -> None:
-    told(rules, wire.PENDING, 2.0, 2.1, "j-000009")
+    record_stage_reply(rules, wire.PENDING, 2.0, 2.1, "j-000009")
 
 
 def not_done(rules: Rules) -> None:
     rules.record_end(f"{REF}/0", 1, "n-0", True)
-    told(rules, wire.DONE, 3.0, 3.1)
+    record_stage_reply(rules, wire.DONE, 3.0, 3.1)
 
 
 def went_back(rules: Rules) -> None:
     cancelled(rules)
-    told(rules, wire.PENDING, 3.0, 3.2)
-    assert rules.crossed == 1
+    record_stage_reply(rules, wire.PENDING, 3.0, 3.2)
+    assert rules.reordered_replies == 1
     assert not rules.broken
-    told(rules, wire.PENDING, 3.15, 3.2)
+    record_stage_reply(rules, wire.PENDING, 3.15, 3.2)
 
 
 def cancelled_by_nobody(rules: Rules) -> None:
-    told(rules, wire.ABORTED, 3.0, 3.1)
+    record_stage_reply(rules, wire.ABORTED, 3.0, 3.1)
 
 
 def wrong_job(rules: Rules) -> None:
@@ -136,7 +138,7 @@
 def test_a_planted_fault_breaks_its_rule_and_no_other(
     rule: str, fault: Callable[[Rules], None]
 ) -> None:
-    rules = day()
+    rules = create_rules()
     assert not rules.broken
     fault(rules)
     assert {broken.split()[1] for broken in rules.broken} == {rule + ":"}
@@ -168,10 +170,10 @@
 
 
 def test_a_day_without_faults_breaks_nothing() -> None:
-    rules = day(batch(REF, 1))
+    rules = create_rules(batch(REF, 1))
     rules.record_end(f"{REF}/0", 1, "n-0", True)
-    told(rules, wire.DONE, 3.0, 3.1)
-    told(rules, wire.DONE, 3.2, 3.3)
+    record_stage_reply(rules, wire.DONE, 3.0, 3.1)
+    record_stage_reply(rules, wire.DONE, 3.2, 3.3)
     rules.record_reply("poll", "j-000404", 3.0, 3.1, 404, None)
     rules.check_deadlines(500.0)
     rules.check_after_faults(500.0, 10.0, [(listed("n-0"), set())])
