--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -215,7 +215,7 @@
         else:
             self._audit.record_upcoming_end(task, now)
             self._rules.record_end(task, attempt, machine, event == "end done")
-            is_cancelled = self._rules.job(task.partition("/")[0]).asked_to_cancel
+            is_cancelled = self._rules.job(task.partition("/")[0]).is_cancel_requested
             if event == "end halted" and not is_cancelled:
                 self._reclaimed_count += 1
                 self._audit.record_stop(task, machine, now)
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -139,14 +139,16 @@
             <= VICTIM_STOP_DELAY_S + spec.checkpoint_save_s
         ):
             return
-        if not self._rules.job(task.partition("/")[0]).asked_to_cancel and self._is_entitled(spec):
+        if not self._rules.job(task.partition("/")[0]).is_cancel_requested and self._is_entitled(
+            spec
+        ):
             owed = _OwedCapacity(task, spec.team, spec.gpus, spec.cores)
             self._owed_by_machine.setdefault(machine, []).append(owed)
 
     def _is_still_waiting(self, owed: _OwedCapacity) -> bool:
         ref = owed.task.partition("/")[0]
         job = self._rules.job(ref)
-        return owed.task not in self._rules.placements and not job.asked_to_cancel
+        return owed.task not in self._rules.placements and not job.is_cancel_requested
 
     def check_deadlines(self, now: float, machines: Collection[wire.Listed]) -> None:
         """At any moment: who lacks room that others borrow. `machines`: those that are up."""
@@ -169,7 +171,7 @@
         found = []
         for ref, job in self._rules.jobs.items():
             spec = job.spec
-            if not job.accepted or job.asked_to_cancel or spec is None or job.told is not None:
+            if not job.accepted or job.is_cancel_requested or spec is None or job.told is not None:
                 continue
             left = spec.tasks - len(job.done) - len(job.task_zones)
             if left > 0 and self._is_entitled(spec) and self._could_use_a_loan(ref, spec, loan):
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -26,7 +26,7 @@
 
     def __init__(self, spec: wire.Spec | None) -> None:
         self.spec = spec
-        self.submitted = self.accepted = self.asked_to_cancel = False
+        self.submitted = self.accepted = self.is_cancel_requested = False
         self.told: str | None = None
         self.told_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
@@ -131,7 +131,7 @@
         job.spec, job.submitted = job.spec or spec, True
 
     def record_cancel_request(self, ref: str) -> None:
-        self.job(ref).asked_to_cancel = True
+        self.job(ref).is_cancel_requested = True
 
     def record_reply(
         self, what: str, ref: str, asked_at: float, now: float, status: int, body: Any
@@ -168,7 +168,7 @@
                 self.record_violation("went_back", f"{ref} was {job.told}, then {stage}", now)
             else:
                 self.reordered_replies += 1
-        if stage == wire.ABORTED and not job.asked_to_cancel:
+        if stage == wire.ABORTED and not job.is_cancel_requested:
             self.record_violation(
                 "went_back", f"{ref} is called cancelled, and its user did not ask", now
             )
@@ -229,7 +229,7 @@
             if now - max(job.last_reply_at, faults_ended_at) > MAX_UNANSWERED_S:
                 self.record_violation("forgotten", f"no question about {ref} is answered", now)
             tasks = {f"{ref}/{number}" for number in range(spec.tasks)} - job.done - held
-            if job.asked_to_cancel or not tasks or not self._could_start(spec, free_by_machine):
+            if job.is_cancel_requested or not tasks or not self._could_start(spec, free_by_machine):
                 job.waiting_since = None
             elif job.waiting_since is None:
                 job.waiting_since = now
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -64,13 +64,13 @@
         if known.told == wire.ABORTED:
             assert world.count(ref) == 0
         elif job.job_kind in (wire.ARRAY, wire.GANG):
-            ends = known.told == wire.DONE or known.asked_to_cancel
+            ends = known.told == wire.DONE or known.is_cancel_requested
             assert ends or len(known.done) + world.count(ref) == job.tasks, (
                 ref,
                 world.ask(ref),
                 world.trace[-40:],
             )
-        elif not known.asked_to_cancel:
+        elif not known.is_cancel_requested:
             assert world.count(ref) == job.tasks, (ref, world.ask(ref))
 
 
