--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -171,7 +171,12 @@
         found = []
         for ref, job in self._rules.jobs.items():
             spec = job.spec
-            if not job.accepted or job.is_cancel_requested or spec is None or job.told is not None:
+            if (
+                not job.accepted
+                or job.is_cancel_requested
+                or spec is None
+                or job.final_stage is not None
+            ):
                 continue
             left = spec.tasks - len(job.done) - len(job.task_zones)
             if left > 0 and self._is_entitled(spec) and self._could_use_a_loan(ref, spec, loan):
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -27,8 +27,8 @@
     def __init__(self, spec: wire.Spec | None) -> None:
         self.spec = spec
         self.submitted = self.accepted = self.is_cancel_requested = False
-        self.told: str | None = None
-        self.told_at = self.accepted_at = float("inf")
+        self.final_stage: str | None = None
+        self.final_stage_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
         self.task_zones: dict[str, str] = {}
         """The zone of each of its tasks that is on a machine."""
@@ -87,9 +87,9 @@
                 f"{task} on {self.placements[task][0].machine} and {machine.machine}",
                 now,
             )
-        if job.told == wire.ABORTED:
+        if job.final_stage == wire.ABORTED:
             self.record_violation(
-                "started_cancelled", f"{task}, its user was told at {job.told_at:.2f}", now
+                "started_cancelled", f"{task}, its user was told at {job.final_stage_at:.2f}", now
             )
         if spec is None:
             self.record_violation("nobody_asked", task, now)
@@ -163,9 +163,11 @@
         self, job: _Job, ref: str, asked_at: float, now: float, stage: str
     ) -> None:
         assert job.spec is not None
-        if job.told is not None and stage != job.told:
-            if asked_at >= job.told_at or stage in FINAL_STAGES:
-                self.record_violation("went_back", f"{ref} was {job.told}, then {stage}", now)
+        if job.final_stage is not None and stage != job.final_stage:
+            if asked_at >= job.final_stage_at or stage in FINAL_STAGES:
+                self.record_violation(
+                    "went_back", f"{ref} was {job.final_stage}, then {stage}", now
+                )
             else:
                 self.reordered_replies += 1
         if stage == wire.ABORTED and not job.is_cancel_requested:
@@ -178,8 +180,8 @@
             self.record_violation(
                 "not_done", f"{ref} with {len(job.done)} of {job.spec.tasks}", now
             )
-        if stage in FINAL_STAGES and job.told is None:
-            job.told, job.told_at = stage, now
+        if stage in FINAL_STAGES and job.final_stage is None:
+            job.final_stage, job.final_stage_at = stage, now
 
     def _find_rejection_reason(self, spec: wire.Spec | None) -> str | None:
         if spec is None:
@@ -206,9 +208,11 @@
         """At any moment: what is left of jobs that were told as cancelled."""
         for task, (machine, _) in self.placements.items():
             job = self.job(task.partition("/")[0])
-            if job.told == wire.ABORTED and now > job.told_at + self.cancel_s:
+            if job.final_stage == wire.ABORTED and now > job.final_stage_at + self.cancel_s:
                 self.record_violation(
-                    "ran_cancelled", f"{task} on {machine.machine}, told at {job.told_at:.2f}", now
+                    "ran_cancelled",
+                    f"{task} on {machine.machine}, told at {job.final_stage_at:.2f}",
+                    now,
                 )
 
     def check_after_faults(
@@ -224,7 +228,7 @@
         ]
         for ref, job in self.jobs.items():
             spec = job.spec
-            if not job.accepted or spec is None or job.told is not None:
+            if not job.accepted or spec is None or job.final_stage is not None:
                 continue
             if now - max(job.last_reply_at, faults_ended_at) > MAX_UNANSWERED_S:
                 self.record_violation("forgotten", f"no question about {ref} is answered", now)
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -61,10 +61,10 @@
         known = world.rules.jobs[ref]
         if not known.accepted:
             continue
-        if known.told == wire.ABORTED:
+        if known.final_stage == wire.ABORTED:
             assert world.count(ref) == 0
         elif job.job_kind in (wire.ARRAY, wire.GANG):
-            ends = known.told == wire.DONE or known.is_cancel_requested
+            ends = known.final_stage == wire.DONE or known.is_cancel_requested
             assert ends or len(known.done) + world.count(ref) == job.tasks, (
                 ref,
                 world.ask(ref),
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -52,7 +52,7 @@
         if number % 8 == 7:
             world.after(0.005 * (number // 8), world.crash, leader_of(world), 1.0)
         world.run(2)
-    told = {job.told for job in world.rules.jobs.values()}
+    told = {job.final_stage for job in world.rules.jobs.values()}
     assert {wire.DONE, wire.ABORTED} <= told
     ends_well(world, 20)
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -337,7 +337,10 @@
     ends_well(world, 150.0)
     for number in range(10):
         known = world.rules.jobs[f"j-{100 + number:06d}"]
-        assert known.is_cancel_requested or known.told == wire.DONE, (number, world.trace[-40:])
+        assert known.is_cancel_requested or known.final_stage == wire.DONE, (
+            number,
+            world.trace[-40:],
+        )
 
 
 def test_a_gang_of_high_rank_stops_lower_work_only_where_it_then_starts_whole() -> None:
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -330,7 +330,7 @@
     assert world.until(lambda: bad not in world.workers, 40), world.trace[-30:]
     world.run(40)
     assert all(
-        world.rules.jobs[f"j-{number:06d}"].told
+        world.rules.jobs[f"j-{number:06d}"].final_stage
         or world.ask(f"j-{number:06d}")[1]["stage"] == "done"
         for number in range(12)
     )
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -90,14 +90,14 @@
         if number % 5 == 4:
             world.crash(leader_of(world), back_after=1.0)
         world.run(1.5)
-    while not all(world.rules.jobs[f"j-{500 + number:06d}"].told for number in range(20)):
+    while not all(world.rules.jobs[f"j-{500 + number:06d}"].final_stage for number in range(20)):
         world.run(0.5)
         for number in range(20):
             ref = f"j-{500 + number:06d}"
             job = world.rules.jobs[ref]
-            if job.told and world.sim.time - job.told_at < 0.6:
+            if job.final_stage and world.sim.time - job.final_stage_at < 0.6:
                 world.look_closely(ref)
-            elif not job.told:
+            elif not job.final_stage:
                 world.call(NODES[number % 3], "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
         assert world.sim.time < 200, world.trace[-30:]
     assert cancelled == 5
@@ -108,7 +108,9 @@
     # Bad input is refused, an accepted job never: not as unknown, not as malformed, not as unfit.
     world = busy(run_time=15.0)
     world.run(20)
-    done = [ref for ref, job in world.rules.jobs.items() if job.told == wire.DONE] or ["j-000100"]
+    done = [ref for ref, job in world.rules.jobs.items() if job.final_stage == wire.DONE] or [
+        "j-000100"
+    ]
     statuses: dict[str, set[int]] = {}
 
     def send(name: str, body: object, path: str = wire.WORK) -> None:
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -144,7 +144,7 @@
     world.run(10)
     assert len(world.accepted) == 481
     ends_well(world)
-    assert sum(job.told == wire.DONE for job in world.rules.jobs.values()) > 300
+    assert sum(job.final_stage == wire.DONE for job in world.rules.jobs.values()) > 300
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -309,7 +309,9 @@
         world.submit(batch(f"j-{1000 + number:06d}", 1, image="img-1"), 1.0, number)
     assert world.until(lambda: len(world.accepted) == 207, 60.0)
     ends_well(world, 150.0)
-    assert {world.rules.jobs[f"j-{1000 + number:06d}"].told for number in range(200)} == {wire.DONE}
+    assert {world.rules.jobs[f"j-{1000 + number:06d}"].final_stage for number in range(200)} == {
+        wire.DONE
+    }
     assert not world.state.over_limit
 
 
