--- a/flaxtally/emulator/__init__.py
+++ b/flaxtally/emulator/__init__.py
@@ -1,7 +1,8 @@
-"""An emulated deployment on loopback: real controllers, stand-ins around them, a load, and faults.
+"""Emulated deployments on loopback: real controllers with fakes around them, a load, and faults.
 
-`python3 -m flaxtally emulate scale` (`command`) plays it at rising fleet sizes. `plan` says what a
-size consists of, `load` what its users submit, `coordinator` starts and ends the processes,
-`part` is what the stand-ins' processes run, `history` checks the rules over all starts and ends,
-`results` says what was saturated. Nothing here is imported by `serve`.
+`python3 -m flaxtally emulate scale` (`command`) runs a deployment at increasing fleet sizes. `plan`
+computes what a size consists of, `load` what its users submit. `coordinator` starts and ends the
+processes, `child_process` is the program of the processes that run fakes, `history` checks the
+rules over all starts and ends of tasks, and `results` says which resource was saturated. `serve`
+imports nothing from this package.
 """
--- a/flaxtally/emulator/child_process.py
+++ b/flaxtally/emulator/child_process.py
@@ -1,7 +1,7 @@
-"""A process of the emulated environment.
+"""The program of a child process of the emulator: it runs fake services, workers or users.
 
-`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. It speaks to the coordinator over
-one connection, and ends when that closes: no part outlives it.
+`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. The process has one connection to
+the coordinator and exits when it closes, so no child process outlives the coordinator.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Plays one part until the coordinator goes."""
+    """Runs one role until the connection to the coordinator closes; returns the exit code."""
     plan, role, number = load(Path(argv[0])), argv[1], int(argv[2])
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
--- a/flaxtally/emulator/command.py
+++ b/flaxtally/emulator/command.py
@@ -15,11 +15,12 @@
 
 EXIT_OK, EXIT_FAILED, EXIT_INVALID_INPUT = 0, 1, 2
 MIN_WORKERS = 4
+"""The smallest fleet that a scale run accepts."""
 DEFAULT_PLAN = Plan(workers=250)
 
 
 class CompletedRun(NamedTuple):
-    """A run that came to its end."""
+    """The report of a run that was not aborted, and whether it found no violation."""
 
     report: list[str]
     is_good: bool
@@ -47,7 +48,7 @@
 
 
 def create_parser() -> argparse.ArgumentParser:
-    """The emulator's own command line."""
+    """Creates the parser of the emulator's command line."""
     emulate = argparse.ArgumentParser(
         prog="flaxtally emulate",
         description="A whole deployment on loopback, with load and faults.",
@@ -145,7 +146,7 @@
 
 
 def run_report(arguments: argparse.Namespace) -> int:
-    """Prints what earlier runs have left."""
+    """Prints the results of earlier runs; returns the exit code."""
     try:
         import msgspec
 
@@ -174,20 +175,20 @@
 
 
 def _run_and_report(
-    out: Path, refusals: tuple[type[Exception], ...], play: Callable[[], CompletedRun]
+    out: Path, refusals: tuple[type[Exception], ...], run: Callable[[], CompletedRun]
 ) -> int:
-    """Plays a run that leaves its files in `out`; returns the exit code.
+    """Calls `run`, which writes its files to `out`, and prints its report; returns the exit code.
 
-    `refusals`: what says that the machine, or an option, doesn't allow the run.
+    `refusals`: exceptions that mean that an option or the machine doesn't allow the run.
     """
     from .processes import ProcessEndedError
 
-    # Set for both: in a background job of a shell an interrupt would be ignored.
+    # SIGINT gets a handler too: a shell starts background jobs with SIGINT ignored.
     signal.signal(signal.SIGINT, _raise_interrupt)
     signal.signal(signal.SIGTERM, _raise_interrupt)
     try:
         out.mkdir(parents=True, exist_ok=True)
-        completed = play()
+        completed = run()
     except refusals as error:
         print(f"flaxtally: {error}", file=sys.stderr)
         return EXIT_INVALID_INPUT
@@ -199,29 +200,29 @@
 
 
 def run_lending(arguments: argparse.Namespace) -> int:
-    """Plays the scenario; the verdict goes to standard output."""
+    """Runs the lending scenario and prints its verdict; returns the exit code."""
     try:
         from . import lending
     except ModuleNotFoundError as error:
         return _report_missing_module(error)
     options = {name: getattr(arguments, name) for name in lending.Options.__struct_fields__}
 
-    def play() -> CompletedRun:
+    def run() -> CompletedRun:
         verdict = lending.run(lending.Options(**options), arguments.out)
         return CompletedRun(lending.format_report(verdict), verdict.is_good)
 
-    return _run_and_report(arguments.out, (OSError,), play)
+    return _run_and_report(arguments.out, (OSError,), run)
 
 
 def run_scale(arguments: argparse.Namespace) -> int:
-    """Plays the sizes; results go to standard output, progress to standard error."""
+    """Runs the sizes: results to standard output, progress to standard error; returns the code."""
     try:
         from . import limits, scale
     except ModuleNotFoundError as error:
         return _report_missing_module(error)
 
-    def play() -> CompletedRun:
+    def run() -> CompletedRun:
         result = scale.run(_create_plans(arguments), arguments.out)
         return CompletedRun(scale.format_report(result), not result.rules_broken)
 
-    return _run_and_report(arguments.out, (limits.LimitError, OSError), play)
+    return _run_and_report(arguments.out, (limits.LimitError, OSError), run)
--- a/flaxtally/emulator/controller_settings.py
+++ b/flaxtally/emulator/controller_settings.py
@@ -1,4 +1,4 @@
-"""The settings and deploy files of the emulated controllers."""
+"""Settings files and the deploy file of the emulated controllers."""
 
 from __future__ import annotations
 
@@ -12,6 +12,7 @@
     from ..runtime.loop import Address
 
 LIST_LAG_S = 2.0
+"""The `list_lag_s` setting: how old the cloud's list of machines may be, in seconds."""
 
 
 def _peer_address(plan: Plan, number: int) -> Address:
@@ -19,7 +20,7 @@
 
 
 def create_settings(plan: Plan, number: int) -> Settings:
-    """The platform's settings of one controller."""
+    """Creates the settings of one controller."""
     return Settings(
         node=plan.nodes[number],
         zone=plan.zone_of_node(number),
@@ -49,12 +50,12 @@
 
 
 def render_settings(plan: Plan, number: int) -> str:
-    """The settings of one controller as a file (TOML)."""
+    """Renders the settings file (TOML) of one controller."""
     return settings_text(create_settings(plan, number))
 
 
 def render_deploy_file(plan: Plan) -> str:
-    """The deploy file (TOML) that divides the fleet into the plan's cells."""
+    """Renders the deploy file (TOML) that divides the fleet into the plan's cells."""
     state = "{}:{}".format(*plan.shared_state)
     lines = ["[cells]", "version = 1", f'state = "{state}"']
     for cell in range(plan.cells):
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -1,4 +1,4 @@
-"""Plays one size: starts the processes, lets the load begin, measures, brings faults about."""
+"""Runs one fleet size: starts the processes and the load, measures, and injects the faults."""
 
 from __future__ import annotations
 
@@ -39,29 +39,40 @@
 log = logging.getLogger(__name__)
 
 STEADY, DISTURBED = "steady", "disturbed"
-"""The phases: nothing happens; a leader ends, workers restart, a zone falls silent."""
+"""The phases of a run: one without faults; one in which a leader is killed, workers restart and a
+zone is cut off.
+"""
 FAULTED_CELL = 0
-"""The cell whose leader is ended."""
+"""The index of the cell whose leader is killed."""
 LEADER_ELECTED_PATTERN = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
 TAKEOVER_POLL_INTERVAL_S = 0.1
+"""Seconds between two looks at the controllers' logs for a new leader."""
 DRAIN_S = 1.5
-"""After the last phase: until then every part has told what happened in it."""
+"""Seconds from the end of the last phase to the end of the run; by then every child process has
+sent its events and samples of that phase.
+"""
 SAMPLE_INTERVAL_S = 1.0
+"""Seconds between two samples of the processes' resource usage."""
 CONNECT_TIMEOUT_S = 30.0
+"""Seconds within which all child processes must connect to the coordinator."""
 READY_FRACTION = 0.95
-"""The warm-up is over when so much of the standing replicas runs."""
+"""Fraction of the service replicas that must run for the warm-up to end."""
 RESTART_DELAY_S = 2.0
-"""A controller that was ended is started again after this."""
+"""Seconds after which a killed controller is started again."""
 RESTARTED_FRACTION = 0.05
+"""Fraction of the workers that restart, all at once."""
 SILENCE_DURATION_LEASES = 1.5
+"""How long the zone is cut off, in worker leases."""
 LEADER_KILL_FRACTION, WORKER_RESTART_FRACTION, ZONE_SILENCE_FRACTION = 0.0, 0.2, 0.35
-"""When the faults come, by the length of the disturbed phase."""
+"""When each fault is injected, as a fraction of the disturbed phase's length."""
 MIN_RECOVERY_LEASES = 1.0
-"""The disturbed phase lasts at least so long after the zone is heard again."""
+"""The least time from the end of the zone's cut to the end of the disturbed phase, in worker
+leases.
+"""
 
 
 class Phase(NamedTuple):
-    """A stretch of the run that is measured by itself; times of the steady clock in seconds."""
+    """An interval of the run with figures of its own; times of the monotonic clock, in seconds."""
 
     name: str
     begins_at: float
@@ -69,34 +80,36 @@
 
 
 class Term(NamedTuple):
-    """A term and who leads in it; number 0: nobody has led."""
+    """A term and the controller that leads in it; number 0: no controller has led yet."""
 
     number: int
     leader: str
 
 
 class Recording:
-    """All that a run left: the raw material of its results."""
+    """Everything that was recorded in a run; `results` computes the figures from it."""
 
     def __init__(self, plan: Plan) -> None:
         self.history = History(plan)
         self.samples: dict[str, list[tuple[float, list[float]]]] = {}
-        """Delays by what was measured, in pieces with the time at which each came."""
+        """Delays in seconds by what was measured, in batches with the time of their arrival."""
         self.counters: dict[str, list[Counters]] = {}
+        """All counters that each child process sent, in order."""
         self.max_timer_delay_s = 0.0
-        """The latest timer of the emulator's own processes."""
+        """The largest delay of a timer in the emulator's own processes, in seconds."""
         self.phases: list[Phase] = []
         self.warm_up_s: float | None = None
-        """How long the standing replicas took to run; None: longer than was waited for."""
+        """Seconds until the service replicas ran; None: they did not within the time limit."""
         self.leaders: dict[str, list[str]] = {}
-        """Which controllers led when a phase began, one a cell, by the phase."""
+        """Which controllers led when a phase began, one per cell, by phase."""
         self.leader_killed_at: float | None = None
+        """When the leader was killed; None: it was not."""
         self.taken_over_at: float | None = None
-        """When another controller had begun to lead."""
+        """When another controller was first seen to lead; None: it was not."""
 
 
 class Coordinator(Actor):
-    """Owns the processes of one size and the phases of its run."""
+    """Owns the processes of one fleet size and the phases of its run."""
 
     def __init__(self, loop: Loop, plan: Plan, folder: Path, progress: Callable[[str], None]):
         super().__init__(loop)
@@ -112,7 +125,7 @@
     # Start and end
 
     def run(self) -> Recording:
-        """Plays the size; raises `ProcessEndedError` if a process dies that should live."""
+        """Runs the size; raises `ProcessEndedError` if a process exits on its own."""
         plan_file = self._folder / "plan.json"
         save(self._plan, plan_file)
         self._loop.listen(self._plan.control, self._accept)
@@ -157,14 +170,18 @@
     def _on_delay(self, delay: LoopDelay) -> None:
         self.recording.max_timer_delay_s = max(self.recording.max_timer_delay_s, delay.late)
 
-    # Parts
+    # Child processes
 
     def _accept(self, stream: Stream) -> None:
         self._channels.append(Channel(stream, self._receive, self._on_closed))
 
     def _on_closed(self, channel: Channel) -> None:
         self._channels.remove(channel)
-        self._fail(ProcessEndedError(f"{channel.name} ended: see its log in {self._folder}"))
+        self._fail(
+            ProcessEndedError(
+                f"{channel.name} closed its connection: see its log in {self._folder}"
+            )
+        )
 
     def _send(self, message: Message, role: str) -> None:
         for channel in self._channels:
@@ -220,10 +237,14 @@
             self._send(StartLoad(), USERS)
             self._progress(f"{self._plan.workers} workers: the load begins")
         elif now - self._started_at > CONNECT_TIMEOUT_S:
-            self._fail(ProcessEndedError(f"not all parts began in {CONNECT_TIMEOUT_S:g} s"))
+            self._fail(
+                ProcessEndedError(
+                    f"not all child processes connected within {CONNECT_TIMEOUT_S:g} s"
+                )
+            )
 
     def count_running_tasks(self) -> float:
-        """Tasks that run, as the workers counted last."""
+        """Returns how many tasks run, by the last counters of the workers' processes."""
         last = [
             counters[-1].totals["running"]
             for name, counters in self.recording.counters.items()
@@ -295,18 +316,18 @@
 
 
 def find_leaders(plan: Plan, folder: Path) -> list[str]:
-    """Who leads, one a cell; a cell without a leader is left out."""
+    """Returns the leaders, one per cell; a cell without a leader is left out."""
     found = [find_newest_cell_term(plan, folder, cell).leader for cell in range(plan.cells)]
     return [name for name in found if name]
 
 
 def find_newest_cell_term(plan: Plan, folder: Path, cell: int) -> Term:
-    """A cell's newest term."""
+    """Returns the newest term of a cell."""
     return find_newest_term(folder, plan.nodes_of(cell))
 
 
 def find_newest_term(folder: Path, names: Iterable[str]) -> Term:
-    """The newest term of these controllers, by their logs."""
+    """Returns the newest term that the logs of these controllers announce."""
     found = Term(0, "")
     for name in names:
         log_file = folder / f"{name}.log"
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -1,4 +1,4 @@
-"""The part that plays the state service and the cloud, with the deployment's rates enforced."""
+"""The child process that runs the fake state services and the fake cloud with their rate limits."""
 
 from __future__ import annotations
 
@@ -19,18 +19,21 @@
     from .plan import Plan
 
 PAGE_KEY_PATTERN = re.compile(r"(^|/)p/[0-9]+$")
+"""Matches the keys of the ledger's pages in a state service."""
 STATE_BURST_S, CLOUD_BURST_S = 1.0, 2.0
+"""Sizes of the allowed bursts, in seconds of the allowed rate."""
 
 
 def _create_bucket(loop: CountingLoop, rate: float, burst_s: float) -> TokenBucket:
-    """PROTOCOL: bursts of so many seconds' worth are allowed."""
+    """Creates a token bucket; PROTOCOL allows bursts of `burst_s` seconds' worth of requests."""
     return TokenBucket(loop, rate, rate * burst_s)
 
 
 class RemoteCloud(Cloud):
-    """A cloud whose machines run in other processes.
+    """A fake cloud whose machines run in other processes.
 
-    A release is answered only when all of them say that the machines are gone: the answer is proof.
+    A request to terminate machines is answered only when all of these processes have confirmed that
+    the machines are gone, because controllers take the reply as proof of it.
     """
 
     def __init__(self, loop: CountingLoop, plan: Plan, link: CoordinatorLink) -> None:
@@ -58,7 +61,7 @@
         self._link.send(RemoveMachines(self._release_count, names))
 
     def record_machines_removed(self, release_number: int) -> None:
-        """One of the workers' processes has ended the machines of a release."""
+        """Records that one of the workers' processes has terminated the machines of a request."""
         request, unconfirmed_count = self._pending_releases.pop(release_number)
         if unconfirmed_count > 1:
             self._pending_releases[release_number] = request, unconfirmed_count - 1
@@ -67,7 +70,7 @@
 
 
 class FakeEnvironment:
-    """Owns the cloud, each cell's state service, and the one that all cells share."""
+    """Owns the fake cloud, each cell's fake state service, and the one that all cells share."""
 
     def __init__(self, loop: CountingLoop, plan: Plan, link: CoordinatorLink) -> None:
         self._loop, self._plan = loop, plan
--- a/flaxtally/emulator/fit.py
+++ b/flaxtally/emulator/fit.py
@@ -1,4 +1,4 @@
-"""Lines through the figures of several sizes, and what they say of a larger one."""
+"""Least-squares lines through the figures of several sizes, extrapolated to a larger size."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
     from collections.abc import Sequence
 
 MIN_SIZES = 4
+"""Sizes that a scale run needs before lines are fitted through its figures."""
 MAX_POWER_DEVIATION = 0.25
-"""A power of the size that differs from 1 by more than this is said to be not linear."""
+"""A figure is reported as not linear if its power of the size differs from 1 by more than this."""
 
 
 class Fit(msgspec.Struct):
-    """A figure as a line in the number of workers."""
+    """A figure as a linear function of the number of workers."""
 
     figure: str
     at_zero: float
     per_worker: float
     residual: float
-    """Root mean square of what the line misses, by the mean of the figures."""
+    """Root mean square of the deviations from the line, as a fraction of the figures' mean."""
     power: float | None
-    """The figure grows with this power of the size (None: it is not positive everywhere)."""
+    """The power of the size with which the figure grows; None: it is not positive everywhere."""
     target: int
     at_target: float
+    """The figure at `target` workers, extrapolated."""
     factor: float
-    """The target by the largest size measured."""
+    """The ratio of the target to the largest size measured."""
 
     @property
     def is_linear(self) -> bool:
@@ -37,7 +39,7 @@
 
 
 def fit(figure: str, sizes: Sequence[float], values: Sequence[float], target: int) -> Fit:
-    """The line of least squares; at least two sizes are needed."""
+    """Fits a line by least squares; needs at least two sizes."""
     line = statistics.linear_regression(sizes, values)
     errors = [
         value - line.intercept - line.slope * size
@@ -62,7 +64,7 @@
 
 
 def format_table(fits: Sequence[Fit]) -> list[str]:
-    """The fits as lines for people."""
+    """Formats the fits as lines of a table."""
     lines = [
         f"{'figure':34} {'at zero':>11} {'each':>12} {'residual':>9} {'power':>6} "
         f"{'at target':>11} {'factor':>7}"
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -1,4 +1,4 @@
-"""The whole history of a run, put before the rules in the order of its times."""
+"""The history of a run: checks the rules over all of its events in the order of their times."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
     from .plan import Plan
 
 CHECK_INTERVAL_S = 1.0
+"""Seconds of the history between two checks of deadlines."""
 HTTP_OK, HTTP_CREATED = 200, 201
 MAX_EVENTS_SHOWN = 12
+"""Events that are kept as evidence of a broken rule."""
 TASK_OR_JOB_PATTERN = re.compile(r"j-[0-9]+(/[0-9]+)?")
 
 
@@ -33,7 +35,7 @@
 
 
 def format_event(event: Event) -> str:
-    """An event as one line."""
+    """Formats an event as one line."""
     words = [f"{event.at:.3f}", event.kind, event.subject]
     if event.machine:
         words.append(f"machine={event.machine} attempt={event.attempt}")
@@ -45,14 +47,14 @@
 
 
 class History:
-    """Owns all events of a run, of all processes; their clocks are the machine's one."""
+    """Owns the events of all processes of a run; they share the machine's monotonic clock."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan, self._load = plan, Load(plan)
         self._machines = {machine.machine: machine for machine in plan.machines}
         self.events: list[Event] = []
         self.until = float("inf")
-        """Later events are left out: not all parts have told theirs when the run ends."""
+        """Later events are ignored: when the run ends, not every child process has sent its own."""
 
     def add_machine(self, machine: wire.Listed) -> None:
         self._machines[machine.machine] = machine
@@ -61,7 +63,7 @@
         self.events += events
 
     def check(self) -> list[BrokenRule]:
-        """All rules over all events. An empty list: none was broken."""
+        """Checks all rules over all events; returns the broken ones."""
         plan = self._plan
         rules = Rules({team.name: team for team in plan.teams}, plan.types, plan.cancel_s)
         self.events = sorted(
@@ -98,7 +100,7 @@
             )
 
     def _collect_evidence(self, text: str, event: Event, position: int) -> BrokenRule:
-        """The last events of the task or job that the rule names."""
+        """Returns the broken rule with the last events of the task or job that its text names."""
         named = TASK_OR_JOB_PATTERN.search(text)
         subject = named.group() if named else event.subject
         related = [
@@ -111,9 +113,9 @@
     # Figures
 
     def compute_start_delays(self, since: float, until: float) -> dict[str, list[float]]:
-        """By lane: seconds from the first attempt to submit a job to the start of each task.
+        """Returns tasks' start delays by job class: seconds from the first submission of the job.
 
-        Of tasks of jobs that were submitted in that time; tasks that didn't start are not in it.
+        Covers jobs that were submitted in that interval; tasks that didn't start are left out.
         """
         submitted: dict[str, float] = {}
         started: set[str] = set()
@@ -130,7 +132,7 @@
         return delays
 
     def count_submitted_tasks(self, since: float, until: float) -> int:
-        """Tasks of the jobs that were submitted in that time."""
+        """Counts the tasks of jobs that were submitted in that interval."""
         return sum(
             self._load.job(parse_job_number(event.subject)).spec.tasks
             for event in self.events
@@ -138,11 +140,11 @@
         )
 
     def count_starts(self, since: float, until: float) -> int:
-        """Starts of tasks in that time."""
+        """Counts the starts of tasks in that interval."""
         return sum(event.kind == STARTED and since <= event.at < until for event in self.events)
 
     def find_first_acceptance(self, at: float) -> float | None:
-        """When the first job was accepted whose user asked after that."""
+        """Returns when the first submission that was sent at or after `at` was accepted."""
         return min(
             (
                 event.at
@@ -155,7 +157,7 @@
         )
 
     def compute_longest_gap_s(self, kinds: tuple[str, ...], since: float, until: float) -> float:
-        """The longest time between two accepted answers of these kinds."""
+        """Returns the longest time without a successful reply of these kinds."""
         times = [
             event.at
             for event in self.events
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -1,4 +1,4 @@
-"""A worker of the protocol without a machine under it: thousands of them fit into a process."""
+"""A fake worker without a machine behind it, so that a process can run thousands of them."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
     from .plan import Plan
 
 MIN_REPORT_INTERVAL_S = 0.5
-"""PROTOCOL: what changes is reported at once, but not more often than this."""
+"""PROTOCOL: a change is reported at once, but reports are at least this many seconds apart."""
 FETCH_VARIATION_FRACTION = 0.33
-"""PROTOCOL: an image fetch takes its usual time give or take a third."""
+"""PROTOCOL: the time of an image fetch varies by up to a third in both directions."""
 
 
 class HollowWorker(Worker):
-    """Reports changes at once, draws its fetch times, restarts, and falls silent when told to."""
+    """Reports changes at once, draws random fetch times, and can be restarted or cut off."""
 
     def __init__(
         self,
@@ -59,16 +59,16 @@
 
     @property
     def running_count(self) -> int:
-        """Tasks that run."""
+        """The number of running tasks."""
         return sum(held.state == wire.RUNNING for held in self.tasks.values())
 
     def restart(self) -> None:
-        """The worker's process ends and begins again: its tasks are gone, its session is new."""
+        """Simulates a restart of the worker's process: tasks are lost and a new session begins."""
         self._lapse()
         self.changed()
 
     def silence(self, seconds: float) -> None:
-        """Nothing that it sends arrives, nothing sent to it reaches it, for so long."""
+        """Drops all messages to and from the worker for so many seconds."""
         self.mute = self.deaf = True
         self._runtime.after(seconds, self._end_silence)
 
@@ -82,7 +82,7 @@
         self._due(self._get_min_delay_s())
 
     def _get_min_delay_s(self) -> float:
-        """Seconds until a change may be reported."""
+        """Returns the seconds until the next report is allowed."""
         return max(0.0, MIN_REPORT_INTERVAL_S - (self._runtime.now() - self._reported_at))
 
     def _due(self, delay: float) -> None:
@@ -99,16 +99,16 @@
         super()._launch(command)
         held = self.tasks[command.task, command.attempt]
         if held.timer is not None and held.state == wire.FETCHING:
-            # The stand-in's fetch takes its usual time; here it takes the drawn one.
+            # The base class fetches in the usual time; replace that by a random time.
             held.timer.cancel()
             held.timer = self._runtime.after(self._draw_fetch_s(command.task), self._run, held)
 
     def start_unassigned(self, held: Held) -> None:
-        """Starts a task that nobody ordered, for runs that plant a fault."""
+        """Starts a task without a command, for runs that inject this fault."""
         self._run(held)
 
     def _draw_fetch_s(self, task: str) -> float:
-        """Seconds until the task's image is there; 0 if it is there already."""
+        """Returns the seconds until the task's image is fetched; 0 if it already is."""
         spec = self._spec(task.partition("/")[0])
         if spec is None:
             return 0.0
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -1,7 +1,7 @@
-"""Loans on real processes: three controllers that fail, two teams that swap roles, and an audit.
+"""Lending with real controllers: three that fail, two teams that borrow in turn, and an audit.
 
-State service, cloud, workers and users are stand-ins in this process. The fleet is 16 GPUs; each of
-two teams is guaranteed half, and asks for all of it when its turn comes.
+State service, cloud, workers and users are fakes in this process. The fleet has 16 GPUs; each of
+the two teams is guaranteed half of them and requests all of them when its turn comes.
 """
 
 from __future__ import annotations
@@ -41,43 +41,53 @@
 TASKS_PER_JOB = 16
 REPORT_S, LEASE_S, CANCEL_S = 0.8, 4.0, 20.0
 CHECK_INTERVAL_S = 0.25
+"""Seconds between two checks of the deadlines and of the processes."""
+LEADER_FAULT_PROBABILITY = 0.7
+"""The probability that a fault is aimed at the leader; otherwise any controller may be hit."""
+KILL_PROBABILITY = 0.5
+"""The probability that a fault kills the controller; otherwise the controller is paused."""
 RESTART_DELAY_RANGE_S = (0.3, 3.0)
+"""How long a killed controller stays down, in seconds."""
 PAUSE_DURATION_LEASES = 1.5
+"""How long a controller is paused, in worker leases."""
 REQUEST_TIMEOUT_S, RETRY_BACKOFF_S = 5.0, 1.0
 FIRST_WORKER_PORT_OFFSET = 20
+"""The port of the first worker, counted from the run's first port."""
 
 
 class Options(msgspec.Struct, frozen=True):
-    """What a run is asked to do; times in seconds."""
+    """The options of a run; times in seconds."""
 
     seconds: float
+    """How long the run lasts."""
     seed: int
     port: int
     fault_every: float
     swap_every: float
     most_s: float
+    """How long a team may wait for capacity within its guarantee while others borrow it."""
 
 
 class Verdict(msgspec.Struct):
-    """What the audit found."""
+    """The findings of the audit and of the rules."""
 
     seconds: float
     breaches: list[str]
     rules_broken: list[str]
     longest_s: dict[str, float]
-    """The longest that a team lacked what it is entitled to."""
+    """The longest time that each team waited for capacity within its guarantee, in seconds."""
     recalled: int
-    """Tasks that were stopped for another team."""
+    """The number of tasks that were stopped so that another team got the capacity."""
     faults: list[str]
 
     @property
     def is_good(self) -> bool:
-        """Whether no guarantee and no rule was broken, and loans were recalled at all."""
+        """Whether no guarantee and no rule was broken and at least one loan was reclaimed."""
         return not self.breaches and not self.rules_broken and self.recalled > 0
 
 
 class LendingRun(Actor):
-    """Owns the stand-ins, the load and the faults of one run."""
+    """Owns the fakes, the load and the faults of one run."""
 
     def __init__(self, loop: Loop, options: Options, folder: Path) -> None:
         super().__init__(loop)
@@ -117,7 +127,7 @@
         return self._address(2 + 2 * number)
 
     def run(self) -> Verdict:
-        """Plays the run; raises `ProcessEndedError` if a controller ends by itself."""
+        """Runs the scenario; raises `ProcessEndedError` if a controller exits on its own."""
         features = self._folder / "features.toml"
         features.write_text("[lending]\n", encoding="utf-8")
         try:
@@ -222,7 +232,7 @@
         self._write_loan_changes(now)
 
     def _write_loan_changes(self, now: float) -> None:
-        """A line for each team whose borrowing begins, changes or ends."""
+        """Writes a line for each team whose borrowing begins, changes or ends."""
         borrowed = self._audit.compute_borrowed()
         for team in TEAMS:
             before, after = self._borrowed.get(team), borrowed.get(team)
@@ -248,7 +258,7 @@
     # Users
 
     def _swap_teams(self) -> None:
-        """A team comes back, or the one before it leaves: each time the other's turn."""
+        """Submits the job of the next team or cancels that of the previous one, in alternation."""
         team = sorted(TEAMS)[self._swap_count // 2 % len(TEAMS)]
         if self._swap_count % 2 == 0:
             self._submit(self._create_job(team))
@@ -289,17 +299,17 @@
         self._rules.record_cancel_request(ref)
         self._send_request("cancel", ref, "POST", f"{wire.WORK}/{ref}/cancel", None)
 
-    def _send_request(self, what: str, ref: str, method: str, path: str, body: Any) -> None:
-        """Asks one controller after the other until one answers for good."""
+    def _send_request(self, operation: str, ref: str, method: str, path: str, body: Any) -> None:
+        """Sends the request to random controllers until one of them accepts it."""
         asked_at = self._get_elapsed_s()
 
         def on_reply(reply: Reply) -> None:
             reply_body = msgspec.msgpack.decode(reply.body) if reply.body else None
             self._rules.record_reply(
-                what, ref, asked_at, self._get_elapsed_s(), reply.status, reply_body
+                operation, ref, asked_at, self._get_elapsed_s(), reply.status, reply_body
             )
             if reply.status not in (200, 201):
-                self.later(RETRY_BACKOFF_S, self._send_request, what, ref, method, path, body)
+                self.later(RETRY_BACKOFF_S, self._send_request, operation, ref, method, path, body)
 
         client = self._rng.choice(self._clients)
         client.request(method, path, body, REQUEST_TIMEOUT_S, on_reply)
@@ -307,11 +317,15 @@
     # Faults
 
     def _inject_fault(self) -> None:
-        """The leader, or any controller, is killed, or stands still for longer than its lease."""
+        """Kills the leader or any controller, or pauses it for longer than a lease."""
         leader = find_newest_term(self._folder, NODES).leader
-        name = leader if leader and self._rng.random() < 0.7 else self._rng.choice(NODES)
+        name = (
+            leader
+            if leader and self._rng.random() < LEADER_FAULT_PROBABILITY
+            else self._rng.choice(NODES)
+        )
         controller = self.processes[name]
-        if self._rng.random() < 0.5:
+        if self._rng.random() < KILL_PROBABILITY:
             restart_delay_s = self._rng.uniform(*RESTART_DELAY_RANGE_S)
             controller.kill()
             self.later(restart_delay_s, controller.start)
@@ -325,14 +339,14 @@
 
 
 def run(options: Options, folder: Path) -> Verdict:
-    """Plays a run and leaves `loans.jsonl`, `verdict.json` and the controllers' logs."""
+    """Runs the scenario; writes `loans.jsonl`, `verdict.json` and the controllers' logs."""
     verdict = LendingRun(Loop(), options, folder).run()
     (folder / "verdict.json").write_bytes(msgspec.json.format(msgspec.json.encode(verdict)))
     return verdict
 
 
 def format_report(verdict: Verdict) -> list[str]:
-    """The verdict in words."""
+    """Formats the verdict as lines of text."""
     lines = [f"{verdict.seconds:g} s, {len(verdict.faults)} faults, {verdict.recalled} recalled"]
     lines += [f"  {fault}" for fault in verdict.faults]
     lines += [f"  {team} lacked room for {s:g} s at most" for team, s in verdict.longest_s.items()]
--- a/flaxtally/emulator/limits.py
+++ b/flaxtally/emulator/limits.py
@@ -1,4 +1,4 @@
-"""What a run needs of the machine, checked before anything is started."""
+"""Checks that the machine has the resources for a run, before any process is started."""
 
 from __future__ import annotations
 
@@ -14,30 +14,37 @@
     from ..runtime.loop import Address
 
 OPEN_FILES_PER_WORKER = 5
-"""Its listening socket, its own connection, and those of up to three controllers."""
+"""Open files of a hollow worker: its listening socket, its own connection, and connections from up
+to three controllers.
+"""
 OTHER_OPEN_FILES = 200
+"""Open files of a process besides those that grow with the fleet."""
 MAX_PROCESSES = 200
 OTHER_PROCESSES = 3
-"""The coordinator, the users, and state services with the cloud."""
+"""Processes besides the controllers and the workers' processes: the coordinator, the users, and the
+fake state services with the fake cloud.
+"""
 MAX_MEMORY_FRACTION = 0.5
+"""The largest fraction of the machine's memory that a run may need."""
 BYTES_PER_MB = 2**20
 MB_PER_CONTROLLER, MB_PER_CHILD = 80, 60
+"""Memory of a controller and of a child process without its workers."""
 KB_PER_WORKER, KB_PER_START = 120, 2
-"""A hollow worker with its tasks; what the history keeps of a start."""
+"""Memory of a hollow worker with its tasks, and of a task's start in the history."""
 
 
 class LimitError(Exception):
-    """The machine can't carry the run; the text says what is missing and which option lowers it."""
+    """The machine lacks a resource for the run; the text says which, and which option to change."""
 
 
 def compute_open_files_needed(plan: Plan) -> int:
-    """Open files of the process that needs most."""
+    """Computes the open files of the process that needs most of them."""
     hollow = min(plan.workers, plan.workers_per_process) * OPEN_FILES_PER_WORKER
     return max(hollow, plan.sockets) + OTHER_OPEN_FILES
 
 
 def estimate_memory_bytes(plan: Plan) -> int:
-    """Bytes, about, of all processes of the run."""
+    """Estimates the memory of all processes of the run, in bytes."""
     children = plan.worker_processes + OTHER_PROCESSES
     seconds = plan.warm_up + 2 * plan.seconds
     starts = plan.workers * (plan.tasks_per_worker + plan.starts_per_worker * seconds)
@@ -46,7 +53,7 @@
 
 
 def check(plan: Plan) -> None:
-    """Raises `LimitError` for the first thing that is missing."""
+    """Raises `LimitError` for the first resource that does not suffice."""
     if plan.zones < plan.cells:
         raise LimitError(f"{plan.cells} cells need as many zones: raise --zones")
     processes = len(plan.nodes) + plan.worker_processes + OTHER_PROCESSES
--- a/flaxtally/emulator/link.py
+++ b/flaxtally/emulator/link.py
@@ -1,4 +1,4 @@
-"""The connection of a part to the coordinator, and what a part must do for it."""
+"""The connection of a child process to the coordinator, and the interface of its role."""
 
 from __future__ import annotations
 
@@ -13,28 +13,31 @@
     from .plan import Plan
 
 FLUSH_INTERVAL_S = 0.25
+"""Seconds between two batches of events and samples."""
 COUNTER_INTERVAL_S = 1.0
+"""Seconds between two `Counters` messages."""
 MAX_EVENTS_PER_FRAME = 4000
-"""A frame; it stays well below the frames' limit."""
+"""Keeps a frame of events well below the size limit of frames."""
 MAX_SAMPLES_PER_FRAME = 20_000
+"""Keeps a frame of samples well below the size limit of frames."""
 LOOP_LATE_THRESHOLD_S = 0.25
-"""A part that is this far behind spoils the figures."""
+"""A timer that is later than this is reported, because such a delay distorts the figures."""
 ENVIRONMENT, WORKERS, USERS = "outside", "workers", "users"
-"""The roles of parts."""
+"""The roles of child processes; the first one runs the fake services."""
 
 
 class RoleHandler(Protocol):
-    """What a part does besides speaking to the coordinator."""
+    """The work of a child process, apart from the connection to the coordinator."""
 
     def receive(self, message: Message) -> None:
-        """A message of the coordinator."""
+        """Handles a message from the coordinator."""
 
     def totals(self) -> dict[str, float]:
-        """What it counted since it began."""
+        """Returns the counters since the process started."""
 
 
 class CoordinatorLink(Actor):
-    """Owns the connection to the coordinator, and what waits to be told."""
+    """Owns the connection to the coordinator, and the events and samples to be sent over it."""
 
     def __init__(self, loop: CountingLoop, plan: Plan, role: str, number: int) -> None:
         super().__init__(loop)
@@ -46,7 +49,7 @@
         loop.on_delay(LOOP_LATE_THRESHOLD_S, COUNTER_INTERVAL_S, self._on_delay)
 
     def start(self, handler: RoleHandler) -> None:
-        """The part can serve from now on."""
+        """Announces that the process is ready, and begins to send events, samples and counters."""
         self.handler = handler
         self.send(Hello(self._role, self._number))
         self.every(FLUSH_INTERVAL_S, self._send_pending)
--- a/flaxtally/emulator/load.py
+++ b/flaxtally/emulator/load.py
@@ -1,7 +1,7 @@
-"""What the emulated users submit: a function of the seed and the job's number alone.
+"""The jobs that the emulated users submit: a function of the seed and the job's number alone.
 
-Workers and users thus agree on every job without telling each other, and the same seed draws the
-same load whatever the controllers do.
+Workers and users therefore agree on every job without exchanging messages, and a seed always gives
+the same load, whatever the controllers do.
 """
 
 from __future__ import annotations
@@ -16,43 +16,51 @@
     from collections.abc import Iterator
 
 REPLICA_COUNTS = (2, 4, 8, 16)
+"""Numbers of replicas of a service, drawn with equal probability."""
 MEAN_REPLICAS = sum(REPLICA_COUNTS) / len(REPLICA_COUNTS)
 TASKS_PER_URGENT_JOB = 4
 URGENT_JOB_FRACTION = 0.3
-"""Of the jobs that arrive; they are small, so that most starts belong to batch jobs."""
+"""Fraction of urgent jobs among those that arrive; most starts still belong to batch jobs, because
+urgent jobs are small.
+"""
 SERVICE_IMAGE_COUNT, BATCH_IMAGE_COUNT = 16, 12
 IMAGE_SIZE_RANGE_GB = (0.5, 2.0)
 RUN_TIME_RANGE_S = (5.0, 15.0)
 MEAN_RUN_TIME_S = sum(RUN_TIME_RANGE_S) / 2
 GPU_JOB_FRACTION = 0.13
-"""Of services and batch jobs: 1.2 tasks with a GPU a machine that has 1.6 GPUs on average."""
+"""Fraction of services and batch jobs whose tasks use a GPU: it gives 1.2 such tasks per machine,
+which has 1.6 GPUs on average.
+"""
 BATCH_SIZE_RATIO_RANGE = (0.2, 1.8)
-"""The size of a batch job, by the mean."""
+"""Range of a batch job's task count, as a ratio to the mean."""
 CANCELLED_JOB_FRACTION = 0.02
+"""Fraction of batch jobs that their user cancels."""
 CANCEL_DELAY_RANGE_S = (1.0, 10.0)
+"""Seconds from the acceptance of a job to its cancellation."""
 
 
 class JobPlan(NamedTuple):
-    """A job as its user has it in mind."""
+    """A job's submission and what happens to it afterwards."""
 
     spec: wire.Spec
     run_s: float | None
     """How long its tasks run; None: until they are stopped."""
     cancel_after_s: float | None
+    """Seconds from its acceptance to its cancellation; None: it is not cancelled."""
 
 
 def format_ref(number: int) -> str:
-    """The id of a job."""
+    """Formats the id of a job."""
     return f"j-{number:06d}"
 
 
 def parse_job_number(ref: str) -> int:
-    """The number of a job, or of a task's job."""
+    """Parses the number of a job from its id or from the id of one of its tasks."""
     return int(ref.partition("/")[0].removeprefix("j-"))
 
 
 class Load:
-    """The jobs of a plan: standing services first, then those that arrive."""
+    """The jobs of a plan: first the services, then the jobs that arrive during the run."""
 
     def __init__(self, plan: Plan) -> None:
         self._plan = plan
@@ -68,11 +76,11 @@
 
     @property
     def service_replica_count(self) -> int:
-        """Standing replicas in all."""
+        """The number of replicas of all services."""
         return sum(self.job(number).spec.tasks for number in range(1, self.service_count + 1))
 
     def generate_arrivals(self) -> Iterator[tuple[float, int]]:
-        """Seconds since the load began, and the job that comes then, without an end."""
+        """Yields, without end, each arrival: seconds since the load began, and the job's number."""
         rng, at, number = random.Random(f"{self._plan.seed}/arrivals"), 0.0, self.service_count
         while True:
             at += rng.expovariate(self.arrivals_per_s)
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -1,7 +1,7 @@
-"""Whether guarantees were kept, seen from outside: an audit of loans.
+"""An audit of loans: checks from outside the controllers that teams got what they are guaranteed.
 
-Reads what `rules` reads (submissions, the workers' starts and ends, machines and settings), and
-nothing of the controllers' accounts.
+It reads what `rules` reads (submissions, the workers' starts and ends of tasks, machines and
+settings), and none of the controllers' own records.
 """
 
 from __future__ import annotations
@@ -18,13 +18,14 @@
     from ..settings import Team
 
 RESOURCE_TOLERANCE = 1e-6
+"""Absolute tolerance for sums of cores and GPUs."""
 VICTIM_STOP_DELAY_S = 2.0
-"""From the choice of a task until it is told and, if it saves, begins to."""
+"""Seconds from the choice of a task to preempt until it exits or begins to save its state."""
 
 
 @dataclass(frozen=True)
 class _OwedCapacity:
-    """Room on a machine that a task left although its team was within its guarantee."""
+    """Capacity that a task gave up on a machine although its team was within its guarantee."""
 
     task: str
     team: str
@@ -34,18 +35,18 @@
 
 @dataclass
 class _BorrowedCapacity:
-    """Room on a machine that a team borrows."""
+    """Capacity that a team borrows on a machine."""
 
     machine: wire.Listed
     team: str
     cores: float = 0.0
     gpus: float = 0.0
     rank: int = len(wire.RANKS)
-    """The highest rank of a replica there."""
+    """The highest rank of a service replica in it, as its index in `wire.RANKS`."""
 
 
 class LoanAudit:
-    """Owns what was seen of guarantees. Breaches are kept in `breaches`."""
+    """Owns the observations on guarantees and collects the breaches of them in `breaches`."""
 
     def __init__(self, rules: Rules, teams: dict[str, Team], max_shortfall_s: float) -> None:
         """Creates an audit without observations.
@@ -56,16 +57,18 @@
         self._rules, self._teams, self.max_shortfall_s = rules, teams, max_shortfall_s
         self.breaches: list[str] = []
         self.longest_shortfall_s: dict[str, float] = {}
-        """The longest that a team lacked it, in seconds."""
+        """The longest time that each team waited for such capacity, in seconds."""
         self._shortfall_since: dict[str, float] = {}
         self._last_above_guarantee_at: dict[str, float] = {}
-        """When a team last used more than its guarantee: who gave way was chosen a while ago."""
+        """When a team last used more than its guarantee. A preempted task is chosen some time
+        before it stops, and its team may have been above the guarantee only then.
+        """
         self._owed_by_machine: dict[str, list[_OwedCapacity]] = {}
 
     # Within a guarantee
 
     def _is_within_guarantee(self, team: str, cores: float, gpus: float) -> bool:
-        """Whether that much use is within the team's guarantee."""
+        """Returns whether that usage is within the team's guarantee."""
         found = self._teams[team]
         return bool(found.cores or found.gpus) and all(
             not guaranteed or used <= guaranteed + RESOURCE_TOLERANCE
@@ -73,7 +76,7 @@
         )
 
     def _is_entitled(self, spec: wire.Spec) -> bool:
-        """Whether one more task, or the gang, is within the guarantee beside what runs."""
+        """Returns whether one more task, or the whole gang, would still be within the guarantee."""
         cores, gpus = self._rules.usage_by_team.get(spec.team, [0.0, 0.0])
         count = spec.tasks if spec.job_kind == wire.GANG else 1
         return self._is_within_guarantee(
@@ -81,7 +84,7 @@
         )
 
     def _is_borrowed(self, spec: wire.Spec) -> bool:
-        """Whether the task's team is at or above its guarantee without it, in what it takes."""
+        """Returns whether the team reaches its guarantee without the task, in a resource of it."""
         team, used = self._teams[spec.team], self._rules.usage_by_team.get(spec.team, [0.0, 0.0])
         usage_without_task = used[0] - spec.cores, used[1] - spec.gpus
         has_no_guarantee = not (team.cores or team.gpus)
@@ -94,7 +97,7 @@
         )
 
     def compute_borrowed(self) -> dict[str, tuple[float, float]]:
-        """What each team uses beyond its guarantee, in cores and GPUs; who does not is left out."""
+        """Returns the cores and GPUs that each borrowing team uses beyond its guarantee."""
         found = {}
         for name, team in self._teams.items():
             used = self._rules.usage_by_team.get(name, [0.0, 0.0])
@@ -106,16 +109,16 @@
                 )
         return {name: amounts for name, amounts in found.items() if any(amounts)}
 
-    # What is seen
+    # Observations
 
     def record_start(self, task: str, machine: str, now: float) -> None:
-        """A task was seen to start, after the rules saw it."""
+        """Records a task's start; call it after the rules have recorded it."""
         spec = self._get_spec(task)
         for owed in self._owed_by_machine.get(machine, []):
-            is_same_resource = spec.team != owed.team and (
+            takes_owed_resource = spec.team != owed.team and (
                 (spec.gpus > 0 and owed.gpus > 0) or (not spec.gpus and not owed.gpus)
             )
-            if is_same_resource and task != owed.task and self._is_still_waiting(owed):
+            if takes_owed_resource and task != owed.task and self._is_still_waiting(owed):
                 self.breaches.append(
                     f"{now:.2f} reclaimed below the guarantee of {owed.team}: {owed.task} gave way "
                     f"to {task} on {machine}"
@@ -124,7 +127,7 @@
         self._record_usage(spec.team, now)
 
     def record_upcoming_end(self, task: str, now: float) -> None:
-        """A task is about to end, for whatever reason: the rules did not see it yet."""
+        """Records that a task ends, for any reason; call it before the rules have recorded it."""
         self._record_usage(self._get_spec(task).team, now)
 
     def _record_usage(self, team: str, now: float) -> None:
@@ -132,7 +135,7 @@
             self._last_above_guarantee_at[team] = now
 
     def record_stop(self, task: str, machine: str, now: float) -> None:
-        """A task ended because it was told to, and may start again."""
+        """Records that a task ended on a controller's command and may start again."""
         spec = self._get_spec(task)
         if (
             now - self._last_above_guarantee_at.get(spec.team, float("-inf"))
@@ -151,7 +154,10 @@
         return owed.task not in self._rules.placements and not job.is_cancel_requested
 
     def check_deadlines(self, now: float, machines: Collection[wire.Listed]) -> None:
-        """At any moment: who lacks room that others borrow. `machines`: those that are up."""
+        """Checks for teams that wait too long for capacity which others borrow.
+
+        `machines`: the machines that are up.
+        """
         teams_with_shortfall = {spec.team for spec in self._find_jobs_with_shortfall(machines)}
         for team in list(self._shortfall_since):
             if team not in teams_with_shortfall:
@@ -166,8 +172,8 @@
                 )
 
     def _find_jobs_with_shortfall(self, machines: Collection[wire.Listed]) -> list[wire.Spec]:
-        """Jobs with a waiting task that is entitled to room which others borrow."""
-        loan = self._find_borrowed_capacity(machines)
+        """Returns jobs with a waiting task that is entitled to capacity that other teams borrow."""
+        loans = self._find_borrowed_capacity(machines)
         found = []
         for ref, job in self._rules.jobs.items():
             spec = job.spec
@@ -178,13 +184,17 @@
                 or job.final_stage is not None
             ):
                 continue
-            left = spec.tasks - len(job.done) - len(job.task_zones)
-            if left > 0 and self._is_entitled(spec) and self._could_use_a_loan(ref, spec, loan):
+            waiting_count = spec.tasks - len(job.done) - len(job.task_zones)
+            if (
+                waiting_count > 0
+                and self._is_entitled(spec)
+                and self._could_use_a_loan(ref, spec, loans)
+            ):
                 found.append(spec)
         return found
 
     def _find_borrowed_capacity(self, machines: Collection[wire.Listed]) -> list[_BorrowedCapacity]:
-        """Borrowed room on the machines, by machine and team."""
+        """Returns the borrowed capacity of each machine, by team."""
         by_name = {machine.machine: machine for machine in machines}
         found: dict[tuple[str, str], _BorrowedCapacity] = {}
         for task, (machine, _) in self._rules.placements.items():
@@ -202,7 +212,7 @@
         return list(found.values())
 
     def _cap_at_team_loan(self, loan: _BorrowedCapacity) -> None:
-        """Each task is borrowed by itself; together they are no more than the team borrows."""
+        """Limits a sum of tasks, each counted as borrowed in full, to what their team borrows."""
         team, used = self._teams[loan.team], self._rules.usage_by_team[loan.team]
         if loan.gpus and team.gpus:
             loan.gpus = min(loan.gpus, used[1] - team.gpus)
--- a/flaxtally/emulator/measured.py
+++ b/flaxtally/emulator/measured.py
@@ -1,4 +1,4 @@
-"""A loop that counts the bytes of its own connections, and a client that times its requests."""
+"""A loop that counts the bytes of connections it opens, and a client that times its requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Traffic:
-    """Bytes of all counted connections, without what the system adds."""
+    """Payload bytes of all counted connections, without the overhead of TCP/IP."""
 
     def __init__(self) -> None:
         self.sent = self.received = 0
@@ -20,7 +20,7 @@
 
 
 class _CountedStream:
-    """A stream that adds its bytes to the traffic."""
+    """A stream that adds the bytes sent and received to the traffic."""
 
     def __init__(self, stream: Stream, traffic: Traffic) -> None:
         self._stream, self._traffic = stream, traffic
@@ -57,7 +57,7 @@
 
 
 class CountingLoop(Loop):
-    """Counts what goes over connections that are opened here; accepted ones are not counted."""
+    """A loop that counts the traffic of connections it opens, and not of those it accepts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,7 +69,7 @@
 
 
 class MeasuredClient(Client):
-    """Tells how long each request took that was answered."""
+    """A client that calls `on_answered` with the duration of each answered request, in seconds."""
 
     def __init__(
         self,
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -1,4 +1,4 @@
-"""What the processes of an emulated deployment tell each other: typed, as cbor2 frames over TCP."""
+"""The typed messages between the processes of an emulated deployment: cbor2 frames over TCP."""
 
 from __future__ import annotations
 
@@ -19,19 +19,19 @@
 
 
 class Event(msgspec.Struct, array_like=True):
-    """Something that the rules look at. `at` is the machine's steady clock, in seconds."""
+    """An event that the rules check. `at` is a time of the monotonic clock, in seconds."""
 
     at: float
     kind: str
     subject: str
-    """A task or a job."""
+    """The id of a task or a job."""
     machine: str = ""
     attempt: int = 0
     asked_at: float = 0.0
     status: int = 0
     stage: str = ""
     body_ref: str = ""
-    """The job that an answer speaks of."""
+    """The id of the job in a reply's body."""
 
 
 STARTED, ENDED, SUBMITTED, CANCEL_REQUESTED = "started", "ended", "submitted", "cancel_asked"
@@ -40,69 +40,69 @@
 
 
 class Hello(msgspec.Struct, tag_field="k", tag="hello"):
-    """A part says who it is, once it can serve."""
+    """Announces a child process that is ready."""
 
     role: str
     number: int
 
 
 class StartLoad(msgspec.Struct, tag_field="k", tag="begin"):
-    """The load begins."""
+    """Tells the users' process to start the load."""
 
 
 class Events(msgspec.Struct, tag_field="k", tag="events"):
-    """A piece of the history, in the order of one part."""
+    """Events of one child process, in their order."""
 
     events: list[Event]
 
 
 class Samples(msgspec.Struct, tag_field="k", tag="samples"):
-    """Measured delays in seconds, by what was measured."""
+    """Measured delays of one kind, in seconds."""
 
     name: str
     values: list[float]
 
 
 class Counters(msgspec.Struct, tag_field="k", tag="counters"):
-    """Totals since the part began."""
+    """Totals since the child process started, at a time of the monotonic clock."""
 
     at: float
     totals: dict[str, float]
 
 
 class LoopLate(msgspec.Struct, tag_field="k", tag="loop_late"):
-    """A part of the emulator itself is behind: its figures aren't the controllers'."""
+    """Reports a late timer in the emulator itself, which distorts the controllers' figures."""
 
     late: float
 
 
 class MachineStarted(msgspec.Struct, tag_field="k", tag="machine_up"):
-    """The cloud started a machine."""
+    """Announces that the fake cloud has started a machine."""
 
     machine: wire.Listed
 
 
 class RemoveMachines(msgspec.Struct, tag_field="k", tag="take_machines"):
-    """The cloud takes machines; nothing may run on them once this is answered."""
+    """Tells the workers' processes to remove machines; nothing may run on them after the reply."""
 
     request: int
     machines: list[str]
 
 
 class MachinesRemoved(msgspec.Struct, tag_field="k", tag="machines_taken"):
-    """The answer to `RemoveMachines`."""
+    """The reply to `RemoveMachines`."""
 
     request: int
 
 
 class RestartWorkers(msgspec.Struct, tag_field="k", tag="restart_workers"):
-    """A share of the workers loses its tasks and begins a new session, all at once."""
+    """Makes a fraction of the workers lose their tasks and begin a new session, all at once."""
 
     share: float
 
 
 class SilenceZone(msgspec.Struct, tag_field="k", tag="silence_zone"):
-    """A zone's workers neither send nor hear anything for a while."""
+    """Drops all messages to and from a zone's workers for so many seconds."""
 
     zone: str
     seconds: float
@@ -124,7 +124,7 @@
 
 
 class Channel:
-    """Messages over a stream, both ways. A malformed one is one log line."""
+    """Sends and receives messages over a stream; logs and skips a malformed message."""
 
     def __init__(
         self,
@@ -139,7 +139,7 @@
 
     @property
     def name(self) -> str:
-        """The part at the other end, once it has said who it is."""
+        """The name of the child process at the other end, once it has announced itself."""
         return f"{self.role}-{self.number}"
 
     def send(self, message: Message) -> None:
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -1,7 +1,7 @@
-"""What one size of an emulated deployment consists of, computed from its options alone.
+"""The contents of one size of an emulated deployment, computed from its options alone.
 
 Every process of a run reads the same plan, so that all agree on machines, addresses, teams and jobs
-without telling each other.
+without exchanging messages.
 """
 
 from __future__ import annotations
@@ -21,22 +21,28 @@
 
 HOST = "127.0.0.1"
 FIRST_WORKER_HOST = int(ipaddress.IPv4Address("127.1.0.1"))
-"""Hollow workers listen on loopback addresses from this one on, one each."""
+"""The first of the loopback addresses on which hollow workers listen, one address per worker."""
 MAX_WORKER_HOSTS = 60_000
+"""Addresses after which the workers' addresses begin again at the first one."""
 CONTROLLER = "controller"
 GPU_TYPE, CPU_TYPE = "g8", "c64"
 MACHINES_PER_GPU_MACHINE = 5
-"""One machine in so many has GPUs: 8 of them, so 1.6 a machine (31,000 GPUs on 20,000 workers)."""
+"""One machine in so many has GPUs. It has 8 of them, which gives 1.6 GPUs per machine (31,000 GPUs
+on 20,000 workers).
+"""
 CORES_PER_CPU_MACHINE, CORES_PER_GPU_MACHINE, GPUS_PER_GPU_MACHINE = 64.0, 96.0, 8.0
 CORES_PER_TASK, RAM_GB_PER_TASK = 6.0, 8.0
 WORKERS_PER_TEAM = 27
-"""20,000 workers have 750 teams."""
+"""Gives 750 teams for 20,000 workers."""
 MIN_TEAMS = 4
 LIMIT_RATIO, GUARANTEE_RATIO = 2.0, 0.8
-"""A team's limit and guarantee, by its mean share of the fleet."""
+"""A team's limit and guarantee, as ratios to the mean amount of the fleet per team."""
 SOCKETS_PER_WORKER, MIN_SOCKETS = 4, 700
+"""Sockets of a controller: per worker, and the least in all."""
 URGENT_CLASS, SERVICE_CLASS, BATCH_CLASS = "gate", "serve", "batch"
+"""Job classes of the load."""
 URGENT_START_AIM_S, URGENT_AIM_FRACTION = 3.6, 0.95
+"""The aim for urgent jobs: this fraction of their tasks starts within so many seconds."""
 
 (
     SHARED_STATE_PORT_OFFSET,
@@ -45,11 +51,13 @@
     WORKER_PORT_OFFSET,
     FIRST_STATE_PORT_OFFSET,
 ) = 0, 1, 2, 3, 4
-"""Offsets from the first port; from the last on a state service a cell, then two a controller."""
+"""Offsets from the first port. From the last one on follow one port per cell for its state service,
+then two ports per controller.
+"""
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One size of a scale run. Durations are in seconds, rates a second."""
+    """One size of a scale run. Durations are in seconds, rates per second."""
 
     workers: int
     seconds: float = 30.0
@@ -57,9 +65,9 @@
     seed: int = 1
     port: int = 23000
     controllers: int = 3
-    """A cell."""
+    """Controllers per cell."""
     cells: int = 1
-    """Parts of the fleet with a leader and a state service of their own."""
+    """Parts of the fleet that each have their own leader and state service."""
     zones: int = 3
     workers_per_process: int = 1000
     state_rps: float = 500.0
@@ -73,17 +81,17 @@
     gang_wait_s: float = 40.0
     gang_peer_s: float = 6.0
     tasks_per_worker: float = 9.5
-    """190,000 tasks on 20,000 workers."""
+    """Running tasks per worker: 190,000 tasks on 20,000 workers."""
     starts_per_worker: float = 0.38
-    """7,600 starts a second on 20,000 workers."""
+    """Task starts per second and worker: 7,600 per second on 20,000 workers."""
     service_share: float = 0.6
-    """Of the running tasks; the others are batch tasks."""
+    """Fraction of service replicas among the running tasks; the others are batch tasks."""
     array_tasks: int = 100
-    """Mean tasks of a batch job."""
+    """Mean number of tasks of a batch job."""
     policy: str | None = None
-    """The controllers' policy file."""
+    """Path of the controllers' policy file; None: no policy file."""
     break_rule: bool = False
-    """Has a worker start a task that is on another one."""
+    """Whether a worker starts a task that already runs on another worker, to test the checks."""
 
     @property
     def zone_names(self) -> list[str]:
@@ -94,7 +102,7 @@
         return [f"{CONTROLLER}-{number}" for number in range(self.controllers * self.cells)]
 
     def cell_of_node(self, number: int) -> int:
-        """Neighbours in the list of controllers are of different cells."""
+        """Returns the cell of a controller; neighbours in the list belong to different cells."""
         return number % self.cells
 
     def nodes_of(self, cell: int) -> list[str]:
@@ -113,16 +121,16 @@
 
     @property
     def sockets(self) -> int:
-        """What a controller may use: all workers at one of them, twice."""
+        """Sockets that a controller may open: enough for all workers at one controller, twice."""
         return max(MIN_SOCKETS, SOCKETS_PER_WORKER * self.workers)
 
     @property
     def shared_state(self) -> Address:
-        """The state service that all cells share, where there are several."""
+        """Address of the state service that all cells share if there are several."""
         return HOST, self.port + SHARED_STATE_PORT_OFFSET
 
     def state(self, cell: int) -> Address:
-        """A cell's own state service."""
+        """Returns the address of a cell's own state service."""
         return HOST, self.port + FIRST_STATE_PORT_OFFSET + cell
 
     @property
@@ -134,7 +142,7 @@
         return HOST, self.port + CONTROL_PORT_OFFSET
 
     def users_address(self, number: int) -> Address:
-        """Where a controller listens to users and workers; its peers are one port higher."""
+        """Returns where a controller listens to users and workers; peers use the next port."""
         return HOST, self.port + FIRST_STATE_PORT_OFFSET + self.cells + 2 * number
 
     @property
@@ -157,7 +165,7 @@
         return [self.port + offset for offset in offsets]
 
     def worker_address(self, number: int) -> Address:
-        """The machine's own loopback address: hosts are never used again within a run."""
+        """Returns a worker's own loopback address; no host is used twice within a run."""
         host = ipaddress.IPv4Address(FIRST_WORKER_HOST + number % MAX_WORKER_HOSTS)
         return str(host), self.port + WORKER_PORT_OFFSET
 
@@ -184,22 +192,22 @@
 
     @property
     def machines(self) -> list[wire.Listed]:
-        """The fleet at the start. Zones and types are spread evenly."""
+        """The fleet at the start, with machine types spread evenly over the zones."""
         zones = self.zone_names
-        machines_found = []
+        fleet = []
         for number in range(self.workers):
             machine_type = GPU_TYPE if number % MACHINES_PER_GPU_MACHINE == 0 else CPU_TYPE
             zone = zones[number % self.zones]
             host, port = self.worker_address(number)
             name = f"n-{number:06d}"
-            machines_found.append(
+            fleet.append(
                 wire.Listed(name, machine_type, zone, False, "running", 0.0, f"{host}:{port}")
             )
-        return machines_found
+        return fleet
 
     @property
     def capacity(self) -> dict[tuple[str, str, bool], int]:
-        """What the cloud has, by type, zone and spot: the fleet at the start and no more."""
+        """The cloud's machines by type, zone and spot: the fleet at the start and no more."""
         pools: dict[tuple[str, str, bool], int] = {}
         for machine in self.machines:
             pool = machine.machine_type, machine.zone, machine.spot
@@ -225,12 +233,12 @@
         ]
 
     def get_worker_process(self, machine: str) -> int:
-        """Which of the workers' processes plays the machine."""
+        """Returns the number of the workers' process that runs the machine's hollow worker."""
         return int(machine.removeprefix("n-")) % self.worker_processes
 
 
 def save(plan: Plan, path: Path) -> None:
-    """Writes the plan for the processes of a run."""
+    """Writes the plan for the processes of a run to a file (JSON)."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(plan)) + b"\n")
 
 
--- a/flaxtally/emulator/processes.py
+++ b/flaxtally/emulator/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a run: started, sampled, and ended whatever happens."""
+"""The processes of a run: starts them, samples their resource usage, and always kills them."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 
 SOURCE_ROOT = Path(__file__).resolve().parent.parent.parent
 KILL_TIMEOUT_S = 5.0
+"""Seconds within which a killed process must be gone."""
 
 
 class ResourceUsage(NamedTuple):
-    """What a process used until `at`, a time of the steady clock in seconds."""
+    """What a process used until `at`, a time of the monotonic clock in seconds."""
 
     at: float
     processor_s: float
@@ -25,11 +26,11 @@
 
 
 class ProcessEndedError(Exception):
-    """A process ended that should run; the text says which, how, and where its log is."""
+    """A process exited that should run; the text says which one and where its log is."""
 
 
 class ManagedProcess:
-    """A process that belongs to the run, and what it used over time."""
+    """A process of the run, which can be restarted, and its resource usage over time."""
 
     def __init__(self, name: str, arguments: list[str], log: Path) -> None:
         self.name, self.log, self.usages = name, log, list[ResourceUsage]()
@@ -37,7 +38,7 @@
         self._process: subprocess.Popen[bytes] | None = None
         self._psutil_process: psutil.Process | None = None
         self._earlier_processor_s = 0.0
-        """Processor time of earlier lives."""
+        """Processor time that the process used before its last restart, in seconds."""
 
     def start(self) -> None:
         import_paths = [str(SOURCE_ROOT), *filter(None, [os.environ.get("PYTHONPATH")])]
@@ -56,14 +57,14 @@
         self._psutil_process = psutil.Process(self._process.pid)
 
     def check(self) -> None:
-        """Raises `ProcessEndedError` if it should run and doesn't."""
+        """Raises `ProcessEndedError` if the process exited without being killed here."""
         if self._process is not None and self._process.poll() is not None:
             raise ProcessEndedError(
-                f"{self.name} ended with status {self._process.returncode}: see {self.log}"
+                f"{self.name} exited with status {self._process.returncode}: see {self.log}"
             )
 
     def kill(self) -> None:
-        """Ends it without a signal that it could see, as a failing machine does."""
+        """Kills the process with SIGKILL, which it can't handle, as in the failure of a machine."""
         if self._process is None:
             return
         if self.usages:
@@ -73,17 +74,17 @@
         self._process = self._psutil_process = None
 
     def pause(self) -> None:
-        """Stands still until `resume`, with all that reaches it waiting."""
+        """Stops the process until `resume`; its sockets keep what arrives meanwhile."""
         if self._process is not None:
             self._process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Goes on."""
+        """Continues a process that `pause` stopped."""
         if self._process is not None:
             self._process.send_signal(signal.SIGCONT)
 
     def sample(self, now: float) -> None:
-        """Notes what it uses; a process that just ended is passed over."""
+        """Records the resource usage; does nothing if the process has just exited."""
         if self._psutil_process is None:
             return
         try:
@@ -112,7 +113,7 @@
         return self._by_name[name]
 
     def check(self) -> None:
-        """Raises `ProcessEndedError` for the first that ended by itself."""
+        """Raises `ProcessEndedError` for the first process that exited on its own."""
         for process in self._by_name.values():
             process.check()
 
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -1,4 +1,4 @@
-"""From a recording to figures: delays, rates, processor time, memory, and what was saturated."""
+"""Computes figures from a recording: delays, rates, resource usage, and what was saturated."""
 
 from __future__ import annotations
 
@@ -22,16 +22,21 @@
     from .processes import Processes
 
 RELATIVE_ERROR = 0.01
-"""Relative error of a percentile."""
+"""The largest relative error of a percentile."""
 REPORT_REPLY_AIM_S, SUBMISSION_AIM_S, MIN_STARTED_FRACTION = 4.0, 5.0, 0.9
-"""Aims: PROTOCOL's time limits of workers and users; of the tasks that are submitted."""
+"""Aims of the steady phase: PROTOCOL's time limits for replies to workers and to users, and the
+fraction of the submitted tasks that must start.
+"""
 SATURATION_FRACTION = 0.7
-"""A resource of which more than this is used is named as saturated; of processors, at the peak."""
+"""A resource is reported as saturated from this fraction of its capacity on; for processors the
+peak counts.
+"""
 PEAK_WINDOW_S = 5.0
+"""A processor's peak is the highest mean over windows of at least this length."""
 
 
 class Percentiles(msgspec.Struct):
-    """Of delays, in seconds; relative error 1 %."""
+    """Percentiles of delays, in seconds, with a relative error of 1 %."""
 
     count: int = 0
     median: float = 0.0
@@ -41,18 +46,20 @@
 
 
 class ProcessUse(msgspec.Struct):
-    """What a process used in a phase."""
+    """Resources that a process used in a phase."""
 
     processor_mean: float
-    """Of a core."""
+    """Mean processor time per second, in cores."""
     processor_peak: float
-    """The highest mean of some seconds."""
+    """The highest mean over a window of a few seconds, in cores."""
     memory_mb: float
+    """The highest resident memory."""
     files: int
+    """The highest number of open files."""
 
 
 class PhaseResult(msgspec.Struct):
-    """The figures of one phase. Rates are a second."""
+    """The figures of one phase. Rates are per second."""
 
     name: str
     seconds: float
@@ -61,48 +68,51 @@
     submitted_tasks: int
     starts_per_s: float
     start_delay: dict[str, Percentiles]
-    """By lane: from the first attempt to submit to the start of each task."""
+    """Delays from the first attempt to submit a job to the start of each task, by job class."""
     submission: Percentiles
     report_answer: Percentiles
     reports_per_s: float
     bytes_per_worker_s: float
-    """Both ways, of the reports alone, without what the system adds."""
+    """Payload bytes per worker of heartbeats and their replies, without the overhead of TCP/IP."""
     state_requests_per_s: float
     state_changes_per_s: float
     state_limited_per_s: float
     polls_per_s: float
     polls_unanswered_per_s: float
     longest_without_answer_s: float
-    """To submissions and polls."""
+    """The longest time without a successful reply to a submission or poll."""
     processes: dict[str, ProcessUse]
     shared_changes_per_s: float
-    """Of the state service that all cells share."""
+    """Changes in the state service that all cells share."""
     shared_requests_per_s: float
     leaders: list[str]
+    """The controllers that led at the beginning of the phase, one per cell."""
     machine_processor: float
-    """Of all the machine's cores."""
+    """Processor use of all processes, as a fraction of the machine's cores."""
 
 
 class SizeResult(msgspec.Struct):
-    """One size of a scale run."""
+    """The results of one size of a scale run."""
 
     plan: Plan
     warm_up_s: float | None
     phases: list[PhaseResult]
     takeover_s: float | None
-    """From the leader's end to the first job that its successor accepted: a commit."""
+    """Seconds from the leader's kill to the first job that its successor accepted, which shows that
+    it can commit.
+    """
     ledger_pages: float
     loop_behind_s: dict[str, float]
-    """The latest timer of each controller that logged one, in seconds."""
+    """The largest timer delay of each controller that logged one, in seconds."""
     emulator_late_s: float
-    """The latest timer of the emulator's own parts."""
+    """The largest timer delay of the emulator's own processes."""
     missed_aims: list[str]
     saturated: str
     rules_broken: list[list[str]]
 
 
-def percentiles(values: Iterable[float]) -> Percentiles:
-    """By a histogram with a bounded relative error."""
+def compute_percentiles(values: Iterable[float]) -> Percentiles:
+    """Computes percentiles from a histogram with a bounded relative error."""
     sketch = DDSketch(RELATIVE_ERROR)
     largest = 0.0
     for value in values:
@@ -121,13 +131,16 @@
 
 
 class Analysis:
-    """Reads a recording."""
+    """Computes the results of one size from its recording."""
 
     def __init__(self, plan: Plan, recording: Recording, processes: Processes) -> None:
         self._plan, self._recording, self._processes = plan, recording, processes
 
     def result(self, broken: list[BrokenRule], loop_behind: dict[str, float]) -> SizeResult:
-        """The figures of the whole run."""
+        """Returns the figures of the whole run.
+
+        `broken`: the broken rules; `loop_behind`: the largest timer delay of each controller.
+        """
         recording = self._recording
         phases = [self._analyse_phase(phase) for phase in recording.phases]
         environment_counters = recording.counters.get(f"{ENVIRONMENT}-0", [])
@@ -135,7 +148,7 @@
             plan=self._plan,
             warm_up_s=recording.warm_up_s,
             phases=phases,
-            takeover_s=self._takeover(),
+            takeover_s=self._compute_takeover_s(),
             ledger_pages=environment_counters[-1].totals["ledger_pages"]
             if environment_counters
             else 0.0,
@@ -148,17 +161,17 @@
         evaluate_aims(result)
         return result
 
-    def _takeover(self) -> float | None:
-        ended, taken_over_at_s = self._recording.leader_killed_at, self._recording.taken_over_at
-        if ended is None or taken_over_at_s is None:
+    def _compute_takeover_s(self) -> float | None:
+        killed_at, taken_over_at = self._recording.leader_killed_at, self._recording.taken_over_at
+        if killed_at is None or taken_over_at is None:
             return None
-        accepted = self._recording.history.find_first_acceptance(taken_over_at_s)
-        return None if accepted is None else round(accepted - ended, 2)
+        accepted = self._recording.history.find_first_acceptance(taken_over_at)
+        return None if accepted is None else round(accepted - killed_at, 2)
 
     # A phase
 
     def _compute_total(self, role: str, counter: str, at: float) -> float:
-        """What all parts of a role counted up to a time."""
+        """Returns the sum of a counter over all child processes of a role, at a time."""
         total = 0.0
         for name, counters in self._recording.counters.items():
             if name.startswith(role):
@@ -175,7 +188,7 @@
     def _compute_sampled(self, name: str, phase: Phase) -> Percentiles:
         pieces = self._recording.samples.get(name, [])
         inside = (values for at, values in pieces if phase.begins_at <= at < phase.ends_at)
-        return percentiles(value for values in inside for value in values)
+        return compute_percentiles(value for values in inside for value in values)
 
     def _analyse_phase(self, phase: Phase) -> PhaseResult:
         history, length_s = self._recording.history, phase.ends_at - phase.begins_at
@@ -192,7 +205,9 @@
             running_tasks=self._compute_total(WORKERS, "running", phase.ends_at),
             submitted_tasks=history.count_submitted_tasks(phase.begins_at, phase.ends_at),
             starts_per_s=round(history.count_starts(phase.begins_at, phase.ends_at) / length_s, 2),
-            start_delay={job_class: percentiles(values) for job_class, values in delays.items()},
+            start_delay={
+                job_class: compute_percentiles(values) for job_class, values in delays.items()
+            },
             submission=self._compute_sampled(SUBMISSION, phase),
             report_answer=self._compute_sampled(REPORT_ANSWER, phase),
             reports_per_s=self._compute_rate(WORKERS, "reports", phase),
@@ -239,11 +254,11 @@
         )
 
 
-# What was missed, and why
+# Missed aims and the reason
 
 
 def evaluate_aims(size: SizeResult) -> None:
-    """Sets which aims the steady phase missed, and what was saturated if it did."""
+    """Sets the aims that the steady phase missed and, if any, the saturated resource."""
     if not size.phases:
         size.missed_aims, size.saturated = ["the steady phase was not reached"], "unknown"
         return
@@ -254,7 +269,7 @@
 
 
 def find_missed_aims(size: SizeResult) -> list[str]:
-    """The aims that the steady phase missed, in words."""
+    """Returns the aims that the steady phase missed, as texts."""
     plan, phase, missed = size.plan, size.phases[0], []
     if size.warm_up_s is None:
         missed.append(f"standing replicas ran not within {plan.warm_up:g} s")
@@ -266,7 +281,8 @@
     if phase.submission.p99 > SUBMISSION_AIM_S:
         missed.append(f"submissions: p99 {phase.submission.p99:.1f} s")
     submitted_per_s = phase.submitted_tasks / phase.seconds
-    # Few jobs vary much: where more runs than the size is meant to, the machines are full.
+    # With few jobs the load varies: if more tasks run than intended, the machines are full, and
+    # missing starts are no fault of the controllers.
     is_fleet_full = phase.running_tasks >= plan.tasks_per_worker * phase.workers
     if phase.starts_per_s < MIN_STARTED_FRACTION * submitted_per_s and not is_fleet_full:
         missed.append(f"starts: {phase.starts_per_s:.0f} of {submitted_per_s:.0f} a second")
@@ -274,7 +290,7 @@
 
 
 def find_saturated_resource(plan: Plan, phase: PhaseResult) -> str:
-    """The resource that was used most, if any was nearly used up."""
+    """Returns the most used resource, and says whether it counts as saturated."""
     used = {
         "state services, changes": phase.state_changes_per_s / plan.cells / plan.state_write_rps,
         "state services, requests": phase.state_requests_per_s / plan.cells / plan.state_rps,
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -1,7 +1,7 @@
-"""The protocol's rules, checked from outside: by what workers run and what users are told.
+"""Checks the protocol's rules from outside: by what workers run and what replies users get.
 
-Knows nothing of the controllers' state. Broken rules are kept in `broken`; whoever feeds the events
-(the tests' simulated world, the emulator) ends its run with them.
+It knows nothing of the controllers' state. Broken rules are collected in `broken`; the caller that
+records the events (the tests' simulated cluster, the emulator) ends its run if there are any.
 """
 
 from __future__ import annotations
@@ -17,34 +17,40 @@
 
 FINAL_STAGES = (wire.DONE, wire.ABORTED)
 MAX_UNANSWERED_S = 75.0
+"""Without faults, the longest time without a successful reply about an accepted job."""
 MAX_WAITING_S = 90.0
+"""Without faults, the longest time that a job may wait while a machine has capacity for it."""
 RESOURCE_TOLERANCE = 1e-6
+"""Absolute tolerance for sums of cores and GPUs."""
 
 
 class _Job:
-    """What its user knows of a job, and what became of its tasks."""
+    """What the user knows of a job, and the state of its tasks."""
 
     def __init__(self, spec: wire.Spec | None) -> None:
         self.spec = spec
         self.submitted = self.accepted = self.is_cancel_requested = False
         self.final_stage: str | None = None
+        """The final stage that the user was told first; None: none yet."""
         self.final_stage_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
+        """Tasks that ended successfully."""
         self.task_zones: dict[str, str] = {}
-        """The zone of each of its tasks that is on a machine."""
+        """The zone of each task that is on a machine."""
         self.last_reply_at = 0.0
         self.waiting_since: float | None = None
+        """Since when a task could start on a machine and none did; None: no task could."""
 
 
 def _exceeds_limit(team: Team, cores: float, gpus: float) -> bool:
-    """Whether that much is beyond the team's limit."""
+    """Returns whether that usage is above the team's limit."""
     return bool(
         (team.cores_max and cores > team.cores_max) or (team.gpus_max and gpus > team.gpus_max)
     )
 
 
 def may_run_on(spec: wire.Spec, machine: wire.Listed, zones: list[str]) -> bool:
-    """Whether one more task of the job may be there, given the zones of its others."""
+    """Returns whether one more task may run on the machine, given the zones of the job's others."""
     return (
         (spec.machine_types is None or machine.machine_type in spec.machine_types)
         and spec.zone in (None, machine.zone)
@@ -55,7 +61,7 @@
 
 
 class Rules:
-    """Owns the outside view: who runs where, and what was answered when."""
+    """Owns the view from outside: which tasks run where, and which replies users got."""
 
     def __init__(
         self, teams: dict[str, Team], types: Iterable[wire.MachineType], cancel_s: float
@@ -63,15 +69,19 @@
         self.teams, self.types, self.cancel_s = teams, {kind.name: kind for kind in types}, cancel_s
         self.jobs: dict[str, _Job] = {}
         self.placements: dict[str, tuple[wire.Listed, int]] = {}
-        """Where each task is that is on a machine, also while that hangs or can't be reached."""
+        """The machine and attempt of each task that is on a machine, also while the machine hangs
+        or can't be reached.
+        """
         self.usage_by_team: dict[str, list[float]] = {}
+        """Cores and GPUs that each team uses."""
         self.broken: list[str] = []
         self.reordered_replies = 0
-        """Answers older than one given before them, to questions asked before that one was given.
+        """How many replies were older than one before them, and answered a request that was sent
+        before that one arrived; this is allowed.
         """
 
-    def record_violation(self, rule: str, what: str, at: float) -> None:
-        self.broken.append(f"{at:.2f} {rule}: {what}")
+    def record_violation(self, rule: str, details: str, at: float) -> None:
+        self.broken.append(f"{at:.2f} {rule}: {details}")
 
     def job(self, ref: str) -> _Job:
         return self.jobs.setdefault(ref, _Job(None))
@@ -134,30 +144,30 @@
         self.job(ref).is_cancel_requested = True
 
     def record_reply(
-        self, what: str, ref: str, asked_at: float, now: float, status: int, body: Any
+        self, operation: str, ref: str, asked_at: float, now: float, status: int, body: Any
     ) -> None:
-        """An answer as it reached its user. `what`: submit, poll or cancel."""
+        """Records a reply as it reached its user. `operation`: submit, poll or cancel."""
         job = self.job(ref)
         if status in (200, 201):
             job.last_reply_at = now
             if not job.submitted:
-                self.record_violation("invented", f"{what} of {ref}", now)
+                self.record_violation("invented", f"{operation} of {ref}", now)
                 return
             if body["ref"] != ref:
                 self.record_violation(
-                    "wrong_job", f"{what} of {ref} is answered about {body['ref']}", now
+                    "wrong_job", f"{operation} of {ref} is answered about {body['ref']}", now
                 )
                 return
             self._check_reply_stage(job, ref, asked_at, now, body["stage"])
-            if what == "submit" and not job.accepted:
+            if operation == "submit" and not job.accepted:
                 job.accepted, job.accepted_at = True, now
                 why = self._find_rejection_reason(job.spec)
                 if why:
                     self.record_violation("accepted", f"{ref}: {why}", now)
         elif asked_at >= job.accepted_at and (
-            status == 404 or (what == "submit" and status in (400, 422))
+            status == 404 or (operation == "submit" and status in (400, 422))
         ):
-            self.record_violation("forgotten", f"{what} of {ref} answered {status}", now)
+            self.record_violation("forgotten", f"{operation} of {ref} answered {status}", now)
 
     def _check_reply_stage(
         self, job: _Job, ref: str, asked_at: float, now: float, stage: str
@@ -202,10 +212,10 @@
         )
         return None if fits else "fits no machine"
 
-    # What time alone breaks
+    # Rules that are broken by the passing of time
 
     def check_deadlines(self, now: float) -> None:
-        """At any moment: what is left of jobs that were told as cancelled."""
+        """Checks that no task still runs `cancel_s` after its job was reported as cancelled."""
         for task, (machine, _) in self.placements.items():
             job = self.job(task.partition("/")[0])
             if job.final_stage == wire.ABORTED and now > job.final_stage_at + self.cancel_s:
@@ -218,9 +228,9 @@
     def check_after_faults(
         self, now: float, faults_ended_at: float, machines: list[tuple[wire.Listed, set[str]]]
     ) -> None:
-        """Once all troubles are over.
+        """Checks, after the last fault, that requests are answered and no job waits without reason.
 
-        `machines`: those that are up, and the tasks on each, with those that fetch.
+        `machines`: the machines that are up, with their tasks, also tasks that fetch an image.
         """
         held = {task for _, tasks in machines for task in tasks}
         free_by_machine = [
@@ -238,7 +248,7 @@
             elif job.waiting_since is None:
                 job.waiting_since = now
             elif now - max(job.waiting_since, faults_ended_at) > MAX_WAITING_S:
-                # Nothing of it began in that time, though there was room for it all along.
+                # No task of the job started in that time, although a machine always had capacity.
                 self.record_violation("left_waiting", f"{ref} while a machine fits", now)
 
     def _compute_free_resources(
--- a/flaxtally/emulator/scale.py
+++ b/flaxtally/emulator/scale.py
@@ -1,4 +1,4 @@
-"""`emulate scale`: plays one size after the other and says what was saturated first."""
+"""`emulate scale`: runs one fleet size after the other and reports what was saturated first."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
     from pathlib import Path
 
 LOOP_BEHIND_PATTERN = re.compile(r"event=loop_behind .*late=([0-9.]+)")
+"""Matches a controller's log line about a late timer; the group is the delay in seconds."""
 RESULTS_FILE = "results.json"
 MAX_RULES_SHOWN = 5
-"""Broken rules that are printed; results.json has all of them."""
+"""Broken rules that are printed per size; results.json has all of them."""
 TARGET_WORKERS = 20_000
-"""The size that the operators expect."""
+"""The fleet size that the operators expect; figures are extrapolated to it."""
 
 
 class ScaleResult(msgspec.Struct):
-    """What a scale run found."""
+    """The results of a scale run."""
 
     sizes: list[SizeResult]
     fits: list[Fit]
@@ -39,12 +40,12 @@
 
 
 def print_progress(text: str) -> None:
-    """A line for whoever watches."""
+    """Prints a line about the progress to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
 def run(plans: Sequence[Plan], folder: Path) -> ScaleResult:
-    """Plays all plans; all limits are checked before the first begins.
+    """Runs all plans; checks the limits of all of them before the first begins.
 
     Raises `limits.LimitError` or `processes.ProcessEndedError`. A broken rule ends the run.
     """
@@ -66,7 +67,7 @@
 
 
 def combine(folders: Sequence[Path]) -> ScaleResult:
-    """The results of several runs as one, by size; aims and lines are reckoned anew."""
+    """Combines the results of several runs, ordered by size; computes aims and lines again."""
     result = ScaleResult([], [])
     for folder in folders:
         content = (folder / RESULTS_FILE).read_bytes()
@@ -79,7 +80,7 @@
 
 
 def run_size(plan: Plan, folder: Path) -> SizeResult:
-    """One size, from the start of its processes to their end."""
+    """Runs one size, from the start of its processes to their end; returns its results."""
     folder.mkdir(parents=True, exist_ok=True)
     for old in folder.glob("*.log"):
         old.unlink()
@@ -92,7 +93,7 @@
 
 
 def read_loop_delays(plan: Plan, folder: Path) -> dict[str, float]:
-    """How late timers were, in seconds, for each controller that logged it."""
+    """Returns the largest timer delay, in seconds, of each controller that logged one."""
     found: dict[str, float] = {}
     for name in plan.nodes:
         text = (folder / f"{name}.log").read_text(encoding="utf-8", errors="replace")
@@ -103,7 +104,7 @@
 
 
 def _compute_followers_mean(phase: PhaseResult, figure: Callable[[ProcessUse], float]) -> float:
-    """The mean over the controllers that don't lead."""
+    """Returns the mean of a figure over the controllers that don't lead."""
     uses = [
         use
         for name, use in phase.processes.items()
@@ -113,7 +114,7 @@
 
 
 def _compute_leaders_max(phase: PhaseResult, figure: Callable[[ProcessUse], float]) -> float:
-    """The highest of the cells' leaders."""
+    """Returns the highest value of a figure among the cells' leaders."""
     uses = [phase.processes[name] for name in phase.leaders if name in phase.processes]
     return max((figure(use) for use in uses), default=0.0)
 
@@ -140,13 +141,14 @@
     "starts a second": lambda phase: phase.starts_per_s,
     "running tasks": lambda phase: phase.running_tasks,
 }
-"""What is fitted over the sizes, of the steady phase."""
+"""Figures of the steady phase through which lines are fitted over the sizes."""
 
 
 def fit_steady_phases(sizes: Sequence[SizeResult]) -> list[Fit]:
-    """Lines through the steady phases of the sizes that met the aims, once there are enough.
+    """Fits lines through the steady phases of the sizes that met the aims; none if these are few.
 
-    Beyond them a figure shows what is lacking, not what the size needs.
+    At a size that missed an aim, a figure shows what the machine could deliver, not what the size
+    needs.
     """
     steady = [
         size.phases[0]
@@ -168,7 +170,7 @@
 
 
 def format_report(result: ScaleResult) -> list[str]:
-    """The results as lines for people."""
+    """Formats the results as lines of text."""
     lines = [
         f"{'workers':>7} {'phase':10} {'tasks':>6} {'starts/s':>8} {'asked/s':>8} "
         f"{'urgent p50/p95':>14} {'batch p50/p95':>14} {'report p99':>10} {'submit p99':>10} "
@@ -195,7 +197,7 @@
 
 
 def _format_remarks(size: SizeResult) -> list[str]:
-    """What a size shows besides its figures."""
+    """Formats the lines that follow the figures of a size."""
     warm = "not reached" if size.warm_up_s is None else f"{size.warm_up_s:.0f} s"
     taken = "not seen" if size.takeover_s is None else f"{size.takeover_s:.1f} s"
     lines = [f"        warm-up {warm}; first job accepted after the leader's end {taken}"]
--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -1,4 +1,4 @@
-"""The part that plays the users: they submit, ask at any node, repeat themselves and cancel."""
+"""The child process that simulates users, who submit, poll, resubmit and cancel jobs."""
 
 from __future__ import annotations
 
@@ -29,31 +29,37 @@
     from .plan import Plan
 
 SUBMISSION = "submission"
+"""Name of the samples of the time from a submission to its acceptance."""
 ACCEPTED_STATUSES = (200, 201)
 RETRYABLE_STATUSES = (0, 429, 503, 504)
+"""Statuses after which a request is sent again; 0: no reply."""
 SUBMIT_TIMEOUT_S, POLL_TIMEOUT_S = 5.0, 2.0
 POLL_INTERVAL_RANGE_S = (4.0, 6.0)
 RETRY_BACKOFF_RANGE_S = (1.0, 2.0)
 RETRY_DEADLINE_S = 60.0
+"""Seconds after its first attempt at which a user stops to retry a request."""
 CONNECTIONS_PER_CONTROLLER = 32
-"""To each controller."""
 SERVICE_SUBMISSION_FRACTION = 0.3
-"""Standing services are submitted within this share of the warm-up."""
+"""Services are submitted within this fraction of the longest warm-up."""
 DUPLICATE_FRACTION = 0.02
+"""Fraction of the accepted jobs that are submitted a second time."""
 DUPLICATE_DELAY_RANGE_S = (0.0, 8.0)
+"""Seconds from a job's acceptance to its second submission."""
 UNKNOWN_POLL_INTERVAL_S = 3.0
+"""Seconds between two polls for a job that does not exist."""
 FIRST_UNKNOWN_NUMBER = 900_000_000
+"""Numbers of jobs above this one are never submitted."""
 
 
 class JobStatus(msgspec.Struct):
-    """An answer to a user."""
+    """The body of a successful reply to a user."""
 
     ref: str
     stage: str
 
 
 class Users:
-    """Owns what the users know of their jobs."""
+    """Owns what the users know of their jobs, and sends their requests."""
 
     def __init__(self, loop: CountingLoop, plan: Plan, link: CoordinatorLink) -> None:
         self._loop, self._plan, self._link = loop, plan, link
@@ -148,7 +154,7 @@
             self._loop.after(cancel_after_s, self._cancel, number, None)
 
     def _submit_duplicate(self, number: int) -> None:
-        """The same submission once more, as after a lost answer."""
+        """Sends the same submission again, as a user does after a lost reply."""
         spec, asked_at = self._load.job(number).spec, self._loop.now()
 
         def on_reply(reply: Reply) -> None:
@@ -173,7 +179,7 @@
 
         self._send_request("POST", f"{wire.WORK}/{ref}/cancel", None, SUBMIT_TIMEOUT_S, on_reply)
 
-    # Questions
+    # Polls
 
     def _poll(self, number: int) -> None:
         if number in self._final_jobs:
@@ -189,7 +195,7 @@
         self._send_request("GET", f"{wire.WORK}/{ref}", None, POLL_TIMEOUT_S, on_reply)
 
     def _poll_unknown_job(self) -> None:
-        """Users also ask for jobs that nobody has submitted."""
+        """Polls for a job that nobody has submitted."""
         self._loop.after(UNKNOWN_POLL_INTERVAL_S, self._poll_unknown_job)
         self._last_unknown_number += 1
         ref, asked_at = format_ref(self._last_unknown_number), self._loop.now()
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -1,4 +1,4 @@
-"""The part that plays a share of the fleet's workers."""
+"""The child process that runs a part of the fleet as hollow workers."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
     from .plan import Plan
 
 REPORT_ANSWER = "report_answer"
+"""Name of the samples of the time from a heartbeat to its reply."""
 STARTS_BEFORE_FAULT = 10
-"""The planted fault waits until so many tasks were started here."""
+"""Tasks that this process must have started before the fault of `break_rule` is injected."""
 
 
 class Workers:
@@ -79,7 +80,7 @@
             self._link.add_event(Event(at, ENDED, task, machine, attempt, stage=cause))
 
     def _start_twice(self, machine: str, task: str, attempt: int) -> None:
-        """The planted fault: another worker starts the task of its own accord."""
+        """Injects the fault of `break_rule`: another worker starts the task without a command."""
         other = next(worker for name, worker in self._workers.items() if name != machine)
         copy = other.tasks[task, attempt] = Held(task, attempt, wire.FETCHING)
         other.start_unassigned(copy)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -39,8 +39,8 @@
     PhaseResult,
     ProcessUse,
     SizeResult,
+    compute_percentiles,
     evaluate_aims,
-    percentiles,
 )
 from flaxtally.emulator.scale import ScaleResult, combine, save
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
@@ -375,12 +375,12 @@
 
 def test_percentiles_are_within_one_percent() -> None:
     values = [number / 1000 for number in range(1, 10_001)]
-    found = percentiles(values)
+    found = compute_percentiles(values)
     assert found.count == 10_000
     assert found.median == pytest.approx(5.0, rel=0.011)
     assert found.p99 == pytest.approx(9.9, rel=0.011)
     assert found.largest == 10.0
-    assert percentiles([]).count == 0
+    assert compute_percentiles([]).count == 0
 
 
 def create_size_result(
