--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -14,6 +14,7 @@
 from .messages import (
     Channel,
     Counters,
+    DisconnectZone,
     Events,
     Hello,
     LoopLate,
@@ -23,7 +24,6 @@
     RemoveMachines,
     RestartWorkers,
     Samples,
-    SilenceZone,
     StartLoad,
 )
 from .plan import Plan, save
@@ -61,9 +61,9 @@
 """Seconds after which a killed controller is started again."""
 RESTARTED_FRACTION = 0.05
 """Fraction of the workers that restart, all at once."""
-SILENCE_DURATION_LEASES = 1.5
+DISCONNECT_DURATION_LEASES = 1.5
 """How long the zone is cut off, in worker leases."""
-LEADER_KILL_FRACTION, WORKER_RESTART_FRACTION, ZONE_SILENCE_FRACTION = 0.0, 0.2, 0.35
+LEADER_KILL_FRACTION, WORKER_RESTART_FRACTION, ZONE_DISCONNECT_FRACTION = 0.0, 0.2, 0.35
 """When each fault is injected, as a fraction of the disturbed phase's length."""
 MIN_RECOVERY_LEASES = 1.0
 """The least time from the end of the zone's cut to the end of the disturbed phase, in worker
@@ -266,10 +266,11 @@
             f"{self._plan.workers} workers: held after {elapsed_s:.0f} s, {running:.0f} tasks run"
         )
         steady = Phase(STEADY, now, now + self._plan.seconds)
-        silence_s = SILENCE_DURATION_LEASES * self._plan.lease_s
+        disconnect_s = DISCONNECT_DURATION_LEASES * self._plan.lease_s
         disturbed_s = max(
             self._plan.seconds,
-            (silence_s + MIN_RECOVERY_LEASES * self._plan.lease_s) / (1 - ZONE_SILENCE_FRACTION),
+            (disconnect_s + MIN_RECOVERY_LEASES * self._plan.lease_s)
+            / (1 - ZONE_DISCONNECT_FRACTION),
         )
         disturbed = Phase(DISTURBED, steady.ends_at, steady.ends_at + disturbed_s)
         self.recording.phases += [steady, disturbed]
@@ -282,7 +283,7 @@
         length_s = phase.ends_at - phase.begins_at
         self.later(LEADER_KILL_FRACTION * length_s, self._kill_leader)
         self.later(WORKER_RESTART_FRACTION * length_s, self._restart_workers)
-        self.later(ZONE_SILENCE_FRACTION * length_s, self._silence_zone)
+        self.later(ZONE_DISCONNECT_FRACTION * length_s, self._disconnect_zone)
 
     def _kill_leader(self) -> None:
         killed_term = find_newest_cell_term(self._plan, self._folder, FAULTED_CELL)
@@ -309,10 +310,10 @@
         self._progress(f"{RESTARTED_FRACTION:.0%} of the workers restart")
         self._send(RestartWorkers(RESTARTED_FRACTION), WORKERS)
 
-    def _silence_zone(self) -> None:
-        zone, seconds = self._plan.zone_names[-1], SILENCE_DURATION_LEASES * self._plan.lease_s
+    def _disconnect_zone(self) -> None:
+        zone, seconds = self._plan.zone_names[-1], DISCONNECT_DURATION_LEASES * self._plan.lease_s
         self._progress(f"{zone} is silent for {seconds:g} s")
-        self._send(SilenceZone(zone, seconds), WORKERS)
+        self._send(DisconnectZone(zone, seconds), WORKERS)
 
 
 def find_leaders(plan: Plan, folder: Path) -> list[str]:
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -54,8 +54,8 @@
             on_task_event,
             rng,
         )
-        for name, where in plan.node_addresses.items():
-            self._clients[name] = MeasuredClient(loop, where, on_report_answered)
+        for name, node_address in plan.node_addresses.items():
+            self._clients[name] = MeasuredClient(loop, node_address, on_report_answered)
 
     @property
     def running_count(self) -> int:
@@ -67,12 +67,12 @@
         self._lapse()
         self.changed()
 
-    def silence(self, seconds: float) -> None:
+    def disconnect(self, seconds: float) -> None:
         """Drops all messages to and from the worker for so many seconds."""
         self.mute = self.deaf = True
-        self._runtime.after(seconds, self._end_silence)
+        self._runtime.after(seconds, self._reconnect)
 
-    def _end_silence(self) -> None:
+    def _reconnect(self) -> None:
         self.mute = self.deaf = False
 
     def changed(self) -> None:
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -101,7 +101,7 @@
     share: float
 
 
-class SilenceZone(msgspec.Struct, tag_field="k", tag="silence_zone"):
+class DisconnectZone(msgspec.Struct, tag_field="k", tag="silence_zone"):
     """Drops all messages to and from a zone's workers for so many seconds."""
 
     zone: str
@@ -119,7 +119,7 @@
     | RemoveMachines
     | MachinesRemoved
     | RestartWorkers
-    | SilenceZone
+    | DisconnectZone
 )
 
 
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -12,7 +12,7 @@
 from .messages import POLL_REPLY, SUBMIT_REPLY
 from .plan import URGENT_CLASS, URGENT_START_AIM_S, Plan
 from .users import SUBMISSION
-from .workers import REPORT_ANSWER
+from .workers import REPORT_REPLY
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -209,7 +209,7 @@
                 job_class: compute_percentiles(values) for job_class, values in delays.items()
             },
             submission=self._compute_sampled(SUBMISSION, phase),
-            report_answer=self._compute_sampled(REPORT_ANSWER, phase),
+            report_answer=self._compute_sampled(REPORT_REPLY, phase),
             reports_per_s=self._compute_rate(WORKERS, "reports", phase),
             bytes_per_worker_s=round(bytes_per_s / max(1.0, workers), 1),
             state_requests_per_s=self._compute_rate(ENVIRONMENT, "state_requests", phase),
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -13,13 +13,13 @@
 from .messages import (
     ENDED,
     STARTED,
+    DisconnectZone,
     Event,
     MachinesRemoved,
     MachineStarted,
     Message,
     RemoveMachines,
     RestartWorkers,
-    SilenceZone,
 )
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     from .measured import CountingLoop
     from .plan import Plan
 
-REPORT_ANSWER = "report_answer"
+REPORT_REPLY = "report_answer"
 """Name of the samples of the time from a heartbeat to its reply."""
 STARTS_BEFORE_FAULT = 10
 """Tasks that this process must have started before the fault of `break_rule` is injected."""
@@ -65,7 +65,7 @@
 
     def _on_report_answered(self, seconds: float) -> None:
         self._report_count += 1
-        self._link.add_sample(REPORT_ANSWER, seconds)
+        self._link.add_sample(REPORT_REPLY, seconds)
 
     def _on_task_event(self, event: str, machine: str, task: str, attempt: int) -> None:
         at = self._loop.now()
@@ -98,10 +98,10 @@
             names = sorted(self._workers)
             for name in self._rng.sample(names, round(message.share * len(names))):
                 self._workers[name].restart()
-        elif isinstance(message, SilenceZone):
+        elif isinstance(message, DisconnectZone):
             for worker in self._workers.values():
                 if worker.machine.zone == message.zone:
-                    worker.silence(message.seconds)
+                    worker.disconnect(message.seconds)
 
     def totals(self) -> dict[str, float]:
         traffic = self._loop.traffic
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator's parts: load, hollow workers, history, limits, fits, messages."""
+"""Tests of the emulator's modules: load, hollow workers, history, limits, fits, messages."""
 
 from __future__ import annotations
 
@@ -62,7 +62,8 @@
 # The load
 
 
-def test_the_same_seed_draws_the_same_load_and_another_seed_another() -> None:
+def test_the_load_depends_on_the_seed_alone() -> None:
+    """Processes would disagree on a job if the order in which they draw jobs had an effect."""
     numbers = range(1, 200)
     first = [Load(PLAN).job(number) for number in numbers]
     assert first == [Load(PLAN).job(number) for number in reversed(numbers)][::-1]
@@ -70,7 +71,8 @@
     assert first != [Load(other).job(number) for number in numbers]
 
 
-def test_the_load_has_the_expected_fleets_ratios() -> None:
+def test_the_load_has_the_ratios_of_the_expected_fleet() -> None:
+    """A load with other ratios per worker would give figures that can't be extrapolated."""
     plan = Plan(workers=2000)
     load = Load(plan)
     replicas = load.service_replica_count / plan.workers
@@ -89,6 +91,7 @@
 
 @pytest.mark.parametrize("cells", [1, 2])
 def test_a_controller_reads_back_the_settings_that_are_written_for_it(cells: int) -> None:
+    """A rendered file that parses to other settings would start controllers unlike the plan."""
     plan = msgspec.structs.replace(PLAN, cells=cells, zones=4)
     for number, name in enumerate(plan.nodes):
         written = create_settings(plan, number)
@@ -100,6 +103,7 @@
 
 
 def test_the_cells_of_a_plan_own_all_its_zones_and_controllers(tmp_path: Path) -> None:
+    """A zone or controller outside the deploy file's cells would never be served."""
     plan = msgspec.structs.replace(PLAN, cells=2, zones=4)
     path = tmp_path / "cells.toml"
     path.write_text(render_deploy_file(plan))
@@ -116,17 +120,17 @@
 
 
 class Controller:
-    """Answers a worker's reports with the token, and notes when they came."""
+    """Replies to a worker's heartbeats with the fencing token and records when they arrived."""
 
     def __init__(self, sim: Simulation, plan: Plan) -> None:
         self._sim = sim
         self.reports: list[tuple[float, wire.Heartbeat]] = []
         self.commands: list[wire.Command] = []
         host = sim.host(HOST)
-        for where in plan.node_addresses.values():
-            Server(host, where, self._answer, 100, 100.0, 0.2)
+        for address in plan.node_addresses.values():
+            Server(host, address, self._reply, 100, 100.0, 0.2)
 
-    def _answer(self, request: Request) -> None:
+    def _reply(self, request: Request) -> None:
         report = msgspec.msgpack.decode(request.body, type=wire.Heartbeat)
         self.reports.append((self._sim.time, report))
         commands, self.commands = self.commands, []
@@ -152,7 +156,8 @@
     return [later - earlier for earlier, later in pairwise(times)]
 
 
-def test_a_change_is_reported_at_once_but_not_more_often_than_the_protocol_says() -> None:
+def test_a_change_is_reported_at_once_but_not_more_often_than_the_protocol_allows() -> None:
+    """Many changes in a row must neither exceed the protocol's rate nor postpone the report."""
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = create_worker(sim, events)
@@ -168,12 +173,13 @@
     play(sim, 3.0)
     changes = controller.reports[before:]
     assert changes[0][0] - began < MIN_REPORT_INTERVAL_S + 0.1
-    # Changes that follow each other fast don't put the report off: one comes every half second.
+    # Frequent changes don't postpone the report: one arrives every half second.
     assert len(changes) >= 5
     assert min(compute_report_gaps(controller)) > MIN_REPORT_INTERVAL_S - 0.05
 
 
-def test_a_silent_worker_loses_its_tasks_with_its_lease_and_begins_a_new_session() -> None:
+def test_a_disconnected_worker_loses_its_tasks_at_lease_expiry_and_begins_a_new_session() -> None:
+    """Tasks that outlive the lease would run twice, as the leader starts them elsewhere then."""
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = create_worker(sim, events)
@@ -181,7 +187,7 @@
     controller.commands = [wire.launch(task, 1)]
     play(sim, 10.0)
     assert events == [f"start {task} 1"]
-    worker.silence(1.5 * PLAN.lease_s)
+    worker.disconnect(1.5 * PLAN.lease_s)
     play(sim, 1.4 * PLAN.lease_s)
     assert events == [f"start {task} 1", f"end lapsed {task} 1"]
     play(sim, PLAN.lease_s)
@@ -190,6 +196,7 @@
 
 
 def test_a_worker_that_restarts_reports_a_new_session_without_tasks() -> None:
+    """A restart that keeps the session would hide from the leader that the tasks are lost."""
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = create_worker(sim, events)
@@ -202,6 +209,7 @@
 
 
 def test_an_image_is_fetched_once_for_all_tasks_that_wait_for_it() -> None:
+    """A second fetch, or a start without waiting, would distort the measured start delays."""
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = create_worker(sim, events, number=1)
@@ -210,21 +218,21 @@
     controller.commands = [wire.launch(f"{spec.ref}/{task}", 1) for task in range(2)]
     while controller.commands:
         play(sim, 0.02)
-    usual = spec.image_gb / PLAN.types[0].fetch_gb_per_s
-    play(sim, usual * 0.6)
+    usual_fetch_s = spec.image_gb / PLAN.types[0].fetch_gb_per_s
+    play(sim, usual_fetch_s * 0.6)
     assert events == [], "a task started before its image was there"
-    play(sim, usual)
+    play(sim, usual_fetch_s)
     assert len(events) == 2
 
 
-# Stand-ins with the deployment's rates
+# Fakes with the deployment's rate limits
 
 
 class RecordingClient:
-    """A client that keeps the answers."""
+    """A client that records the replies."""
 
-    def __init__(self, host: Host, where: tuple[str, int]) -> None:
-        self.client, self.statuses = Client(host, where, 50), list[int]()
+    def __init__(self, host: Host, address: tuple[str, int]) -> None:
+        self.client, self.statuses = Client(host, address, 50), list[int]()
         self.bodies: list[bytes] = []
 
     def send(self, method: str, path: str, body: object = None) -> None:
@@ -235,13 +243,14 @@
         self.bodies.append(reply.body)
 
 
-def test_the_state_service_refuses_changes_above_its_rate_and_allows_one_seconds_burst() -> None:
+def test_the_state_service_rejects_changes_above_its_rate_after_a_burst_of_one_second() -> None:
+    """Without the limit a run would not show that the state service is saturated."""
     sim = Simulation(1)
-    where = ("10.2.0.1", 2379)
-    host = sim.host(where[0])
-    service = FakeKeyValueStore(host, where)
+    address = ("10.2.0.1", 2379)
+    host = sim.host(address[0])
+    service = FakeKeyValueStore(host, address)
     service.change_limit = TokenBucket(host, 10.0, 10.0)
-    user = RecordingClient(sim.host("10.3.0.1"), where)
+    user = RecordingClient(sim.host("10.3.0.1"), address)
     for number in range(15):
         user.send("POST", wire.TXN, wire.Transaction.build({}, {f"k/{number}": 1}, []))
     play(sim, 1.0)
@@ -255,7 +264,7 @@
 
 
 class FakeLink:
-    """Takes the place of the connection to the coordinator."""
+    """Replaces the connection to the coordinator and records the messages."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
@@ -264,7 +273,8 @@
         self.messages.append(message)
 
 
-def test_a_release_is_answered_only_when_all_processes_say_that_the_machines_are_gone() -> None:
+def test_a_terminate_request_is_answered_only_when_all_processes_have_confirmed() -> None:
+    """The reply proves that no task runs on the machines, so it must wait for every process."""
     sim, link = Simulation(1), FakeLink()
     plan = msgspec.structs.replace(PLAN, workers_per_process=30)
     cloud = RemoteCloud(sim.host(HOST), plan, link)  # type: ignore[arg-type]
@@ -281,7 +291,8 @@
     assert len(cloud.machines) == 58
 
 
-def test_the_clouds_list_comes_in_pages() -> None:
+def test_the_list_of_machines_is_paged() -> None:
+    """Controllers must see that more machines follow; a page has 500 at most."""
     sim = Simulation(1)
     plan = msgspec.structs.replace(PLAN, workers=700)
     RemoteCloud(sim.host(HOST), plan, FakeLink())  # type: ignore[arg-type]
@@ -307,13 +318,14 @@
 
 
 def create_submission(ref: str, at: float) -> tuple[Event, Event]:
-    answer = Event(
+    reply = Event(
         at + 0.1, SUBMIT_REPLY, ref, asked_at=at, status=201, stage="pending", body_ref=ref
     )
-    return Event(at, SUBMITTED, ref), answer
+    return Event(at, SUBMITTED, ref), reply
 
 
-def test_a_history_without_faults_breaks_no_rule_whatever_the_order_in_which_it_came() -> None:
+def test_a_history_without_faults_breaks_no_rule_in_any_order_of_arrival() -> None:
+    """Processes send their events in batches, so that events arrive out of order."""
     task = f"{SERVICE}/0"
     found = create_history(
         *create_submission(SERVICE, 1.0),
@@ -327,6 +339,7 @@
 
 
 def test_a_task_on_two_machines_is_found_with_the_events_that_show_it() -> None:
+    """A broken rule must come with its events, because the run can't be repeated exactly."""
     task = f"{SERVICE}/0"
     found = create_history(
         *create_submission(SERVICE, 1.0),
@@ -341,14 +354,18 @@
     assert "machine=n-000001 attempt=2" in shown
 
 
-def test_an_answer_that_goes_back_and_a_run_without_starts_are_found() -> None:
+def test_a_forgotten_job_and_a_run_without_starts_are_found() -> None:
+    """A run in which nothing starts breaks no other rule and must not pass for that reason."""
     not_found = Event(3.0, POLL_REPLY, SERVICE, asked_at=2.9, status=404)
     broken = create_history(*create_submission(SERVICE, 1.0), not_found).check()
     assert [rule.text.split(":")[0].split()[-1] for rule in broken] == ["forgotten", "nothing_ran"]
 
 
-def test_what_only_some_parts_have_told_at_the_end_is_left_out() -> None:
-    # A start was told, and the submission of its job a quarter of a second before it was not yet.
+def test_events_after_the_end_of_the_last_phase_are_ignored() -> None:
+    """At the end of a run a start may have been sent and its job's submission not yet.
+
+    Child processes send events every quarter of a second, so the start would seem unrequested.
+    """
     found = create_history(
         *create_submission(SERVICE, 1.0),
         Event(2.0, STARTED, f"{SERVICE}/0", "n-000000", 1),
@@ -362,7 +379,8 @@
 # Figures
 
 
-def test_a_fit_says_slope_residual_and_whether_growth_is_linear() -> None:
+def test_a_fit_has_slope_residual_and_whether_growth_is_linear() -> None:
+    """A line through figures that grow with the square must not pass for a good extrapolation."""
     line = fit("x", [100, 200, 400, 800], [3.0, 5.0, 9.0, 17.0], 1600)
     assert (line.at_zero, line.per_worker) == (pytest.approx(1.0), pytest.approx(0.02))
     assert line.residual == pytest.approx(0.0, abs=1e-9)
@@ -386,7 +404,7 @@
 def create_size_result(
     workers: int, starts: float, running: float, urgent_p95: float = 1.0
 ) -> SizeResult:
-    """A size in whose steady phase 100 tasks a second were submitted."""
+    """Creates the results of a size in whose steady phase 100 tasks a second were submitted."""
     nothing = Percentiles()
     phase = PhaseResult(
         name="steady",
@@ -415,7 +433,8 @@
     return SizeResult(Plan(workers=workers), 5.0, [phase], 0.5, 10.0, {}, 0.0, [], "", [])
 
 
-def test_what_was_missed_is_said_with_what_was_used_most() -> None:
+def test_missed_aims_are_reported_with_the_most_used_resource() -> None:
+    """Too few starts are no missed aim if the reason is that the machines are full."""
     held, slow, queued, full = (
         create_size_result(100, 99.0, 900.0),
         create_size_result(100, 99.0, 900.0, urgent_p95=4.0),
@@ -428,13 +447,14 @@
     assert slow.missed_aims == ["urgent starts: p95 4.0 s, aim 3.6 s"]
     assert slow.saturated == "state services, changes (90%)"
     assert queued.missed_aims == ["starts: 60 of 100 a second"]
-    # More runs than the size is meant to: it is the machines that are full.
+    # More tasks run than the size is planned for: the machines are full.
     assert full.missed_aims == []
 
 
-def test_runs_are_combined_and_lines_drawn_through_the_sizes_that_held(
+def test_results_are_combined_and_lines_fitted_through_sizes_that_met_their_aims(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    """A size that missed its aims would bend the lines; unreadable results are invalid input."""
     for name, sizes in (("a", [500, 125]), ("b", [1000, 250, 2000])):
         (tmp_path / name).mkdir()
         results = [
@@ -456,15 +476,18 @@
 # Limits
 
 
-def test_too_few_open_files_are_named_with_the_option_that_lowers_the_need(
+def test_too_few_open_files_are_reported_with_the_option_that_lowers_the_need(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A run with too few open files would fail half-way, in connections that can't be opened."""
     monkeypatch.setattr(limits.resource, "getrlimit", lambda _: (256, 256))
     with pytest.raises(limits.LimitError, match=r"256 \(ulimit -n\).*--workers-per-process"):
         limits.check(PLAN)
 
 
-def test_too_little_memory_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_too_little_memory_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A run that needs more than half of the machine's memory is refused before it starts."""
+
     class Memory:
         total = available = 512 * 2**20
 
@@ -474,13 +497,15 @@
 
 
 def test_too_many_processes_are_refused() -> None:
+    """Small groups of workers would give hundreds of processes."""
     many = msgspec.structs.replace(PLAN, workers=400, workers_per_process=2)
     with pytest.raises(limits.LimitError, match="206 processes"):
         limits.check(many)
 
 
 @pytest.mark.real_processes
-def test_a_port_in_use_is_named() -> None:
+def test_a_port_in_use_is_reported() -> None:
+    """A controller would exit at its start, after other processes had been started."""
     with socket.socket() as taken:
         taken.bind((HOST, 0))
         taken.listen()
@@ -494,7 +519,7 @@
 
 
 class FakeStream:
-    """A stream whose far end is the test."""
+    """A stream whose other end is the test."""
 
     def __init__(self) -> None:
         self.far, self.closed = HOST, False
@@ -510,9 +535,10 @@
 @pytest.mark.parametrize(
     "frame", [{"k": "no_such_kind"}, {"k": "silence_zone"}, {"k": "events", "events": [[1, 2]]}]
 )
-def test_a_malformed_message_is_one_log_line_and_the_next_is_taken(
+def test_a_malformed_message_is_logged_once_and_the_next_is_received(
     frame: dict[str, object], caplog: pytest.LogCaptureFixture
 ) -> None:
+    """One message that can't be decoded must not end the connection and with it the run."""
     stream, received = FakeStream(), list[Message]()
     Channel(stream, lambda _, message: received.append(message), lambda _: None)
     with caplog.at_level(logging.ERROR):
@@ -522,7 +548,8 @@
     assert not stream.closed
 
 
-def test_nonsense_closes_the_connection(caplog: pytest.LogCaptureFixture) -> None:
+def test_an_undecodable_frame_closes_the_connection(caplog: pytest.LogCaptureFixture) -> None:
+    """After an invalid frame the start of the next one is unknown."""
     stream = FakeStream()
     Channel(stream, lambda *_: None, lambda _: None)
     stream.on_data(b"\xff\xff\xff\xff nonsense")
--- a/tests/test_lending_run.py
+++ b/tests/test_lending_run.py
@@ -1,4 +1,4 @@
-"""`emulate lending` for a few seconds: real controllers that fail, and the audit's verdict."""
+"""Runs `emulate lending` for a few seconds: real controllers that fail, and the audit's verdict."""
 
 from __future__ import annotations
 
@@ -23,8 +23,11 @@
     )
 
 
-def test_loans_are_recalled_while_real_controllers_fail(tmp_path: Path) -> None:
-    # The bound leaves room for a busy machine; the run by hand is held to less.
+def test_loans_are_reclaimed_while_real_controllers_fail(tmp_path: Path) -> None:
+    """A leader that fails during a reclaim must not leave a team below its guarantee.
+
+    The bound has a margin for a busy machine; runs by hand use a lower one.
+    """
     done = run(tmp_path, "--seed=2", "--most-s=20")
     assert done.returncode == 0, done.stdout + done.stderr
     verdict = json.loads((tmp_path / "verdict.json").read_text())
@@ -32,19 +35,23 @@
     assert verdict["recalled"] >= 8
     assert len(verdict["faults"]) >= 3
     lines = [json.loads(line) for line in (tmp_path / "loans.jsonl").read_text().splitlines()]
-    # Both teams borrow in their turns, and give all of it back.
+    # Both teams borrow in turn, and return everything.
     assert {line["borrower"] for line in lines if line["gpus"] == 8.0} == {"day", "night"}
     assert any(line["gpus"] == 0.0 for line in lines)
 
 
-def test_a_bound_that_can_not_be_kept_is_a_breach(tmp_path: Path) -> None:
+def test_a_shortfall_above_the_bound_is_a_breach(tmp_path: Path) -> None:
+    """An audit that can't fail would pass every run; no controller can meet this bound."""
     done = run(tmp_path, "--seed=2", "--most-s=0.01", "--seconds=12", "--fault-every=60")
     assert done.returncode == 1, done.stdout + done.stderr
     assert "GUARANTEE BROKEN" in done.stdout
 
 
 @pytest.mark.parametrize("option", ["--seconds=0", "--port=none"])
-def test_what_can_not_be_played_is_said_before_anything_starts(tmp_path: Path, option: str) -> None:
+def test_invalid_options_are_reported_before_any_process_starts(
+    tmp_path: Path, option: str
+) -> None:
+    """A run must not fail half-way for a reason that its options already show."""
     done = run(tmp_path, option)
     assert done.returncode == 2
     assert done.stdout == ""
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of the checker can fail: a fault planted for each, and the same day without it."""
+"""Tests that each rule of the checker finds a fault, and that events without a fault break none."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def create_rules(job: wire.Spec | None = None) -> Rules:
-    """A job that was accepted at 1 s, its task 0 on n-0 since 2 s."""
+    """Creates rules with a job that was accepted at 1 s and whose task 0 runs on n-0 since 2 s."""
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     rules.record_submission(job or batch(REF, 2))
     rules.record_reply("submit", REF, 0.5, 1.0, 201, {"ref": REF, "stage": "pending"})
@@ -135,9 +135,10 @@
 @pytest.mark.parametrize(
     ("rule", "fault"), [(rule, fault) for rule, faults in FAULTS.items() for fault in faults]
 )
-def test_a_planted_fault_breaks_its_rule_and_no_other(
+def test_an_injected_fault_breaks_its_rule_and_no_other(
     rule: str, fault: Callable[[Rules], None]
 ) -> None:
+    """A rule that can't fail would let every simulated run pass."""
     rules = create_rules()
     assert not rules.broken
     fault(rules)
@@ -154,7 +155,8 @@
         {"spread": True, "tasks": 2},
     ],
 )
-def test_a_task_in_the_wrong_place_is_seen(change: dict[str, object]) -> None:
+def test_a_task_on_a_machine_that_its_job_excludes_is_found(change: dict[str, object]) -> None:
+    """Each constraint on a job's machines must be checked: type, zone, spot, one zone, spread."""
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     job = msgspec.structs.replace(batch(REF, 4), **change)
     rules.record_submission(job)
@@ -169,7 +171,8 @@
     assert right or set(change) <= {"machine_types", "zone"}
 
 
-def test_a_day_without_faults_breaks_nothing() -> None:
+def test_events_without_a_fault_break_no_rule() -> None:
+    """A rule that reports correct behaviour would make every simulated run fail."""
     rules = create_rules(batch(REF, 1))
     rules.record_end(f"{REF}/0", 1, "n-0", True)
     record_stage_reply(rules, wire.DONE, 3.0, 3.1)
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -1,4 +1,4 @@
-"""`emulate scale` at its smallest: real processes on loopback, for a few seconds."""
+"""Runs `emulate scale` at its smallest size: real processes on loopback, for a few seconds."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def processes_of(folder: Path) -> list[psutil.Process]:
-    """All that were started for a run: each names its folder on its command line."""
+    """Returns the processes of a run, which all have its folder on their command line."""
     found = []
     for process in psutil.process_iter(["cmdline"]):
         words = process.info["cmdline"] or []
@@ -52,6 +52,7 @@
 
 @pytest.mark.parametrize("cells", [1, 2])
 def test_the_smallest_run_breaks_no_rule_and_leaves_its_results(tmp_path: Path, cells: int) -> None:
+    """The whole path from processes to results works, with one cell and with several."""
     done = run(tmp_path, f"--cells={cells}", "--zones=4")
     assert done.returncode == 0, done.stdout + done.stderr
     size = json.loads((tmp_path / "results.json").read_text())["sizes"][0]
@@ -62,10 +63,10 @@
     assert steady["running_tasks"] > 30
     assert steady["processes"]["controller-0"]["memory_mb"] > 5
     assert disturbed["starts_per_s"] > 0
-    # The leader was ended, and another one led.
+    # The leader was killed, and another controller took over.
     assert len(steady["leaders"]) == len(disturbed["leaders"]) == cells
     assert disturbed["leaders"] != steady["leaders"]
-    # The directory of jobs and the shares are there just where there are several cells.
+    # Only several cells use the shared state service, for the job directory and for quota shares.
     assert (disturbed["shared_requests_per_s"] > 0) == (cells > 1)
     assert "leads and is ended" in done.stderr
     assert "workers" in done.stdout
@@ -75,6 +76,7 @@
 def test_a_task_that_is_started_twice_ends_the_run_with_the_events_that_show_it(
     tmp_path: Path,
 ) -> None:
+    """A run that misses a broken rule would report success; the option injects one."""
     done = run(tmp_path, "--break-rule")
     assert done.returncode == 1, done.stdout + done.stderr
     broken = json.loads((tmp_path / "results.json").read_text())["sizes"][0]["rules_broken"]
@@ -85,19 +87,20 @@
 
 
 @pytest.mark.parametrize("how", ["interrupt", "part dies"])
-def test_whatever_ends_the_run_ends_all_that_it_started(tmp_path: Path, how: str) -> None:
+def test_no_process_outlives_an_interrupted_or_failed_run(tmp_path: Path, how: str) -> None:
+    """Processes that stay would keep the ports of the next run and distort its figures."""
     with subprocess.Popen(
         command(tmp_path), cwd=ROOT, stderr=subprocess.PIPE, stdout=subprocess.PIPE, text=True
     ) as running:
         until = time.monotonic() + 30
         while len(processes_of(tmp_path)) < 8 and time.monotonic() < until:
             time.sleep(0.2)
-        assert len(processes_of(tmp_path)) == 8, "the run, four parts and three controllers"
+        assert len(processes_of(tmp_path)) == 8, "the run, four children and three controllers"
         if how == "interrupt":
             running.send_signal(signal.SIGINT)
         else:
-            part = next(p for p in processes_of(tmp_path) if p.cmdline()[-2:] == ["workers", "1"])
-            part.kill()
+            child = next(p for p in processes_of(tmp_path) if p.cmdline()[-2:] == ["workers", "1"])
+            child.kill()
         _, errors = running.communicate(timeout=20)
     assert running.returncode == (130 if how == "interrupt" else 1)
     assert ("workers-1" in errors) == (how == "part dies")
@@ -114,9 +117,10 @@
         (["--port=65535"], "lower --port"),
     ],
 )
-def test_what_can_not_be_run_is_said_before_anything_starts(
+def test_options_that_can_not_be_run_are_reported_before_any_process_starts(
     tmp_path: Path, options: list[str], words: str
 ) -> None:
+    """A run must not fail half-way for a reason that its options already show."""
     done = run(tmp_path, *options)
     assert done.returncode == 2
     assert words in done.stderr
