--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -43,7 +43,7 @@
 zone is cut off.
 """
 FAULTED_CELL = 0
-"""The index of the cell whose leader is killed."""
+"""The number of the cell whose leader is killed."""
 LEADER_ELECTED_PATTERN = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
 TAKEOVER_POLL_INTERVAL_S = 0.1
 """Seconds between two looks at the controllers' logs for a new leader."""
@@ -56,7 +56,7 @@
 CONNECT_TIMEOUT_S = 30.0
 """Seconds within which all child processes must connect to the coordinator."""
 READY_FRACTION = 0.95
-"""Fraction of the service replicas that must run for the warm-up to end."""
+"""The warm-up ends when as many tasks run as this fraction of the service replicas."""
 RESTART_DELAY_S = 2.0
 """Seconds after which a killed controller is started again."""
 RESTARTED_FRACTION = 0.05
@@ -99,9 +99,11 @@
         """The largest delay of a timer in the emulator's own processes, in seconds."""
         self.phases: list[Phase] = []
         self.warm_up_s: float | None = None
-        """Seconds until the service replicas ran; None: they did not within the time limit."""
+        """Seconds that the warm-up took; None: it did not end within the time limit."""
         self.leaders: dict[str, list[str]] = {}
-        """Which controllers led when a phase began, one per cell, by phase."""
+        """The leaders, one per cell, by phase: at its beginning, or after the takeover in the
+        disturbed phase.
+        """
         self.leader_killed_at: float | None = None
         """When the leader was killed; None: it was not."""
         self.taken_over_at: float | None = None
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -54,7 +54,7 @@
         self._machines = {machine.machine: machine for machine in plan.machines}
         self.events: list[Event] = []
         self.until = float("inf")
-        """Later events are ignored: when the run ends, not every child process has sent its own."""
+        """Later events are ignored: when the run ends, not every child process has sent them."""
 
     def add_machine(self, machine: wire.Listed) -> None:
         self._machines[machine.machine] = machine
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -20,7 +20,9 @@
 RESOURCE_TOLERANCE = 1e-6
 """Absolute tolerance for sums of cores and GPUs."""
 VICTIM_STOP_DELAY_S = 2.0
-"""Seconds from the choice of a task to preempt until it exits or begins to save its state."""
+"""Seconds from the choice of a task to preempt until it is told to stop and, if it saves its state,
+begins to do so.
+"""
 
 
 @dataclass(frozen=True)
@@ -42,7 +44,7 @@
     cores: float = 0.0
     gpus: float = 0.0
     rank: int = len(wire.RANKS)
-    """The highest rank of a service replica in it, as its index in `wire.RANKS`."""
+    """The highest rank of a service replica in it, which is the lowest value of `wire.RANKS`."""
 
 
 class LoanAudit:
@@ -84,7 +86,10 @@
         )
 
     def _is_borrowed(self, spec: wire.Spec) -> bool:
-        """Returns whether the team reaches its guarantee without the task, in a resource of it."""
+        """Returns whether the task runs on borrowed capacity.
+
+        It does if its team reaches the guarantee without it, in a resource that the task uses.
+        """
         team, used = self._teams[spec.team], self._rules.usage_by_team.get(spec.team, [0.0, 0.0])
         usage_without_task = used[0] - spec.cores, used[1] - spec.gpus
         has_no_guarantee = not (team.cores or team.gpus)
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -86,7 +86,7 @@
     """Changes in the state service that all cells share."""
     shared_requests_per_s: float
     leaders: list[str]
-    """The controllers that led at the beginning of the phase, one per cell."""
+    """The leaders, one per cell: at the beginning, or after the takeover in the disturbed phase."""
     machine_processor: float
     """Processor use of all processes, as a fraction of the machine's cores."""
 
