--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -37,7 +37,7 @@
 POLL_INTERVAL_RANGE_S = (4.0, 6.0)
 RETRY_BACKOFF_RANGE_S = (1.0, 2.0)
 RETRY_DEADLINE_S = 60.0
-"""Seconds after its first attempt at which a user stops to retry a request."""
+"""Seconds after the first attempt at which a user stops retrying a request."""
 CONNECTIONS_PER_CONTROLLER = 32
 SERVICE_SUBMISSION_FRACTION = 0.3
 """Services are submitted within this fraction of the longest warm-up."""
