--- a/flaxtally/emulator/child_process.py
+++ b/flaxtally/emulator/child_process.py
@@ -1,7 +1,7 @@
-"""A process of the emulated environment.
+"""The program of a child process of the emulator: it runs fake services, workers or users.
 
-`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. It speaks to the coordinator over
-one connection, and ends when that closes: no part outlives it.
+`python3 -m flaxtally.emulator.child_process PLAN ROLE NUMBER`. The process has one connection to
+the coordinator and exits when it closes, so no child process outlives the coordinator.
 """
 
 from __future__ import annotations
@@ -11,31 +11,33 @@
 import sys
 from pathlib import Path
 
-from .fake_environment import Outside
-from .link import OUTSIDE, WORKERS, Duty, Link
+from .fake_environment import FakeEnvironment
+from .link import ENVIRONMENT, WORKERS, CoordinatorLink, RoleHandler
 from .measured import CountingLoop
 from .plan import Plan, load
 from .users import Users
 from .workers import Workers
 
 
-def _duty(loop: CountingLoop, plan: Plan, role: str, number: int, link: Link) -> Duty:
-    if role == OUTSIDE:
-        return Outside(loop, plan, link)
+def _create_handler(
+    loop: CountingLoop, plan: Plan, role: str, number: int, link: CoordinatorLink
+) -> RoleHandler:
+    if role == ENVIRONMENT:
+        return FakeEnvironment(loop, plan, link)
     if role == WORKERS:
         return Workers(loop, plan, number, link)
     return Users(loop, plan, link)
 
 
 def main(argv: list[str]) -> int:
-    """Plays one part until the coordinator goes."""
+    """Runs one role until the connection to the coordinator closes; returns the exit code."""
     plan, role, number = load(Path(argv[0])), argv[1], int(argv[2])
     logging.basicConfig(
         stream=sys.stderr, level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s"
     )
     loop = CountingLoop()
-    link = Link(loop, plan, role, number)
-    link.start(_duty(loop, plan, role, number, link))
+    link = CoordinatorLink(loop, plan, role, number)
+    link.start(_create_handler(loop, plan, role, number, link))
     gc.freeze()
     loop.run()
     return 0
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -1,4 +1,4 @@
-"""A worker of the protocol without a machine under it: thousands of them fit into a process."""
+"""A fake worker without a machine behind it, so that a process can run thousands of them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from ..fakes.worker import Worker
 from ..protocol import wire
-from .load import Load, number_of
+from .load import Load, parse_job_number
 from .measured import CountingLoop, MeasuredClient
 
 if TYPE_CHECKING:
@@ -17,14 +17,14 @@
     from ..runtime.loop import Address
     from .plan import Plan
 
-REPORT_GAP_S = 0.5
-"""PROTOCOL: what changes is reported at once, but not more often than this."""
-FETCH_VARIATION = 0.33
-"""PROTOCOL: an image fetch takes its usual time give or take a third."""
+MIN_REPORT_INTERVAL_S = 0.5
+"""PROTOCOL: a change is reported at once, but reports are at least this many seconds apart."""
+FETCH_VARIATION_FRACTION = 0.33
+"""PROTOCOL: the time of an image fetch varies by up to a third in both directions."""
 
 
 class HollowWorker(Worker):
-    """Reports changes at once, draws its fetch times, restarts, and falls silent when told to."""
+    """Reports changes at once, draws random fetch times, and can be restarted or cut off."""
 
     def __init__(
         self,
@@ -33,12 +33,12 @@
         load: Load,
         machine: wire.ListedMachine,
         address: Address,
-        watch: Callable[[str, str, str, int], None],
-        took: Callable[[float], None],
+        on_task_event: Callable[[str, str, str, int], None],
+        on_report_answered: Callable[[float], None],
         rng: random.Random,
     ) -> None:
         self._reported_at = float("-inf")
-        self._change_waits = False
+        self._has_unreported_change = False
         self._fetched_at: dict[str, float] = {}
         kind = next(entry for entry in plan.types if entry.name == machine.machine_type)
         super().__init__(
@@ -49,72 +49,74 @@
             plan.node_addresses,
             plan.report_s,
             plan.lease_s,
-            lambda ref: load.job(number_of(ref)).spec,
-            lambda ref: load.job(number_of(ref)).run_s,
-            watch,
+            lambda ref: load.job(parse_job_number(ref)).spec,
+            lambda ref: load.job(parse_job_number(ref)).run_s,
+            on_task_event,
             rng,
         )
-        for name, where in plan.node_addresses.items():
-            self._clients[name] = MeasuredClient(loop, where, took)
+        for name, node_address in plan.node_addresses.items():
+            self._clients[name] = MeasuredClient(loop, node_address, on_report_answered)
 
     @property
-    def running(self) -> int:
-        """Tasks that run."""
+    def running_count(self) -> int:
+        """The number of running tasks."""
         return sum(held.state == wire.RUNNING for held in self.tasks.values())
 
     def restart(self) -> None:
-        """The worker's process ends and begins again: its tasks are gone, its session is new."""
+        """Simulates a restart of the worker's process: tasks are lost and a new session begins."""
         self._expire_lease()
         self.report_soon()
 
-    def silence(self, seconds: float) -> None:
-        """Nothing that it sends arrives, nothing sent to it reaches it, for so long."""
+    def disconnect(self, seconds: float) -> None:
+        """Drops all messages to and from the worker for so many seconds."""
         self.mute = self.deaf = True
-        self._runtime.after(seconds, self._hear_again)
+        self._runtime.after(seconds, self._reconnect)
 
-    def _hear_again(self) -> None:
+    def _reconnect(self) -> None:
         self.mute = self.deaf = False
 
     def report_soon(self) -> None:
         if self._busy:
-            self._change_waits = True
+            self._has_unreported_change = True
             return
-        self._schedule_heartbeat(self._earliest())
+        self._schedule_heartbeat(self._get_min_delay_s())
 
-    def _earliest(self) -> float:
-        """Seconds until a change may be reported."""
-        return max(0.0, REPORT_GAP_S - (self._runtime.now() - self._reported_at))
+    def _get_min_delay_s(self) -> float:
+        """Returns the seconds until the next report is allowed."""
+        return max(0.0, MIN_REPORT_INTERVAL_S - (self._runtime.now() - self._reported_at))
 
     def _schedule_heartbeat(self, delay: float) -> None:
-        if self._change_waits and not self._busy:
-            self._change_waits = False
-            delay = min(delay, self._earliest())
+        if self._has_unreported_change and not self._busy:
+            self._has_unreported_change = False
+            delay = min(delay, self._get_min_delay_s())
         super()._schedule_heartbeat(delay)
 
     def _send_heartbeat(self) -> None:
         self._reported_at = self._runtime.now()
         super()._send_heartbeat()
 
-    def _launch(self, order: wire.Command) -> None:
-        super()._launch(order)
-        held = self.tasks[order.task, order.attempt]
+    def _launch(self, command: wire.Command) -> None:
+        super()._launch(command)
+        held = self.tasks[command.task, command.attempt]
         if held.timer is not None and held.state == wire.FETCHING:
-            # The stand-in's fetch takes its usual time; here it takes the drawn one.
+            # The base class fetches in the usual time; replace that by a random time.
             held.timer.cancel()
-            held.timer = self._runtime.after(self._fetch_s(order.task), self._run, held)
+            held.timer = self._runtime.after(self._draw_fetch_s(command.task), self._run, held)
 
-    def run_at_once(self, held: HeldTask) -> None:
-        """Starts a task that nobody ordered, for runs that plant a fault."""
+    def start_unassigned(self, held: HeldTask) -> None:
+        """Starts a task without a command, for runs that inject this fault."""
         self._run(held)
 
-    def _fetch_s(self, task: str) -> float:
-        """Seconds until the task's image is there; 0 if it is there already."""
+    def _draw_fetch_s(self, task: str) -> float:
+        """Returns the seconds until the task's image is fetched; 0 if it already is."""
         spec = self._spec(task.partition("/")[0])
         if spec is None:
             return 0.0
         now = self._runtime.now()
         if spec.image not in self._fetched_at:
-            usual = spec.image_gb / self._machine_type.fetch_gb_per_s
-            drawn = usual * self._rng.uniform(1 - FETCH_VARIATION, 1 + FETCH_VARIATION)
-            self._fetched_at[spec.image] = now + drawn
+            usual_s = spec.image_gb / self._machine_type.fetch_gb_per_s
+            drawn_s = usual_s * self._rng.uniform(
+                1 - FETCH_VARIATION_FRACTION, 1 + FETCH_VARIATION_FRACTION
+            )
+            self._fetched_at[spec.image] = now + drawn_s
         return max(0.0, self._fetched_at[spec.image] - now)
--- a/flaxtally/emulator/measured.py
+++ b/flaxtally/emulator/measured.py
@@ -1,4 +1,4 @@
-"""A loop that counts the bytes of its own connections, and a client that times its requests."""
+"""A loop that counts the bytes of connections it opens, and a client that times its requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Traffic:
-    """Bytes of all counted connections, without what the system adds."""
+    """Payload bytes of all counted connections, without the overhead of TCP/IP."""
 
     def __init__(self) -> None:
         self.sent = self.received = 0
@@ -20,13 +20,13 @@
 
 
 class _CountedStream:
-    """A stream that adds its bytes to the traffic."""
+    """A stream that adds the bytes sent and received to the traffic."""
 
     def __init__(self, stream: Stream, traffic: Traffic) -> None:
         self._stream, self._traffic = stream, traffic
         self._on_data: Callable[[bytes], None] = lambda _: None
         self.far = stream.far
-        stream.on_data = self._received
+        stream.on_data = self._on_received
 
     @property
     def on_data(self) -> Callable[[bytes], None]:
@@ -51,13 +51,13 @@
     def close(self) -> None:
         self._stream.close()
 
-    def _received(self, data: bytes) -> None:
+    def _on_received(self, data: bytes) -> None:
         self._traffic.received += len(data)
         self._on_data(data)
 
 
 class CountingLoop(Loop):
-    """Counts what goes over connections that are opened here; accepted ones are not counted."""
+    """A loop that counts the traffic of connections it opens, and not of those it accepts."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -69,22 +69,26 @@
 
 
 class MeasuredClient(Client):
-    """Tells how long each request took that was answered."""
+    """A client that calls `on_answered` with the duration of each answered request, in seconds."""
 
     def __init__(
-        self, runtime: Loop, address: Address, took: Callable[[float], None], most: int = 1
+        self,
+        runtime: Loop,
+        address: Address,
+        on_answered: Callable[[float], None],
+        max_connections: int = 1,
     ) -> None:
-        super().__init__(runtime, address, most)
-        self._clock, self._took = runtime.now, took
+        super().__init__(runtime, address, max_connections)
+        self._clock, self._on_answered = runtime.now, on_answered
 
     def request(
-        self, method: str, path: str, body: Any, timeout: float, done: ReplyCallback
+        self, method: str, path: str, body: Any, timeout: float, on_reply: ReplyCallback
     ) -> None:
-        began = self._clock()
+        started_at = self._clock()
 
-        def told(reply: Reply) -> None:
+        def measure_reply(reply: Reply) -> None:
             if reply.status:
-                self._took(self._clock() - began)
-            done(reply)
+                self._on_answered(self._clock() - started_at)
+            on_reply(reply)
 
-        super().request(method, path, body, timeout, told)
+        super().request(method, path, body, timeout, measure_reply)
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -1,4 +1,4 @@
-"""What the processes of an emulated deployment tell each other: typed, as cbor2 frames over TCP."""
+"""The typed messages between the processes of an emulated deployment: cbor2 frames over TCP."""
 
 from __future__ import annotations
 
@@ -19,90 +19,90 @@
 
 
 class Event(msgspec.Struct, array_like=True):
-    """Something that the rules look at. `at` is the machine's steady clock, in seconds."""
+    """An event that the rules check. `at` is a time of the monotonic clock, in seconds."""
 
     at: float
     kind: str
     subject: str
-    """A task or a job."""
+    """The id of a task or a job."""
     machine: str = ""
     attempt: int = 0
     asked_at: float = 0.0
     status: int = 0
     stage: str = ""
     body_ref: str = ""
-    """The job that an answer speaks of."""
+    """The id of the job in a reply's body."""
 
 
-STARTED, ENDED, SUBMITTED, CANCEL_ASKED = "started", "ended", "submitted", "cancel_asked"
-ANSWERED_SUBMIT, ANSWERED_POLL, ANSWERED_CANCEL = "submit", "poll", "cancel"
-ANSWERS = (ANSWERED_SUBMIT, ANSWERED_POLL, ANSWERED_CANCEL)
+STARTED, ENDED, SUBMITTED, CANCEL_REQUESTED = "started", "ended", "submitted", "cancel_asked"
+SUBMIT_REPLY, POLL_REPLY, CANCEL_REPLY = "submit", "poll", "cancel"
+REPLY_KINDS = (SUBMIT_REPLY, POLL_REPLY, CANCEL_REPLY)
 
 
 class Hello(msgspec.Struct, tag_field="k", tag="hello"):
-    """A part says who it is, once it can serve."""
+    """Announces a child process that is ready."""
 
     role: str
     number: int
 
 
-class Begin(msgspec.Struct, tag_field="k", tag="begin"):
-    """The load begins."""
+class StartLoad(msgspec.Struct, tag_field="k", tag="begin"):
+    """Tells the users' process to start the load."""
 
 
 class Events(msgspec.Struct, tag_field="k", tag="events"):
-    """A piece of the history, in the order of one part."""
+    """Events of one child process, in their order."""
 
     events: list[Event]
 
 
 class Samples(msgspec.Struct, tag_field="k", tag="samples"):
-    """Measured delays in seconds, by what was measured."""
+    """Measured delays of one kind, in seconds."""
 
     name: str
     values: list[float]
 
 
 class Counters(msgspec.Struct, tag_field="k", tag="counters"):
-    """Totals since the part began."""
+    """Totals since the child process started, at a time of the monotonic clock."""
 
     at: float
     totals: dict[str, float]
 
 
 class LoopLate(msgspec.Struct, tag_field="k", tag="loop_late"):
-    """A part of the emulator itself is behind: its figures aren't the controllers'."""
+    """Reports a late timer in the emulator itself, which distorts the controllers' figures."""
 
     late: float
 
 
-class MachineUp(msgspec.Struct, tag_field="k", tag="machine_up"):
-    """The cloud started a machine."""
+class MachineStarted(msgspec.Struct, tag_field="k", tag="machine_up"):
+    """Announces that the fake cloud has started a machine."""
 
     machine: wire.ListedMachine
 
 
-class TakeMachines(msgspec.Struct, tag_field="k", tag="take_machines"):
-    """The cloud takes machines; nothing may run on them once this is answered."""
+class RemoveMachines(msgspec.Struct, tag_field="k", tag="take_machines"):
+    """Tells the workers' processes to remove machines; nothing may run on them after the reply."""
 
     request: int
     machines: list[str]
 
 
-class MachinesTaken(msgspec.Struct, tag_field="k", tag="machines_taken"):
-    """The answer to `TakeMachines`."""
+class MachinesRemoved(msgspec.Struct, tag_field="k", tag="machines_taken"):
+    """The reply to `RemoveMachines`."""
 
     request: int
 
 
 class RestartWorkers(msgspec.Struct, tag_field="k", tag="restart_workers"):
-    """A share of the workers loses its tasks and begins a new session, all at once."""
+    """Makes a fraction of the workers lose their tasks and begin a new session, all at once."""
 
     share: float
 
 
-class SilenceZone(msgspec.Struct, tag_field="k", tag="silence_zone"):
-    """A zone's workers neither send nor hear anything for a while."""
+class DisconnectZone(msgspec.Struct, tag_field="k", tag="silence_zone"):
+    """Drops all messages to and from a zone's workers for so many seconds."""
 
     zone: str
     seconds: float
@@ -110,52 +110,52 @@
 
 Message = (
     Hello
-    | Begin
+    | StartLoad
     | Events
     | Samples
     | Counters
     | LoopLate
-    | MachineUp
-    | TakeMachines
-    | MachinesTaken
+    | MachineStarted
+    | RemoveMachines
+    | MachinesRemoved
     | RestartWorkers
-    | SilenceZone
+    | DisconnectZone
 )
 
 
 class Channel:
-    """Messages over a stream, both ways. A malformed one is one log line."""
+    """Sends and receives messages over a stream; logs and skips a malformed message."""
 
     def __init__(
         self,
         stream: Stream,
-        receive: Callable[[Channel, Any], None],
-        closed: Callable[[Channel], None],
+        on_message: Callable[[Channel, Any], None],
+        on_closed: Callable[[Channel], None],
     ) -> None:
-        self._stream, self._receive, self._frames = stream, receive, FrameDecoder()
+        self._stream, self._on_message, self._frames = stream, on_message, FrameDecoder()
         self.role, self.number = "", 0
-        stream.on_data = self._data
-        stream.on_close = lambda: closed(self)
+        stream.on_data = self._on_data
+        stream.on_close = lambda: on_closed(self)
 
     @property
     def name(self) -> str:
-        """The part at the other end, once it has said who it is."""
+        """The name of the child process at the other end, once it has announced itself."""
         return f"{self.role}-{self.number}"
 
     def send(self, message: Message) -> None:
         self._stream.send(encode_frame(msgspec.to_builtins(message)))
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         try:
             frames = self._frames.feed(data)
-        except ValueError as fault:
-            log.error("event=malformed_stream part=%s why=%s", self.name, fault)
+        except ValueError as error:
+            log.error("event=malformed_stream part=%s why=%s", self.name, error)
             self._stream.close()
             return
         for frame in frames:
             try:
                 message = msgspec.convert(frame, Message)
-            except msgspec.ValidationError as fault:
-                log.error("event=malformed_message part=%s why=%s", self.name, fault)
+            except msgspec.ValidationError as error:
+                log.error("event=malformed_message part=%s why=%s", self.name, error)
                 continue
-            self._receive(self, message)
+            self._on_message(self, message)
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -1,7 +1,7 @@
-"""What one size of an emulated deployment consists of, computed from its options alone.
+"""The contents of one size of an emulated deployment, computed from its options alone.
 
 Every process of a run reads the same plan, so that all agree on machines, addresses, teams and jobs
-without telling each other.
+without exchanging messages.
 """
 
 from __future__ import annotations
@@ -21,29 +21,43 @@
 
 HOST = "127.0.0.1"
 FIRST_WORKER_HOST = int(ipaddress.IPv4Address("127.1.0.1"))
-"""Hollow workers listen on loopback addresses from this one on, one each."""
-MOST_HOSTS = 60_000
+"""The first of the loopback addresses on which hollow workers listen, one address per worker."""
+MAX_WORKER_HOSTS = 60_000
+"""Addresses after which the workers' addresses begin again at the first one."""
 CONTROLLER = "controller"
 GPU_TYPE, CPU_TYPE = "g8", "c64"
-GPU_EVERY = 5
-"""One machine in so many has GPUs: 8 of them, so 1.6 a machine (31,000 GPUs on 20,000 workers)."""
-CPU_CORES, GPU_CORES, GPUS = 64.0, 96.0, 8.0
-CORES_PER_TASK, RAM_PER_TASK = 6.0, 8.0
+MACHINES_PER_GPU_MACHINE = 5
+"""One machine in so many has GPUs. It has 8 of them, which gives 1.6 GPUs per machine (31,000 GPUs
+on 20,000 workers).
+"""
+CORES_PER_CPU_MACHINE, CORES_PER_GPU_MACHINE, GPUS_PER_GPU_MACHINE = 64.0, 96.0, 8.0
+CORES_PER_TASK, RAM_GB_PER_TASK = 6.0, 8.0
 WORKERS_PER_TEAM = 27
-"""20,000 workers have 750 teams."""
-FEWEST_TEAMS = 4
+"""Gives 750 teams for 20,000 workers."""
+MIN_TEAMS = 4
 LIMIT_RATIO, GUARANTEE_RATIO = 2.0, 0.8
-"""A team's limit and guarantee, by its mean share of the fleet."""
-SOCKETS_PER_WORKER, FEWEST_SOCKETS = 4, 700
-URGENT_LANE, SERVICE_LANE, BATCH_LANE = "gate", "serve", "batch"
-URGENT_WITHIN_S, URGENT_SHARE = 3.6, 0.95
-
-SHARED_STATE_PORT, CLOUD_PORT, CONTROL_PORT, WORKER_PORT, FIRST_STATE_PORT = 0, 1, 2, 3, 4
-"""Offsets from the first port; from the last on a state service a cell, then two a controller."""
+"""A team's limit and guarantee, as ratios to the mean amount of the fleet per team."""
+SOCKETS_PER_WORKER, MIN_SOCKETS = 4, 700
+"""Sockets of a controller: per worker, and the least in all."""
+URGENT_CLASS, SERVICE_CLASS, BATCH_CLASS = "gate", "serve", "batch"
+"""Job classes of the load."""
+URGENT_START_AIM_S, URGENT_AIM_FRACTION = 3.6, 0.95
+"""The aim for urgent jobs: this fraction of their tasks starts within so many seconds."""
+
+(
+    SHARED_STATE_PORT_OFFSET,
+    CLOUD_PORT_OFFSET,
+    CONTROL_PORT_OFFSET,
+    WORKER_PORT_OFFSET,
+    FIRST_STATE_PORT_OFFSET,
+) = 0, 1, 2, 3, 4
+"""Offsets from the first port. From the last one on follow one port per cell for its state service,
+then two ports per controller.
+"""
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """One size of a scale run. Durations are in seconds, rates a second."""
+    """One size of a scale run. Durations are in seconds, rates per second."""
 
     workers: int
     seconds: float = 30.0
@@ -51,9 +65,9 @@
     seed: int = 1
     port: int = 23000
     controllers: int = 3
-    """A cell."""
+    """Controllers per cell."""
     cells: int = 1
-    """Parts of the fleet with a leader and a state service of their own."""
+    """Parts of the fleet that each have their own leader and state service."""
     zones: int = 3
     workers_per_process: int = 1000
     state_rps: float = 500.0
@@ -67,17 +81,17 @@
     gang_wait_s: float = 40.0
     gang_peer_s: float = 6.0
     tasks_per_worker: float = 9.5
-    """190,000 tasks on 20,000 workers."""
+    """Running tasks per worker: 190,000 tasks on 20,000 workers."""
     starts_per_worker: float = 0.38
-    """7,600 starts a second on 20,000 workers."""
+    """Task starts per second and worker: 7,600 per second on 20,000 workers."""
     service_share: float = 0.6
-    """Of the running tasks; the others are batch tasks."""
+    """Fraction of service replicas among the running tasks; the others are batch tasks."""
     array_tasks: int = 100
-    """Mean tasks of a batch job."""
+    """Mean number of tasks of a batch job."""
     policy: str | None = None
-    """The controllers' policy file."""
+    """Path of the controllers' policy file; None: no policy file."""
     break_rule: bool = False
-    """Has a worker start a task that is on another one."""
+    """Whether a worker starts a task that already runs on another worker, to test the checks."""
 
     @property
     def zone_names(self) -> list[str]:
@@ -88,7 +102,7 @@
         return [f"{CONTROLLER}-{number}" for number in range(self.controllers * self.cells)]
 
     def cell_of_node(self, number: int) -> int:
-        """Neighbours in the list of controllers are of different cells."""
+        """Returns the cell of a controller; neighbours in the list belong to different cells."""
         return number % self.cells
 
     def nodes_of(self, cell: int) -> list[str]:
@@ -107,29 +121,29 @@
 
     @property
     def sockets(self) -> int:
-        """What a controller may use: all workers at one of them, twice."""
-        return max(FEWEST_SOCKETS, SOCKETS_PER_WORKER * self.workers)
+        """Sockets that a controller may open: enough for all workers at one controller, twice."""
+        return max(MIN_SOCKETS, SOCKETS_PER_WORKER * self.workers)
 
     @property
     def shared_state(self) -> Address:
-        """The state service that all cells share, where there are several."""
-        return HOST, self.port + SHARED_STATE_PORT
+        """Address of the state service that all cells share if there are several."""
+        return HOST, self.port + SHARED_STATE_PORT_OFFSET
 
     def state(self, cell: int) -> Address:
-        """A cell's own state service."""
-        return HOST, self.port + FIRST_STATE_PORT + cell
+        """Returns the address of a cell's own state service."""
+        return HOST, self.port + FIRST_STATE_PORT_OFFSET + cell
 
     @property
     def cloud(self) -> Address:
-        return HOST, self.port + CLOUD_PORT
+        return HOST, self.port + CLOUD_PORT_OFFSET
 
     @property
     def control(self) -> Address:
-        return HOST, self.port + CONTROL_PORT
+        return HOST, self.port + CONTROL_PORT_OFFSET
 
     def users_address(self, number: int) -> Address:
-        """Where a controller listens to users and workers; its peers are one port higher."""
-        return HOST, self.port + FIRST_STATE_PORT + self.cells + 2 * number
+        """Returns where a controller listens to users and workers; peers use the next port."""
+        return HOST, self.port + FIRST_STATE_PORT_OFFSET + self.cells + 2 * number
 
     @property
     def node_addresses(self) -> dict[str, Address]:
@@ -138,43 +152,64 @@
     @property
     def ports(self) -> list[int]:
         """All ports on the first loopback address."""
-        from_states = range(
-            FIRST_STATE_PORT, FIRST_STATE_PORT + self.cells + 2 * self.controllers * self.cells
+        controller_and_state_offsets = range(
+            FIRST_STATE_PORT_OFFSET,
+            FIRST_STATE_PORT_OFFSET + self.cells + 2 * self.controllers * self.cells,
+        )
+        offsets = (
+            SHARED_STATE_PORT_OFFSET,
+            CLOUD_PORT_OFFSET,
+            CONTROL_PORT_OFFSET,
+            *controller_and_state_offsets,
         )
-        offsets = (SHARED_STATE_PORT, CLOUD_PORT, CONTROL_PORT, *from_states)
         return [self.port + offset for offset in offsets]
 
     def worker_address(self, number: int) -> Address:
-        """The machine's own loopback address: hosts are never used again within a run."""
-        host = ipaddress.IPv4Address(FIRST_WORKER_HOST + number % MOST_HOSTS)
-        return str(host), self.port + WORKER_PORT
+        """Returns a worker's own loopback address; no host is used twice within a run."""
+        host = ipaddress.IPv4Address(FIRST_WORKER_HOST + number % MAX_WORKER_HOSTS)
+        return str(host), self.port + WORKER_PORT_OFFSET
 
     @property
     def types(self) -> list[wire.MachineType]:
         zones = self.zone_names
         return [
-            wire.MachineType(CPU_TYPE, CPU_CORES, 0.0, 256.0, 80.0, 1.0, 1.0, 0.4, 10.0, zones),
-            wire.MachineType(GPU_TYPE, GPU_CORES, GPUS, 768.0, 400.0, 4.0, 12.0, 4.5, 15.0, zones),
+            wire.MachineType(
+                CPU_TYPE, CORES_PER_CPU_MACHINE, 0.0, 256.0, 80.0, 1.0, 1.0, 0.4, 10.0, zones
+            ),
+            wire.MachineType(
+                GPU_TYPE,
+                CORES_PER_GPU_MACHINE,
+                GPUS_PER_GPU_MACHINE,
+                768.0,
+                400.0,
+                4.0,
+                12.0,
+                4.5,
+                15.0,
+                zones,
+            ),
         ]
 
     @property
     def machines(self) -> list[wire.ListedMachine]:
-        """The fleet at the start. Zones and types are spread evenly."""
+        """The fleet at the start, with machine types spread evenly over the zones."""
         zones = self.zone_names
-        found = []
+        fleet = []
         for number in range(self.workers):
-            kind = GPU_TYPE if number % GPU_EVERY == 0 else CPU_TYPE
+            machine_type = GPU_TYPE if number % MACHINES_PER_GPU_MACHINE == 0 else CPU_TYPE
             zone = zones[number % self.zones]
             host, port = self.worker_address(number)
             name = f"n-{number:06d}"
-            found.append(
-                wire.ListedMachine(name, kind, zone, False, "running", 0.0, f"{host}:{port}")
+            fleet.append(
+                wire.ListedMachine(
+                    name, machine_type, zone, False, "running", 0.0, f"{host}:{port}"
+                )
             )
-        return found
+        return fleet
 
     @property
     def capacity(self) -> dict[tuple[str, str, bool], int]:
-        """What the cloud has, by type, zone and spot: the fleet at the start and no more."""
+        """The cloud's machines by type, zone and spot: the fleet at the start and no more."""
         pools: dict[tuple[str, str, bool], int] = {}
         for machine in self.machines:
             pool = machine.machine_type, machine.zone, machine.spot
@@ -183,24 +218,29 @@
 
     @property
     def teams(self) -> list[Team]:
-        count = max(FEWEST_TEAMS, self.workers // WORKERS_PER_TEAM)
-        gpu_machines = -(-self.workers // GPU_EVERY)
-        cores = (self.workers - gpu_machines) * CPU_CORES + gpu_machines * GPU_CORES
-        gpus = gpu_machines * GPUS
-
-        def amounts(whole: float) -> tuple[float, float]:
-            mean = whole / count
+        count = max(MIN_TEAMS, self.workers // WORKERS_PER_TEAM)
+        gpu_machines = -(-self.workers // MACHINES_PER_GPU_MACHINE)
+        cores = (
+            self.workers - gpu_machines
+        ) * CORES_PER_CPU_MACHINE + gpu_machines * CORES_PER_GPU_MACHINE
+        gpus = gpu_machines * GPUS_PER_GPU_MACHINE
+
+        def compute_amounts(total: float) -> tuple[float, float]:
+            mean = total / count
             return round(GUARANTEE_RATIO * mean, 1), round(LIMIT_RATIO * mean, 1)
 
-        return [Team(f"team-{number}", *amounts(cores), *amounts(gpus)) for number in range(count)]
+        return [
+            Team(f"team-{number}", *compute_amounts(cores), *compute_amounts(gpus))
+            for number in range(count)
+        ]
 
-    def process_of(self, machine: str) -> int:
-        """Which of the workers' processes plays the machine."""
+    def get_worker_process(self, machine: str) -> int:
+        """Returns the number of the workers' process that runs the machine's hollow worker."""
         return int(machine.removeprefix("n-")) % self.worker_processes
 
 
 def save(plan: Plan, path: Path) -> None:
-    """Writes the plan for the processes of a run."""
+    """Writes the plan for the processes of a run to a file (JSON)."""
     path.write_bytes(msgspec.json.format(msgspec.json.encode(plan)) + b"\n")
 
 
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -1,7 +1,7 @@
-"""The protocol's rules, checked from outside: by what workers run and what users are told.
+"""Checks the protocol's rules from outside: by what workers run and what replies users get.
 
-Knows nothing of the controllers' state. Broken rules are kept in `broken`; whoever feeds the events
-(the tests' simulated world, the emulator) ends its run with them.
+It knows nothing of the controllers' state. Broken rules are collected in `broken`; the caller that
+records the events (the tests' simulated cluster, the emulator) ends its run if there are any.
 """
 
 from __future__ import annotations
@@ -15,36 +15,42 @@
 
     from ..settings import Team
 
-FINAL = (wire.DONE, wire.ABORTED)
-UNANSWERED_S = 75.0
-WAITING_S = 90.0
-SLACK = 1e-6
+FINAL_STAGES = (wire.DONE, wire.ABORTED)
+MAX_UNANSWERED_S = 75.0
+"""Without faults, the longest time without a successful reply about an accepted job."""
+MAX_WAITING_S = 90.0
+"""Without faults, the longest time that a job may wait while a machine has capacity for it."""
+RESOURCE_TOLERANCE = 1e-6
+"""Absolute tolerance for sums of cores and GPUs."""
 
 
 class _Job:
-    """What its user knows of a job, and what became of its tasks."""
+    """What the user knows of a job, and the state of its tasks."""
 
     def __init__(self, spec: wire.Spec | None) -> None:
         self.spec = spec
         self.submitted = self.accepted = self.is_cancel_requested = False
         self.final_stage: str | None = None
+        """The final stage that the user was told first; None: none yet."""
         self.final_stage_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
-        self.placements: dict[str, str] = {}
-        """The zone of each of its tasks that is on a machine."""
-        self.answered_at = 0.0
-        self.waits_since: float | None = None
+        """Tasks that ended successfully."""
+        self.task_zones: dict[str, str] = {}
+        """The zone of each task that is on a machine."""
+        self.last_reply_at = 0.0
+        self.waiting_since: float | None = None
+        """Since when a task could start on a machine and none did; None: no task could."""
 
 
-def _over(team: Team, cores: float, gpus: float) -> bool:
-    """Whether that much is beyond the team's limit."""
+def _exceeds_limit(team: Team, cores: float, gpus: float) -> bool:
+    """Returns whether that usage is above the team's limit."""
     return bool(
         (team.cores_max and cores > team.cores_max) or (team.gpus_max and gpus > team.gpus_max)
     )
 
 
-def allowed(spec: wire.Spec, machine: wire.ListedMachine, zones: list[str]) -> bool:
-    """Whether one more task of the job may be there, given the zones of its others."""
+def may_run_on(spec: wire.Spec, machine: wire.ListedMachine, zones: list[str]) -> bool:
+    """Returns whether one more task may run on the machine, given the zones of the job's others."""
     return (
         (spec.machine_types is None or machine.machine_type in spec.machine_types)
         and spec.zone in (None, machine.zone)
@@ -55,7 +61,7 @@
 
 
 class Rules:
-    """Owns the outside view: who runs where, and what was answered when."""
+    """Owns the view from outside: which tasks run where, and which replies users got."""
 
     def __init__(
         self, teams: dict[str, Team], types: Iterable[wire.MachineType], cancel_s: float
@@ -63,15 +69,19 @@
         self.teams, self.types, self.cancel_s = teams, {kind.name: kind for kind in types}, cancel_s
         self.jobs: dict[str, _Job] = {}
         self.placements: dict[str, tuple[wire.ListedMachine, int]] = {}
-        """Where each task is that is on a machine, also while that hangs or can't be reached."""
-        self.used: dict[str, list[float]] = {}
+        """The machine and attempt of each task that is on a machine, also while the machine hangs
+        or can't be reached.
+        """
+        self.usage_by_team: dict[str, list[float]] = {}
+        """Cores and GPUs that each team uses."""
         self.broken: list[str] = []
-        self.crossed = 0
-        """Answers older than one given before them, to questions asked before that one was given.
+        self.reordered_replies = 0
+        """How many replies were older than one before them, and answered a request that was sent
+        before that one arrived; this is allowed.
         """
 
-    def record_violation(self, rule: str, what: str, at: float) -> None:
-        self.broken.append(f"{at:.2f} {rule}: {what}")
+    def record_violation(self, rule: str, details: str, at: float) -> None:
+        self.broken.append(f"{at:.2f} {rule}: {details}")
 
     def job(self, ref: str) -> _Job:
         return self.jobs.setdefault(ref, _Job(None))
@@ -96,19 +106,21 @@
         if spec is None:
             self.record_violation("nobody_asked", task, now)
             return
-        if not allowed(spec, machine, list(job.placements.values())):
+        if not may_run_on(spec, machine, list(job.task_zones.values())):
             self.record_violation(
                 "wrong_place",
                 f"{task} on {machine.machine_type} {machine.zone} spot={machine.spot}",
                 now,
             )
-        job.waits_since = None
+        job.waiting_since = None
         self.placements[task] = machine, attempt
-        job.placements[task] = machine.zone
-        used = self.used.setdefault(spec.team, [0.0, 0.0])
+        job.task_zones[task] = machine.zone
+        used = self.usage_by_team.setdefault(spec.team, [0.0, 0.0])
         used[0] += spec.cores
         used[1] += spec.gpus
-        if _over(self.teams[spec.team], used[0] - SLACK, used[1] - SLACK):
+        if _exceeds_limit(
+            self.teams[spec.team], used[0] - RESOURCE_TOLERANCE, used[1] - RESOURCE_TOLERANCE
+        ):
             self.record_violation("quota", f"{spec.team} uses {used}", now)
 
     def record_end(self, task: str, attempt: int, machine: str, done: bool) -> None:
@@ -117,10 +129,10 @@
             return
         del self.placements[task]
         job = self.job(task.partition("/")[0])
-        del job.placements[task]
+        del job.task_zones[task]
         assert job.spec is not None
-        self.used[job.spec.team][0] -= job.spec.cores
-        self.used[job.spec.team][1] -= job.spec.gpus
+        self.usage_by_team[job.spec.team][0] -= job.spec.cores
+        self.usage_by_team[job.spec.team][1] -= job.spec.gpus
         if done:
             job.done.add(task)
 
@@ -134,40 +146,42 @@
         self.job(ref).is_cancel_requested = True
 
     def record_reply(
-        self, what: str, ref: str, asked_at: float, now: float, status: int, body: Any
+        self, operation: str, ref: str, asked_at: float, now: float, status: int, body: Any
     ) -> None:
-        """An answer as it reached its user. `what`: submit, poll or cancel."""
+        """Records a reply as it reached its user. `operation`: submit, poll or cancel."""
         job = self.job(ref)
         if status in (200, 201):
-            job.answered_at = now
+            job.last_reply_at = now
             if not job.submitted:
-                self.record_violation("invented", f"{what} of {ref}", now)
+                self.record_violation("invented", f"{operation} of {ref}", now)
                 return
             if body["ref"] != ref:
                 self.record_violation(
-                    "wrong_job", f"{what} of {ref} is answered about {body['ref']}", now
+                    "wrong_job", f"{operation} of {ref} is answered about {body['ref']}", now
                 )
                 return
-            self._told(job, ref, asked_at, now, body["stage"])
-            if what == "submit" and not job.accepted:
+            self._check_reply_stage(job, ref, asked_at, now, body["stage"])
+            if operation == "submit" and not job.accepted:
                 job.accepted, job.accepted_at = True, now
-                why = self._cannot_run(job.spec)
+                why = self._find_rejection_reason(job.spec)
                 if why:
                     self.record_violation("accepted", f"{ref}: {why}", now)
         elif asked_at >= job.accepted_at and (
-            status == 404 or (what == "submit" and status in (400, 422))
+            status == 404 or (operation == "submit" and status in (400, 422))
         ):
-            self.record_violation("forgotten", f"{what} of {ref} answered {status}", now)
+            self.record_violation("forgotten", f"{operation} of {ref} answered {status}", now)
 
-    def _told(self, job: _Job, ref: str, asked_at: float, now: float, stage: str) -> None:
+    def _check_reply_stage(
+        self, job: _Job, ref: str, asked_at: float, now: float, stage: str
+    ) -> None:
         assert job.spec is not None
         if job.final_stage is not None and stage != job.final_stage:
-            if asked_at >= job.final_stage_at or stage in FINAL:
+            if asked_at >= job.final_stage_at or stage in FINAL_STAGES:
                 self.record_violation(
                     "went_back", f"{ref} was {job.final_stage}, then {stage}", now
                 )
             else:
-                self.crossed += 1
+                self.reordered_replies += 1
         if stage == wire.ABORTED and not job.is_cancel_requested:
             self.record_violation(
                 "went_back", f"{ref} is called cancelled, and its user did not ask", now
@@ -178,17 +192,17 @@
             self.record_violation(
                 "not_done", f"{ref} with {len(job.done)} of {job.spec.tasks}", now
             )
-        if stage in FINAL and job.final_stage is None:
+        if stage in FINAL_STAGES and job.final_stage is None:
             job.final_stage, job.final_stage_at = stage, now
 
-    def _cannot_run(self, spec: wire.Spec | None) -> str | None:
+    def _find_rejection_reason(self, spec: wire.Spec | None) -> str | None:
         if spec is None:
             return "lacks a field"
         team = self.teams.get(spec.team)
         if team is None:
             return "unknown team"
         count = 1 if spec.job_kind == wire.ARRAY else spec.tasks
-        if _over(team, spec.cores * count, spec.gpus * count):
+        if _exceeds_limit(team, spec.cores * count, spec.gpus * count):
             return "beyond its team's limit"
         fits = any(
             kind.cores >= spec.cores
@@ -200,10 +214,10 @@
         )
         return None if fits else "fits no machine"
 
-    # What time alone breaks
+    # Rules that are broken by the passing of time
 
     def check_deadlines(self, now: float) -> None:
-        """At any moment: what is left of jobs that were told as cancelled."""
+        """Checks that no task still runs `cancel_s` after its job was reported as cancelled."""
         for task, (machine, _) in self.placements.items():
             job = self.job(task.partition("/")[0])
             if job.final_stage == wire.ABORTED and now > job.final_stage_at + self.cancel_s:
@@ -214,30 +228,37 @@
                 )
 
     def check_after_faults(
-        self, now: float, calm_since: float, machines: list[tuple[wire.ListedMachine, set[str]]]
+        self,
+        now: float,
+        faults_ended_at: float,
+        machines: list[tuple[wire.ListedMachine, set[str]]],
     ) -> None:
-        """Once all troubles are over.
+        """Checks, after the last fault, that requests are answered and no job waits without reason.
 
-        `machines`: those that are up, and the tasks on each, with those that fetch.
+        `machines`: the machines that are up, with their tasks, also tasks that fetch an image.
         """
         held = {task for _, tasks in machines for task in tasks}
-        rooms = [(machine, self._room(machine, tasks)) for machine, tasks in machines]
+        free_by_machine = [
+            (machine, self._compute_free_resources(machine, tasks)) for machine, tasks in machines
+        ]
         for ref, job in self.jobs.items():
             spec = job.spec
             if not job.accepted or spec is None or job.final_stage is not None:
                 continue
-            if now - max(job.answered_at, calm_since) > UNANSWERED_S:
+            if now - max(job.last_reply_at, faults_ended_at) > MAX_UNANSWERED_S:
                 self.record_violation("forgotten", f"no question about {ref} is answered", now)
             tasks = {f"{ref}/{number}" for number in range(spec.tasks)} - job.done - held
-            if job.is_cancel_requested or not tasks or not self._could_start(spec, rooms):
-                job.waits_since = None
-            elif job.waits_since is None:
-                job.waits_since = now
-            elif now - max(job.waits_since, calm_since) > WAITING_S:
-                # Nothing of it began in that time, though there was room for it all along.
+            if job.is_cancel_requested or not tasks or not self._could_start(spec, free_by_machine):
+                job.waiting_since = None
+            elif job.waiting_since is None:
+                job.waiting_since = now
+            elif now - max(job.waiting_since, faults_ended_at) > MAX_WAITING_S:
+                # No task of the job started in that time, although a machine always had capacity.
                 self.record_violation("left_waiting", f"{ref} while a machine fits", now)
 
-    def _room(self, machine: wire.ListedMachine, tasks: set[str]) -> tuple[float, float, float]:
+    def _compute_free_resources(
+        self, machine: wire.ListedMachine, tasks: set[str]
+    ) -> tuple[float, float, float]:
         kind, specs = (
             self.types[machine.machine_type],
             [self.job(task.partition("/")[0]).spec for task in tasks],
@@ -249,16 +270,18 @@
         )
 
     def _could_start(
-        self, spec: wire.Spec, rooms: list[tuple[wire.ListedMachine, tuple[float, float, float]]]
+        self,
+        spec: wire.Spec,
+        free_by_machine: list[tuple[wire.ListedMachine, tuple[float, float, float]]],
     ) -> bool:
-        team, used = self.teams[spec.team], self.used.get(spec.team, [0.0, 0.0])
-        if _over(team, used[0] + spec.cores, used[1] + spec.gpus):
+        team, used = self.teams[spec.team], self.usage_by_team.get(spec.team, [0.0, 0.0])
+        if _exceeds_limit(team, used[0] + spec.cores, used[1] + spec.gpus):
             return False
-        zones = list(self.job(spec.ref).placements.values())
+        zones = list(self.job(spec.ref).task_zones.values())
         return any(
-            room[0] >= spec.cores
-            and room[1] >= spec.gpus
-            and room[2] >= spec.memory_gb
-            and allowed(spec, machine, zones)
-            for machine, room in rooms
+            free[0] >= spec.cores
+            and free[1] >= spec.gpus
+            and free[2] >= spec.memory_gb
+            and may_run_on(spec, machine, zones)
+            for machine, free in free_by_machine
         )
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule of the checker can fail: a fault planted for each, and the same day without it."""
+"""Tests that each rule of the checker finds a fault, and that events without a fault break none."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
     return wire.ListedMachine(name, kind, zone, spot, "running", 0.0, None)
 
 
-def day(job: wire.Spec | None = None) -> Rules:
-    """A job that was accepted at 1 s, its task 0 on n-0 since 2 s."""
+def create_rules(job: wire.Spec | None = None) -> Rules:
+    """Creates rules with a job that was accepted at 1 s and whose task 0 runs on n-0 since 2 s."""
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     rules.record_submission(job or batch(REF, 2))
     rules.record_reply("submit", REF, 0.5, 1.0, 201, {"ref": REF, "stage": "pending"})
@@ -32,13 +32,15 @@
     return rules
 
 
-def told(rules: Rules, stage: str, asked_at: float, at: float, ref: str = REF) -> None:
+def record_stage_reply(
+    rules: Rules, stage: str, asked_at: float, at: float, ref: str = REF
+) -> None:
     rules.record_reply("poll", ref, asked_at, at, 200, {"ref": ref, "stage": stage})
 
 
 def cancelled(rules: Rules) -> None:
     rules.record_cancel_request(REF)
-    told(rules, wire.ABORTED, 3.0, 3.1)
+    record_stage_reply(rules, wire.ABORTED, 3.0, 3.1)
 
 
 def ran_twice(rules: Rules) -> None:
@@ -78,24 +80,24 @@
 
 
 def invented(rules: Rules) -> None:
-    told(rules, wire.PENDING, 2.0, 2.1, "j-000009")
+    record_stage_reply(rules, wire.PENDING, 2.0, 2.1, "j-000009")
 
 
 def not_done(rules: Rules) -> None:
     rules.record_end(f"{REF}/0", 1, "n-0", True)
-    told(rules, wire.DONE, 3.0, 3.1)
+    record_stage_reply(rules, wire.DONE, 3.0, 3.1)
 
 
 def went_back(rules: Rules) -> None:
     cancelled(rules)
-    told(rules, wire.PENDING, 3.0, 3.2)
-    assert rules.crossed == 1
+    record_stage_reply(rules, wire.PENDING, 3.0, 3.2)
+    assert rules.reordered_replies == 1
     assert not rules.broken
-    told(rules, wire.PENDING, 3.15, 3.2)
+    record_stage_reply(rules, wire.PENDING, 3.15, 3.2)
 
 
 def cancelled_by_nobody(rules: Rules) -> None:
-    told(rules, wire.ABORTED, 3.0, 3.1)
+    record_stage_reply(rules, wire.ABORTED, 3.0, 3.1)
 
 
 def wrong_job(rules: Rules) -> None:
@@ -133,10 +135,11 @@
 @pytest.mark.parametrize(
     ("rule", "fault"), [(rule, fault) for rule, faults in FAULTS.items() for fault in faults]
 )
-def test_a_planted_fault_breaks_its_rule_and_no_other(
+def test_an_injected_fault_breaks_its_rule_and_no_other(
     rule: str, fault: Callable[[Rules], None]
 ) -> None:
-    rules = day()
+    """A rule that can't fail would let every simulated run pass."""
+    rules = create_rules()
     assert not rules.broken
     fault(rules)
     assert {broken.split()[1] for broken in rules.broken} == {rule + ":"}
@@ -152,7 +155,8 @@
         {"spread": True, "tasks": 2},
     ],
 )
-def test_a_task_in_the_wrong_place_is_seen(change: dict[str, object]) -> None:
+def test_a_task_on_a_machine_that_its_job_excludes_is_found(change: dict[str, object]) -> None:
+    """Each constraint on a job's machines must be checked: type, zone, spot, one zone, spread."""
     rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
     job = msgspec.structs.replace(batch(REF, 4), **change)
     rules.record_submission(job)
@@ -167,11 +171,12 @@
     assert right or set(change) <= {"machine_types", "zone"}
 
 
-def test_a_day_without_faults_breaks_nothing() -> None:
-    rules = day(batch(REF, 1))
+def test_events_without_a_fault_break_no_rule() -> None:
+    """A rule that reports correct behaviour would make every simulated run fail."""
+    rules = create_rules(batch(REF, 1))
     rules.record_end(f"{REF}/0", 1, "n-0", True)
-    told(rules, wire.DONE, 3.0, 3.1)
-    told(rules, wire.DONE, 3.2, 3.3)
+    record_stage_reply(rules, wire.DONE, 3.0, 3.1)
+    record_stage_reply(rules, wire.DONE, 3.2, 3.3)
     rules.record_reply("poll", "j-000404", 3.0, 3.1, 404, None)
     rules.check_deadlines(500.0)
     rules.check_after_faults(500.0, 10.0, [(listed("n-0"), set())])
