--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -20,8 +20,8 @@
     from ..reclaim.reclaim_admission import ReclaimAdmission
     from ..reclaim.reclaimed_capacity import ReclaimedCapacity
     from .preemption_policy import PreemptionBudget, PreemptionRequest
+    from .preemptors import Preemptors
     from .reservations import TaskKey
-    from .served_tasks import ServedTasks
 
 OVERDUE_RECLAIM_FRACTION = 0.5
 """The fraction of the reclaim deadline after which an entitled job also uses capacity that is
@@ -107,17 +107,17 @@
         """Starts the reclaim deadline of the job."""
         self._admission.record_demand(job)
 
-    def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
+    def next_unserved_task(self, job: Job, served: Preemptors, now: float) -> TaskKey | None:
         """Returns the next pending task for which no reclaim or preemption is open."""
         reclaimed_count = self._open_reclaims.count_tasks_for(job)
-        served_tasks = served.pending_of(job, now)
-        if reclaimed_count + len(served_tasks) >= job.pending_count:
+        preemptors = served.pending_of(job, now)
+        if reclaimed_count + len(preemptors) >= job.pending_count:
             return None
         pending = itertools.chain(
-            heapq.nsmallest(len(served_tasks) + 1, job.retry_queue),
+            heapq.nsmallest(len(preemptors) + 1, job.retry_queue),
             range(job.next_unstarted_task, job.spec.tasks),
         )
-        return next(((job.number, task) for task in pending if task not in served_tasks), None)
+        return next(((job.number, task) for task in pending if task not in preemptors), None)
 
     def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
         """Counts tasks for which capacity is being reclaimed as placed."""
