--- a/flaxtally/gangs/gang_capacity.py
+++ b/flaxtally/gangs/gang_capacity.py
@@ -8,7 +8,7 @@
 
 from ..planning.choice import choose_machine, estimate_fetch_s
 from ..planning.fleet import Machine
-from ..planning.machine_index import Fit, MachineIndex
+from ..planning.machine_index import FitCheck, MachineIndex
 
 if TYPE_CHECKING:
     from ..planning.placement import GpuReservations
@@ -38,7 +38,7 @@
         None: no machine has capacity for the task.
         """
         if previous is not None and previous.zone not in excluded_zones:
-            fits = Fit(self.spec, self.gpu_reservations, self.machine_filter)
+            fits = FitCheck(self.spec, self.gpu_reservations, self.machine_filter)
             if fits(previous, self.index.machine_types[previous.machine_type]):
                 return previous
         return choose_machine(
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -77,7 +77,7 @@
     def make_target_search(self) -> TargetSearch:
         """Returns the parameters of a search for machines to which replicas can move."""
         return TargetSearch(
-            self._jobs.gpu_reservations, self.policy.sample, self._jobs.excluded_zones
+            self._jobs.gpu_reservations, self.policy.sample, self._jobs.find_excluded_zones
         )
 
     def _compute_max_disrupted_machines(self) -> int:
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -190,7 +190,7 @@
         if phase in (Phase.LAUNCHING, Phase.WAITING) or (phase is Phase.RUNNING and can_save):
             self.stop_gang(job, "preemption notice")
 
-    def watch(self) -> None:
+    def check_gangs(self) -> None:
         """Repeats stop commands that were not executed; removes attempts of terminal gangs."""
         self._request_pass_for_waiting_gangs()
         for number in self._attempts.list_job_numbers():
@@ -233,7 +233,7 @@
         """Commands all tasks to save and exit: one decision for the whole gang."""
         self._stops.stop_gang(job, reason)
 
-    def preemption_cost(self, job: Job) -> float:
+    def estimate_lost_work_s(self, job: Job) -> float:
         """Returns the seconds of work, summed over all tasks, that a stop of the gang discards."""
         now = self.runtime.now()
         spec = job.spec
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -250,7 +250,7 @@
         """The cores and memory to reserve for each GPU."""
         return self.shapes.gpu_reservations
 
-    def excluded_zones(
+    def find_excluded_zones(
         self, job: Job, excluded_placement: Placement | None = None
     ) -> frozenset[str]:
         """Returns the zones in which none of the job's tasks may be placed now.
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -86,7 +86,7 @@
         return [
             TeamUsage(
                 team,
-                self.term.quota(team),
+                self.term.get_quota(team),
                 self.term.compute_team_usage(team),
                 waiting.get(team, NO_RESOURCES),
             )
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -141,11 +141,11 @@
         """Whether the task is the victim of a reclaim that has not sent its stops."""
         return (placed.job.number, placed.task, placed.attempt) in self._chosen
 
-    def is_leaving(self, placed: Placement) -> bool:
+    def will_stop(self, placed: Placement) -> bool:
         """Whether the task was sent a stop, or will be sent one by a reclaim."""
         return placed.stopping_at is not None or self.is_chosen(placed)
 
-    def for_job(self, job: Job) -> list[OpenReclaim]:
+    def list_for_job(self, job: Job) -> list[OpenReclaim]:
         """Returns the reclaims for a job, the oldest first."""
         return list(self._by_job.get(job.number, ()))
 
@@ -153,7 +153,7 @@
         """Returns the number of the job's tasks for which capacity is being reclaimed."""
         return sum(entry.reclaim.tasks for entry in self._by_job.get(job.number, ()))
 
-    def is_served(self, job: Job) -> bool:
+    def has_reclaim_for_each_task(self, job: Job) -> bool:
         """Whether there is a reclaim for each pending task of the job."""
         return self.count_tasks_for(job) >= job.pending_count
 
@@ -162,7 +162,7 @@
         entries = self._by_job[entry.reclaim.job]
         return sum(other.reclaim.tasks for other in entries[: entries.index(entry)])
 
-    def by_machine(self) -> dict[str, list[OpenReclaim]]:
+    def get_by_machine(self) -> dict[str, list[OpenReclaim]]:
         """Returns the reclaims by machine; callers must not change the result."""
         return self._by_machine
 
--- a/flaxtally/leader/reclaim/quota_accounting.py
+++ b/flaxtally/leader/reclaim/quota_accounting.py
@@ -41,16 +41,16 @@
         """Whether reclaims may start: all configured controllers can read their records."""
         return self._feature is not None and self.ledger.state.format >= formats.LENDING
 
-    def reclaim_budget(self) -> ReclaimBudget:
+    def make_reclaim_budget(self) -> ReclaimBudget:
         """Returns the budget of one decision: what may be taken from the teams now."""
-        return ReclaimBudget(self.term.quota, self._compute_staying_usage)
+        return ReclaimBudget(self.term.get_quota, self._compute_staying_usage)
 
     def find_borrowers(self) -> frozenset[str]:
         """Returns the teams that use more than their quota: only they can lose capacity."""
         return frozenset(
             team
             for team in self.ledger.state.usage_by_team
-            if not self.term.quota(team).covers(self._compute_staying_usage(team))
+            if not self.term.get_quota(team).covers(self._compute_staying_usage(team))
         )
 
     def _compute_staying_usage(self, team: str) -> Amounts:
@@ -67,8 +67,8 @@
         promised = self._open_reclaims.get_promised(spec.team)
         usage = self.term.compute_team_usage(spec.team).plus(promised)
         task_count = spec.tasks if spec.job_kind == wire.GANG else 1
-        return self.term.quota(spec.team).covers(usage.plus(compute_amounts(spec, task_count)))
+        return self.term.get_quota(spec.team).covers(usage.plus(compute_amounts(spec, task_count)))
 
     def is_within_quota(self, team: str, added: Amounts) -> bool:
         """Whether the team's usage plus the added amount is within its quota."""
-        return self.term.quota(team).covers(self.term.compute_team_usage(team).plus(added))
+        return self.term.get_quota(team).covers(self.term.compute_team_usage(team).plus(added))
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -154,11 +154,11 @@
 
     # Advancing
 
-    def watch(self) -> None:
+    def advance_reclaims(self) -> None:
         """Advances each reclaim, and requests a pass while some entitled demand has no reclaim."""
         for entry in self.open_reclaims:
             self._advance(entry)
-        if self._admission.has_unserved_demand():
+        if self._admission.has_demand_without_reclaim():
             # If all running tasks are long, nothing else requests a pass.
             self.term.request_pass()
         self._admission.expire()
@@ -246,7 +246,7 @@
 
     def on_task_placed(self, job: Job, machine: Machine) -> None:
         """Finishes a reclaim for the job, a task of which was placed on the machine."""
-        entries = self.open_reclaims.for_job(job)
+        entries = self.open_reclaims.list_for_job(job)
         on_machine = [entry for entry in entries if entry.reclaim.machine == machine.name]
         # The task was placed elsewhere: a reclaim that has sent no stops is no longer needed, and
         # its victims keep running.
@@ -258,7 +258,7 @@
 
     def on_gang_placed(self, job: Job) -> None:
         """Finishes the reclaims for a gang, all tasks of which were placed."""
-        for entry in self.open_reclaims.for_job(job):
+        for entry in self.open_reclaims.list_for_job(job):
             self._finish(entry, "met")
 
     def _finish(self, entry: OpenReclaim, outcome: str) -> None:
--- a/flaxtally/leader/reclaim/reclaim_admission.py
+++ b/flaxtally/leader/reclaim/reclaim_admission.py
@@ -62,11 +62,11 @@
         """Starts the recall time of a job that is entitled to capacity and found none."""
         self._waiting_since.setdefault(job.number, self.runtime.now())
 
-    def has_unserved_demand(self) -> bool:
+    def has_demand_without_reclaim(self) -> bool:
         """Whether a job that is entitled to capacity has no reclaim for some pending task."""
         live = self._jobs.live_jobs
         return any(
-            not self._open_reclaims.is_served(live[number])
+            not self._open_reclaims.has_reclaim_for_each_task(live[number])
             for number in self._waiting_since
             if number in live
         )
@@ -110,7 +110,7 @@
             return False
         placed_count = sum(len(job.placements) for job in self._jobs.live_jobs.values())
         max_stops = max(MIN_STOPS_PER_MINUTE, self._feature.stops_per_minute * placed_count)
-        added_count = sum(not self._open_reclaims.is_leaving(victim) for victim in victims)
+        added_count = sum(not self._open_reclaims.will_stop(victim) for victim in victims)
         return len(self._stop_times) + self._open_reclaims.chosen_count + added_count <= max_stops
 
     def record_stop(self, placed: Placement) -> None:
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -44,7 +44,7 @@
 
     def find_freed_machine(self, job: Job) -> Machine | None:
         """Returns a machine on which a reclaim has freed capacity for a task of the job."""
-        for entry in self._open_reclaims.for_job(job):
+        for entry in self._open_reclaims.list_for_job(job):
             machine = self.fleet.machines.get(entry.reclaim.machine)
             if (
                 entry.is_committed
@@ -61,7 +61,7 @@
         """
         machine = self.fleet.machines.get(reclaim.machine)
         job = self.ledger.state.jobs.get(reclaim.job)
-        if machine is None or job is None or machine.zone in self._jobs.excluded_zones(job):
+        if machine is None or job is None or machine.zone in self._jobs.find_excluded_zones(job):
             return False
         if not machine.is_reconciled and not machine.is_terminating:
             return self.runtime.now() - self.term.began_at < self.policy.machine_suspect
@@ -69,7 +69,7 @@
 
     def make_reservation_filter(self, job: Job) -> Callable[[Machine], bool] | None:
         """Returns which machines hold the job beside reserved capacity; None: none is reserved."""
-        by_machine = self._open_reclaims.by_machine()
+        by_machine = self._open_reclaims.get_by_machine()
         if not by_machine:
             return None
 
@@ -83,7 +83,7 @@
         if machine_type is None:
             return False
         expected = placement.free_resources(machine, machine_type)
-        entries = self._open_reclaims.by_machine()[machine.name]
+        entries = self._open_reclaims.get_by_machine()[machine.name]
         others = [entry for entry in entries if entry.reclaim.job != job.number]
         for spec in self._open_reclaims.get_reserved_specs(others):
             expected = expected.minus(spec)
@@ -98,14 +98,14 @@
 
     def get_reserved_specs_on(self, machine: str) -> list[wire.Spec]:
         """Returns the spec of each task for which reclaims reserve capacity on a machine."""
-        entries = self._open_reclaims.by_machine().get(machine, [])
+        entries = self._open_reclaims.get_by_machine().get(machine, [])
         return self._open_reclaims.get_reserved_specs(entries)
 
-    def excluded_zones(self, job: Job) -> frozenset[str]:
+    def find_excluded_zones(self, job: Job) -> frozenset[str]:
         """Returns the zones in which no more capacity may be reclaimed for the job."""
         spec = job.spec
-        entries = self._open_reclaims.for_job(job)
-        excluded = self._jobs.excluded_zones(job)
+        entries = self._open_reclaims.list_for_job(job)
+        excluded = self._jobs.find_excluded_zones(job)
         if not entries or not (spec.spread or spec.one_zone):
             return excluded
         machines = self.fleet.machines
--- a/flaxtally/leader/reconciliation/preemption_notices.py
+++ b/flaxtally/leader/reconciliation/preemption_notices.py
@@ -66,9 +66,9 @@
 
         If it cannot finish before the machine is taken, its work is lost anyway.
         """
-        return self._remaining_run_s(placement) > MIN_RESTART_GAIN_RATIO * notice_s
+        return self._estimate_remaining_run_s(placement) > MIN_RESTART_GAIN_RATIO * notice_s
 
-    def _remaining_run_s(self, placement: Placement) -> float:
+    def _estimate_remaining_run_s(self, placement: Placement) -> float:
         estimated_run_s = placement.job.spec.estimated_run_s
         if placement.started_at is None:
             return estimated_run_s
--- a/flaxtally/leader/reconciliation/reconciler.py
+++ b/flaxtally/leader/reconciliation/reconciler.py
@@ -50,7 +50,9 @@
         self._failure_attribution = failure_attribution
         self._gang_scheduler = gang_scheduler
         self._orphans = OrphanedTasks(term, commands)
-        self.attempts = AttemptFinisher(term, jobs, commands, failure_attribution, gang_scheduler)
+        self.attempt_finisher = AttemptFinisher(
+            term, jobs, commands, failure_attribution, gang_scheduler
+        )
         self.scale_in = ScaleIn(term, commands, self._on_machine_removed)
 
     def reconcile(self, machine: Machine, tasks: list[wire.TaskStatus]) -> None:
@@ -86,9 +88,9 @@
     def _handle_absent_task(self, machine: Machine, placement: Placement) -> None:
         if not placement.launch_incarnation:
             if placement.is_inherited:
-                self.attempts.finish_attempt(placement, EndReason.ABSENT)
+                self.attempt_finisher.finish_attempt(placement, EndReason.ABSENT)
         elif placement.launch_incarnation < machine.incarnation:
-            self.attempts.finish_attempt(placement, EndReason.NEW_INCARNATION)
+            self.attempt_finisher.finish_attempt(placement, EndReason.NEW_INCARNATION)
         elif not placement.was_reported:
             self._handle_unconfirmed_launch(placement)
 
@@ -100,8 +102,8 @@
         )
         if is_called_off and placement.launches_in_flight == 0:
             # No copy of the launch command is in flight.
-            self.attempts.finish_attempt(placement, EndReason.NEVER_LAUNCHED)
-        elif not job.is_terminal and self._seconds_since_command(placement) > (
+            self.attempt_finisher.finish_attempt(placement, EndReason.NEVER_LAUNCHED)
+        elif not job.is_terminal and self._compute_since_command_s(placement) > (
             self.policy.order_call
         ):
             self._commands.launch_task(placement)
@@ -114,7 +116,7 @@
             self._change_state(machine, placement, state)
         if (
             placement.job.is_cancellation_committed
-            and self._seconds_since_command(placement) > self.policy.retry
+            and self._compute_since_command_s(placement) > self.policy.retry
         ):
             self._commands.stop_task(placement, 0.0)
 
@@ -157,7 +159,7 @@
             job.spec.image in machine.images,
         )
 
-    def _seconds_since_command(self, placement: Placement) -> float:
+    def _compute_since_command_s(self, placement: Placement) -> float:
         return self.runtime.now() - placement.command_sent_at
 
     # A placement whose task exited
@@ -175,7 +177,7 @@
         elif cause in LAUNCH_REFUSED_CAUSES:
             self._back_off(machine, placement, cause)
         self._orphans.record_exit(machine, placement)
-        self.attempts.finish_attempt(placement, EndReason.EXITED, cause or "")
+        self.attempt_finisher.finish_attempt(placement, EndReason.EXITED, cause or "")
 
     def _back_off(self, machine: Machine, placement: Placement, cause: str) -> None:
         """Delays the job's next attempt, because the machine refused the launch."""
@@ -196,7 +198,7 @@
         for placement in list(machine.placements.values()):
             # This includes a placement whose commit is in flight: it is not launched after the
             # commit.
-            self.attempts.finish_attempt(placement, EndReason.MACHINE_REMOVED)
+            self.attempt_finisher.finish_attempt(placement, EndReason.MACHINE_REMOVED)
         self._orphans.forget_machine(machine)
         self.term.request_pass()
 
--- a/flaxtally/leader/reconciliation/stragglers.py
+++ b/flaxtally/leader/reconciliation/stragglers.py
@@ -64,7 +64,7 @@
             or now < self._ignore_ends_until
         ):
             return
-        median_s = self._median_run_time_s(placement.job)
+        median_s = self._compute_median_run_time_s(placement.job)
         run_time_s = now - placement.started_at
         # Later attempts may have resumed from a checkpoint.
         is_first_attempt = placement.attempt == 1
@@ -87,7 +87,7 @@
         if now < self._ignore_ends_until:
             return
         for job in list(self._jobs.live_jobs.values()):
-            median_s = self._median_run_time_s(job)
+            median_s = self._compute_median_run_time_s(job)
             if median_s:
                 self._check_tasks_of(job, median_s, now)
         self._remove_finished_entries()
@@ -125,7 +125,7 @@
             # Thin out evenly, so that the median stays the same.
             del run_times_s[:: MAX_RUN_TIME_SAMPLES // 2]
 
-    def _median_run_time_s(self, job: Job) -> float:
+    def _compute_median_run_time_s(self, job: Job) -> float:
         """Returns the median run time of the job's tasks; 0 while too few have finished.
 
         The shortest tasks finish first, so tasks that still run count as longer than these.
--- a/flaxtally/leader/scheduling/job_urgency.py
+++ b/flaxtally/leader/scheduling/job_urgency.py
@@ -57,7 +57,7 @@
         if wall - job.accepted_at > begin_within and not may_wait:
             # A job that was deferred because it is large must start nevertheless.
             return OVERDUE_LEVEL, job.accepted_at
-        latest_starts = self._latest_starts(job)
+        latest_starts = self._compute_latest_starts(job)
         if spec.is_best_effort and not latest_starts:
             return NO_DUE_TIME_LEVEL, job.accepted_at
         missed = sum(wall > start for start in latest_starts)
@@ -66,7 +66,7 @@
             return level, latest_starts[level]
         return len(latest_starts), 0.0
 
-    def _latest_starts(self, job: Job) -> tuple[float, ...]:
+    def _compute_latest_starts(self, job: Job) -> tuple[float, ...]:
         """Returns when the job's tasks must start to meet each of its due times, in order."""
         spec = job.spec
         due_times = list(self._finish_within.get(spec.job_class, ()))
@@ -83,20 +83,20 @@
         Each job class is assumed to run as many tasks at a time as it has placed among `live_jobs`.
         """
         self._levels = {}
-        dues_by_class = self._dues_by_class(pending)
+        dues_by_class = self._group_dues_by_class(pending)
         if not dues_by_class:
             return
         running = _count_placements_by_class(live_jobs)
         for job_class, dues in dues_by_class.items():
             self._levels |= assign_due_time_levels(dues, wall, max(1, running.get(job_class, 0)))
 
-    def _dues_by_class(self, pending: Iterable[Job]) -> dict[str, list[JobDueTimes]]:
+    def _group_dues_by_class(self, pending: Iterable[Job]) -> dict[str, list[JobDueTimes]]:
         dues_by_class: dict[str, list[JobDueTimes]] = {}
         for job in pending:
             spec = job.spec
             if spec.job_kind != wire.SERVICE:
                 work = job.pending_count * spec.estimated_run_s
-                due = JobDueTimes(job.number, self._latest_starts(job), work)
+                due = JobDueTimes(job.number, self._compute_latest_starts(job), work)
                 dues_by_class.setdefault(spec.job_class, []).append(due)
         return dues_by_class
 
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -45,8 +45,8 @@
     def try_take(self, placed: Placement) -> bool:
         """Whether the task's team keeps its quota without it; if so, counts the task as taken."""
         job = placed.job
-        is_leaving = job.number in self._gangs or self._open_reclaims.is_leaving(placed)
-        if job.spec.team == self._team or is_leaving:
+        will_stop = job.number in self._gangs or self._open_reclaims.will_stop(placed)
+        if job.spec.team == self._team or will_stop:
             return True
         is_gang = job.spec.job_kind == wire.GANG
         task_count = len(job.placements) if is_gang else 1
@@ -85,13 +85,13 @@
         """Whether the job's next task, or the whole gang, is within its team's quota."""
         return self._quota.is_entitled(job)
 
-    def equivalence_key(self, job: Job) -> Hashable:
+    def get_equivalence_key(self, job: Job) -> Hashable:
         """Includes the team, since other rules hold for its own tasks than for other teams'."""
         return job.spec.team, self.is_entitled(job)
 
-    def gang_equivalence_key(self, job: Job) -> Hashable:
+    def get_gang_equivalence_key(self, job: Job) -> Hashable:
         """Returns the same key as for other jobs."""
-        return self.equivalence_key(job)
+        return self.get_equivalence_key(job)
 
     def may_preempt_for_gang(self, job: Job) -> bool:
         """Whether the rank is above that of batch jobs, or the gang is within its team's quota."""
@@ -107,21 +107,21 @@
         """Starts the reclaim deadline of the job."""
         self._admission.record_demand(job)
 
-    def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
+    def find_next_preemptor(self, job: Job, preemptors: ServedTasks, now: float) -> TaskKey | None:
         """Returns the next pending task for which no reclaim or preemption is open."""
         reclaimed_count = self._open_reclaims.count_tasks_for(job)
-        served_tasks = served.pending_of(job, now)
-        if reclaimed_count + len(served_tasks) >= job.pending_count:
+        preempting_tasks = preemptors.list_pending_tasks(job, now)
+        if reclaimed_count + len(preempting_tasks) >= job.pending_count:
             return None
         pending = itertools.chain(
-            heapq.nsmallest(len(served_tasks) + 1, job.retry_queue),
+            heapq.nsmallest(len(preempting_tasks) + 1, job.retry_queue),
             range(job.next_unstarted_task, job.spec.tasks),
         )
-        return next(((job.number, task) for task in pending if task not in served_tasks), None)
+        return next(((job.number, task) for task in pending if task not in preempting_tasks), None)
 
-    def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
+    def find_excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
         """Counts tasks for which capacity is being reclaimed as placed."""
-        return self._capacity.excluded_zones(job)
+        return self._capacity.find_excluded_zones(job)
 
     def is_preemptible(self, placed: Placement, request: PreemptionRequest) -> bool:
         """Whether the task may be stopped, if its team keeps its quota (see `QuotaBudget`).
@@ -138,18 +138,18 @@
         if not (other_rank > rank or request.is_entitled):
             return False
         is_borrowed = other.team in self._borrowers and not self._admission.was_reclaimed(placed)
-        return is_borrowed or self._open_reclaims.is_leaving(placed)
+        return is_borrowed or self._open_reclaims.will_stop(placed)
 
     def is_last_resort(self, placed: Placement, spec: wire.Spec) -> bool:
         """Whether the task is a replica of another team."""
         other = placed.job.spec
         return other.job_kind == wire.SERVICE and other.team != spec.team
 
-    def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
+    def make_budget(self, spec: wire.Spec) -> PreemptionBudget:
         """Returns a budget of what the other teams use beyond their quotas."""
-        return QuotaBudget(spec.team, self._quota.reclaim_budget(), self._open_reclaims)
+        return QuotaBudget(spec.team, self._quota.make_reclaim_budget(), self._open_reclaims)
 
-    def overdue_after_s(self, job: Job) -> float:
+    def get_overdue_after_s(self, job: Job) -> float:
         """Returns `keep_patience`, or less for a job within its team's quota."""
         if self._quota.is_entitled(job):
             return min(self.policy.keep_patience, self.policy.recall * OVERDUE_RECLAIM_FRACTION)
@@ -157,4 +157,4 @@
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
         """Whether the job is overdue."""
-        return request.now - request.job.pending_since > self.overdue_after_s(request.job)
+        return request.now - request.job.pending_since > self.get_overdue_after_s(request.job)
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -45,15 +45,15 @@
     The order is computed again every half retry interval; in between new jobs are inserted.
     """
 
-    def __init__(self, term: Term, live_jobs: dict[int, Job], suspects: set[int]) -> None:
+    def __init__(self, term: Term, live_jobs: dict[int, Job], suspect_jobs: set[int]) -> None:
         """Starts empty.
 
-        `live_jobs`: the unfinished jobs; `suspects`: numbers of jobs that were likely submitted
+        `live_jobs`: the unfinished jobs; `suspect_jobs`: numbers of jobs that were likely submitted
         with a mistake.
         """
         super().__init__(term)
         self._live_jobs = live_jobs
-        self._suspects = suspects
+        self._suspect_jobs = suspect_jobs
         self.jobs_over_quota: set[int] = set()
         """Numbers of the jobs that are over their team's quota, as of the last count."""
         self._pending: dict[int, Job] = {}
@@ -119,26 +119,26 @@
             return
         self._ordered_at = self.runtime.now()
         self._count_all_demand()
-        deferrable = [job for job in pending if job.number not in self._suspects]
+        deferrable = [job for job in pending if job.number not in self._suspect_jobs]
         self._urgency.choose_levels(deferrable, self._live_jobs.values(), self.runtime.wall())
-        self._order = sorted(self._queue_entry(job) for job in pending)
+        self._order = sorted(self._make_entry(job) for job in pending)
 
     def _insert(self, job: Job) -> None:
         if job.number not in self._ordered_numbers:
             self._ordered_numbers.add(job.number)
-            insort(self._order, self._queue_entry(job))
+            insort(self._order, self._make_entry(job))
 
-    def _queue_entry(self, job: Job) -> PendingJob:
+    def _make_entry(self, job: Job) -> PendingJob:
         level, latest_start_at = self._urgency.compute(job, self.runtime.wall())
         is_over_quota = job.number in self.jobs_over_quota
         rank = wire.RANKS[job.spec.rank]
         key = QueueKey(rank, is_over_quota, level, latest_start_at, job.number)
-        return PendingJob(key, job, self._equivalence_class(job))
+        return PendingJob(key, job, self._find_equivalence_class(job))
 
-    def _equivalence_class(self, job: Job) -> int | None:
+    def _find_equivalence_class(self, job: Job) -> int | None:
         """Returns a number for the properties that decide where a task fits or may preempt."""
         spec = job.spec
-        if spec.job_kind == wire.GANG or job.number in self._suspects:
+        if spec.job_kind == wire.GANG or job.number in self._suspect_jobs:
             return None
         is_overdue = self.runtime.now() - job.pending_since > self.policy.keep_patience
         properties = (
@@ -173,6 +173,6 @@
         self._demand[spec.team] = demand
         quota = self._quotas.get(spec.team)
         if quota is None:
-            quota = self._quotas[spec.team] = self.term.quota(spec.team)
+            quota = self._quotas[spec.team] = self.term.get_quota(spec.team)
         if not quota.covers(demand):
             self.jobs_over_quota.add(job.number)
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -53,7 +53,7 @@
         self._reservations = reservations
         self._open_reclaims = open_reclaims
         self._quota_reclaim = quota_reclaim
-        self._served = ServedTasks()
+        self._preemptors = ServedTasks()
         self._infeasible = placement.InfeasibleRequests()
         """Requests that found no victim, until `_infeasible_until`."""
         self._infeasible_until = 0.0
@@ -69,21 +69,21 @@
 
     # Queries
 
-    def filter_for_rank(self, rank: int) -> Callable[[Machine], bool] | None:
+    def make_filter_for_rank(self, rank: int) -> Callable[[Machine], bool] | None:
         """Returns a filter of machines that no more important task has reserved; None: all."""
-        return self._reservations.filter_for_rank(rank) if self._reservations else None
+        return self._reservations.make_filter_for_rank(rank) if self._reservations else None
 
-    def equivalence_key(self, job: Job) -> Hashable:
+    def get_equivalence_key(self, job: Job) -> Hashable:
         """Returns a key that is equal for jobs for which the same tasks may be stopped."""
-        return self._policies.current.equivalence_key(job)
+        return self._policies.current.get_equivalence_key(job)
 
     def is_infeasible(self, key: Hashable, spec: wire.Spec) -> bool:
         """Whether a job with this key that is no larger than `spec` recently found no victim."""
         return self._infeasible.covers(key, spec)
 
-    def overdue_after_s(self, job: Job) -> float:
+    def get_overdue_after_s(self, job: Job) -> float:
         """Returns how long a job waits before it also uses capacity reserved for GPU tasks."""
-        return self._policies.current.overdue_after_s(job)
+        return self._policies.current.get_overdue_after_s(job)
 
     # Placements
 
@@ -95,12 +95,12 @@
         """Drops the reservations of a gang that was placed."""
         self._quota_reclaim.on_gang_placed(job)
         for task in range(job.spec.tasks):
-            if self._served.remove((job.number, task)):
+            if self._preemptors.remove((job.number, task)):
                 self._reservations.fulfil((job.number, task))
 
     # For single tasks
 
-    def preempt_for(self, job: Job, key: Hashable, excluded_zones: Collection[str]) -> bool:
+    def preempt_for_task(self, job: Job, key: Hashable, excluded_zones: Collection[str]) -> bool:
         """Stops tasks to free capacity for one task of the job, where the least work is lost.
 
         The capacity is reserved for the job's rank until the stopped tasks are known to have ended.
@@ -113,11 +113,11 @@
             return False
         if is_entitled:
             policy.record_demand(job)
-        request = self._victim_search.request_for(job, is_entitled=is_entitled)
-        task = policy.next_unserved_task(job, self._served, request.now)
+        request = self._victim_search.make_request(job, is_entitled=is_entitled)
+        task = policy.find_next_preemptor(job, self._preemptors, request.now)
         if task is None:
             return True
-        zones = policy.excluded_zones(job, excluded_zones)
+        zones = policy.find_excluded_zones(job, excluded_zones)
         plan = self._victim_search.find_cheapest(request, zones)
         if plan is None:
             self._infeasible.add(key, job.spec)
@@ -128,7 +128,7 @@
         return True
 
     def _execute_plan(self, job: Job, task: TaskKey, plan: PreemptionPlan) -> None:
-        self._served.expire(self.runtime.now())
+        self._preemptors.expire(self.runtime.now())
         self._preempt(task, job.spec, plan.machine, plan.victims)
         log.debug(
             "event=tasks_preempted term=%d job=%s machine=%s stopped=%d loss=%.0f",
@@ -145,8 +145,8 @@
         if self._reservations.has_task(key):
             return
         machine_type = self.term.machine_types[machine.machine_type]
-        request = self._victim_search.request_for(placed.job, is_entitled=False)
-        victims = self._victim_search.victims_on(machine, machine_type, request)
+        request = self._victim_search.make_request(placed.job, is_entitled=False)
+        victims = self._victim_search.select_victims_on(machine, machine_type, request)
         if victims and all(victim.is_best_effort for victim in victims):
             self._reserve(key, placed.job.spec, machine, victims, is_moving=True)
             self._stop(victims)
@@ -162,28 +162,30 @@
         capacity, and the capacity that was freed for it is idle meanwhile.
         """
         policy, now = self._policies.current, self.runtime.now()
-        if self._served.is_served((job.number, 0), now) or self._open_reclaims.count_tasks_for(job):
+        if self._preemptors.is_preemptor(
+            (job.number, 0), now
+        ) or self._open_reclaims.count_tasks_for(job):
             return True
-        key = "gang", job.shape, job.spec.tasks, policy.gang_equivalence_key(job)
+        key = "gang", job.shape, job.spec.tasks, policy.get_gang_equivalence_key(job)
         if (
             not policy.may_preempt_for_gang(job)
             or job.spec.spread
             or self.is_infeasible(key, job.spec)
         ):
             return False
-        request = self._victim_search.request_for(job, is_entitled=policy.is_entitled(job))
+        request = self._victim_search.make_request(job, is_entitled=policy.is_entitled(job))
         choice = self._victim_search.find_cheapest_for_gang(request)
         if choice is None:
             self._infeasible.add(key, job.spec)
             return False
         victims = [placed for slots in choice for placed in slots.victims]
         if policy.is_reclaim(request, victims):
-            return self._quota_reclaim.try_start(job, *map(_plan_of, choice))
+            return self._quota_reclaim.try_start(job, *map(_make_plan, choice))
         self._execute_gang_plan(job, choice)
         return True
 
     def _execute_gang_plan(self, job: Job, choice: list[MachineSlots]) -> None:
-        self._served.expire(self.runtime.now())
+        self._preemptors.expire(self.runtime.now())
         tasks = iter(range(job.spec.tasks))
         for slots in choice:
             for task in itertools.islice(tasks, slots.task_count):
@@ -203,7 +205,7 @@
         """Stops the tasks and reserves their capacity for another one."""
         expires_at = self._reserve(key, spec, machine, victims, is_moving=False)
         self._stop(victims)
-        self._served.add(key, expires_at)
+        self._preemptors.add(key, expires_at)
 
     def _reserve(
         self,
@@ -231,7 +233,7 @@
                 self._commands.stop_task(placed, placed.job.spec.checkpoint_save_s)
 
 
-def _plan_of(slots: MachineSlots) -> PreemptionPlan:
+def _make_plan(slots: MachineSlots) -> PreemptionPlan:
     return PreemptionPlan(
         slots.machine, list(slots.victims), slots.preemption_cost, slots.task_count
     )
--- a/flaxtally/leader/scheduling/preemption_cost.py
+++ b/flaxtally/leader/scheduling/preemption_cost.py
@@ -20,11 +20,11 @@
         self._gang_scheduler = gang_scheduler
         self._open_reclaims = open_reclaims
 
-    def of_task(self, placed: Placement, now: float) -> float:
+    def estimate_lost_work_s(self, placed: Placement, now: float) -> float:
         """Returns the seconds of work lost by a stop; for a gang's task, by the whole gang."""
-        if self._open_reclaims.is_leaving(placed) or placed.started_at is None:
+        if self._open_reclaims.will_stop(placed) or placed.started_at is None:
             return 0.0
         spec = placed.job.spec
         if spec.job_kind == wire.GANG:
-            return self._gang_scheduler.preemption_cost(placed.job)
+            return self._gang_scheduler.estimate_lost_work_s(placed.job)
         return spec.checkpoint_save_s if spec.checkpoint_interval_s else now - placed.started_at
--- a/flaxtally/leader/scheduling/preemption_policy.py
+++ b/flaxtally/leader/scheduling/preemption_policy.py
@@ -51,10 +51,10 @@
     def is_entitled(self, job: Job) -> bool:
         """Whether the job's next task is entitled to what others use beyond their quota."""
 
-    def equivalence_key(self, job: Job) -> Hashable:
+    def get_equivalence_key(self, job: Job) -> Hashable:
         """Returns a key that is equal for jobs for which the same tasks may be stopped."""
 
-    def gang_equivalence_key(self, job: Job) -> Hashable:
+    def get_gang_equivalence_key(self, job: Job) -> Hashable:
         """Returns the equivalence key of a gang."""
 
     def may_preempt_for_gang(self, job: Job) -> bool:
@@ -66,10 +66,10 @@
     def record_demand(self, job: Job) -> None:
         """Records that the job is entitled to capacity and found none."""
 
-    def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
+    def find_next_preemptor(self, job: Job, preemptors: ServedTasks, now: float) -> TaskKey | None:
         """Returns the pending task to preempt for next; None: capacity is being freed for all."""
 
-    def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
+    def find_excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
         """Returns the zones where nothing may be stopped for the job.
 
         `zones`: those where the job may have no more tasks.
@@ -81,10 +81,10 @@
     def is_last_resort(self, placed: Placement, spec: wire.Spec) -> bool:
         """Whether the task is stopped only if stopping all others does not free enough."""
 
-    def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
+    def make_budget(self, spec: wire.Spec) -> PreemptionBudget:
         """Returns the budget of one decision for a job."""
 
-    def overdue_after_s(self, job: Job) -> float:
+    def get_overdue_after_s(self, job: Job) -> float:
         """Returns how long a job waits before it also uses capacity reserved for GPU tasks."""
 
     def ignores_gpu_reservations(self, request: PreemptionRequest) -> bool:
@@ -120,11 +120,11 @@
         """Whether the demand of the job's team up to and including this job is within its quota."""
         return job.number not in self._jobs.queue.jobs_over_quota
 
-    def equivalence_key(self, job: Job) -> Hashable:
+    def get_equivalence_key(self, job: Job) -> Hashable:
         """Returns the team within its quota; otherwise None, since the team does not matter."""
         return job.spec.team if self.is_entitled(job) else None
 
-    def gang_equivalence_key(self, job: Job) -> Hashable:
+    def get_gang_equivalence_key(self, job: Job) -> Hashable:
         """Returns None: ranks alone decide for a gang, and its shape contains its rank."""
 
     def may_preempt_for_gang(self, job: Job) -> bool:
@@ -138,12 +138,12 @@
     def record_demand(self, job: Job) -> None:
         """Does nothing, since there is no reclaim deadline."""
 
-    def next_unserved_task(self, job: Job, served: ServedTasks, now: float) -> TaskKey | None:
+    def find_next_preemptor(self, job: Job, preemptors: ServedTasks, now: float) -> TaskKey | None:
         """Returns the job's next pending task; preempts for one task at a time."""
         key = job.number, job.next_pending_task()
-        return None if served.is_served(key, now) else key
+        return None if preemptors.is_preemptor(key, now) else key
 
-    def excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
+    def find_excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
         """Returns `zones`."""
         return zones
 
@@ -155,18 +155,18 @@
             and placed.job.number in self._jobs.queue.jobs_over_quota
             and other.team != spec.team
             and other.job_kind != wire.SERVICE
-            and self._cost.of_task(placed, request.now) < self.policy.settle
+            and self._cost.estimate_lost_work_s(placed, request.now) < self.policy.settle
         )
 
     def is_last_resort(self, placed: Placement, spec: wire.Spec) -> bool:
         """Returns False, since cost alone decides the order."""
         return False
 
-    def new_budget(self, spec: wire.Spec) -> PreemptionBudget:
+    def make_budget(self, spec: wire.Spec) -> PreemptionBudget:
         """Returns an unlimited budget, since no quota protects tasks."""
         return self._budget
 
-    def overdue_after_s(self, job: Job) -> float:
+    def get_overdue_after_s(self, job: Job) -> float:
         """Returns `keep_patience`."""
         return self.policy.keep_patience
 
--- a/flaxtally/leader/scheduling/reservations.py
+++ b/flaxtally/leader/scheduling/reservations.py
@@ -49,7 +49,7 @@
         """Whether capacity is reserved for the task on any machine."""
         return any(key in reservations for reservations in self._by_machine.values())
 
-    def filter_for_rank(self, rank: int) -> Callable[[Machine], bool]:
+    def make_filter_for_rank(self, rank: int) -> Callable[[Machine], bool]:
         """Returns a filter of machines without a reservation for a more important rank."""
 
         def is_available(machine: Machine) -> bool:
--- a/flaxtally/leader/scheduling/schedulable_machines.py
+++ b/flaxtally/leader/scheduling/schedulable_machines.py
@@ -21,13 +21,13 @@
         """`reconciler` knows which machines are schedulable."""
         super().__init__(term)
         self._reconciler = reconciler
-        self.index = self._new_index(by_image=True)
+        self.index = self._create_index(by_image=True)
         self._indexed_sizes: Hashable = None
         """The sizes of the machine types for which the index was built."""
         self._gained_capacity: dict[str, Machine] = {}
         """Machines with more free capacity than in the last pass, by name."""
 
-    def _new_index(self, *, by_image: bool) -> MachineIndex:
+    def _create_index(self, *, by_image: bool) -> MachineIndex:
         return MachineIndex(
             self.term.machine_types, self.rng, self._reconciler.is_schedulable, by_image
         )
@@ -52,7 +52,7 @@
         must_rebuild = sizes != self._indexed_sizes
         if must_rebuild:
             self._indexed_sizes = sizes
-            self.index = self._new_index(by_image=True)
+            self.index = self._create_index(by_image=True)
             self.fleet.changed_machines.update(dict.fromkeys(self.fleet.machines.values()))
         self.index.machine_types = machine_types
         return must_rebuild
@@ -66,7 +66,7 @@
 
     def take_machines_with_gained_capacity(self) -> MachineIndex:
         """Returns an index of the machines that gained capacity since the last call."""
-        with_gained_capacity = self._new_index(by_image=False)
+        with_gained_capacity = self._create_index(by_image=False)
         for machine in self._gained_capacity.values():
             with_gained_capacity.update(machine)
         self._gained_capacity = {}
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -6,7 +6,7 @@
 
 from ...ledger.records import TaskPlaced
 from ...planning import placement
-from ...planning.machine_index import Fit
+from ...planning.machine_index import FitCheck
 from ...protocol import wire
 from ..gang_scheduling.gang_reservations import GangReservations
 from ..jobs import MAX_UNCOMMITTED_RECORDS, JobRegistry
@@ -89,11 +89,11 @@
         queue = self.jobs.queue.ordered_jobs()
         is_unfinished = bool(queue) and self._run_pass(queue, began_at)
         ended_at = self.runtime.now()
-        self._next_pass_at = ended_at + self._pass_backoff_s(ended_at - began_at)
+        self._next_pass_at = ended_at + self._compute_pass_backoff_s(ended_at - began_at)
         if is_unfinished:
             self.request_pass()
 
-    def _pass_backoff_s(self, pass_s: float) -> float:
+    def _compute_pass_backoff_s(self, pass_s: float) -> float:
         """Returns the delay before the next pass, given the duration of the last one."""
         return max(self.policy.pass_rest * pass_s, self.policy.heartbeat / MAX_PASSES_PER_HEARTBEAT)
 
@@ -166,18 +166,18 @@
             return None
         spec = job.spec
         machine_type = self.term.machine_types[machine.machine_type]
-        fits = Fit(spec, self.jobs.gpu_reservations, is_available)
+        fits = FitCheck(spec, self.jobs.gpu_reservations, is_available)
         is_allowed = placement.may_use_machine_type(spec, machine_type, machine.zone, machine.spot)
         return machine if is_allowed and fits(machine, machine_type) else None
 
-    def availability_filter(self, job: Job) -> MachineFilter | None:
+    def make_availability_filter(self, job: Job) -> MachineFilter | None:
         """Returns a filter of machines whose capacity isn't reserved against the job.
 
         Capacity may be reserved for a more important rank, for a gang, or by a reclaim. Returns
         None if nothing is reserved.
         """
         candidates = (
-            self.preemption.filter_for_rank(wire.RANKS[job.spec.rank]),
+            self.preemption.make_filter_for_rank(wire.RANKS[job.spec.rank]),
             self.gang_reservations.make_machine_filter(job),
             self._reclaimed.make_reservation_filter(job),
         )
@@ -193,7 +193,7 @@
         if not self.gang_scheduler.is_due(job):
             return 0
         count = self.gang_scheduler.place_gang(
-            job, index, self.availability_filter(job), reserve_for_gpus=not is_overdue
+            job, index, self.make_availability_filter(job), reserve_for_gpus=not is_overdue
         )
         if count:
             self.preemption.on_gang_placed(job)
@@ -238,6 +238,8 @@
         if job.is_cancelled:
             # Cancelled between proposal and commit: the task was never launched, so the attempt
             # is finished.
-            self.reconciler.attempts.finish_attempt(placed, EndReason.CANCELLED_BEFORE_LAUNCH)
+            self.reconciler.attempt_finisher.finish_attempt(
+                placed, EndReason.CANCELLED_BEFORE_LAUNCH
+            )
         else:
             self.commands.launch_task(placed)
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -9,7 +9,7 @@
 from ...planning.best_effort import find_expensive_types
 from ...planning.choice import choose_machine
 from ...planning.fleet import Machine
-from ...planning.machine_index import Fit, MachineIndex
+from ...planning.machine_index import FitCheck, MachineIndex
 from ...protocol import wire
 
 if TYPE_CHECKING:
@@ -47,7 +47,7 @@
     def place_task(self, job: Job, machine: Machine) -> None:
         """Places the job's next task."""
 
-    def availability_filter(self, job: Job) -> MachineFilter | None:
+    def make_availability_filter(self, job: Job) -> MachineFilter | None:
         """Returns a filter of machines whose capacity isn't reserved against the job; None: all."""
 
     def place_gang(self, job: Job, index: MachineIndex, *, is_overdue: bool) -> int:
@@ -124,14 +124,14 @@
         for _, job, equivalence_class in list(queue):
             if self.is_full:
                 break
-            key = equivalence_class, self._jobs.excluded_zones(job)
+            key = equivalence_class, self._jobs.find_excluded_zones(job)
             if key in infeasible_keys and not self._scheduler.has_hint(job):
                 continue
             if not job.pending_count or backoff_until.get(job.number, 0.0) > self._now:
                 continue
             if not self._place_job(job) and equivalence_class is not None:
                 # Zones are read again: placing some of the job's tasks may have excluded more.
-                infeasible_keys.add((equivalence_class, self._jobs.excluded_zones(job)))
+                infeasible_keys.add((equivalence_class, self._jobs.find_excluded_zones(job)))
         # Requests that did not search in this pass have not examined the machines that gained
         # capacity.
         return self._infeasible if self._has_gained_capacity else self._infeasible_before
@@ -152,7 +152,7 @@
 
     def _try_suspect(self, job: Job) -> bool:
         """Places one task without preemption, as it is likely to fail; False: over the limit."""
-        is_available = self._scheduler.availability_filter(job)
+        is_available = self._scheduler.make_availability_filter(job)
         if not self._jobs.is_within_limit(job.spec):
             return False
         request = self._request(job, is_available)
@@ -162,7 +162,7 @@
         return True
 
     def _place_tasks(self, job: Job) -> bool:
-        is_available = self._scheduler.availability_filter(job)
+        is_available = self._scheduler.make_availability_filter(job)
         machine: Machine | None = None
         while job.pending_count and not self.is_full:
             if not self._jobs.is_within_limit(job.spec):
@@ -181,7 +181,7 @@
 
     def _request(self, job: Job, is_available: MachineFilter | None) -> _TaskRequest:
         spec = job.spec
-        excluded_zones = self._jobs.excluded_zones(job)
+        excluded_zones = self._jobs.find_excluded_zones(job)
         constraints = (
             spec.machine_types,
             spec.zone,
@@ -195,7 +195,7 @@
         return _TaskRequest(job, excluded_zones, key, is_available)
 
     def _is_overdue(self, job: Job) -> bool:
-        return self._now - job.pending_since > self._preemption.overdue_after_s(job)
+        return self._now - job.pending_since > self._preemption.get_overdue_after_s(job)
 
     # Finding a machine
 
@@ -217,7 +217,9 @@
         spec = request.job.spec
         if spec.job_kind != wire.ARRAY:
             return None
-        fits = Fit(spec, self._gpu_reservations_for(request), self._machine_filter(request))
+        fits = FitCheck(
+            spec, self._get_gpu_reservations_for(request), self._make_machine_filter(request)
+        )
         return machine if fits(machine, self._term.machine_types[machine.machine_type]) else None
 
     def _search(self, request: _TaskRequest) -> Machine | None:
@@ -228,10 +230,10 @@
             spec,
             request.job.number,
             self._with_gained_capacity if was_infeasible else self._index,
-            self._gpu_reservations_for(request),
+            self._get_gpu_reservations_for(request),
             self._policy.sample,
             request.excluded_zones,
-            self._machine_filter(request),
+            self._make_machine_filter(request),
         )
         if machine is None:
             self._infeasible.add(request.key, spec)
@@ -239,20 +241,20 @@
                 self._infeasible_before.add(request.key, spec)
         return machine
 
-    def _gpu_reservations_for(self, request: _TaskRequest) -> placement.GpuReservations | None:
+    def _get_gpu_reservations_for(self, request: _TaskRequest) -> placement.GpuReservations | None:
         """Returns the reservations for GPU tasks that the task must leave free; None: none."""
         return None if request.key.is_overdue else self._jobs.gpu_reservations
 
-    def _machine_filter(self, request: _TaskRequest) -> MachineFilter | None:
+    def _make_machine_filter(self, request: _TaskRequest) -> MachineFilter | None:
         """Returns a filter of machines in addition to the job's own constraints; None: all."""
         job = request.job
         if not job.spec.is_best_effort or request.key.is_overdue:
             return request.is_available
         if job.number not in self._best_effort_filters:
-            self._best_effort_filters[job.number] = self._best_effort_filter(request)
+            self._best_effort_filters[job.number] = self._make_best_effort_filter(request)
         return self._best_effort_filters[job.number]
 
-    def _best_effort_filter(self, request: _TaskRequest) -> MachineFilter:
+    def _make_best_effort_filter(self, request: _TaskRequest) -> MachineFilter:
         """Returns a filter without expensive machines that would be kept for this job alone."""
         is_available = request.is_available
         expensive_types = find_expensive_types(
@@ -281,9 +283,9 @@
         can also depend on the team, through the equivalence key.
         """
         job = request.job
-        key = request.key.constraints, self._preemption.equivalence_key(job)
+        key = request.key.constraints, self._preemption.get_equivalence_key(job)
         if self._preemption.is_infeasible(key, job.spec) or (job.shape, key) in self._preempted_for:
             return
-        is_preempting = self._preemption.preempt_for(job, key, request.excluded_zones)
+        is_preempting = self._preemption.preempt_for_task(job, key, request.excluded_zones)
         if is_preempting and not job.spec.spread:
             self._preempted_for.add((job.shape, key))
--- a/flaxtally/leader/scheduling/served_tasks.py
+++ b/flaxtally/leader/scheduling/served_tasks.py
@@ -24,11 +24,11 @@
         """Removes the task; returns whether others had been stopped for it."""
         return self._expires_at.pop(key, None) is not None
 
-    def is_served(self, key: TaskKey, now: float) -> bool:
+    def is_preemptor(self, key: TaskKey, now: float) -> bool:
         """Whether others were stopped for the task and its capacity is still reserved."""
         return self._expires_at.get(key, 0.0) > now
 
-    def pending_of(self, job: Job, now: float) -> set[int]:
+    def list_pending_tasks(self, job: Job, now: float) -> set[int]:
         """Returns the job's pending tasks for which others were stopped."""
         return {
             task
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -57,14 +57,14 @@
         """The most machines that one search examines; the next one examines a different part."""
         return placement.SAMPLE_WIDENING_FACTOR**2 * self.policy.sample
 
-    def request_for(self, job: Job, *, is_entitled: bool) -> PreemptionRequest:
+    def make_request(self, job: Job, *, is_entitled: bool) -> PreemptionRequest:
         """Returns a request for the job as of now."""
         return PreemptionRequest(job, job.spec, is_entitled, self.runtime.now())
 
     def find_plan(self, job: Job) -> PreemptionPlan | None:
         """Returns a plan to stop tasks for a job that is entitled to capacity; None: none found."""
-        excluded = self._reclaimed.excluded_zones(job)
-        return self.find_cheapest(self.request_for(job, is_entitled=True), excluded)
+        excluded = self._reclaimed.find_excluded_zones(job)
+        return self.find_cheapest(self.make_request(job, is_entitled=True), excluded)
 
     def find_cheapest(
         self, request: PreemptionRequest, excluded_zones: Collection[str]
@@ -76,10 +76,10 @@
         for seen_count, (machine, machine_type) in enumerate(machines):
             if seen_count >= self._max_machines:
                 break
-            victims = self.victims_on(machine, machine_type, request)
+            victims = self.select_victims_on(machine, machine_type, request)
             if not victims:
                 continue
-            cost = sum(self._cost.of_task(placed, request.now) for placed in victims)
+            cost = sum(self._cost.estimate_lost_work_s(placed, request.now) for placed in victims)
             if best is None or cost < best.cost:
                 best = PreemptionPlan(machine, victims, cost)
             found_count += 1
@@ -87,7 +87,7 @@
                 break
         return best
 
-    def victims_on(
+    def select_victims_on(
         self, machine: Machine, machine_type: wire.MachineType, request: PreemptionRequest
     ) -> list[Placement]:
         """Returns the tasks to stop on the machine for one task of the job; empty: not possible.
@@ -95,21 +95,21 @@
         Tasks that lose the least work are chosen first.
         """
         policy, spec = self._policies.current, request.spec
-        preemptible = self._preemptible_on(machine, request, policy)
+        preemptible = self._list_preemptible_on(machine, request, policy)
         if not preemptible:
             return []
         preemptible.sort(
             key=lambda placed: (
                 policy.is_last_resort(placed, spec),
-                self._cost.of_task(placed, request.now),
+                self._cost.estimate_lost_work_s(placed, request.now),
             )
         )
         left, victims = select_victims(
             spec,
-            self._unreserved_capacity(machine, machine_type),
+            self._compute_unreserved_capacity(machine, machine_type),
             preemptible,
             lambda placed: placed.job.spec,
-            policy.new_budget(spec).try_take,
+            policy.make_budget(spec).try_take,
         )
         fits = left.holds(spec) and (
             placement.leaves_gpus_usable(spec, left, machine_type, self._jobs.gpu_reservations)
@@ -120,17 +120,17 @@
     def find_cheapest_for_gang(self, request: PreemptionRequest) -> list[MachineSlots] | None:
         """Returns machines that can hold the gang once their victims stop; None: none can."""
         policy, spec = self._policies.current, request.spec
-        budget = policy.new_budget(spec)
+        budget = policy.make_budget(spec)
 
         def candidates(excluded_zones: Collection[str]) -> Iterator[Candidate]:
             machines = self._machines.index.iterate_allowed(spec, excluded_zones)
             for machine, machine_type in itertools.islice(machines, self._max_machines):
                 victims = [
-                    Victim(placed, self._cost.of_task(placed, request.now))
-                    for placed in self._preemptible_on(machine, request, policy)
+                    Victim(placed, self._cost.estimate_lost_work_s(placed, request.now))
+                    for placed in self._list_preemptible_on(machine, request, policy)
                     if budget.try_take(placed)
                 ]
-                capacity = self._unreserved_capacity(machine, machine_type)
+                capacity = self._compute_unreserved_capacity(machine, machine_type)
                 yield Candidate(machine, machine_type, capacity, victims)
 
         def total_cost(choice: list[MachineSlots]) -> float:
@@ -140,7 +140,7 @@
             spec, self.fleet.zones, candidates, self._jobs.gpu_reservations, total_cost
         )
 
-    def _preemptible_on(
+    def _list_preemptible_on(
         self, machine: Machine, request: PreemptionRequest, policy: PreemptionPolicy
     ) -> list[Placement]:
         """Returns the tasks that were reported as running there and that the policy may stop."""
@@ -155,7 +155,7 @@
         is_gang = placed.job.spec.job_kind == wire.GANG
         return not is_gang or self._gang_scheduler.can_stop(placed.job)
 
-    def _unreserved_capacity(
+    def _compute_unreserved_capacity(
         self, machine: Machine, machine_type: wire.MachineType
     ) -> placement.FreeResources:
         """Returns free resources minus reservations: a victim must not free capacity twice."""
--- a/flaxtally/leader/term.py
+++ b/flaxtally/leader/term.py
@@ -74,7 +74,7 @@
         """Asks the scheduler for a pass over the pending jobs."""
         self.pass_requests.publish()
 
-    def quota(self, team: str) -> Quota:
+    def get_quota(self, team: str) -> Quota:
         """Returns a team's current quota."""
         return Quota.from_settings(self.limits.find_team(team))
 
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -96,7 +96,7 @@
         self.heartbeat_handler.handle_heartbeat(controller, heartbeat)
 
     def _finish_attempt(self, placement: Placement, reason: EndReason) -> None:
-        self.reconciler.attempts.finish_attempt(placement, reason)
+        self.reconciler.attempt_finisher.finish_attempt(placement, reason)
 
     def _create_loan_accounts(
         self, lending: LendingFeature | None, quota: QuotaAccounting
@@ -112,8 +112,8 @@
         """Runs the frequent checks, in an order in which each uses the results of those before."""
         self.machine_monitor.check_machines()
         self.stragglers.check_running_tasks()
-        self.gang_scheduler.watch()
-        self.quota_reclaim.watch()
+        self.gang_scheduler.check_gangs()
+        self.quota_reclaim.advance_reclaims()
         self.consolidation.continue_moves(self.term.runtime.now())
         self.reconciler.scale_in.send_terminations()
         self.scheduler.refresh_machines()
--- a/flaxtally/planning/consolidation.py
+++ b/flaxtally/planning/consolidation.py
@@ -31,7 +31,7 @@
 
     gpu_reservations: GpuReservations
     sample_size: int
-    excluded_zones: Callable[[Job, Placement], Collection[str]]
+    find_excluded_zones: Callable[[Job, Placement], Collection[str]]
     """Returns the zones that a job may not use once this placement of it has moved."""
 
 
@@ -182,7 +182,7 @@
         index,
         search.gpu_reservations,
         search.sample_size,
-        search.excluded_zones(job, placed),
+        search.find_excluded_zones(job, placed),
         lambda other: can_move(machine, other, job.spec, index.machine_types),
     )
 
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -282,7 +282,7 @@
         ]
         if not spans:
             return []
-        fits = Fit(spec, gpu_reservations, is_available)
+        fits = FitCheck(spec, gpu_reservations, is_available)
         count = sum(span.end - span.first for span in spans)
         if count <= SAMPLE_WIDENING_FACTOR**2 * max_count:
             return self._sample_from_all(spans, fits, max_count)
@@ -358,7 +358,7 @@
             if id(self._entries[machine].pool) in pool_ids:
                 yield machine
 
-    def _sample_from_all(self, spans: list[_Span], fits: Fit, max_count: int) -> list[Machine]:
+    def _sample_from_all(self, spans: list[_Span], fits: FitCheck, max_count: int) -> list[Machine]:
         """Samples the spans after examining all their machines, for spans with few machines."""
         machines = [
             entry[2]
@@ -379,7 +379,7 @@
                 return found if len(found) <= max_count else self._rng.sample(found, max_count)
         return []
 
-    def _sample(self, machines: Iterator[Machine], fits: Fit, max_count: int) -> list[Machine]:
+    def _sample(self, machines: Iterator[Machine], fits: FitCheck, max_count: int) -> list[Machine]:
         found: list[Machine] = []
         max_examined_count = self.examined_count + SAMPLE_WIDENING_FACTOR * max_count
         for machine in machines:
@@ -431,7 +431,7 @@
     )
 
 
-class Fit:
+class FitCheck:
     """Whether a machine can hold one more task of a job."""
 
     __slots__ = (
