--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -236,7 +236,9 @@
         if not leader.term.active:
             return CellState(cell, election.is_available)
         machines = max(1, len(leader.term.fleet.machines))
-        pending_count = sum(job.pending_count for job in leader.duties.jobs.queue.pending_jobs())
+        pending_count = sum(
+            job.pending_count for job in leader.duties.jobs.queue.list_pending_jobs()
+        )
         kinds = [
             MachineKind(kind.name, kind.cores, kind.gpus, kind.memory_gb)
             for kind in leader.term.machine_types.values()
@@ -249,7 +251,7 @@
         usages = self._leader.state.usage_by_team
         demand = {team: Amount(usage.cores, usage.gpus) for team, usage in usages.items()}
         if self._leader.term.active:
-            for job in self._leader.duties.jobs.queue.pending_jobs():
+            for job in self._leader.duties.jobs.queue.list_pending_jobs():
                 spec = job.spec
                 pending = Amount(spec.cores * job.pending_count, spec.gpus * job.pending_count)
                 demand[spec.team] = demand.get(spec.team, ZERO) + pending
--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -96,7 +96,7 @@
             and self._moves.is_fleet_reachable(now)
             and not any(
                 wire.RANKS[job.spec.rank] < wire.RANKS["standard"] or job.spec.job_kind == wire.GANG
-                for job in self._jobs.queue.pending_jobs()
+                for job in self._jobs.queue.list_pending_jobs()
             )
         )
 
@@ -110,7 +110,7 @@
             )
 
         only_best_effort_pending = all(
-            job.spec.is_best_effort for job in self._jobs.queue.pending_jobs()
+            job.spec.is_best_effort for job in self._jobs.queue.list_pending_jobs()
         )
         return EmptyingRules(
             is_settled, allow_finite_tasks=only_best_effort_pending, skipped=self._skipped_until
--- a/flaxtally/leader/autoscaling/demand_forecast.py
+++ b/flaxtally/leader/autoscaling/demand_forecast.py
@@ -112,7 +112,7 @@
     def _add_pending(self, by_shape: dict[Shape, Demand]) -> None:
         """Adds pending tasks, up to the hard limits of their teams."""
         headroom: dict[str, tuple[float, float]] = {}
-        for entry in self._jobs.queue.ordered_jobs():
+        for entry in self._jobs.queue.get_ordered_jobs():
             job = entry.job
             if not job.pending_count or job.number in self._jobs.suspect_jobs:
                 continue
--- a/flaxtally/leader/autoscaling/fleet_summary.py
+++ b/flaxtally/leader/autoscaling/fleet_summary.py
@@ -60,6 +60,6 @@
 def count_pending_tasks(queue: PendingQueue) -> dict[str, int]:
     """Returns the number of pending tasks by job class."""
     pending: dict[str, int] = {}
-    for job in queue.pending_jobs():
+    for job in queue.list_pending_jobs():
         pending[job.spec.job_class] = pending.get(job.spec.job_class, 0) + job.pending_count
     return pending
--- a/flaxtally/leader/autoscaling/replica_moves.py
+++ b/flaxtally/leader/autoscaling/replica_moves.py
@@ -116,7 +116,7 @@
                 self._move_next_replica(machine, index, now)
 
     def _is_pending(self, job_kind: str) -> bool:
-        return any(job.spec.job_kind == job_kind for job in self._jobs.queue.pending_jobs())
+        return any(job.spec.job_kind == job_kind for job in self._jobs.queue.list_pending_jobs())
 
     def _abandon_emptying(self, machine: Machine) -> None:
         log.info("event=emptying_abandoned term=%d machine=%s", self.term.number, machine.name)
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -120,7 +120,7 @@
     def _sum_waiting_amounts(self) -> dict[str, Amounts]:
         """Returns the resources that pending tasks request, by team."""
         waiting: dict[str, Amounts] = {}
-        for job in self._jobs.queue.pending_jobs():
+        for job in self._jobs.queue.list_pending_jobs():
             team = job.spec.team
             pending = compute_amounts(job.spec, job.pending_count)
             waiting[team] = waiting.get(team, NO_RESOURCES).plus(pending)
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -87,7 +87,7 @@
         self._pending[job.number] = job
         self._insert(job)
 
-    def pending_jobs(self) -> list[Job]:
+    def list_pending_jobs(self) -> list[Job]:
         """Returns the jobs with pending tasks, in no particular order."""
         finished = [number for number, job in self._pending.items() if not job.pending_count]
         for number in finished:
@@ -96,14 +96,14 @@
 
     # Order
 
-    def ordered_jobs(self) -> list[PendingJob]:
+    def get_ordered_jobs(self) -> list[PendingJob]:
         """Returns the jobs in the order of placement; some may have no pending tasks any more.
 
         Orders them by rank; then jobs within their team's quota come first, then jobs that can
         still meet a due time, the most urgent first, then older jobs.
         """
         if self.runtime.now() - self._ordered_at > self.policy.retry / 2:
-            self._sort_queue(self.pending_jobs())
+            self._sort_queue(self.list_pending_jobs())
         return self._order
 
     def compute_urgency(self, job: Job, wall: float) -> tuple[int, float]:
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -10,8 +10,8 @@
 from ...protocol import wire
 from ..reclaim.preemption_plan import PreemptionPlan
 from ..term import Term, TermActor
+from .preemptors import Preemptors
 from .reservations import Reservation, Reservations, TaskKey
-from .served_tasks import ServedTasks
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Collection, Hashable
@@ -53,7 +53,7 @@
         self._reservations = reservations
         self._open_reclaims = open_reclaims
         self._quota_reclaim = quota_reclaim
-        self._preemptors = ServedTasks()
+        self._preemptors = Preemptors()
         self._infeasible = placement.InfeasibleRequests()
         """Requests that found no victim, until `_infeasible_until`."""
         self._infeasible_until = 0.0
--- a/flaxtally/leader/scheduling/preemption_policy.py
+++ b/flaxtally/leader/scheduling/preemption_policy.py
@@ -20,8 +20,8 @@
     from ..jobs import JobRegistry
     from ..reclaim.quota_accounting import QuotaAccounting
     from .preemption_cost import PreemptionCost
+    from .preemptors import Preemptors
     from .reservations import TaskKey
-    from .served_tasks import ServedTasks
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     def record_demand(self, job: Job) -> None:
         """Records that the job is entitled to capacity and found none."""
 
-    def find_next_preemptor(self, job: Job, preemptors: ServedTasks, now: float) -> TaskKey | None:
+    def find_next_preemptor(self, job: Job, preemptors: Preemptors, now: float) -> TaskKey | None:
         """Returns the pending task to preempt for next; None: capacity is being freed for all."""
 
     def find_excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
@@ -138,7 +138,7 @@
     def record_demand(self, job: Job) -> None:
         """Does nothing, since there is no reclaim deadline."""
 
-    def find_next_preemptor(self, job: Job, preemptors: ServedTasks, now: float) -> TaskKey | None:
+    def find_next_preemptor(self, job: Job, preemptors: Preemptors, now: float) -> TaskKey | None:
         """Returns the job's next pending task; preempts for one task at a time."""
         key = job.number, job.next_pending_task()
         return None if preemptors.is_preemptor(key, now) else key
--- a/flaxtally/leader/scheduling/served_tasks.py
+++ b/flaxtally/leader/scheduling/preemptors.py
@@ -9,7 +9,7 @@
     from .reservations import TaskKey
 
 
-class ServedTasks:
+class Preemptors:
     """Owns the pending tasks for which others were stopped, until their reservation expires."""
 
     def __init__(self) -> None:
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -86,7 +86,7 @@
             self._request_pass_later()
             return
         began_at = self.runtime.now()
-        queue = self.jobs.queue.ordered_jobs()
+        queue = self.jobs.queue.get_ordered_jobs()
         is_unfinished = bool(queue) and self._run_pass(queue, began_at)
         ended_at = self.runtime.now()
         self._next_pass_at = ended_at + self._compute_pass_backoff_s(ended_at - began_at)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -41,7 +41,7 @@
         )
         cluster.after(22.0 + number, cluster.cancel, f"j-{number:06d}", number)
     cluster.run(24)
-    assert any(node.leader.duties.jobs.queue.pending_jobs() for node in cluster.nodes.values())
+    assert any(node.leader.duties.jobs.queue.list_pending_jobs() for node in cluster.nodes.values())
     cluster.run(37)
     check_final_state(cluster, 200)
 
@@ -318,7 +318,7 @@
         )
         cluster.submit(job, run_time=300.0, node=number)
     cluster.run(30)
-    assert any(node.leader.duties.jobs.queue.pending_jobs() for node in cluster.nodes.values())
+    assert any(node.leader.duties.jobs.queue.list_pending_jobs() for node in cluster.nodes.values())
     cluster.run_without_faults(150)
 
 
