--- a/flaxtally/leader/gang_scheduling/gang_reservations.py
+++ b/flaxtally/leader/gang_scheduling/gang_reservations.py
@@ -131,7 +131,7 @@
                 index.iterate_allowed(job.spec, excluded_zones), max_machines
             )
             for machine, machine_type in machines:
-                free = placement.free_resources(machine, machine_type)
+                free = placement.compute_free_resources(machine, machine_type)
                 yield Candidate(machine, machine_type, free, _list_finite_tasks(machine, now))
 
         chosen = choose_cheapest_machines(
--- a/flaxtally/leader/gang_scheduling/gang_zones.py
+++ b/flaxtally/leader/gang_scheduling/gang_zones.py
@@ -85,7 +85,7 @@
                 )
             ):
                 continue
-            free = placement.free_resources(machine, machine_type)
+            free = placement.compute_free_resources(machine, machine_type)
             free_bin = Bin(
                 machine_type,
                 machine.zone,
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -82,7 +82,7 @@
         machine_type = self.term.machine_types.get(machine.machine_type)
         if machine_type is None:
             return False
-        expected = placement.free_resources(machine, machine_type)
+        expected = placement.compute_free_resources(machine, machine_type)
         entries = self._open_reclaims.get_by_machine()[machine.name]
         others = [entry for entry in entries if entry.reclaim.job != job.number]
         for spec in self._open_reclaims.get_reserved_specs(others):
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -159,7 +159,7 @@
         self, machine: Machine, machine_type: wire.MachineType
     ) -> placement.FreeResources:
         """Returns free resources minus reservations: a victim must not free capacity twice."""
-        free = placement.free_resources(machine, machine_type)
+        free = placement.compute_free_resources(machine, machine_type)
         for reservation in self._reservations.list_on(machine.name):
             free = free.minus(reservation.spec)
         for spec in self._reclaimed.get_reserved_specs_on(machine.name):
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -20,7 +20,7 @@
     SAMPLE_WIDENING_FACTOR,
     FreeResources,
     GpuReservations,
-    free_resources,
+    compute_free_resources,
     leaves_gpus_usable,
     may_use_machine_type,
 )
@@ -308,7 +308,7 @@
             machine_type = pool.machine_type
             for span in self._find_spans_with_capacity(pool, spec, gpu_reservations):
                 for entry in itertools.islice(span.items, span.first, span.end):
-                    count -= _max_task_count(spec, free_resources(entry[2], machine_type))
+                    count -= _max_task_count(spec, compute_free_resources(entry[2], machine_type))
                     if count <= 0:
                         return True
         return False
@@ -472,7 +472,10 @@
                 or not machine_type.gpus
                 or gpu_reservations is None
                 or leaves_gpus_usable(
-                    spec, free_resources(machine, machine_type), machine_type, gpu_reservations
+                    spec,
+                    compute_free_resources(machine, machine_type),
+                    machine_type,
+                    gpu_reservations,
                 )
             )
             and (self._is_available is None or self._is_available(machine))
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -46,7 +46,7 @@
         )
 
 
-def free_resources(machine: Machine, machine_type: wire.MachineType) -> FreeResources:
+def compute_free_resources(machine: Machine, machine_type: wire.MachineType) -> FreeResources:
     """Returns the machine's free resources."""
     return FreeResources(
         machine_type.cores - machine.cores,
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -29,7 +29,7 @@
 from flaxtally.planning.placement import (
     SAMPLE_WIDENING_FACTOR,
     GpuReservations,
-    free_resources,
+    compute_free_resources,
     leaves_gpus_usable,
     may_use_machine_type,
 )
@@ -88,7 +88,7 @@
 ) -> bool:
     """Whether a search of the index may return the machine, checked without the index."""
     machine_type = MACHINE_TYPES[machine.machine_type]
-    free = free_resources(machine, machine_type)
+    free = compute_free_resources(machine, machine_type)
     return (
         machine.zone not in excluded_zones
         and may_use_machine_type(job, machine_type, machine.zone, machine.spot)
