--- a/flaxtally/leader/autoscaling/consolidation.py
+++ b/flaxtally/leader/autoscaling/consolidation.py
@@ -9,7 +9,7 @@
 from ...planning.consolidation import (
     EmptyingRules,
     choose_machine_to_empty,
-    hourly_price,
+    get_hourly_price,
     without_best_effort,
 )
 from ...protocol import wire
@@ -123,7 +123,7 @@
             for machine in self.fleet.machines.values()
             if machine.machine_type in machine_types
         ]
-        total = sum(hourly_price(machine, machine_types) for machine in known)
+        total = sum(get_hourly_price(machine, machine_types) for machine in known)
         return total / max(1, len(known))
 
     def _choose_machine(
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -30,7 +30,7 @@
 
 
 class CommandTransport(Protocol):
-    """Carries commands and status queries to workers, and keeps what they reported here."""
+    """Carries commands and status queries to workers, and keeps the heartbeats received here."""
 
     def send(
         self,
@@ -91,7 +91,7 @@
         self.transport = transport
         self._on_heartbeat = on_heartbeat
         self._stopping: dict[str, Amounts] = {}
-        """The resources, by team, of tasks that were told to stop and are not proven finished."""
+        """The resources, by team, of stopping tasks that are not proven finished."""
         self._outbox: dict[str, list[_QueuedCommand]] = {}
         """The commands to be sent, by machine."""
 
@@ -153,7 +153,7 @@
     # Resources of stopping tasks
 
     def mark_stopping(self, placement: Placement) -> None:
-        """Counts the task as stopping: this leader or an earlier one told it to stop."""
+        """Counts the task as stopping: this leader or an earlier one commanded it to."""
         if placement.stopping_at is None:
             placement.stopping_at = self.runtime.now()
             spec = placement.job.spec
@@ -167,7 +167,7 @@
             self._stopping[spec.team] = self._stopping[spec.team].minus(compute_amounts(spec))
 
     def compute_usage_not_stopping(self, team: str) -> Amounts:
-        """Returns the resources of a team's tasks that were not told to stop."""
+        """Returns the resources of a team's tasks that were not commanded to stop."""
         return self.term.compute_team_usage(team).minus(self._stopping.get(team, NO_RESOURCES))
 
     # Sending
--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -32,8 +32,8 @@
     """Places gangs, and reacts to changes of their tasks.
 
     The placements of an attempt are one batch of records, committed as a whole or not at all, and
-    no task is launched before. The next attempt begins when no machine has a task of the previous
-    one any more.
+    no task is launched before the commit. The next attempt begins when no machine has a task of the
+    previous one any more.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._commands = commands
         self._finish_attempt = finish_attempt
         self._attempts = GangAttempts(term)
-        self._machines = GangMachineChooser(term, jobs, self._attempts)
+        self._machine_chooser = GangMachineChooser(term, jobs, self._attempts)
         self._stops = GangStops(term, commands, self._attempts)
         self._no_capacity_until: dict[int, float] = {}
         """When to search again for gangs for which there was no capacity, by job number."""
@@ -81,7 +81,7 @@
         if action not in (Action.PLACE, Action.REPLACE):
             return 0
         missing = [task for task in range(job.spec.tasks) if task not in job.placements]
-        choice = self._machines.choose_machines(
+        choice = self._machine_chooser.choose_machines(
             job, len(missing), index, machine_filter, reserve_for_gpus=reserve_for_gpus
         )
         if choice is not None:
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -25,12 +25,16 @@
     """Owns the amounts borrowed and lent since the accounts were last stored in the ledger."""
 
     def __init__(
-        self, term: Term, jobs: JobRegistry, quota: QuotaAccounting, store_interval_s: float
+        self,
+        term: Term,
+        jobs: JobRegistry,
+        quota_accounting: QuotaAccounting,
+        store_interval_s: float,
     ) -> None:
         """`store_interval_s`: interval at which the accounts are stored in the ledger."""
         super().__init__(term)
         self._jobs = jobs
-        self._quota = quota
+        self._quota_accounting = quota_accounting
         self._store_interval_s = store_interval_s
         self._sampled_at: float | None = None
         self._stored_at = term.began_at
@@ -40,7 +44,7 @@
 
     def sample(self) -> None:
         """Adds the present loans to the accounts, for the time since the last sample."""
-        if not self._quota.is_enabled:
+        if not self._quota_accounting.is_enabled:
             return
         now = self.runtime.now()
         elapsed_s = now - self._sampled_at if self._sampled_at is not None else 0.0
--- a/flaxtally/leader/reclaim/open_reclaims.py
+++ b/flaxtally/leader/reclaim/open_reclaims.py
@@ -34,7 +34,7 @@
         self.promised = NO_RESOURCES
         """The resources that the lender will get from it."""
         self.stops_sent_at: float | None = None
-        """The time at which the victims were last sent a stop in this term."""
+        """The time at which the victims were last sent a stop command in this term."""
         self.is_forced = False
         """Whether the last stop was sent without a grace period."""
         self.is_late = False
@@ -42,7 +42,7 @@
 
 
 class OpenReclaims:
-    """Owns the open reclaims. Their victims count as leaving even before they are sent a stop."""
+    """Owns the open reclaims. `will_stop` is true of their victims before a stop is sent."""
 
     def __init__(self, ledger: WriteAheadLog) -> None:
         """`ledger`: its state says which victims still have a placement."""
@@ -52,7 +52,7 @@
         self._by_machine: dict[str, list[OpenReclaim]] = {}
         self._promised: dict[str, Amounts] = {}
         self._unsent: dict[int, OpenReclaim] = {}
-        """Reclaims whose victims have not been sent a stop, by number."""
+        """Reclaims whose victims have not been sent a stop command, by number."""
         self._chosen: set[BorrowedAttempt] = set()
         """The victims of these reclaims that are not already stopping."""
         self._chosen_usage: dict[str, Amounts] = {}
@@ -96,7 +96,7 @@
         self.mark_stops_sent(entry)
 
     def mark_stops_sent(self, entry: OpenReclaim) -> None:
-        """Records that the victims were sent a stop: they now count as stopping, not as chosen."""
+        """Records that the victims were commanded to stop: they are no longer only chosen."""
         if self._unsent.pop(entry.reclaim.number, None) is not None:
             self._recount_chosen()
 
@@ -129,12 +129,12 @@
         return self._promised.get(team, NO_RESOURCES)
 
     def get_chosen_usage(self, team: str) -> Amounts:
-        """Returns the usage of a team's tasks that are chosen and have not been sent a stop."""
+        """Returns the usage of a team's tasks that are chosen and not yet commanded to stop."""
         return self._chosen_usage.get(team, NO_RESOURCES)
 
     @property
     def chosen_count(self) -> int:
-        """The number of tasks that are chosen and have not been sent a stop."""
+        """The number of tasks that are chosen and not yet commanded to stop."""
         return len(self._chosen)
 
     def is_chosen(self, placed: Placement) -> bool:
@@ -142,7 +142,7 @@
         return (placed.job.number, placed.task, placed.attempt) in self._chosen
 
     def will_stop(self, placed: Placement) -> bool:
-        """Whether the task was sent a stop, or will be sent one by a reclaim."""
+        """Whether the task was commanded to stop, or will be by a reclaim."""
         return placed.stopping_at is not None or self.is_chosen(placed)
 
     def list_for_job(self, job: Job) -> list[OpenReclaim]:
--- a/flaxtally/leader/reclaim/quota_accounting.py
+++ b/flaxtally/leader/reclaim/quota_accounting.py
@@ -54,7 +54,7 @@
         )
 
     def _compute_staying_usage(self, team: str) -> Amounts:
-        """Returns the usage of a team's tasks that were neither sent a stop nor chosen for one."""
+        """Returns the usage of a team's tasks that are neither stopping nor chosen to stop."""
         not_stopping = self._commands.compute_usage_not_stopping(team)
         return not_stopping.minus(self._open_reclaims.get_chosen_usage(team))
 
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -39,7 +39,7 @@
     """Searches the fleet for tasks whose stop frees enough capacity."""
 
     def find_plan(self, job: Job) -> PreemptionPlan | None:
-        """Returns which tasks to stop for a job that is entitled to capacity, if any suffice."""
+        """Returns which tasks to stop for a job entitled to capacity; None: none suffice."""
 
 
 class QuotaReclaim(TermActor):
@@ -54,9 +54,9 @@
         commands: CommandSender,
         gang_scheduler: GangScheduler,
         open_reclaims: OpenReclaims,
-        accounting: QuotaAccounting,
+        quota_accounting: QuotaAccounting,
         admission: ReclaimAdmission,
-        capacity: ReclaimedCapacity,
+        reclaimed_capacity: ReclaimedCapacity,
         plan_search: PlanSearch,
     ) -> None:
         """`plan_search`: finds another machine if the first one can't provide the capacity."""
@@ -64,9 +64,9 @@
         self.open_reclaims = open_reclaims
         self._commands = commands
         self._gang_scheduler = gang_scheduler
-        self._accounting = accounting
+        self._quota_accounting = quota_accounting
         self._admission = admission
-        self._capacity = capacity
+        self._reclaimed_capacity = reclaimed_capacity
         self._plan_search = plan_search
         self._times = ReclaimTimes(
             resend_after_s=self.policy.order_call,
@@ -83,15 +83,18 @@
                 "event=reclaims_restored term=%d open=%d lending=%s",
                 self.term.number,
                 len(self.open_reclaims),
-                "enabled" if self._accounting.is_configured else "not enabled: no reclaim starts",
+                "enabled"
+                if self._quota_accounting.is_configured
+                else "not enabled: no reclaim starts",
             )
 
     # Starting
 
     def try_start(self, job: Job, *plans: PreemptionPlan) -> bool:
-        """Starts a reclaim for each plan, if it is time; False: too many stops within this minute.
+        """Starts a reclaim for each plan; False: the limit of stops per minute would be exceeded.
 
-        If all victims have a lower rank, it doesn't wait for a machine that could be provisioned.
+        Starts none, and returns True, while a machine can be provisioned in time, unless all
+        victims have a lower rank than the job.
         """
         rank = wire.RANKS[job.spec.rank]
         victims = [placed for plan in plans for placed in plan.victims]
@@ -188,7 +191,7 @@
         sent_at = entry.stops_sent_at
         return ReclaimSituation(
             is_wanted=self._is_wanted(entry),
-            can_machine_serve=self._capacity.can_machine_take_task(entry.reclaim),
+            can_machine_serve=self._reclaimed_capacity.can_machine_take_task(entry.reclaim),
             remaining_victim_count=len(victims),
             since_stop_s=None if sent_at is None else self.runtime.now() - sent_at,
             is_forced=entry.is_forced,
@@ -205,7 +208,7 @@
         remaining_count = len(self.open_reclaims.find_remaining_victims(reclaim))
         if entry.stops_sent_at is not None or remaining_count < len(reclaim.borrowed):
             return True
-        return self._accounting.is_within_quota(
+        return self._quota_accounting.is_within_quota(
             reclaim.lender, compute_amounts(job.spec, reclaim.tasks)
         )
 
--- a/flaxtally/leader/reclaim/reclaim_admission.py
+++ b/flaxtally/leader/reclaim/reclaim_admission.py
@@ -59,7 +59,7 @@
     # Demand
 
     def record_demand(self, job: Job) -> None:
-        """Starts the recall time of a job that is entitled to capacity and found none."""
+        """Sets the reclaim deadline of a job that is entitled to capacity and found none."""
         self._waiting_since.setdefault(job.number, self.runtime.now())
 
     def has_demand_without_reclaim(self) -> bool:
@@ -72,7 +72,7 @@
         )
 
     def compute_time_left_s(self, job: Job) -> float:
-        """Returns what is left of the job's recall time; starts it if it is not running."""
+        """Returns the time until the job's reclaim deadline, which is set now if it was not."""
         now = self.runtime.now()
         return self.policy.recall - (now - self._waiting_since.setdefault(job.number, now))
 
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -68,7 +68,7 @@
         return self._machine_status.is_schedulable(machine)
 
     def make_reservation_filter(self, job: Job) -> Callable[[Machine], bool] | None:
-        """Returns which machines hold the job beside reserved capacity; None: none is reserved."""
+        """Returns a filter of machines that hold the job beside reserved capacity; None: all do."""
         by_machine = self._open_reclaims.get_by_machine()
         if not by_machine:
             return None
@@ -87,12 +87,12 @@
         others = [entry for entry in entries if entry.reclaim.job != job.number]
         for spec in self._open_reclaims.get_reserved_specs(others):
             expected = expected.minus(spec)
-        leaving = {
+        victims = {
             placed
             for entry in others
             for placed in self._open_reclaims.find_remaining_victims(entry.reclaim)
         }
-        for placed in leaving:
+        for placed in victims:
             expected = expected.plus(placed.job.spec)
         return expected.holds(job.spec)
 
--- a/flaxtally/leader/reconciliation/attempt_finisher.py
+++ b/flaxtally/leader/reconciliation/attempt_finisher.py
@@ -80,7 +80,7 @@
         self.term.request_pass()
 
     def _update_job(self, job: Job, *, is_done: bool) -> None:
-        """Forgets the job if nothing of it is left to run, or queues the task again."""
+        """Forgets a terminal job without placements, or requeues the task if it isn't done."""
         if job.is_terminal and not job.placements:
             self._jobs.live_jobs.pop(job.number, None)
             self._failure_attribution.forget_failures(job)
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -44,8 +44,8 @@
         self._commands = commands
         self._probed_machine_count = 0
         """The number of machines that are being probed."""
-        called_sockets = self.settings.max_sockets * WORKER_SOCKETS_FRACTION
-        self._max_probed_machines = max(1, int(called_sockets * MAX_PROBING_FRACTION))
+        worker_sockets = self.settings.max_sockets * WORKER_SOCKETS_FRACTION
+        self._max_probed_machines = max(1, int(worker_sockets * MAX_PROBING_FRACTION))
         self._zone_overdue_until: dict[str, float] = {}
 
     def find_zones_without_heartbeats(self, now: float) -> set[str]:
--- a/flaxtally/leader/reconciliation/orphans.py
+++ b/flaxtally/leader/reconciliation/orphans.py
@@ -17,7 +17,7 @@
 
 
 class OrphanedTasks(TermActor):
-    """Stops orphaned tasks, and tells machines to forget exited ones once that is safe."""
+    """Stops orphaned tasks, and has machines forget exited ones once that is safe."""
 
     def __init__(self, term: Term, commands: CommandSender) -> None:
         """Starts without reported exits; `commands` sends stop and forget commands to machines."""
@@ -27,7 +27,7 @@
         """The placements whose exit was reported, by machine, then by task and attempt."""
 
     def record_exit(self, machine: Machine, placement: Placement) -> None:
-        """Records the attempt's exit; the machine lists the task until it is told to forget it."""
+        """Records an exit; the machine lists the task until it is commanded to forget it."""
         self._exits.setdefault(machine.name, {})[placement.name, placement.attempt] = placement
 
     def forget_machine(self, machine: Machine) -> None:
--- a/flaxtally/leader/scheduling/job_urgency.py
+++ b/flaxtally/leader/scheduling/job_urgency.py
@@ -32,8 +32,8 @@
         self._policy = policy
         self._levels: dict[int, int] = {}
         """By job, the index of the due time to meet where capacity doesn't suffice for all."""
-        self._begin_within: dict[str, float] = {}
-        self._finish_within: dict[str, list[float]] = {}
+        self._begin_within_s: dict[str, float] = {}
+        self._finish_within_s: dict[str, list[float]] = {}
         self._deadline_factors: dict[str, list[float]] = {}
         for objective in objectives:
             if objective.job_class is not None:
@@ -43,18 +43,18 @@
         if objective.kind == "deadline" and objective.times != 1.0:
             self._deadline_factors.setdefault(job_class, []).append(objective.times)
         if objective.kind == "wait" and objective.within:
-            self._begin_within[job_class] = min(
+            self._begin_within_s[job_class] = min(
                 objective.within * MAX_WAIT_FRACTION, self._policy.begin_latest
             )
         if objective.kind == "finished" and objective.within:
-            self._finish_within.setdefault(job_class, []).append(objective.within)
+            self._finish_within_s.setdefault(job_class, []).append(objective.within)
 
     def compute(self, job: Job, wall: float) -> tuple[int, float]:
         """Returns the index of the due time that the job is to meet, and its latest start."""
         spec = job.spec
-        begin_within = self._begin_within.get(spec.job_class, self._policy.begin_latest)
+        begin_within_s = self._begin_within_s.get(spec.job_class, self._policy.begin_latest)
         may_wait = spec.job_kind == wire.SERVICE or (spec.is_best_effort and job.has_started)
-        if wall - job.accepted_at > begin_within and not may_wait:
+        if wall - job.accepted_at > begin_within_s and not may_wait:
             # A job that was deferred because it is large must start nevertheless.
             return OVERDUE_LEVEL, job.accepted_at
         latest_starts = self._compute_latest_starts(job)
@@ -69,7 +69,7 @@
     def _compute_latest_starts(self, job: Job) -> tuple[float, ...]:
         """Returns when the job's tasks must start to meet each of its due times, in order."""
         spec = job.spec
-        due_times = list(self._finish_within.get(spec.job_class, ()))
+        due_times = list(self._finish_within_s.get(spec.job_class, ()))
         if spec.deadline is not None:
             due_times.append(spec.deadline)
             # After a missed deadline, an objective may still require a multiple of it.
@@ -95,8 +95,8 @@
         for job in pending:
             spec = job.spec
             if spec.job_kind != wire.SERVICE:
-                work = job.pending_count * spec.estimated_run_s
-                due = JobDueTimes(job.number, self._compute_latest_starts(job), work)
+                work_s = job.pending_count * spec.estimated_run_s
+                due = JobDueTimes(job.number, self._compute_latest_starts(job), work_s)
                 dues_by_class.setdefault(spec.job_class, []).append(due)
         return dues_by_class
 
--- a/flaxtally/leader/scheduling/lending_policy.py
+++ b/flaxtally/leader/scheduling/lending_policy.py
@@ -63,30 +63,30 @@
     def __init__(
         self,
         term: Term,
-        quota: QuotaAccounting,
+        quota_accounting: QuotaAccounting,
         admission: ReclaimAdmission,
         open_reclaims: OpenReclaims,
-        capacity: ReclaimedCapacity,
+        reclaimed_capacity: ReclaimedCapacity,
     ) -> None:
-        """`capacity` knows the zones in which capacity is being reclaimed."""
+        """`reclaimed_capacity` knows the zones in which capacity is being reclaimed."""
         super().__init__(term)
-        self._quota = quota
+        self._quota_accounting = quota_accounting
         self._admission = admission
         self._open_reclaims = open_reclaims
-        self._capacity = capacity
+        self._reclaimed_capacity = reclaimed_capacity
         self._borrowers: frozenset[str] = frozenset()
         """The teams that borrow, as of this pass, so that a search examines only their tasks."""
 
     def begin_pass(self) -> None:
         """Determines which teams borrow."""
-        self._borrowers = self._quota.find_borrowers()
+        self._borrowers = self._quota_accounting.find_borrowers()
 
     def is_entitled(self, job: Job) -> bool:
         """Whether the job's next task, or the whole gang, is within its team's quota."""
-        return self._quota.is_entitled(job)
+        return self._quota_accounting.is_entitled(job)
 
     def get_equivalence_key(self, job: Job) -> Hashable:
-        """Includes the team, since other rules hold for its own tasks than for other teams'."""
+        """Returns a key with the team: other rules hold for its own tasks than for other teams'."""
         return job.spec.team, self.is_entitled(job)
 
     def get_gang_equivalence_key(self, job: Job) -> Hashable:
@@ -104,7 +104,7 @@
         )
 
     def record_demand(self, job: Job) -> None:
-        """Starts the reclaim deadline of the job."""
+        """Sets the reclaim deadline of the job."""
         self._admission.record_demand(job)
 
     def find_next_preemptor(self, job: Job, preemptors: Preemptors, now: float) -> TaskKey | None:
@@ -120,8 +120,8 @@
         return next(((job.number, task) for task in pending if task not in preempting_tasks), None)
 
     def find_excluded_zones(self, job: Job, zones: Collection[str]) -> Collection[str]:
-        """Counts tasks for which capacity is being reclaimed as placed."""
-        return self._capacity.find_excluded_zones(job)
+        """Returns the zones; counts tasks for which capacity is being reclaimed as placed."""
+        return self._reclaimed_capacity.find_excluded_zones(job)
 
     def is_preemptible(self, placed: Placement, request: PreemptionRequest) -> bool:
         """Whether the task may be stopped, if its team keeps its quota (see `QuotaBudget`).
@@ -147,11 +147,13 @@
 
     def make_budget(self, spec: wire.Spec) -> PreemptionBudget:
         """Returns a budget of what the other teams use beyond their quotas."""
-        return QuotaBudget(spec.team, self._quota.make_reclaim_budget(), self._open_reclaims)
+        return QuotaBudget(
+            spec.team, self._quota_accounting.make_reclaim_budget(), self._open_reclaims
+        )
 
     def get_overdue_after_s(self, job: Job) -> float:
         """Returns `keep_patience`, or less for a job within its team's quota."""
-        if self._quota.is_entitled(job):
+        if self._quota_accounting.is_entitled(job):
             return min(self.policy.keep_patience, self.policy.recall * OVERDUE_RECLAIM_FRACTION)
         return self.policy.keep_patience
 
--- a/flaxtally/leader/scheduling/pending_queue.py
+++ b/flaxtally/leader/scheduling/pending_queue.py
@@ -57,7 +57,7 @@
         self.jobs_over_quota: set[int] = set()
         """Numbers of the jobs that are over their team's quota, as of the last count."""
         self._pending: dict[int, Job] = {}
-        """Jobs that may have pending tasks; a pass over all live jobs would cost too much."""
+        """Jobs that may have pending tasks; examining all live jobs costs more than placing."""
         self._order: list[PendingJob] = []
         self._ordered_numbers: set[int] = set()
         self._ordered_at = float("-inf")
--- a/flaxtally/leader/scheduling/preemption.py
+++ b/flaxtally/leader/scheduling/preemption.py
@@ -103,8 +103,8 @@
     def preempt_for_task(self, job: Job, key: Hashable, excluded_zones: Collection[str]) -> bool:
         """Stops tasks to free capacity for one task of the job, where the least work is lost.
 
-        The capacity is reserved for the job's rank until the stopped tasks are known to have ended.
-        Returns False if there is no victim for this job, nor for others with the same `key`.
+        The capacity is reserved for the job's rank for as long as the stops may take. Returns False
+        if there is no victim for this job, nor for others with the same `key`.
         """
         policy = self._policies.current
         is_entitled = policy.is_entitled(job)
--- a/flaxtally/leader/scheduling/preemption_parts.py
+++ b/flaxtally/leader/scheduling/preemption_parts.py
@@ -33,8 +33,8 @@
     """The objects that the scheduler and the leader use."""
 
     machines: SchedulableMachines
-    quota: QuotaAccounting
-    reclaimed: ReclaimedCapacity
+    quota_accounting: QuotaAccounting
+    reclaimed_capacity: ReclaimedCapacity
     quota_reclaim: QuotaReclaim
     preemption: Preemption
 
@@ -52,18 +52,18 @@
     machines = SchedulableMachines(term, reconciler)
     reservations = Reservations()
     open_reclaims = OpenReclaims(term.ledger)
-    quota = QuotaAccounting(term, commands, open_reclaims, feature)
+    quota_accounting = QuotaAccounting(term, commands, open_reclaims, feature)
     admission = ReclaimAdmission(term, jobs, open_reclaims, pools, feature)
-    reclaimed = ReclaimedCapacity(term, jobs, open_reclaims, reconciler)
+    reclaimed_capacity = ReclaimedCapacity(term, jobs, open_reclaims, reconciler)
 
     cost = PreemptionCost(gang_scheduler, open_reclaims)
     policies = PreemptionPolicies(
         RankPolicy(term, jobs, cost),
-        LendingPolicy(term, quota, admission, open_reclaims, reclaimed),
-        quota,
+        LendingPolicy(term, quota_accounting, admission, open_reclaims, reclaimed_capacity),
+        quota_accounting,
     )
     victim_search = VictimSearch(
-        term, jobs, gang_scheduler, machines, policies, cost, reservations, reclaimed
+        term, jobs, gang_scheduler, machines, policies, cost, reservations, reclaimed_capacity
     )
 
     quota_reclaim = QuotaReclaim(
@@ -71,9 +71,9 @@
         commands,
         gang_scheduler,
         open_reclaims,
-        quota,
+        quota_accounting,
         admission,
-        reclaimed,
+        reclaimed_capacity,
         victim_search,
     )
     preemption = Preemption(
@@ -86,4 +86,6 @@
         open_reclaims,
         quota_reclaim,
     )
-    return PreemptionParts(machines, quota, reclaimed, quota_reclaim, preemption)
+    return PreemptionParts(
+        machines, quota_accounting, reclaimed_capacity, quota_reclaim, preemption
+    )
--- a/flaxtally/leader/scheduling/preemption_policy.py
+++ b/flaxtally/leader/scheduling/preemption_policy.py
@@ -179,14 +179,17 @@
     """Selects the policy in force, since lending may be enabled within a term."""
 
     def __init__(
-        self, by_rank: PreemptionPolicy, with_lending: PreemptionPolicy, quota: QuotaAccounting
+        self,
+        by_rank: PreemptionPolicy,
+        with_lending: PreemptionPolicy,
+        quota_accounting: QuotaAccounting,
     ) -> None:
-        """`quota` knows whether lending is enabled."""
+        """`quota_accounting` knows whether lending is enabled."""
         self._by_rank = by_rank
         self._with_lending = with_lending
-        self._quota = quota
+        self._quota_accounting = quota_accounting
 
     @property
     def current(self) -> PreemptionPolicy:
         """The policy in force now."""
-        return self._with_lending if self._quota.is_enabled else self._by_rank
+        return self._with_lending if self._quota_accounting.is_enabled else self._by_rank
--- a/flaxtally/leader/scheduling/preemptors.py
+++ b/flaxtally/leader/scheduling/preemptors.py
@@ -10,7 +10,7 @@
 
 
 class Preemptors:
-    """Owns the pending tasks for which others were stopped, until their reservation expires."""
+    """Owns the tasks for which others were stopped, until their reservation expires."""
 
     def __init__(self) -> None:
         """Starts without tasks."""
--- a/flaxtally/leader/scheduling/scheduler.py
+++ b/flaxtally/leader/scheduling/scheduler.py
@@ -30,6 +30,7 @@
     from .scheduling_pass import MachineFilter
 
 MAX_PASSES_PER_HEARTBEAT = 8
+"""The most passes that run within one heartbeat interval."""
 MIN_PASS_DELAY_S = 0.002
 """Delay of a pass after a request, so that several requests in a row lead to one pass."""
 
@@ -54,7 +55,7 @@
         self.gang_scheduler = gang_scheduler
         self.preemption = preemption_parts.preemption
         self._quota_reclaim = preemption_parts.quota_reclaim
-        self._reclaimed = preemption_parts.reclaimed
+        self._reclaimed_capacity = preemption_parts.reclaimed_capacity
         self.gang_reservations = GangReservations(term, jobs)
         self.examined_count = 0
         """The number of machines that passes have examined."""
@@ -75,8 +76,8 @@
         """Runs a pass soon, unless one is already due."""
         if not self._is_pass_requested and self.term.active:
             self._is_pass_requested = True
-            delay = self._next_pass_at - self.runtime.now()
-            self.later(max(MIN_PASS_DELAY_S, delay), self._schedule)
+            delay_s = self._next_pass_at - self.runtime.now()
+            self.later(max(MIN_PASS_DELAY_S, delay_s), self._schedule)
 
     def _schedule(self) -> None:
         self._is_pass_requested = False
@@ -99,8 +100,8 @@
 
     def _run_pass(self, queue: list[PendingJob], now: float) -> bool:
         """Places what fits; returns whether the pass ended before it had tried all jobs."""
-        released = self.gang_reservations.take_released_machines
-        freed_machines = self.preemption.begin_pass() | released()
+        take_released_machines = self.gang_reservations.take_released_machines
+        freed_machines = self.preemption.begin_pass() | take_released_machines()
         if self._machines.apply_changes():
             self._infeasible = placement.InfeasibleRequests()
         self._machines.mark_capacity_gained(freed_machines)
@@ -129,7 +130,7 @@
         self.later(self.policy.retry, self.request_pass)
 
     def resume_backed_off_jobs(self) -> None:
-        """Requests a pass if a job's backoff ends soon; drops those that ended long ago."""
+        """Requests a pass if a job's back-off ends soon; drops those that ended long ago."""
         now = self.runtime.now()
         backoff_until = self.jobs.backoff_until
         if any(now < until < now + 2 * self.policy.retry for until in backoff_until.values()):
@@ -149,7 +150,7 @@
     def has_hint(self, job: Job) -> bool:
         """Whether a machine has been chosen for the job's next task."""
         is_hinted = bool(self.hints) and (job.number, job.next_pending_task()) in self.hints
-        return is_hinted or self._reclaimed.find_freed_machine(job) is not None
+        return is_hinted or self._reclaimed_capacity.find_freed_machine(job) is not None
 
     def take_hinted_machine(
         self, job: Job, excluded_zones: Collection[str], is_available: MachineFilter | None
@@ -159,7 +160,7 @@
         It was chosen for a move of the task, or capacity was reclaimed there.
         """
         hint = self.hints.pop((job.number, job.next_pending_task()), "")
-        machine = self.fleet.machines.get(hint) or self._reclaimed.find_freed_machine(job)
+        machine = self.fleet.machines.get(hint) or self._reclaimed_capacity.find_freed_machine(job)
         if machine is None or machine.zone in excluded_zones:
             return None
         if not self.reconciler.is_schedulable(machine):
@@ -179,7 +180,7 @@
         candidates = (
             self.preemption.make_filter_for_rank(wire.RANKS[job.spec.rank]),
             self.gang_reservations.make_machine_filter(job),
-            self._reclaimed.make_reservation_filter(job),
+            self._reclaimed_capacity.make_reservation_filter(job),
         )
         filters = [each for each in candidates if each is not None]
         if len(filters) < 2:
--- a/flaxtally/leader/scheduling/scheduling_pass.py
+++ b/flaxtally/leader/scheduling/scheduling_pass.py
@@ -114,7 +114,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether the pass has placed as many tasks as one may."""
+        """Whether the pass has placed as many tasks as a pass may place."""
         return self._placed_count >= MAX_PLACEMENTS_PER_PASS
 
     def run(self, queue: list[PendingJob]) -> placement.InfeasibleRequests:
@@ -155,7 +155,7 @@
         is_available = self._scheduler.make_availability_filter(job)
         if not self._jobs.is_within_limit(job.spec):
             return False
-        request = self._request(job, is_available)
+        request = self._make_request(job, is_available)
         machine = self._find_machine(request, None)
         if machine is not None:
             self._place_task(job, machine)
@@ -167,7 +167,7 @@
         while job.pending_count and not self.is_full:
             if not self._jobs.is_within_limit(job.spec):
                 return False
-            request = self._request(job, is_available)
+            request = self._make_request(job, is_available)
             machine = self._find_machine(request, machine)
             if machine is None:
                 self._preempt(request)
@@ -179,7 +179,7 @@
         self._scheduler.place_task(job, machine)
         self._placed_count += 1
 
-    def _request(self, job: Job, is_available: MachineFilter | None) -> _TaskRequest:
+    def _make_request(self, job: Job, is_available: MachineFilter | None) -> _TaskRequest:
         spec = job.spec
         excluded_zones = self._jobs.find_excluded_zones(job)
         constraints = (
--- a/flaxtally/leader/scheduling/victim_search.py
+++ b/flaxtally/leader/scheduling/victim_search.py
@@ -40,9 +40,9 @@
         policies: PreemptionPolicies,
         cost: PreemptionCost,
         reservations: Reservations,
-        reclaimed: ReclaimedCapacity,
+        reclaimed_capacity: ReclaimedCapacity,
     ) -> None:
-        """`reservations` and `reclaimed` know the capacity that is being freed for other tasks."""
+        """`reservations`, `reclaimed_capacity`: know what is being freed for other tasks."""
         super().__init__(term)
         self._jobs = jobs
         self._gang_scheduler = gang_scheduler
@@ -50,7 +50,7 @@
         self._policies = policies
         self._cost = cost
         self._reservations = reservations
-        self._reclaimed = reclaimed
+        self._reclaimed_capacity = reclaimed_capacity
 
     @property
     def _max_machines(self) -> int:
@@ -63,7 +63,7 @@
 
     def find_plan(self, job: Job) -> PreemptionPlan | None:
         """Returns a plan to stop tasks for a job that is entitled to capacity; None: none found."""
-        excluded = self._reclaimed.find_excluded_zones(job)
+        excluded = self._reclaimed_capacity.find_excluded_zones(job)
         return self.find_cheapest(self.make_request(job, is_entitled=True), excluded)
 
     def find_cheapest(
@@ -90,7 +90,7 @@
     def select_victims_on(
         self, machine: Machine, machine_type: wire.MachineType, request: PreemptionRequest
     ) -> list[Placement]:
-        """Returns the tasks to stop on the machine for one task of the job; empty: not possible.
+        """Returns the tasks to stop on the machine for one task of the job; empty: none suffice.
 
         Tasks that lose the least work are chosen first.
         """
@@ -104,15 +104,17 @@
                 self._cost.estimate_lost_work_s(placed, request.now),
             )
         )
-        left, victims = select_victims(
+        free_after_stops, victims = select_victims(
             spec,
             self._compute_unreserved_capacity(machine, machine_type),
             preemptible,
             lambda placed: placed.job.spec,
             policy.make_budget(spec).try_take,
         )
-        fits = left.holds(spec) and (
-            placement.leaves_gpus_usable(spec, left, machine_type, self._jobs.gpu_reservations)
+        fits = free_after_stops.holds(spec) and (
+            placement.leaves_gpus_usable(
+                spec, free_after_stops, machine_type, self._jobs.gpu_reservations
+            )
             or policy.ignores_gpu_reservations(request)
         )
         return victims if fits else []
@@ -162,6 +164,6 @@
         free = placement.compute_free_resources(machine, machine_type)
         for reservation in self._reservations.list_on(machine.name):
             free = free.minus(reservation.spec)
-        for spec in self._reclaimed.get_reserved_specs_on(machine.name):
+        for spec in self._reclaimed_capacity.get_reserved_specs_on(machine.name):
             free = free.minus(spec)
         return free
--- a/flaxtally/leader/term_duties.py
+++ b/flaxtally/leader/term_duties.py
@@ -60,7 +60,7 @@
             lending,
         )
         self.quota_reclaim = preemption_parts.quota_reclaim
-        self.loan_accounts = self._create_loan_accounts(lending, preemption_parts.quota)
+        self.loan_accounts = self._create_loan_accounts(lending, preemption_parts.quota_accounting)
         self.scheduler = Scheduler(
             term, self.jobs, self.reconciler, self.commands, self.gang_scheduler, preemption_parts
         )
@@ -99,14 +99,14 @@
         self.reconciler.attempt_finisher.finish_attempt(placement, reason)
 
     def _create_loan_accounts(
-        self, lending: LendingFeature | None, quota: QuotaAccounting
+        self, lending: LendingFeature | None, quota_accounting: QuotaAccounting
     ) -> LoanAccounts | None:
         if lending is None:
             return None
         # Imported here so that a controller without the feature does not load the module.
         from .reclaim.loan_accounts import LoanAccounts
 
-        return LoanAccounts(self.term, self.jobs, quota, lending.account_interval_s)
+        return LoanAccounts(self.term, self.jobs, quota_accounting, lending.account_interval_s)
 
     def run_periodic_checks(self) -> None:
         """Runs the frequent checks, in an order in which each uses the results of those before."""
--- a/flaxtally/lending/accounts.py
+++ b/flaxtally/lending/accounts.py
@@ -1,4 +1,4 @@
-"""Computes what the teams use, borrow and lend, and what they owe each other. No I/O.
+"""Computes what the teams use, borrow and lend, and what they owe each other. Performs no I/O.
 
 Loans are not stored: they follow from placements and settings. The teams with unused quota lend
 what is borrowed in total, each in proportion to its unused quota.
@@ -46,8 +46,8 @@
 def compute_team_accounts(teams: Iterable[TeamUsage]) -> dict[str, TeamAccount]:
     """Returns the account of each team, by name."""
     teams = list(teams)
-    borrowed = {entry.team: entry.quota.borrowed(entry.usage) for entry in teams}
-    unused = {entry.team: entry.quota.unused(entry.usage) for entry in teams}
+    borrowed = {entry.team: entry.quota.compute_borrowed(entry.usage) for entry in teams}
+    unused = {entry.team: entry.quota.compute_unused(entry.usage) for entry in teams}
     lent_fraction = _compute_lent_fraction(
         _sum_amounts(borrowed.values()), _sum_amounts(unused.values())
     )
--- a/flaxtally/lending/entitlement.py
+++ b/flaxtally/lending/entitlement.py
@@ -1,4 +1,4 @@
-"""Decides what a team is entitled to, and what may be reclaimed from it. No I/O.
+"""Decides what a team is entitled to, and what may be reclaimed from it. Performs no I/O.
 
 A team's *quota* covers its usage up to an amount of each resource; operators' pages call it the
 guarantee. Usage beyond the quota is *borrowed* from the unused quota of the *lenders*, as far as
@@ -86,11 +86,11 @@
             for amount, used, granted in zip(taken, usage, self.amounts, strict=True)
         )
 
-    def borrowed(self, usage: Amounts) -> Amounts:
+    def compute_borrowed(self, usage: Amounts) -> Amounts:
         """Returns the usage beyond the quota."""
         return Amounts(*(max(0.0, u - q) for u, q in zip(usage, self.amounts, strict=True)))
 
-    def unused(self, usage: Amounts) -> Amounts:
+    def compute_unused(self, usage: Amounts) -> Amounts:
         """Returns the part of the quota that is not used; zero for a resource without a limit."""
         return Amounts(
             *(
--- a/flaxtally/lending/feature.py
+++ b/flaxtally/lending/feature.py
@@ -15,7 +15,7 @@
 
 NAME = "lending"
 DEFAULT_STOPS_PER_MINUTE = 2.0
-"""As a multiple of the number of placed tasks."""
+"""The default of tasks stopped per minute, as a multiple of the number of placed tasks."""
 DEFAULT_ACCOUNT_INTERVAL_S = 60.0
 START_OBJECTIVE_KINDS = ("wait", "guarantee")
 """The kinds of objectives that set a time within which work must start."""
@@ -31,7 +31,7 @@
     stops_per_minute: float
     """Tasks that reclaims may stop per minute, as a multiple of the number of placed tasks."""
     account_interval_s: float
-    """Interval at which accounts are stored; a change of leader loses at most this much of them."""
+    """Interval at which accounts are stored; a change of leader loses at most one interval."""
 
     @classmethod
     def from_table(cls, table: Table) -> LendingFeature:
--- a/flaxtally/lending/page.py
+++ b/flaxtally/lending/page.py
@@ -1,4 +1,7 @@
-"""The operators' page of loans: its content as the leader replies it, and as text. No I/O."""
+"""The operators' page of loans: its content in the leader's reply, and as text.
+
+Performs no I/O.
+"""
 
 from __future__ import annotations
 
--- a/flaxtally/lending/reclaim.py
+++ b/flaxtally/lending/reclaim.py
@@ -1,4 +1,4 @@
-"""The states of a reclaim, and its next step. No I/O.
+"""The states of a reclaim, and its next step. Performs no I/O.
 
 A *reclaim* frees capacity for pending tasks that are entitled to it, by stopping borrowed tasks
 (its *victims*) on one machine before a deadline. `ledger.reclaims` defines what is stored of it.
@@ -22,7 +22,7 @@
     MOVE = "move"
     """The machine can't provide the capacity: find another one, with the same deadline."""
     WITHDRAW = "withdraw"
-    """The capacity is no longer needed: victims that were not sent a stop keep running."""
+    """The capacity is no longer needed: victims that were not commanded to stop keep running."""
     GIVE_UP = "give up"
     """The reclaim is long overdue: it is dropped, and the demand is treated as new."""
 
--- a/flaxtally/lending/victim_selection.py
+++ b/flaxtally/lending/victim_selection.py
@@ -1,4 +1,4 @@
-"""Selects the tasks to stop on one machine so that another task fits there. No I/O."""
+"""Selects the tasks to stop on one machine so that another task fits there. Performs no I/O."""
 
 from __future__ import annotations
 
--- a/flaxtally/planning/choice.py
+++ b/flaxtally/planning/choice.py
@@ -21,7 +21,7 @@
     """Estimates how long the image fetch takes; concurrent fetches share the bandwidth."""
     if spec.image in machine.images:
         return 0.0
-    fetched_images = machine.images_being_fetched()
+    fetched_images = machine.list_images_being_fetched()
     return (
         spec.image_gb
         / max(machine_type.fetch_gb_per_s, RESOURCE_TOLERANCE)
--- a/flaxtally/planning/consolidation.py
+++ b/flaxtally/planning/consolidation.py
@@ -125,7 +125,7 @@
     """Returns the machines that the rules allow to be emptied, largest saving first."""
     savings: list[tuple[float, Machine]] = []
     for machine in machines:
-        price = hourly_price(machine, machine_types)
+        price = get_hourly_price(machine, machine_types)
         if machine.name in rules.skipped or price < rules.min_hourly_price:
             continue
         replicas = list_replicas(machine)
@@ -197,7 +197,7 @@
     """
     if target is source or not (
         target.placements
-        or 2 * hourly_price(target, machine_types) < hourly_price(source, machine_types)
+        or 2 * get_hourly_price(target, machine_types) < get_hourly_price(source, machine_types)
     ):
         return False
     frees_gpus = (
@@ -215,7 +215,7 @@
     ]
 
 
-def hourly_price(machine: Machine, machine_types: dict[str, wire.MachineType]) -> float:
+def get_hourly_price(machine: Machine, machine_types: dict[str, wire.MachineType]) -> float:
     """Returns the hourly price of the machine."""
     machine_type = machine_types[machine.machine_type]
     return machine_type.hourly_spot_price if machine.spot else machine_type.hourly_price
--- a/flaxtally/planning/fleet.py
+++ b/flaxtally/planning/fleet.py
@@ -167,7 +167,7 @@
         while total_gb > cache_gb and len(self.images) > 1:
             total_gb -= self.images.popitem(last=False)[1]
 
-    def images_being_fetched(self) -> set[str]:
+    def list_images_being_fetched(self) -> set[str]:
         """Returns the images of tasks that have not started to run."""
         return {
             placement.job.spec.image
@@ -176,7 +176,7 @@
         }
 
     def forget_images(self) -> None:
-        """Clears the images after a restart of the agent: its cache content is unknown."""
+        """Clears the images after a restart of its worker: the content of the cache is unknown."""
         self.images.clear()
         self.mark_changed()
 
--- a/flaxtally/planning/forecast.py
+++ b/flaxtally/planning/forecast.py
@@ -61,7 +61,7 @@
         self._first_arrival_at: float | None = None
         self._job_classes: dict[str, _RecentJobs] = {}
 
-    def _recent(self, job_class: str, now: float) -> _RecentJobs:
+    def _get_recent_jobs(self, job_class: str, now: float) -> _RecentJobs:
         """Returns the jobs of the class that arrived within the window."""
         recent = self._job_classes.setdefault(job_class, _RecentJobs())
         recent.forget(now - self._window_s)
@@ -69,17 +69,17 @@
 
     def max_tasks_per_job(self, job_class: str, now: float) -> int:
         """Returns the task count of the largest job of the class within the window."""
-        return self._recent(job_class, now).max_tasks_per_job
+        return self._get_recent_jobs(job_class, now).max_tasks_per_job
 
     def mean_run_s(self, job_class: str, now: float) -> float:
         """Returns the mean estimated run time of the class's tasks within the window; 0: none."""
-        return self._recent(job_class, now).mean_run_s
+        return self._get_recent_jobs(job_class, now).mean_run_s
 
     def record_arrival(self, job_class: str, tasks: int, run_s: float, now: float) -> None:
         """Records a job of the class that arrived now; `run_s`: estimated run time of a task."""
         if self._first_arrival_at is None:
             self._first_arrival_at = now
-        self._recent(job_class, now).record_arrival(now, tasks, run_s)
+        self._get_recent_jobs(job_class, now).record_arrival(now, tasks, run_s)
         bucket_number = int(now / self._step_s)
         if not self._buckets or self._buckets[-1][0] != bucket_number:
             self._buckets.append((bucket_number, {}))
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -308,7 +308,9 @@
             machine_type = pool.machine_type
             for span in self._find_spans_with_capacity(pool, spec, gpu_reservations):
                 for entry in itertools.islice(span.items, span.first, span.end):
-                    count -= _max_task_count(spec, compute_free_resources(entry[2], machine_type))
+                    count -= _compute_max_task_count(
+                        spec, compute_free_resources(entry[2], machine_type)
+                    )
                     if count <= 0:
                         return True
         return False
@@ -403,7 +405,7 @@
             span_ends.append(count)
         if not count:
             return
-        position, stride = self._rng.randrange(count), self._stride(count)
+        position, stride = self._rng.randrange(count), self._choose_stride(count)
         for _ in range(count):
             number = bisect_right(span_ends, position)
             span = spans[number]
@@ -412,7 +414,7 @@
             if position >= count:
                 position -= count
 
-    def _stride(self, count: int) -> int:
+    def _choose_stride(self, count: int) -> int:
         if count == 1:
             return 0
         for _ in range(_MAX_STRIDE_TRIES):
@@ -422,7 +424,7 @@
         return 1
 
 
-def _max_task_count(spec: wire.Spec, free: FreeResources) -> int:
+def _compute_max_task_count(spec: wire.Spec, free: FreeResources) -> int:
     """Returns an upper bound of the tasks that fit into the free resources."""
     sizes = ((spec.cores, free.cores), (spec.gpus, free.gpus), (spec.memory_gb, free.memory_gb))
     return min(
@@ -432,7 +434,7 @@
 
 
 class FitCheck:
-    """Whether a machine can hold one more task of a job."""
+    """Checks whether a machine can hold one more task of a job."""
 
     __slots__ = (
         "_allows_slow_machines",
