--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -99,7 +99,7 @@
         """Whether jobs can be accepted now."""
         if not self.term.machine_types or self.ledger.backlog > MAX_UNCOMMITTED_RECORDS:
             return False
-        # A controller that does not know gangs would place their tasks one by one.
+        # A controller without gang scheduling would place the tasks one by one.
         return spec.job_kind != wire.GANG or self.ledger.state.format >= formats.GANGS
 
     def _reject(self, on_reply: OnReply, reason: str) -> None:
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -13,7 +13,7 @@
     from ..commands import CommandSender
 
 MAX_PROBING_FRACTION = 0.5
-"""The share of the connections for calls to workers that probes may use.
+"""The fraction of the connections for calls to workers that probes may use.
 
 The rest stays free for commands to other machines while a zone sends no heartbeats.
 """
--- a/flaxtally/planning/placement.py
+++ b/flaxtally/planning/placement.py
@@ -15,7 +15,10 @@
 RESOURCE_TOLERANCE = 1e-6
 """Rounding error that comparisons of resource amounts allow: cores, GPUs or GB."""
 SAMPLE_WIDENING_FACTOR = 4
-"""How many times the sample size a search may examine, per stage of widening."""
+"""Machines that a search may examine once it has found one, as a multiple of its sample size.
+
+The square of this factor bounds searches that examine more, such as the search for victims.
+"""
 
 
 class FreeResources(NamedTuple):
