--- a/flaxtally/leader/gang_scheduling/gang_scheduler.py
+++ b/flaxtally/leader/gang_scheduling/gang_scheduler.py
@@ -32,8 +32,8 @@
     """Places gangs, and reacts to changes of their tasks.
 
     The placements of an attempt are one batch of records, committed as a whole or not at all, and
-    no task is launched before. The next attempt begins when no machine has a task of the previous
-    one any more.
+    no task is launched before the commit. The next attempt begins when no machine has a task of the
+    previous one any more.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._commands = commands
         self._finish_attempt = finish_attempt
         self._attempts = GangAttempts(term)
-        self._machines = GangMachineChooser(term, jobs, self._attempts)
+        self._machine_chooser = GangMachineChooser(term, jobs, self._attempts)
         self._stops = GangStops(term, commands, self._attempts)
         self._no_capacity_until: dict[int, float] = {}
         """When to search again for gangs for which there was no capacity, by job number."""
@@ -81,7 +81,7 @@
         if action not in (Action.PLACE, Action.REPLACE):
             return 0
         missing = [task for task in range(job.spec.tasks) if task not in job.placements]
-        choice = self._machines.choose_machines(
+        choice = self._machine_chooser.choose_machines(
             job, len(missing), index, machine_filter, reserve_for_gpus=reserve_for_gpus
         )
         if choice is not None:
@@ -190,7 +190,7 @@
         if phase in (Phase.LAUNCHING, Phase.WAITING) or (phase is Phase.RUNNING and can_save):
             self.stop_gang(job, "preemption notice")
 
-    def watch(self) -> None:
+    def check_gangs(self) -> None:
         """Repeats stop commands that were not executed; removes attempts of terminal gangs."""
         self._request_pass_for_waiting_gangs()
         for number in self._attempts.list_job_numbers():
@@ -233,7 +233,7 @@
         """Commands all tasks to save and exit: one decision for the whole gang."""
         self._stops.stop_gang(job, reason)
 
-    def preemption_cost(self, job: Job) -> float:
+    def estimate_lost_work_s(self, job: Job) -> float:
         """Returns the seconds of work, summed over all tasks, that a stop of the gang discards."""
         now = self.runtime.now()
         spec = job.spec
--- a/flaxtally/leader/jobs.py
+++ b/flaxtally/leader/jobs.py
@@ -99,7 +99,7 @@
         """Whether jobs can be accepted now."""
         if not self.term.machine_types or self.ledger.backlog > MAX_UNCOMMITTED_RECORDS:
             return False
-        # A controller that does not know gangs would place their tasks one by one.
+        # A controller without gang scheduling would place the tasks one by one.
         return spec.job_kind != wire.GANG or self.ledger.state.format >= formats.GANGS
 
     def _reject(self, on_reply: OnReply, reason: str) -> None:
@@ -250,7 +250,7 @@
         """The cores and memory to reserve for each GPU."""
         return self.shapes.gpu_reservations
 
-    def excluded_zones(
+    def find_excluded_zones(
         self, job: Job, excluded_placement: Placement | None = None
     ) -> frozenset[str]:
         """Returns the zones in which none of the job's tasks may be placed now.
--- a/flaxtally/planning/machine_index.py
+++ b/flaxtally/planning/machine_index.py
@@ -282,7 +282,7 @@
         ]
         if not spans:
             return []
-        fits = Fit(spec, gpu_reservations, is_available)
+        fits = FitCheck(spec, gpu_reservations, is_available)
         count = sum(span.end - span.first for span in spans)
         if count <= SAMPLE_WIDENING_FACTOR**2 * max_count:
             return self._sample_from_all(spans, fits, max_count)
@@ -308,7 +308,9 @@
             machine_type = pool.machine_type
             for span in self._find_spans_with_capacity(pool, spec, gpu_reservations):
                 for entry in itertools.islice(span.items, span.first, span.end):
-                    count -= _max_task_count(spec, compute_free_resources(entry[2], machine_type))
+                    count -= _compute_max_task_count(
+                        spec, compute_free_resources(entry[2], machine_type)
+                    )
                     if count <= 0:
                         return True
         return False
@@ -358,7 +360,7 @@
             if id(self._entries[machine].pool) in pool_ids:
                 yield machine
 
-    def _sample_from_all(self, spans: list[_Span], fits: Fit, max_count: int) -> list[Machine]:
+    def _sample_from_all(self, spans: list[_Span], fits: FitCheck, max_count: int) -> list[Machine]:
         """Samples the spans after examining all their machines, for spans with few machines."""
         machines = [
             entry[2]
@@ -379,7 +381,7 @@
                 return found if len(found) <= max_count else self._rng.sample(found, max_count)
         return []
 
-    def _sample(self, machines: Iterator[Machine], fits: Fit, max_count: int) -> list[Machine]:
+    def _sample(self, machines: Iterator[Machine], fits: FitCheck, max_count: int) -> list[Machine]:
         found: list[Machine] = []
         max_examined_count = self.examined_count + SAMPLE_WIDENING_FACTOR * max_count
         for machine in machines:
@@ -403,7 +405,7 @@
             span_ends.append(count)
         if not count:
             return
-        position, stride = self._rng.randrange(count), self._stride(count)
+        position, stride = self._rng.randrange(count), self._choose_stride(count)
         for _ in range(count):
             number = bisect_right(span_ends, position)
             span = spans[number]
@@ -412,7 +414,7 @@
             if position >= count:
                 position -= count
 
-    def _stride(self, count: int) -> int:
+    def _choose_stride(self, count: int) -> int:
         if count == 1:
             return 0
         for _ in range(_MAX_STRIDE_TRIES):
@@ -422,7 +424,7 @@
         return 1
 
 
-def _max_task_count(spec: wire.Spec, free: FreeResources) -> int:
+def _compute_max_task_count(spec: wire.Spec, free: FreeResources) -> int:
     """Returns an upper bound of the tasks that fit into the free resources."""
     sizes = ((spec.cores, free.cores), (spec.gpus, free.gpus), (spec.memory_gb, free.memory_gb))
     return min(
@@ -431,8 +433,8 @@
     )
 
 
-class Fit:
-    """Whether a machine can hold one more task of a job."""
+class FitCheck:
+    """Checks whether a machine can hold one more task of a job."""
 
     __slots__ = (
         "_allows_slow_machines",
