--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -109,7 +109,7 @@
         command = RelayedCommand(number=number, machine=machine, address=address, commands=encoded)
         self._peers.send(server, to_frame(command))
 
-    def other_controllers(self, zone: str) -> list[str]:
+    def list_other_controllers(self, zone: str) -> list[str]:
         """Returns the other live controllers that can relay commands, those of the zone first."""
         live = [
             name
--- a/flaxtally/cells/directory.py
+++ b/flaxtally/cells/directory.py
@@ -88,7 +88,7 @@
 
         key = JOB_KEY_PREFIX + ref
         value = msgspec.to_builtins(entry)
-        self._store.compare_and_swap({key: version}, {key: value}, [], on_reply, first=True)
+        self._store.compare_and_swap({key: version}, {key: value}, [], on_reply, is_first_try=True)
 
     def _parse_row(self, ref: str, row: wire.Row | None) -> Lookup | None:
         if row is None:
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -213,9 +213,9 @@
 
         self._own_store.get(LEADER_KEY, on_reply)
 
-    def on_pause(self, lost_s: float) -> None:
+    def on_pause(self, pause_s: float) -> None:
         """Discounts a pause of this process, in which it could not read other cells' frames."""
-        self.links.on_pause(lost_s)
+        self.links.on_pause(pause_s)
 
     def redirect_to_cell(self, heartbeat: wire.Heartbeat) -> CellRedirect | None:
         """Returns the controller for a machine of another cell; None for one of this cell."""
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -125,13 +125,13 @@
         *,
         lease: int | None = None,
         use_commit_connection: bool = False,
-        first: bool = False,
+        is_first_try: bool = False,
     ) -> None:
         """Changes keys if all of them still have the expected versions.
 
         `on_done(outcome, revision)`: the revision is that of the committed changes, else 0. `lease`
         is attached to every key that is written. `use_commit_connection` selects the connection
-        reserved for the write-ahead log; `first` marks a first try, which has a shorter time-out.
+        reserved for the write-ahead log; `is_first_try` marks a first try, which has a shorter time-out.
         """
 
         def on_reply(reply: Reply) -> None:
@@ -143,7 +143,7 @@
             deletes = [self._prefix + key for key in deletes]
         transaction = Transaction.build(expected_versions, writes, deletes, lease)
         client = self._commit_client if use_commit_connection else self._client
-        timeout_s = self._first_timeout_s if first else self._timeout_s
+        timeout_s = self._first_timeout_s if is_first_try else self._timeout_s
         client.request("POST", paths.TRANSACTIONS, transaction, timeout_s, on_reply)
 
     # Leases
--- a/flaxtally/cluster/candidacy.py
+++ b/flaxtally/cluster/candidacy.py
@@ -185,7 +185,7 @@
             {LEADER_KEY: record.to_value()},
             [],
             partial(self._on_campaign_reply, attempt, record.term),
-            first=True,
+            is_first_try=True,
         )
 
     def _on_campaign_reply(
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -315,8 +315,8 @@
         log.warning(
             "event=loop_behind node=%s late=%.2f longest=%.2f callback=%s",
             self._settings.node,
-            delay.late,
-            delay.longest,
+            delay.max_lateness_s,
+            delay.max_duration_s,
             delay.callback,
         )
 
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -77,7 +77,7 @@
         self._states = [self._create_state_service(plan.state(cell)) for cell in range(plan.cells)]
         self._shared = self._create_state_service(plan.shared_state)
         self._cloud = RemoteCloud(loop, plan, link)
-        self._cloud.limit = _create_bucket(loop, plan.cloud_rps, CLOUD_BURST_S)
+        self._cloud.request_limit = _create_bucket(loop, plan.cloud_rps, CLOUD_BURST_S)
 
     def _create_state_service(self, address: Address) -> FakeKeyValueStore:
         plan = self._plan
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -13,7 +13,7 @@
     import random
     from collections.abc import Callable
 
-    from ..fakes.held_task import HeldTask
+    from ..fakes.worker_task import WorkerTask
     from ..runtime.loop import Address
     from .plan import Plan
 
@@ -103,7 +103,7 @@
             held.timer.cancel()
             held.timer = self._runtime.after(self._draw_fetch_s(command.task), self._run, held)
 
-    def start_unassigned(self, held: HeldTask) -> None:
+    def start_unassigned(self, held: WorkerTask) -> None:
         """Starts a task without a command, for runs that inject this fault."""
         self._run(held)
 
--- a/flaxtally/emulator/link.py
+++ b/flaxtally/emulator/link.py
@@ -83,4 +83,4 @@
             self.send(Counters(at, self.handler.totals()))
 
     def _on_delay(self, delay: LoopDelay) -> None:
-        self.send(LoopLate(delay.late))
+        self.send(LoopLate(delay.max_lateness_s))
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -5,7 +5,7 @@
 import random
 from typing import TYPE_CHECKING
 
-from ..fakes.held_task import HeldTask
+from ..fakes.worker_task import WorkerTask
 from ..protocol import wire
 from ..settings import address
 from .hollow_worker import HollowWorker
@@ -82,7 +82,7 @@
     def _start_twice(self, machine: str, task: str, attempt: int) -> None:
         """Injects the fault of `break_rule`: another worker starts the task without a command."""
         other = next(worker for name, worker in self._workers.items() if name != machine)
-        copy = other.tasks[task, attempt] = HeldTask(task, attempt, wire.FETCHING)
+        copy = other.tasks[task, attempt] = WorkerTask(task, attempt, wire.FETCHING)
         other.start_unassigned(copy)
 
     def receive(self, message: Message) -> None:
@@ -111,7 +111,7 @@
             "running": sum(worker.running_count for worker in workers),
             "reports": self._report_count,
             "starts": self._start_count,
-            "lapses": sum(worker.session - 1 for worker in workers),
+            "lapses": sum(worker.incarnation - 1 for worker in workers),
             "bytes_sent": traffic.sent,
             "bytes_received": traffic.received,
             "connections": traffic.connections,
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -23,7 +23,7 @@
 """The largest age reported, also of machines that were running before the fake started."""
 
 
-def equal_pools(
+def build_equal_pools(
     types: Iterable[wire.MachineType], zones: Iterable[str], machines: int
 ) -> dict[tuple[str, str, bool], int]:
     """Returns the same capacity for each pool: by machine type, zone, and spot or not."""
@@ -54,8 +54,8 @@
         self.machines: dict[str, wire.ListedMachine] = {}
         self._requested_at: dict[str, float] = {}
         self._granted: dict[str, list[str]] = {}
-        self.down = False
-        self.limit: TokenBucket | None = None
+        self.is_down = False
+        self.request_limit: TokenBucket | None = None
         """PROTOCOL: requests above this rate get status 429; None: unlimited."""
         self.throttled_count = 0
         """Number of requests that got status 429."""
@@ -82,9 +82,9 @@
             self.provision_requests.append(
                 msgspec.msgpack.decode(request.body, type=wire.ProvisionRequest).request
             )
-        if self.down:
+        if self.is_down:
             request.reply(503, {"error": "trouble"})
-        elif self.limit is not None and not self.limit.try_take(1):
+        elif self.request_limit is not None and not self.request_limit.try_take(1):
             self.throttled_count += 1
             request.reply(429, {"error": "too many"})
         elif path == wire.MACHINE_TYPES:
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -12,7 +12,7 @@
 from ..protocol import wire
 from ..runtime.loop import Address, Loop
 from ..settings import Settings, StateLimits, Team
-from .cloud import Cloud, equal_pools
+from .cloud import Cloud, build_equal_pools
 from .gang_rendezvous import GangRendezvous
 from .key_value_store import FakeKeyValueStore
 from .settings_text import settings_text
@@ -106,7 +106,7 @@
             loop,
             (HOST, first_port + 1),
             MACHINE_TYPES,
-            equal_pools(MACHINE_TYPES, ZONES, MACHINES_PER_POOL),
+            build_equal_pools(MACHINE_TYPES, ZONES, MACHINES_PER_POOL),
             lambda count: f"{HOST}:{first_port + 20 + count}",
             self._start,
             self._end,
--- a/flaxtally/fakes/gang_rendezvous.py
+++ b/flaxtally/fakes/gang_rendezvous.py
@@ -15,7 +15,7 @@
     from collections.abc import Callable
 
     from ..runtime.loop import Runtime, Timer
-    from .held_task import HeldTask
+    from .worker_task import WorkerTask
 
 log = logging.getLogger(__name__)
 
@@ -29,10 +29,10 @@
     hung: bool
     slowness: float
 
-    def set_state(self, held: HeldTask, state: str) -> None:
+    def set_state(self, held: WorkerTask, state: str) -> None:
         """Puts the task into that state and reports it."""
 
-    def exit(self, held: HeldTask, cause: str) -> None:
+    def exit(self, held: WorkerTask, cause: str) -> None:
         """Ends the task."""
 
 
@@ -41,7 +41,7 @@
 
     def __init__(self, spec: wire.Spec) -> None:
         self.spec = spec
-        self.members: dict[str, tuple[Host, HeldTask]] = {}
+        self.members: dict[str, tuple[Host, WorkerTask]] = {}
         self.started_at: float | None = None
         self.stopped_at: float | None = None
         self.stopping: set[str] = set()
@@ -71,7 +71,7 @@
         self.exits: list[tuple[str, int, str]] = []
         """Tasks, attempts and causes of exits, in order."""
 
-    def arrive(self, host: Host, held: HeldTask, spec: wire.Spec) -> None:
+    def arrive(self, host: Host, held: WorkerTask, spec: wire.Spec) -> None:
         """Adds a task that has its image; the last one of the attempt starts all."""
         ref = held.task.partition("/")[0]
         rendezvous = self._rendezvous_by_attempt.setdefault((ref, held.attempt), _Rendezvous(spec))
@@ -126,7 +126,7 @@
             return
         self._runtime.after(CHECK_INTERVAL_S, self._check_hung_machines, rendezvous, hung_since)
 
-    def leave(self, held: HeldTask, cause: str) -> None:
+    def leave(self, held: WorkerTask, cause: str) -> None:
         """Removes a task that ended, or whose machine was lost; the others exit after `peer_s`."""
         ref = held.task.partition("/")[0]
         rendezvous = self._rendezvous_by_attempt.get((ref, held.attempt))
@@ -160,7 +160,7 @@
             else:
                 host.exit(held, cause)
 
-    def stop(self, host: Host, held: HeldTask, grace_s: float) -> None:
+    def stop(self, host: Host, held: WorkerTask, grace_s: float) -> None:
         """Stops a gang's task; it saves first if the attempt runs and the grace period allows."""
         ref = held.task.partition("/")[0]
         rendezvous = self._rendezvous_by_attempt.get((ref, held.attempt))
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -17,7 +17,7 @@
 
 
 class FakeKeyValueStore:
-    """Keys with versions, transactions, leases. While `down`, every request gets status 503."""
+    """Keys with versions, transactions, leases. While `is_down`, every request gets status 503."""
 
     def __init__(
         self, runtime: Runtime, address: Address, rng: random.Random | None = None
@@ -26,7 +26,7 @@
         self.rows: dict[str, tuple[Any, int, int | None]] = {}
         """Value, version and lease (or None), by key."""
         self.revision = 0
-        self.down = False
+        self.is_down = False
         self.refused_hosts: set[str] = set()
         """Hosts whose requests get status 503 while all others are served."""
         self.lost_fraction = 0.0
@@ -72,7 +72,7 @@
             self._serve(request)
 
     def _serve(self, request: Request) -> None:
-        if self.down or request.remote_host in self.refused_hosts:
+        if self.is_down or request.remote_host in self.refused_hosts:
             request.reply(503, {"error": "trouble"})
             return
         self._expire_leases()
@@ -110,7 +110,7 @@
 
     def recover(self) -> None:
         """Ends an outage; all leases get their full duration again."""
-        self.down = False
+        self.is_down = False
         self._leases = {
             lease: (duration_s, self._runtime.now() + duration_s)
             for lease, (duration_s, _) in self._leases.items()
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -8,7 +8,7 @@
 
 from ..protocol import wire
 from ..runtime.http import Client, Reply, Request, Server
-from .held_task import HeldTask
+from .worker_task import WorkerTask
 
 if TYPE_CHECKING:
     import random
@@ -51,9 +51,9 @@
         )
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
         self._spec, self._run_time, self._on_event, self._rng = spec, run_time, on_event, rng
-        self.tasks: dict[tuple[str, int], HeldTask] = {}
-        self.session, self._sequence, self.token = 1, 0, 0
-        self.notice: float | None = None
+        self.tasks: dict[tuple[str, int], WorkerTask] = {}
+        self.incarnation, self._sequence, self.fencing_token = 1, 0, 0
+        self.preemption_notice_s: float | None = None
         """Seconds until the cloud takes the machine, as reported; None: no preemption notice."""
         self.hung = self._is_shut_down = False
         self.deaf = False
@@ -88,14 +88,14 @@
             machine.machine_type,
             machine.zone,
             machine.spot,
-            self.session,
+            self.incarnation,
             self._sequence,
-            self.token,
+            self.fencing_token,
             [
                 wire.TaskStatus(held.task, held.attempt, held.state, held.cause, held.kept)
                 for held in self.tasks.values()
             ],
-            self.notice,
+            self.preemption_notice_s,
         )
 
     def _schedule_heartbeat(self, delay: float) -> None:
@@ -113,10 +113,10 @@
         if self.hung:
             self._schedule_heartbeat(self._report_s)
             return
-        now, session = self._runtime.now(), self.session
+        now, incarnation = self._runtime.now(), self.incarnation
         if now - self._lease_renewed_at > self._lease_s:
             self._expire_lease()
-            session = self.session
+            incarnation = self.incarnation
         self._busy = True
         node = self._controller
 
@@ -127,9 +127,12 @@
             delay = self._report_s * self._rng.uniform(0.75, 1.25)
             if reply.status == 200 and not self.hung:
                 heartbeat_reply = msgspec.msgpack.decode(reply.body, type=wire.HeartbeatReply)
-                if heartbeat_reply.fencing_token >= self.token and session == self.session:
-                    delay = 0.5 if heartbeat_reply.fencing_token > self.token else delay
-                    self.token, self._lease_renewed_at = heartbeat_reply.fencing_token, now
+                if (
+                    heartbeat_reply.fencing_token >= self.fencing_token
+                    and incarnation == self.incarnation
+                ):
+                    delay = 0.5 if heartbeat_reply.fencing_token > self.fencing_token else delay
+                    self.fencing_token, self._lease_renewed_at = heartbeat_reply.fencing_token, now
                     self._execute(heartbeat_reply.commands)
             elif reply.status == 421:
                 target = msgspec.msgpack.decode(reply.body, type=wire.Redirect).controller
@@ -155,7 +158,7 @@
         for held in list(self.tasks.values()):
             self._end(held, "lapsed")
         self.tasks.clear()
-        self.session += 1
+        self.incarnation += 1
         self._lease_renewed_at = self._runtime.now()
 
     def shut_down(self) -> None:
@@ -180,11 +183,11 @@
             request.reply(200, self.report())
             return
         batch = msgspec.msgpack.decode(request.body, type=wire.CommandBatch)
-        if batch.fencing_token < self.token or batch.incarnation != self.session:
+        if batch.fencing_token < self.fencing_token or batch.incarnation != self.incarnation:
             request.reply(409, self.report())
             return
-        is_token_raised = batch.fencing_token > self.token
-        self.token = batch.fencing_token
+        is_token_raised = batch.fencing_token > self.fencing_token
+        self.fencing_token = batch.fencing_token
         self._execute(batch.commands)
         request.reply(200, self.report())
         if is_token_raised:
@@ -204,11 +207,11 @@
             elif command.verb == wire.FORGET and held is not None and held.state == wire.EXITED:
                 del self.tasks[command.task, command.attempt]
 
-    def _is_gang(self, held: HeldTask) -> bool:
+    def _is_gang(self, held: WorkerTask) -> bool:
         spec = self._spec(held.task.partition("/")[0])
         return spec is not None and spec.job_kind == wire.GANG
 
-    def _try_save(self, held: HeldTask, grace_s: float) -> bool:
+    def _try_save(self, held: WorkerTask, grace_s: float) -> bool:
         """Starts to save, or continues, if it can; returns False if the task is to exit at once."""
         spec = self._spec(held.task.partition("/")[0])
         if held.state == wire.FLUSHING:
@@ -223,12 +226,12 @@
         self.set_state(held, wire.FLUSHING)
         return True
 
-    def _saved(self, held: HeldTask) -> None:
+    def _saved(self, held: WorkerTask) -> None:
         held.kept = True
         self.exit(held, wire.CAUSE_HALTED)
 
     def _launch(self, command: wire.Command) -> None:
-        held = self.tasks[command.task, command.attempt] = HeldTask(
+        held = self.tasks[command.task, command.attempt] = WorkerTask(
             command.task, command.attempt, wire.FETCHING
         )
         spec = self._spec(command.task.partition("/")[0])
@@ -262,7 +265,7 @@
             held.timer = self._runtime.after(delay, self._run, held)
         self.report_soon()
 
-    def _run(self, held: HeldTask) -> None:
+    def _run(self, held: WorkerTask) -> None:
         if held.state != wire.FETCHING:
             return
         ref = held.task.partition("/")[0]
@@ -279,19 +282,19 @@
             held.timer = self._runtime.after(run_time_s * self.slowness, self._complete, held)
         self.report_soon()
 
-    def _complete(self, held: HeldTask) -> None:
+    def _complete(self, held: WorkerTask) -> None:
         if self.hung:
             # A hung machine makes no progress.
             held.timer = self._runtime.after(0.5, self._complete, held)
         else:
             self.exit(held, wire.CAUSE_DONE)
 
-    def set_state(self, held: HeldTask, state: str) -> None:
+    def set_state(self, held: WorkerTask, state: str) -> None:
         """Puts a gang's task into that state and reports it."""
         held.state = state
         self.report_soon()
 
-    def exit(self, held: HeldTask, cause: str) -> None:
+    def exit(self, held: WorkerTask, cause: str) -> None:
         """Ends the task, unless it has exited already."""
         if held.state == wire.EXITED:
             return
@@ -299,7 +302,7 @@
         held.state, held.cause = wire.EXITED, cause
         self.report_soon()
 
-    def _end(self, held: HeldTask, why: str) -> None:
+    def _end(self, held: WorkerTask, why: str) -> None:
         if held.timer is not None:
             held.timer.cancel()
         if held.state in (wire.WAITING, wire.RUNNING, wire.FLUSHING):
--- a/flaxtally/fakes/held_task.py
+++ b/flaxtally/fakes/worker_task.py
@@ -8,7 +8,7 @@
     from ..runtime.loop import Timer
 
 
-class HeldTask:
+class WorkerTask:
     """A task on the worker, with its attempt, state and cause of exit; `kept`: it has saved."""
 
     def __init__(self, task: str, attempt: int, state: str) -> None:
--- a/flaxtally/leader/commands.py
+++ b/flaxtally/leader/commands.py
@@ -46,11 +46,11 @@
         unknown. `on_reply` is called with `(0, b"")` if no reply arrived.
         """
 
-    def other_controllers(self, zone: str) -> list[str]:
+    def list_other_controllers(self, zone: str) -> list[str]:
         """Returns the other live controllers that can call workers, those of the zone first."""
         raise NotImplementedError
 
-    def recent_heartbeats(self) -> list[Heartbeat]:
+    def list_recent_heartbeats(self) -> list[Heartbeat]:
         """Returns the newest heartbeat of each machine that reported to this controller itself.
 
         A new leader learns the machines from them.
--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -79,7 +79,7 @@
     def _propose_accounts(self) -> None:
         """Proposes the changed accounts; they are committed together with other pending records."""
         for team in self._unstored:
-            self.ledger.propose(self._get_account(team).record())
+            self.ledger.propose(self._get_account(team).to_record())
         self._unstored = {}
 
     def _collect_team_usages(self, waiting: dict[str, Amounts]) -> list[TeamUsage]:
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -136,7 +136,7 @@
                 entry.is_committed = True
                 self._advance(entry)
 
-        self.ledger.propose(reclaim.record(), on_committed)
+        self.ledger.propose(reclaim.to_record(), on_committed)
 
     def _get_proposal_values(self, reclaim: Reclaim) -> tuple[object, ...]:
         """Returns the values for `PROPOSAL_LOG_FORMAT`."""
@@ -269,7 +269,7 @@
         if outcome != Step.WITHDRAW.value:
             stored = self.ledger.state.loan_state.accounts.get(reclaim.lender)
             account = stored or LoanAccount(reclaim.lender)
-            self.ledger.propose(account.with_reclaim_counted(is_late=is_late).record())
+            self.ledger.propose(account.with_reclaim_counted(is_late=is_late).to_record())
         log.info(
             "event=reclaim_ended term=%d id=%s how=%r late=%s after=%.1f",
             self.term.number,
--- a/flaxtally/leader/reconciliation/health_checks.py
+++ b/flaxtally/leader/reconciliation/health_checks.py
@@ -95,7 +95,7 @@
     def _choose_controllers(self, machine: Machine) -> list[str]:
         """Returns the controllers that probe a machine: this one, and one of the others in turn."""
         controllers = [self.settings.node]
-        others = self._commands.transport.other_controllers(machine.zone)
+        others = self._commands.transport.list_other_controllers(machine.zone)
         if others:
             controllers.append(others[machine.failed_probes // 2 % len(others)])
         return controllers
--- a/flaxtally/leader/takeover.py
+++ b/flaxtally/leader/takeover.py
@@ -29,7 +29,7 @@
 
 def _add_reporting_machines(term: Term, transport: CommandTransport) -> None:
     """Adds the machines whose heartbeats this controller handled as a follower."""
-    for heartbeat in transport.recent_heartbeats():
+    for heartbeat in transport.list_recent_heartbeats():
         machine = term.fleet.add_machine(
             heartbeat.machine, heartbeat.machine_type, heartbeat.zone, spot=heartbeat.spot
         )
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -89,7 +89,7 @@
             transaction.deletes,
             on_reply,
             use_commit_connection=True,
-            first=not self._may_be_applied,
+            is_first_try=not self._may_be_applied,
         )
 
     def _on_reply(self, transaction: Transaction, outcome: Outcome, revision: int) -> None:
--- a/flaxtally/runtime/loop.py
+++ b/flaxtally/runtime/loop.py
@@ -289,10 +289,10 @@
         callback that computes for seconds) would blame others for the heartbeats that it missed.
         """
         now = self.now()
-        lost_s, self._last_checkpoint_at = now - self._last_checkpoint_at - waited_s, now
+        pause_s, self._last_checkpoint_at = now - self._last_checkpoint_at - waited_s, now
         for threshold_s, notify in self._pause_watchers:
-            if lost_s > threshold_s:
-                self._call(notify, (lost_s,))
+            if pause_s > threshold_s:
+                self._call(notify, (pause_s,))
         return now
 
     def run(self) -> None:
--- a/flaxtally/runtime/loop_delay.py
+++ b/flaxtally/runtime/loop_delay.py
@@ -20,7 +20,7 @@
     """The name of the callback that took longest, or `none`."""
 
 
-def callback_name(callback: Callable[..., Any]) -> str:
+def get_callback_name(callback: Callable[..., Any]) -> str:
     """The callback's class and method, for logs and traces."""
     while isinstance(callback, partial):
         callback = callback.func
@@ -52,7 +52,7 @@
         if self._max_lateness_s <= self._threshold_s or now < self._next_notice_at:
             return
         self._next_notice_at = now + self._period_s
-        name = callback_name(self._callback) if self._callback is not None else "none"
+        name = get_callback_name(self._callback) if self._callback is not None else "none"
         loop_delay = LoopDelay(self._max_lateness_s, self._longest_s, name)
         self._max_lateness_s = self._longest_s = 0.0
         self._callback = None
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -19,7 +19,7 @@
 from opentelemetry.sdk.trace import ReadableSpan, TracerProvider
 from opentelemetry.sdk.trace.export import SimpleSpanProcessor, SpanExporter, SpanExportResult
 
-from ..runtime.loop_delay import callback_name
+from ..runtime.loop_delay import get_callback_name
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Sequence
@@ -120,6 +120,6 @@
         def write_span(callback: Callable[..., None], duration_s: float) -> None:
             end_ns = time.time_ns()
             start_ns = end_ns - round(duration_s * NANOSECONDS_PER_S)
-            tracer.start_span(callback_name(callback), start_time=start_ns).end(end_time=end_ns)
+            tracer.start_span(get_callback_name(callback), start_time=start_ns).end(end_time=end_ns)
 
         loop.on_long_callback(self.min_callback_s, write_span)
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -14,7 +14,7 @@
 from flaxtally import policy
 from flaxtally.controller import Controller
 from flaxtally.emulator.rules import Rules
-from flaxtally.fakes.cloud import Cloud, equal_pools
+from flaxtally.fakes.cloud import Cloud, build_equal_pools
 from flaxtally.fakes.gang_rendezvous import GangRendezvous
 from flaxtally.fakes.key_value_store import FakeKeyValueStore
 from flaxtally.fakes.worker import Worker
@@ -155,7 +155,7 @@
             self.sim.host(CLOUD[0]),
             CLOUD,
             TYPES,
-            equal_pools(TYPES, ZONES, capacity),
+            build_equal_pools(TYPES, ZONES, capacity),
             lambda count: f"10.1.{count // 250}.{count % 250 + 1}:9000",
             self._start_worker,
             self._end_worker,
@@ -309,7 +309,7 @@
                     {held.task for held in worker.tasks.values() if held.state != wire.EXITED},
                 )
                 for worker in self.workers.values()
-                if worker.notice is None
+                if worker.preemption_notice_s is None
             ]
             self.rules.check_after_faults(self.sim.time, self.calm_since, healthy_machines)
 
@@ -371,7 +371,7 @@
     def start_state_outage(self, for_s: float) -> None:
         """The state service replies 503 to every request."""
         self.add_trace_line("the state service has trouble")
-        self.state.down = True
+        self.state.is_down = True
         self.after(for_s, self.state.recover)
 
     def lose_writes(self, fraction: float, for_s: float, at_once: bool = False) -> None:
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -81,7 +81,7 @@
     def _check_rules(self) -> None:
         super()._check_rules()
         healthy_machines = [
-            w.machine for w in self.workers.values() if not w.hung and w.notice is None
+            w.machine for w in self.workers.values() if not w.hung and w.preemption_notice_s is None
         ]
         self.audit.check_deadlines(self.sim.time, healthy_machines)
         for reclaim in self.recalls().values():
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -153,10 +153,10 @@
     def _thaw(self) -> None:
         """Continues like `Loop`: reports the pause, handles what arrived, then what became due."""
         assert self._frozen_at is not None
-        lost_s, self._frozen_at = self.sim.time - self._frozen_at, None
+        pause_s, self._frozen_at = self.sim.time - self._frozen_at, None
         for threshold_s, notify in self._pause_watchers:
-            if lost_s > threshold_s:
-                self.call(notify, lost_s)
+            if pause_s > threshold_s:
+                self.call(notify, pause_s)
         delayed = self._delayed_events + self._delayed_calls
         self._delayed_events, self._delayed_calls = [], []
         for callback, args in delayed:
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -130,8 +130,12 @@
     assert served
     assert statuses == [503]
     assert len(cluster.reported_cancelled_at) == 4, cluster.trace
-    token = cluster.nodes[wait_for_leader(cluster)].election.term
-    assert all(cluster.workers[name].token == token for name in served if name in cluster.workers)
+    fencing_token = cluster.nodes[wait_for_leader(cluster)].election.term
+    assert all(
+        cluster.workers[name].fencing_token == fencing_token
+        for name in served
+        if name in cluster.workers
+    )
     cluster.run(12)
     cluster.cancel("j-000005")
     check_final_state(cluster)
@@ -388,7 +392,7 @@
         heal = cut_zone(cluster, rng.choice("ab"))
         cluster.after(duration_s, heal)
     elif choice == 13:
-        cluster.cloud.down = True
+        cluster.cloud.is_down = True
         cluster.after(duration_s, setattr, cluster.cloud, "down", False)
     elif choice == 14:
         for name in chosen_machines:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from flaxtally.fakes.held_task import HeldTask
+from flaxtally.fakes.worker_task import WorkerTask
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
@@ -233,7 +233,7 @@
     cluster = cluster_with_running_gang(tasks=12, cores=8.0, spot=True)
     cluster.run(8.0)
     for name in sorted(machines_of(cluster, "j-000001"))[:2]:
-        cluster.workers[name].notice = 12.0
+        cluster.workers[name].preemption_notice_s = 12.0
         cluster.workers[name].report_soon()
         cluster.after(12.0, cluster.cloud.remove_machine, name)
     assert_completes(cluster, "j-000001")
@@ -261,7 +261,7 @@
     cluster = cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=3.0)
     cluster.run(13.0)
     machines = sorted(machines_of(cluster, "j-000001"))
-    cluster.workers[machines[0]].notice = 15.0
+    cluster.workers[machines[0]].preemption_notice_s = 15.0
     cluster.workers[machines[0]].report_soon()
 
     def is_saving() -> bool:
@@ -286,7 +286,7 @@
     # task running.
     cluster = cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=2.0)
     name = sorted(machines_of(cluster, "j-000001"))[0]
-    cluster.workers[name].notice = 15.0
+    cluster.workers[name].preemption_notice_s = 15.0
     cluster.workers[name].report_soon()
     cluster.run(1.0 + after)
     cluster.cancel("j-000001")
@@ -493,7 +493,7 @@
     cluster.cloud.add("c16", "a", False, boot=1.0)
     cluster.run(6.0)
     worker = cluster.workers[min(set(cluster.workers) - machines_of(cluster, "j-000001"))]
-    stray = HeldTask("j-000777/0", 3, wire.WAITING)
+    stray = WorkerTask("j-000777/0", 3, wire.WAITING)
     worker.tasks["j-000777/0", 3] = stray
     worker.report_soon()
     assert cluster.run_until(lambda: ("j-000777/0", 3) not in worker.tasks, 20.0)
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -19,7 +19,7 @@
     cluster = start_serving_cluster()
     ref = "j-000000"
     heal = cut_zone(cluster, "b")
-    cluster.cloud.down = True
+    cluster.cloud.is_down = True
     cluster.run(6)
     leader = NODES.index(cluster.leader() or "")
     requested_at = cluster.sim.time
@@ -41,7 +41,7 @@
     cluster.run(20)
     assert ref not in cluster.reported_cancelled_at
     heal()
-    cluster.cloud.down = False
+    cluster.cloud.is_down = False
     cluster.cancel(ref, node=leader)
     assert cluster.run_until(lambda: ref in cluster.reported_cancelled_at, 30), cluster.trace
     assert cluster.count(ref) == 0
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -108,7 +108,7 @@
     # instead of waiting.
     cluster = start_serving_cluster()
     before = dict(cluster.running)
-    cluster.state.down = True
+    cluster.state.is_down = True
     cluster.run(3)
     replies: list[tuple[float, int]] = []
     sent_at = cluster.sim.time
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -8,7 +8,7 @@
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import MAX_BUFFERED_BYTES
 from flaxtally.runtime.loop import MIN_TIMERS_TO_CLEAR, Loop
-from flaxtally.runtime.loop_delay import DelayMonitor, LoopDelay, callback_name
+from flaxtally.runtime.loop_delay import DelayMonitor, LoopDelay, get_callback_name
 
 from .scenarios import wait_for_leader
 from .simulated_cluster import SimulatedCluster, spec
@@ -43,12 +43,12 @@
 def test_a_finished_timer_drops_its_references_to_the_call() -> None:
     # A timer that keeps its callback forms a cycle that only the cyclic collector can free.
     loop, marker = Loop(), object()
-    cancelled, due = loop.after(1000.0, print, marker), loop.after(0.0, callback_name, print)
+    cancelled, due = loop.after(1000.0, print, marker), loop.after(0.0, get_callback_name, print)
     cancelled.cancel()
     loop.after(0.001, loop.stop)
     loop.run()
     assert marker not in gc.get_referents(cancelled)
-    assert callback_name not in gc.get_referents(due)
+    assert get_callback_name not in gc.get_referents(due)
     assert not due.live
 
 
@@ -88,7 +88,7 @@
     after = host.after
 
     def counted(delay: float, fn, *args):  # type: ignore[no-untyped-def]
-        timers_set.append(callback_name(fn))
+        timers_set.append(get_callback_name(fn))
         return after(delay, fn, *args)
 
     host.after = counted  # type: ignore[method-assign]
@@ -170,8 +170,8 @@
     loop.after(0.08, loop.stop)
     loop.run()
     assert len(reported) == 1
-    assert reported[0].late == pytest.approx(0.055)
-    assert reported[0].longest == pytest.approx(0.06)
+    assert reported[0].max_lateness_s == pytest.approx(0.055)
+    assert reported[0].max_duration_s == pytest.approx(0.06)
     assert reported[0].callback.endswith("busy")
 
 
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -38,12 +38,12 @@
     spare = [cluster.cloud.add("c16", zone, False, boot=0.5) for zone in "ab"]
     assert cluster.run_until(lambda: all(name in cluster.workers for name in spare), 5)
     cluster.run(3)
-    cluster.cloud.down = True
+    cluster.cloud.is_down = True
     cluster.workers[machine].hung = True
     cluster.run(25)
     assert held <= set(cluster.running)
     cluster.workers[machine].hung = False
-    cluster.cloud.down = False
+    cluster.cloud.is_down = False
     assert cluster.run_until(
         lambda: len(cluster.running) == 8 and machine not in dict(cluster.running.values()), 40
     )
@@ -351,7 +351,7 @@
     # used up all calls for 38 s, and the machines that were needed by then had to wait.
     cluster = SimulatedCluster()
     cluster.run(2)
-    cluster.cloud.down = True
+    cluster.cloud.is_down = True
     cluster.submit(spec("j-000001", tasks=2))
     cluster.run(30)
     assert (
@@ -359,7 +359,7 @@
         == len(set(cluster.cloud.provision_requests))
         <= 30 / 2.5 + 8
     )
-    cluster.cloud.down = False
+    cluster.cloud.is_down = False
     before = len(cluster.cloud.provision_requests)
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 25)
     assert len(cluster.cloud.provision_requests) - before <= 4
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -64,7 +64,7 @@
     cluster.run(30)
     assert cluster.delivered_copies > 30
     assert (
-        any(worker.session > 1 for worker in cluster.workers.values())
+        any(worker.incarnation > 1 for worker in cluster.workers.values())
         or names[0] not in cluster.workers
     )
     check_final_state(cluster)
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -165,13 +165,13 @@
     assert cluster.north.gpus < TOLERANCE
     cluster.run(3.0)
     assert cluster.north.gpus == 4.0
-    cluster.state.down = True
+    cluster.state.is_down = True
     cluster.north.quota_rebalancer.begin_term(2)
     cluster.run(3.0)
     assert cluster.north.gpus < TOLERANCE, (
         "a new term does not know what its predecessor transferred"
     )
-    cluster.state.down = False
+    cluster.state.is_down = False
     cluster.run(3.0)
     assert cluster.north.gpus == 4.0
 
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -36,7 +36,7 @@
         new = wait_for_leader(cluster)
         cluster.run(20)
         assert new != old
-        assert cluster.state.down
+        assert cluster.state.is_down
         assert cluster.reported_cancelled_at
         assert all(cluster.count(ref) == 0 for ref in cluster.reported_cancelled_at)
         cluster.run(60)
@@ -146,7 +146,7 @@
             cluster.after(number * 0.25 + 1.0 + number % 3, cluster.cancel, ref, number)
     machine = cluster.find_machine("j-900000/0")
     cluster.run(20)
-    cluster.cloud.down = True
+    cluster.cloud.is_down = True
     cluster.inject_machine_fault("hung", [machine], 110.0)
     cluster.cancel("j-900000")
     cluster.run(90)
@@ -157,7 +157,7 @@
     assert len(page_keys) < last_page / 2, (len(page_keys), last_page)
     change_leader(cluster)
     cluster.run(40)
-    cluster.cloud.down = False
+    cluster.cloud.is_down = False
     cluster.run(10)
     assert len(cluster.accepted) == 481
     check_final_state(cluster)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -58,7 +58,7 @@
 
     def sessions(self) -> list[int]:
         """Returns the session of each machine: 1 as long as it never lost its lease."""
-        return [worker.session for worker in self.workers.values()]
+        return [worker.incarnation for worker in self.workers.values()]
 
     def follower(self) -> str:
         """Returns a controller that does not lead."""
@@ -145,7 +145,9 @@
         # session.
         cluster.inject_machine_fault("mute", [name], 1.2 * LEASE_S)
     cluster.run(4 * LEASE_S)
-    assert min(cluster.workers[name].session for name in restarted if name in cluster.workers) > 1
+    assert (
+        min(cluster.workers[name].incarnation for name in restarted if name in cluster.workers) > 1
+    )
     assert len(cluster.running) >= 0.97 * MACHINES * 3
 
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -63,7 +63,7 @@
     for name in NODES:
         cluster.crash(name, back_after=5.0)
     cluster.add_trace_line("the state service has trouble")
-    cluster.state.down = True
+    cluster.state.is_down = True
     cluster.run(12)
     cluster.add_trace_line("the state service is back")
     cluster.state.recover()
