--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -88,7 +88,7 @@
 
     def send(
         self,
-        server: str | None,
+        controller: str | None,
         machine: str,
         address: str,
         batch: wire.CommandBatch | None,
@@ -96,18 +96,22 @@
     ) -> None:
         """Sends commands to a machine's worker, or a status query if `batch` is None.
 
-        They are relayed through the controller `server`, or sent directly if that is None, is this
-        controller, or can't be reached.
+        They are relayed through `controller`, or sent directly if that is None, is this controller,
+        or can't be reached.
         """
-        if server is None or server == self._node or not self._peers.is_reachable(server):
+        if (
+            controller is None
+            or controller == self._node
+            or not self._peers.is_reachable(controller)
+        ):
             self._call_worker(address, batch, on_reply)
             return
         encoded = encode_batch(batch) if batch is not None else None
         number = next(self._numbers)
         timer = self.later(self._reply_timeout_s, self._on_reply_timeout, number)
-        self._pending[number] = _PendingCommand(server, on_reply, timer)
+        self._pending[number] = _PendingCommand(controller, on_reply, timer)
         command = RelayedCommand(number=number, machine=machine, address=address, commands=encoded)
-        self._peers.send(server, to_frame(command))
+        self._peers.send(controller, to_frame(command))
 
     def list_other_controllers(self, zone: str) -> list[str]:
         """Returns the other live controllers that can relay commands, those of the zone first."""
@@ -118,7 +122,7 @@
         ]
         return sorted(live, key=lambda name: self._zone_by_controller.get(name) != zone)
 
-    def recent_heartbeats(self) -> list[wire.Heartbeat]:
+    def list_recent_heartbeats(self) -> list[wire.Heartbeat]:
         """Returns the latest heartbeats that this controller received, for a new leader."""
         return self._heartbeats.list_recent()
 
--- a/flaxtally/cells/quota_rebalancer.py
+++ b/flaxtally/cells/quota_rebalancer.py
@@ -207,7 +207,11 @@
 
         self._busy = True
         self._store.compare_and_swap(
-            {key: version}, {key: self._term}, [], self._only_in_this_term(on_reply), first=True
+            {key: version},
+            {key: self._term},
+            [],
+            self._only_in_this_term(on_reply),
+            is_first_try=True,
         )
 
     def _read_shares(self) -> None:
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -131,7 +131,7 @@
 
         `on_done(outcome, revision)`: the revision is that of the committed changes, else 0. `lease`
         is attached to every key that is written. `use_commit_connection` selects the connection
-        reserved for the write-ahead log; `is_first_try` marks a first try, which has a shorter time-out.
+        reserved for the write-ahead log; a first try (`is_first_try`) has a shorter time-out.
         """
 
         def on_reply(reply: Reply) -> None:
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -170,7 +170,9 @@
         self._loop.stop()
 
     def _on_delay(self, delay: LoopDelay) -> None:
-        self.recording.max_timer_delay_s = max(self.recording.max_timer_delay_s, delay.late)
+        self.recording.max_timer_delay_s = max(
+            self.recording.max_timer_delay_s, delay.max_lateness_s
+        )
 
     # Child processes
 
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -61,7 +61,7 @@
             tuple(BorrowedAttempt(*attempt) for attempt in record.attempts),
         )
 
-    def record(self) -> ReclaimStarted:
+    def to_record(self) -> ReclaimStarted:
         """Returns the record that starts it, or moves it to another machine."""
         return ReclaimStarted(
             self.number,
@@ -107,7 +107,7 @@
             record.late,
         )
 
-    def record(self) -> LoanAccountStored:
+    def to_record(self) -> LoanAccountStored:
         """Returns the record that replaces the team's earlier one; figures are rounded."""
         return LoanAccountStored(self.team, *(round(figure, 1) for figure in astuple(self)[1:]))
 
@@ -151,10 +151,10 @@
         records: list[ReclaimStarted | LoanAccountStored] = []
         for number, reclaim in self.reclaims.items():
             if pages[number] == page:
-                records.append(reclaim.record())
+                records.append(reclaim.to_record())
         for team, account in self.accounts.items():
             if pages[team] == page:
-                records.append(account.record())
+                records.append(account.to_record())
         return records
 
     def relocate_reclaim(self, number: int, page: int) -> None:
--- a/flaxtally/ledger/terminal_jobs.py
+++ b/flaxtally/ledger/terminal_jobs.py
@@ -17,9 +17,9 @@
     from collections.abc import Iterator
 
 JOB_ID_PREFIX = "j-"
-_MAX_RECENT = 4096
+_MAX_RECENT_STAGES = 4096
 """Number of stages that are collected before they are sorted into a block."""
-_MAX_MERGED_BLOCK = 1 << 16
+_MAX_MERGED_BLOCK_STAGES = 1 << 16
 """Larger blocks aren't merged, since that would block the event loop."""
 
 
@@ -67,14 +67,14 @@
         return wire.ABORTED if coded & 1 else wire.DONE
 
     def add(self, ref: str, stage: str) -> None:
-        """Stores the stage of a terminal job; raises ValueError if `ref` is no job's id."""
+        """Stores the stage of a terminal job; raises ValueError if `ref` is not a job id."""
         number = _number_of(ref)
         if number is None:
-            raise ValueError(f"{ref!r} is no job's id")
+            raise ValueError(f"{ref!r} is not a job id")
         if self._find(number) is not None:
             return
         self._recent[number] = number << 1 | (stage == wire.ABORTED)
-        if len(self._recent) >= _MAX_RECENT:
+        if len(self._recent) >= _MAX_RECENT_STAGES:
             self._merge_recent()
 
     def _find(self, number: int) -> int | None:
@@ -93,7 +93,7 @@
         """Moves the recent stages to a block, and merges small blocks into it."""
         block = array("Q", sorted(self._recent.values()))
         self._recent = {}
-        while self._blocks and len(self._blocks[-1]) <= len(block) < _MAX_MERGED_BLOCK:
+        while self._blocks and len(self._blocks[-1]) <= len(block) < _MAX_MERGED_BLOCK_STAGES:
             block = array("Q", sorted([*self._blocks.pop(), *block]))
         self._blocks.append(block)
 
@@ -112,8 +112,8 @@
         return map(_ref_of, self._numbers)
 
     def add(self, ref: str) -> None:
-        """Adds the record of a terminal job; raises ValueError if `ref` is no job's id."""
+        """Adds the record of a terminal job; raises ValueError if `ref` is not a job id."""
         number = _number_of(ref)
         if number is None:
-            raise ValueError(f"{ref!r} is no job's id")
+            raise ValueError(f"{ref!r} is not a job id")
         self._numbers.append(number)
--- a/flaxtally/runtime/loop_delay.py
+++ b/flaxtally/runtime/loop_delay.py
@@ -12,9 +12,9 @@
 class LoopDelay(NamedTuple):
     """The largest delays of an interval, in seconds."""
 
-    late: float
+    max_lateness_s: float
     """The most that a timer fired late."""
-    longest: float
+    max_duration_s: float
     """The longest duration of a callback."""
     callback: str
     """The name of the callback that took longest, or `none`."""
@@ -37,23 +37,23 @@
         self, threshold_s: float, period_s: float, notify: Callable[[LoopDelay], None]
     ) -> None:
         self._threshold_s, self._period_s, self._notify = threshold_s, period_s, notify
-        self._next_notice_at = float("-inf")
-        self._max_lateness_s = self._longest_s = 0.0
+        self._next_report_at = float("-inf")
+        self._max_lateness_s = self._max_duration_s = 0.0
         self._callback: Callable[..., Any] | None = None
 
     def record_callback(self, callback: Callable[..., Any], duration_s: float) -> None:
         """Records that a callback took `duration_s`."""
-        if duration_s > self._longest_s:
-            self._longest_s, self._callback = duration_s, callback
+        if duration_s > self._max_duration_s:
+            self._max_duration_s, self._callback = duration_s, callback
 
-    def record_timer(self, late: float, now: float) -> None:
-        """Records that a timer fired `late` seconds after it was due."""
-        self._max_lateness_s = max(self._max_lateness_s, late)
-        if self._max_lateness_s <= self._threshold_s or now < self._next_notice_at:
+    def record_timer(self, lateness_s: float, now: float) -> None:
+        """Records that a timer fired `lateness_s` seconds after it was due."""
+        self._max_lateness_s = max(self._max_lateness_s, lateness_s)
+        if self._max_lateness_s <= self._threshold_s or now < self._next_report_at:
             return
-        self._next_notice_at = now + self._period_s
+        self._next_report_at = now + self._period_s
         name = get_callback_name(self._callback) if self._callback is not None else "none"
-        loop_delay = LoopDelay(self._max_lateness_s, self._longest_s, name)
-        self._max_lateness_s = self._longest_s = 0.0
+        loop_delay = LoopDelay(self._max_lateness_s, self._max_duration_s, name)
+        self._max_lateness_s = self._max_duration_s = 0.0
         self._callback = None
         self._notify(loop_delay)
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -393,7 +393,7 @@
         cluster.after(duration_s, heal)
     elif choice == 13:
         cluster.cloud.is_down = True
-        cluster.after(duration_s, setattr, cluster.cloud, "down", False)
+        cluster.after(duration_s, setattr, cluster.cloud, "is_down", False)
     elif choice == 14:
         for name in chosen_machines:
             cluster.cloud.remove_machine(name)
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -561,8 +561,8 @@
 ) -> None:
     # The compact store merges blocks of job ids; no state may be lost or changed by that.
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(terminal_jobs, "_MAX_RECENT", max_recent)
-        patch.setattr(terminal_jobs, "_MAX_MERGED_BLOCK", max_merged_block)
+        patch.setattr(terminal_jobs, "_MAX_RECENT_STAGES", max_recent)
+        patch.setattr(terminal_jobs, "_MAX_MERGED_BLOCK_STAGES", max_merged_block)
         states = terminal_jobs.TerminalJobs()
         for ref, state in known.items():
             states.add(ref, state)
@@ -587,7 +587,7 @@
     assert states.get("j-12") == wire.DONE
     assert states.get("j-012") is None
     assert states.get(text) is None
-    with pytest.raises(ValueError, match="no job's id"):
+    with pytest.raises(ValueError, match="not a job id"):
         states.add(text, wire.DONE)
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -177,8 +177,8 @@
         4, "crew", 1, "n-1", 10.0, 20.0, 1, (BorrowedAttempt(2, 0, 1), BorrowedAttempt(2, 1, 1))
     )
     account = LoanAccount("crew", 5.0, 1.0, 2.0, 3.0, 4.0, 5, 6)
-    state.apply(Reclaim(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).record(), 1)
-    for entry in (reclaim.record(), account.record(), record("X", 3)):
+    state.apply(Reclaim(3, "crew", 1, "n-2", 1.0, 2.0, 1, ()).to_record(), 1)
+    for entry in (reclaim.to_record(), account.to_record(), record("X", 3)):
         state.apply(entry, 1)
     restored = ClusterState()
     for group in build_page_records(state, 1, 4096):
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -333,7 +333,9 @@
     "is cut off with its zone": lambda cluster, name: cluster.after(
         25.0, cut_zone(cluster, cluster.workers[name].machine.zone)
     ),
-    "gets a notice": lambda cluster, name: setattr(cluster.workers[name], "notice", 8.0),
+    "gets a notice": lambda cluster, name: setattr(
+        cluster.workers[name], "preemption_notice_s", 8.0
+    ),
 }
 
 
