--- a/flaxtally/emulator/measured.py
+++ b/flaxtally/emulator/measured.py
@@ -82,7 +82,7 @@
         self._clock, self._on_answered = runtime.now, on_answered
 
     def request(
-        self, method: str, path: str, body: Any, timeout: float, on_reply: ReplyCallback
+        self, method: str, path: str, body: Any, timeout_s: float, on_reply: ReplyCallback
     ) -> None:
         started_at = self._clock()
 
@@ -91,4 +91,4 @@
                 self._on_answered(self._clock() - started_at)
             on_reply(reply)
 
-        super().request(method, path, body, timeout, measure_reply)
+        super().request(method, path, body, timeout_s, measure_reply)
