--- a/flaxtally/api/expiry.py
+++ b/flaxtally/api/expiry.py
@@ -12,7 +12,7 @@
     from ..runtime.loop import Runtime
 
 RETENTION_LEASES = 4
-"""Leases for which entries are kept, which is longer than any of them is used."""
+"""Durations of a worker's lease for which entries are kept; none is used for longer."""
 
 
 class ExpiringTable(Protocol):
--- a/flaxtally/api/shard_redirects.py
+++ b/flaxtally/api/shard_redirects.py
@@ -13,7 +13,7 @@
     from ..settings import Settings
 
 FAILED_REDIRECT_LEASES = 3
-"""Leases for which a machine that came back after a redirect is not redirected again."""
+"""Durations of a worker's lease for which a machine that came back is not redirected again."""
 NEVER = float("-inf")
 
 
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -188,7 +188,7 @@
         self._is_paused = False
 
     def pause_calls(self) -> None:
-        """Sends no calls until `resume`; queued calls keep their order."""
+        """Pauses the sending of calls until `resume`; queued calls keep their order."""
         self._is_paused = True
 
     def resume(self) -> None:
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -123,7 +123,7 @@
         if self._opened.count + CONNECTIONS_PER_WORKER <= self._max_connections:
             return True
         for address, client in self._clients.items():
-            if not client.busy:
+            if not client.is_busy:
                 client.close()
                 del self._clients[address]
                 return True
--- a/flaxtally/cluster/candidacy_rules.py
+++ b/flaxtally/cluster/candidacy_rules.py
@@ -37,7 +37,7 @@
 
     unreachable_for_s: float
     rank: int
-    """Position of this controller, by name, among the controllers that could campaign; from 0."""
+    """Position of this controller, from 0, among the reachable controllers sorted by name."""
     is_alone: bool
     """No controller other than, possibly, the leader can be reached."""
     refuses_connections: bool
--- a/flaxtally/cluster/format_negotiation.py
+++ b/flaxtally/cluster/format_negotiation.py
@@ -42,7 +42,7 @@
         self._peers = sorted(peers)
         self._store = store
         self._retry_s = retry_s
-        self._stated_ranges: dict[str, FormatRange] = {}
+        self._announced_ranges: dict[str, FormatRange] = {}
         """The range that each peer announced to this process."""
         self._newest_connections: dict[str, int] = {}
         """The number of each peer's newest connection; connections are numbered as accepted."""
@@ -56,30 +56,30 @@
 
     # Announced formats
 
-    def on_hello(self, peer: str, connection: int, stated_formats: Any) -> None:
+    def on_hello(self, peer: str, connection: int, announced_formats: Any) -> None:
         """Handles a peer's first frame on a connection; later connections have higher numbers."""
         if connection < self._newest_connections.get(peer, -1):
             return
         self._newest_connections[peer] = connection
-        self._record_range(peer, formats.parse_range(stated_formats))
+        self._record_range(peer, formats.parse_range(announced_formats))
 
-    def on_relayed_heartbeat(self, peer: str, stated_formats: Any) -> None:
+    def on_relayed_heartbeat(self, peer: str, announced_formats: Any) -> None:
         """Handles a peer's heartbeat that was relayed through the key-value store."""
-        stated_range = formats.parse_range(stated_formats)
-        if stated_range.newest > self.get_newest_format(peer):
-            self._record_range(peer, stated_range)
+        announced_range = formats.parse_range(announced_formats)
+        if announced_range.newest > self.get_newest_format(peer):
+            self._record_range(peer, announced_range)
 
-    def _record_range(self, peer: str, stated_range: FormatRange) -> None:
-        if self._stated_ranges.get(peer) != stated_range:
-            self._stated_ranges[peer] = stated_range
-            log.info("event=member_format peer=%s newest=%d", peer, stated_range.newest)
-            self._store_evidence()
+    def _record_range(self, peer: str, announced_range: FormatRange) -> None:
+        if self._announced_ranges.get(peer) != announced_range:
+            self._announced_ranges[peer] = announced_range
+            log.info("event=member_format peer=%s newest=%d", peer, announced_range.newest)
+            self._store_known_formats()
 
     def get_newest_format(self, peer: str) -> int:
         """Returns the newest format that the peer is known to read."""
-        stated_range = self._stated_ranges.get(peer)
-        if stated_range is not None:
-            return stated_range.newest
+        announced_range = self._announced_ranges.get(peer)
+        if announced_range is not None:
+            return announced_range.newest
         return self._stored_formats.get(peer, formats.FIRST)
 
     @property
@@ -95,7 +95,7 @@
         """Starts storing the formats, guarded by that version of the leader key."""
         self._leader_key_version = leader_key_version
         self._key_version = None
-        self._store_evidence()
+        self._store_known_formats()
 
     def end_term(self) -> None:
         """Stops storing the formats: this controller no longer leads."""
@@ -105,7 +105,7 @@
         newest_formats = {peer: self.get_newest_format(peer) for peer in self._peers}
         return {peer: newest for peer, newest in newest_formats.items() if newest > formats.FIRST}
 
-    def _store_evidence(self) -> None:
+    def _store_known_formats(self) -> None:
         """Stores the known formats if this controller leads and they are not stored yet."""
         if self._leader_key_version is None or self._is_call_pending:
             return
@@ -121,12 +121,12 @@
     def _on_key_read(self, leader_key_version: int, is_read: bool, row: wire.Row | None) -> None:
         self._is_call_pending = False
         if not is_read:
-            self.later(self._retry_s, self._store_evidence)
+            self.later(self._retry_s, self._store_known_formats)
             return
         if self._leader_key_version == leader_key_version:
             self._key_version = row.version if row is not None else 0
             self._stored_formats = _parse_stored_formats(row.value) if row is not None else {}
-        self._store_evidence()
+        self._store_known_formats()
 
     def _write_key(self, leader_key_version: int, key_version: int) -> None:
         self._is_call_pending = True
@@ -147,7 +147,7 @@
             self._key_version = version
         else:
             self._key_version = None
-        self.later(self._retry_s, self._store_evidence)
+        self.later(self._retry_s, self._store_known_formats)
 
 
 def _parse_stored_formats(value: Any) -> dict[str, int]:
--- a/flaxtally/cluster/relay_batch.py
+++ b/flaxtally/cluster/relay_batch.py
@@ -15,7 +15,7 @@
 
 MAX_INFLATED_BYTES = 1 << 20
 MIN_FRAME_CHARS = 16
-"""Lower bound for the size of a frame when many of a kind are compressed together."""
+"""Lower bound for the size of a frame in a batch, where frames are compressed together."""
 COUNT_ESTIMATE_RATIO = 0.95
 """Fraction of the estimated number of frames that fit which is tried next."""
 
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -60,7 +60,7 @@
 workers, and the rest for peers, the key-value store and the cloud.
 """
 IDLE_CONNECTION_LEASES = 3
-"""Leases after which an idle connection of a user or worker is closed."""
+"""Durations of a worker's lease after which an idle connection of a user or worker is closed."""
 
 
 @dataclass(frozen=True)
@@ -77,12 +77,14 @@
     """None if the fleet is not divided into cells."""
 
 
-def _fleet_scope(runtime: Runtime, settings: Settings, policy: Policy) -> _Scope:
+def _build_fleet_scope(runtime: Runtime, settings: Settings, policy: Policy) -> _Scope:
     cloud = Cloud(runtime, settings.cloud, settings.cloud_rps, policy.call * 2)
     return _Scope(settings, cloud, SettingsLimits(settings), key_prefix="", membership=None)
 
 
-def _cell_scope(runtime: Runtime, settings: Settings, policy: Policy, cells: CellSetup) -> _Scope:
+def _build_cell_scope(
+    runtime: Runtime, settings: Settings, policy: Policy, cells: CellSetup
+) -> _Scope:
     # Imported here, so that a controller of an undivided fleet does not load the cells package and
     # the library that it needs.
     from .cells.membership import Membership
@@ -111,9 +113,9 @@
         `lending`: the configuration by which loans between teams are reclaimed; None if off.
         """
         if cells is None:
-            scope = _fleet_scope(runtime, settings, policy)
+            scope = _build_fleet_scope(runtime, settings, policy)
         else:
-            scope = _cell_scope(runtime, settings, policy, cells)
+            scope = _build_cell_scope(runtime, settings, policy, cells)
         self._runtime = runtime
         self._settings = scope.settings
         self._policy = policy
--- a/flaxtally/fakes/__init__.py
+++ b/flaxtally/fakes/__init__.py
@@ -1,4 +1,4 @@
-"""Fakes of the external systems (cloud, state service, workers) for tests, emulator and demo.
+"""Fakes of the external systems (cloud, key-value store, workers) for tests, emulator and demo.
 
-They run on any `Runtime`, so the same fakes work on a simulated network and on loopback.
+They run on any `Runtime`: on the simulated network of the tests, and on loopback.
 """
--- a/flaxtally/fakes/cloud.py
+++ b/flaxtally/fakes/cloud.py
@@ -18,9 +18,9 @@
     from ..runtime.token_bucket import TokenBucket
 
 MAX_MACHINES_PER_PAGE = 500
-"""PROTOCOL: the most machines on a page of the list."""
+"""Maximum number of machines on a page of the list, according to the protocol."""
 MAX_AGE_S = 1e6
-"""The largest age reported, also of machines that were running before the fake started."""
+"""The age in seconds that is reported for older machines, and for those added as running."""
 
 
 def build_equal_pools(
@@ -36,7 +36,12 @@
 
 
 class Cloud:
-    """Calls `on_start(machine)` when a machine has booted, `on_end(name)` when it is removed."""
+    """A fake cloud, which handles requests at `address`.
+
+    `capacity` is the maximum number of machines by pool: machine type, zone, and spot or not.
+    `make_address` returns the address of the worker of the machine with that number.
+    `on_start(machine)` is called when a machine has booted, `on_end(name)` when it is removed.
+    """
 
     def __init__(
         self,
@@ -54,23 +59,25 @@
         self.machines: dict[str, wire.ListedMachine] = {}
         self._requested_at: dict[str, float] = {}
         self._granted: dict[str, list[str]] = {}
+        """Names of the machines provisioned, by the idempotency key of the request."""
         self.is_down = False
+        """Whether there is an outage: every request gets status 503."""
         self.request_limit: TokenBucket | None = None
-        """PROTOCOL: requests above this rate get status 429; None: unlimited."""
+        """Requests above this rate get status 429, as the protocol says; None: unlimited."""
         self.throttled_count = 0
         """Number of requests that got status 429."""
         self.boots_fail = False
         """Whether machines provisioned from now on never finish booting."""
         self.boot: float | None = None
-        """Boot time in seconds of machines provisioned from now on; None: about their type's."""
+        """Seconds that machines provisioned from now on take to boot; None: about their type's."""
         self.list_lag_s = 0.0
-        """Seconds by which the list is outdated: drawn for each between once and twice this."""
+        """Minimum seconds by which a list is outdated; each one by between 1 and 2 times this."""
         self._running_since: dict[str, float] = {}
         self._removed: dict[str, tuple[float, wire.ListedMachine]] = {}
         self.change_requests: list[tuple[str, str]] = []
-        """Host and path of each request that changes machines, in order."""
+        """Host and path of each request to provision or terminate machines, in order."""
         self.provision_requests: list[str] = []
-        """Identifiers of the provisioning requests received, in order, with repeats."""
+        """Idempotency keys of the provisioning requests received, in order, with repeats."""
         self._machine_count = 0
         Server(runtime, address, self._handle, 1000, 600.0, 1.0)
 
@@ -130,8 +137,8 @@
                 state = (
                     machine.state if is_running or machine.state == wire.FAILED else wire.BOOTING
                 )
-                age = min(listed_at - self._requested_at[name], MAX_AGE_S)
-                listed.append(msgspec.structs.replace(machine, age_s=age, state=state))
+                age_s = min(listed_at - self._requested_at[name], MAX_AGE_S)
+                listed.append(msgspec.structs.replace(machine, age_s=age_s, state=state))
         return listed
 
     def _provision(self, request: Request, provision: wire.ProvisionRequest) -> None:
--- a/flaxtally/fakes/demo.py
+++ b/flaxtally/fakes/demo.py
@@ -1,4 +1,4 @@
-"""The fakes on loopback, with settings for three controllers: a deployment for trying things."""
+"""The fakes on loopback, with settings for three controllers: a deployment to try out."""
 
 from __future__ import annotations
 
@@ -55,14 +55,14 @@
 )
 
 
-def user_address(first_port: int, number: int) -> Address:
+def get_user_address(first_port: int, number: int) -> Address:
     """Returns the address on which a controller listens to users."""
     return HOST, first_port + 2 + 2 * number
 
 
-def peer_address(first_port: int, number: int) -> Address:
+def get_peer_address(first_port: int, number: int) -> Address:
     """Returns the address on which a controller listens to its peers."""
-    return HOST, user_address(first_port, number)[1] + 1
+    return HOST, get_user_address(first_port, number)[1] + 1
 
 
 def build_controller_settings(first_port: int, number: int) -> str:
@@ -70,10 +70,10 @@
     settings = Settings(
         node=NODES[number],
         zone=ZONES[number % 2],
-        listen=user_address(first_port, number),
-        peer_listen=peer_address(first_port, number),
+        listen=get_user_address(first_port, number),
+        peer_listen=get_peer_address(first_port, number),
         peers={
-            name: (ZONES[other % 2], peer_address(first_port, other))
+            name: (ZONES[other % 2], get_peer_address(first_port, other))
             for other, name in enumerate(NODES)
             if other != number
         },
@@ -97,7 +97,7 @@
 
 
 class Demo:
-    """State service, cloud and workers on one loop, on consecutive ports from `first_port`."""
+    """Key-value store, cloud and workers on one loop, on consecutive ports from `first_port`."""
 
     def __init__(self, loop: Loop, first_port: int) -> None:
         self._loop, self._first_port, self._rng = loop, first_port, random.Random()
@@ -123,7 +123,7 @@
             machine,
             machine_type,
             (host, int(port)),
-            {name: user_address(self._first_port, n) for n, name in enumerate(NODES)},
+            {name: get_user_address(self._first_port, n) for n, name in enumerate(NODES)},
             REPORT_S,
             LEASE_S,
             self.spec,
@@ -190,7 +190,7 @@
             build_controller_settings(first_port, number), encoding="utf-8"
         )
     (folder / "job.json").write_bytes(msgspec.json.format(msgspec.json.encode(JOB)) + b"\n")
-    host, port = user_address(first_port, 0)
+    host, port = get_user_address(first_port, 0)
     print(f"stand-ins run on {host}, ports from {first_port}; now, each in a terminal of its own:")
     for name in NODES:
         print(f"  python3 -m flaxtally serve --config {folder / name}.toml")
--- a/flaxtally/fakes/gang_rendezvous.py
+++ b/flaxtally/fakes/gang_rendezvous.py
@@ -1,7 +1,7 @@
 """The rendezvous of a gang's tasks on the fake workers of one deployment.
 
-The tasks of an attempt start when the last one has its image, complete together, detect when one of
-them is lost, and save together.
+The tasks of an attempt start when the last one has its image, complete together, exit when one of
+them is lost, and save their checkpoint together.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.5
-"""Seconds between checks for hung machines, and between tries of what waits for one."""
+"""Seconds between checks for hung machines, and between retries of an exit on a hung machine."""
 
 
 class Host(Protocol):
@@ -29,10 +29,10 @@
     hung: bool
     slowness: float
 
-    def set_state(self, held: WorkerTask, state: str) -> None:
-        """Puts the task into that state and reports it."""
+    def set_state(self, worker_task: WorkerTask, state: str) -> None:
+        """Changes the state of the task and reports it."""
 
-    def exit(self, held: WorkerTask, cause: str) -> None:
+    def exit(self, worker_task: WorkerTask, cause: str) -> None:
         """Ends the task."""
 
 
@@ -45,8 +45,9 @@
         self.started_at: float | None = None
         self.stopped_at: float | None = None
         self.stopping: set[str] = set()
-        """Tasks that have received a stop command and save."""
+        """Tasks that have received a stop command and save their checkpoint."""
         self.saved: set[str] = set()
+        """Tasks that have saved their checkpoint."""
         self.is_finished = False
         self.completion: Timer | None = None
 
@@ -61,25 +62,34 @@
         peer_s: float,
         run_time: Callable[[str], float | None],
     ) -> None:
+        """`wait_s`: the time for which a task waits for the others before it exits.
+
+        `peer_s`: the time after which the tasks notice that another one is lost. `run_time(ref)`
+        returns the seconds that a job's tasks run; None: until they are stopped.
+        """
         self._runtime, self._wait_s, self._peer_s = runtime, wait_s, peer_s
         self._run_time = run_time
         self._rendezvous_by_attempt: dict[tuple[str, int], _Rendezvous] = {}
         self.saved_progress_s: dict[str, float] = {}
-        """Saved progress in seconds, by job."""
+        """Seconds of run time that each job's last checkpoint covers."""
         self.started_attempts: list[tuple[str, int]] = []
-        """Jobs and attempts whose tasks all started, in order."""
+        """Attempts of gangs (job, attempt) that started with all tasks, in order."""
         self.exits: list[tuple[str, int, str]] = []
-        """Tasks, attempts and causes of exits, in order."""
+        """Exits of tasks (task, attempt, cause), in order."""
 
-    def arrive(self, host: Host, held: WorkerTask, spec: wire.Spec) -> None:
+    def arrive(self, host: Host, worker_task: WorkerTask, spec: wire.Spec) -> None:
         """Adds a task that has its image; the last one of the attempt starts all."""
-        ref = held.task.partition("/")[0]
-        rendezvous = self._rendezvous_by_attempt.setdefault((ref, held.attempt), _Rendezvous(spec))
-        rendezvous.members[held.task] = host, held
-        host.set_state(held, wire.WAITING)
-        held.timer = self._runtime.after(self._wait_s, host.exit, held, wire.CAUSE_INCOMPLETE)
+        ref = worker_task.task.partition("/")[0]
+        rendezvous = self._rendezvous_by_attempt.setdefault(
+            (ref, worker_task.attempt), _Rendezvous(spec)
+        )
+        rendezvous.members[worker_task.task] = host, worker_task
+        host.set_state(worker_task, wire.WAITING)
+        worker_task.timer = self._runtime.after(
+            self._wait_s, host.exit, worker_task, wire.CAUSE_INCOMPLETE
+        )
         if len(rendezvous.members) == spec.tasks and rendezvous.started_at is None:
-            self._start(ref, held.attempt, rendezvous)
+            self._start(ref, worker_task.attempt, rendezvous)
 
     def _start(self, ref: str, attempt: int, rendezvous: _Rendezvous) -> None:
         rendezvous.started_at = self._runtime.now()
@@ -90,10 +100,10 @@
             attempt,
             self.saved_progress_s.get(ref, 0.0),
         )
-        for host, held in rendezvous.members.values():
-            if held.timer is not None:
-                held.timer.cancel()
-            host.set_state(held, wire.RUNNING)
+        for host, worker_task in rendezvous.members.values():
+            if worker_task.timer is not None:
+                worker_task.timer.cancel()
+            host.set_state(worker_task, wire.RUNNING)
         run_time_s = self._run_time(ref)
         if run_time_s is not None:
             max_slowness = max(host.slowness for host, _ in rendezvous.members.values())
@@ -126,13 +136,13 @@
             return
         self._runtime.after(CHECK_INTERVAL_S, self._check_hung_machines, rendezvous, hung_since)
 
-    def leave(self, held: WorkerTask, cause: str) -> None:
+    def leave(self, worker_task: WorkerTask, cause: str) -> None:
         """Removes a task that ended, or whose machine was lost; the others exit after `peer_s`."""
-        ref = held.task.partition("/")[0]
-        rendezvous = self._rendezvous_by_attempt.get((ref, held.attempt))
-        if rendezvous is None or rendezvous.members.pop(held.task, None) is None:
+        ref = worker_task.task.partition("/")[0]
+        rendezvous = self._rendezvous_by_attempt.get((ref, worker_task.attempt))
+        if rendezvous is None or rendezvous.members.pop(worker_task.task, None) is None:
             return
-        self.exits.append((held.task, held.attempt, cause))
+        self.exits.append((worker_task.task, worker_task.attempt, cause))
         if rendezvous.started_at is not None and not rendezvous.is_finished:
             self._save_progress(rendezvous, ref)
             rendezvous.is_finished = True
@@ -154,16 +164,16 @@
             )
 
     def _exit_all(self, rendezvous: _Rendezvous, cause: str) -> None:
-        for host, held in list(rendezvous.members.values()):
+        for host, worker_task in list(rendezvous.members.values()):
             if host.hung:
                 self._runtime.after(CHECK_INTERVAL_S, self._exit_all, rendezvous, cause)
             else:
-                host.exit(held, cause)
+                host.exit(worker_task, cause)
 
-    def stop(self, host: Host, held: WorkerTask, grace_s: float) -> None:
+    def stop(self, host: Host, worker_task: WorkerTask, grace_s: float) -> None:
         """Stops a gang's task; it saves first if the attempt runs and the grace period allows."""
-        ref = held.task.partition("/")[0]
-        rendezvous = self._rendezvous_by_attempt.get((ref, held.attempt))
+        ref = worker_task.task.partition("/")[0]
+        rendezvous = self._rendezvous_by_attempt.get((ref, worker_task.attempt))
         can_save = (
             rendezvous is not None
             and rendezvous.started_at is not None
@@ -172,20 +182,20 @@
             and grace_s >= rendezvous.spec.checkpoint_save_s
         )
         if rendezvous is None or not can_save:
-            host.exit(held, wire.CAUSE_HALTED)
+            host.exit(worker_task, wire.CAUSE_HALTED)
             return
-        if held.task in rendezvous.stopping:
+        if worker_task.task in rendezvous.stopping:
             return
         if rendezvous.stopped_at is None:
             rendezvous.stopped_at = self._runtime.now()
             self._runtime.after(self._peer_s, self._exit_tasks_not_stopped, rendezvous)
-        rendezvous.stopping.add(held.task)
-        host.set_state(held, wire.FLUSHING)
+        rendezvous.stopping.add(worker_task.task)
+        host.set_state(worker_task, wire.FLUSHING)
         self._runtime.after(
-            rendezvous.spec.checkpoint_save_s, self._saved, rendezvous, ref, held.task
+            rendezvous.spec.checkpoint_save_s, self._on_saved, rendezvous, ref, worker_task.task
         )
 
-    def _saved(self, rendezvous: _Rendezvous, ref: str, task: str) -> None:
+    def _on_saved(self, rendezvous: _Rendezvous, ref: str, task: str) -> None:
         if rendezvous.is_finished or task not in rendezvous.members:
             return
         rendezvous.saved.add(task)
@@ -195,8 +205,8 @@
                 self.saved_progress_s.get(ref, 0.0) + rendezvous.stopped_at - started_at
             )
             rendezvous.is_finished = True
-            for _, held in rendezvous.members.values():
-                held.kept = True
+            for _, worker_task in rendezvous.members.values():
+                worker_task.kept = True
             self._exit_all(rendezvous, wire.CAUSE_HALTED)
 
     def _exit_tasks_not_stopped(self, rendezvous: _Rendezvous) -> None:
@@ -204,5 +214,5 @@
         not_stopped = [task for task in rendezvous.members if task not in rendezvous.stopping]
         for task in not_stopped:
             if not rendezvous.is_finished and task in rendezvous.members:
-                host, held = rendezvous.members[task]
-                host.exit(held, wire.CAUSE_PEER_LOST)
+                host, worker_task = rendezvous.members[task]
+                host.exit(worker_task, wire.CAUSE_PEER_LOST)
--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -1,4 +1,4 @@
-"""A fake state service, in memory."""
+"""A fake key-value store, in memory."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FakeKeyValueStore:
-    """Keys with versions, transactions, leases. While `is_down`, every request gets status 503."""
+    """Keys with versions, transactions and leases. While `is_down`, all requests get status 503."""
 
     def __init__(
         self, runtime: Runtime, address: Address, rng: random.Random | None = None
@@ -34,32 +34,35 @@
         self.lost_delay_s = (2.0, 12.0)
         """Range from which the delay of those transactions is drawn."""
         self.late_statuses: list[int] = []
-        """Statuses of the transactions that got no reply."""
+        """Statuses of the transactions that got no reply, in the order of their execution."""
         self.extra_delay_s = 0.0
         """Mean delay of every request in seconds, drawn between 0.5 and 1.5 times this."""
         self.refuse_changes = False
         self.requests = 0
+        """Number of requests received, without those that got status 503."""
         self.oversized_transactions: list[str] = []
         """Descriptions of transactions that exceed `txn_ops` or `value_bytes`.
 
         They are executed unless the limits are enforced.
         """
-        self._enforced = False
+        self._are_limits_enforced = False
         self.txn_ops, self.value_bytes = 32, 8 * 1024
         self.request_limit: TokenBucket | None = None
-        """PROTOCOL: requests above this rate get status 429; None: unlimited."""
+        """Requests above this rate get status 429, as the protocol says; None: unlimited."""
         self.change_limit: TokenBucket | None = None
-        """The same for puts and drops, including those of failed transactions."""
+        """The same limit for puts and drops, including those of failed transactions."""
         self.throttled_count = 0
         """Number of requests that got status 429."""
         self._leases: dict[int, tuple[float, float]] = {}
+        """Duration and time of expiry of each lease, by id."""
         self._next_lease = 1
         self.changes = 0
+        """Number of puts and drops executed."""
         Server(runtime, address, self._handle, 1000, 600.0, 1.0)
 
     def enforce(self, value_bytes: int, txn_ops: int, write_rps: float | None = None) -> None:
         """From now on refuses larger transactions with 400, more changes a second with 429."""
-        self.value_bytes, self.txn_ops, self._enforced = value_bytes, txn_ops, True
+        self.value_bytes, self.txn_ops, self._are_limits_enforced = value_bytes, txn_ops, True
         if write_rps is not None:
             self.change_limit = TokenBucket(self._runtime, write_rps, write_rps)
 
@@ -150,7 +153,7 @@
             size = len(msgspec.json.encode(change.value))
             if size > self.value_bytes:
                 self.oversized_transactions.append(f"{change.put}: {size} bytes")
-        if self._enforced and len(self.oversized_transactions) > before:
+        if self._are_limits_enforced and len(self.oversized_transactions) > before:
             request.reply(400, {"error": "too large"})
             return
         if self.lost_fraction and self._rng.random() < self.lost_fraction:
@@ -174,6 +177,7 @@
         self.late_statuses.append(self.transact(transaction)[0])
 
     def transact(self, transaction: wire.Transaction) -> tuple[int, Any]:
+        """Executes a transaction; returns the status and body of the reply."""
         if any(
             change.put and change.lease is not None and change.lease not in self._leases
             for change in transaction.changes
--- a/flaxtally/fakes/settings_text.py
+++ b/flaxtally/fakes/settings_text.py
@@ -9,11 +9,11 @@
     from ..settings import Objective, Settings, Team
 
 
-def _address(address: Address) -> str:
+def _format_address(address: Address) -> str:
     return f'"{address[0]}:{address[1]}"'
 
 
-def _team(team: Team) -> list[str]:
+def _format_team(team: Team) -> list[str]:
     return [
         "[[params.teams]]",
         f'name = "{team.name}"',
@@ -24,7 +24,7 @@
     ]
 
 
-def _objective(objective: Objective) -> list[str]:
+def _format_objective(objective: Objective) -> list[str]:
     job_class = [f'class = "{objective.job_class}"'] if objective.job_class is not None else []
     return [
         "[[params.objectives]]",
@@ -42,8 +42,8 @@
     lines = [
         f'node_name = "{settings.node}"',
         f'site = "{settings.zone}"',
-        f"listen = {_address(settings.listen)}",
-        f"cluster_listen = {_address(settings.peer_listen)}",
+        f"listen = {_format_address(settings.listen)}",
+        f"cluster_listen = {_format_address(settings.peer_listen)}",
     ]
     for name, (zone, address) in settings.peers.items():
         lines += [
@@ -51,21 +51,21 @@
             "[[others]]",
             f'node_name = "{name}"',
             f'site = "{zone}"',
-            f"peer_addr = {_address(address)}",
+            f"peer_addr = {_format_address(address)}",
         ]
     lines += [
         "",
         "[endpoints]",
-        f"state = {_address(settings.state)}",
-        f"cloud = {_address(settings.cloud)}",
+        f"state = {_format_address(settings.state)}",
+        f"cloud = {_format_address(settings.cloud)}",
         "",
         "[params]",
         f"zones = [{zones}]",
     ]
     for team in settings.teams.values():
-        lines += ["", *_team(team)]
+        lines += ["", *_format_team(team)]
     for objective in settings.objectives:
-        lines += ["", *_objective(objective)]
+        lines += ["", *_format_objective(objective)]
     lines += [
         "",
         "[params.workers]",
--- a/flaxtally/fakes/worker.py
+++ b/flaxtally/fakes/worker.py
@@ -1,4 +1,4 @@
-"""A fake worker: heartbeats, lease, fencing token, sessions, tasks."""
+"""A fake worker: heartbeats, lease, fencing token, incarnations, tasks."""
 
 from __future__ import annotations
 
@@ -22,8 +22,9 @@
     """A worker and its machine.
 
     `run_time(ref)` returns the seconds that a job's tasks run (None: until stopped); `spec(ref)`
-    returns the uploaded spec; `on_event(event, machine, task, attempt)` is called with `start` and
-    `end ...` of every task on the machine.
+    returns the uploaded spec, or None for a job that was not uploaded.
+    `on_event(event, machine, task, attempt)` is called when a task on the machine starts, with the
+    event `start`, and when it ends, with `end` and the cause.
     """
 
     def __init__(
@@ -41,7 +42,7 @@
         rng: random.Random,
         gangs: GangRendezvous | None = None,
     ) -> None:
-        """`gangs`: the rendezvous of gangs' tasks; None: these run like those of arrays."""
+        """`gangs`: the rendezvous of gangs' tasks; if None, they run like the tasks of arrays."""
         self._gangs = gangs
         self._runtime, self.machine, self._machine_type, self._address = (
             runtime,
@@ -52,20 +53,21 @@
         self._nodes, self._report_s, self._lease_s = nodes, report_s, lease_s
         self._spec, self._run_time, self._on_event, self._rng = spec, run_time, on_event, rng
         self.tasks: dict[tuple[str, int], WorkerTask] = {}
-        self.incarnation, self._sequence, self.fencing_token = 1, 0, 0
+        self.incarnation, self._sequence_number, self.fencing_token = 1, 0, 0
         self.preemption_notice_s: float | None = None
-        """Seconds until the cloud takes the machine, as reported; None: no preemption notice."""
+        """Seconds until the cloud takes the machine, as its heartbeats say; None: no notice."""
         self.hung = self._is_shut_down = False
+        """`hung`: whether the machine does nothing; requests wait until it continues."""
         self.deaf = False
-        """Whether replies and direct commands to it are lost; its heartbeats arrive."""
+        """Whether the worker receives nothing: replies and commands are lost, heartbeats arrive."""
         self.mute = False
-        """Whether its heartbeats are lost; direct commands reach it."""
+        """Whether its heartbeats are lost; commands reach it, and their replies arrive."""
         self.does_job_fail: Callable[[str], bool] = lambda _: False
         """Returns whether a job's tasks fail on this machine."""
         self.on_heartbeat_sent: Callable[[str, wire.Heartbeat], None] = lambda *_: None
-        """Called with each heartbeat that is sent, after the name of the receiving controller."""
+        """Called with the receiving controller's name and the heartbeat, for each one sent."""
         self.slowness = 1.0
-        """Factor by which tasks run longer here."""
+        """Factor by which tasks take longer on this machine than their run time."""
         self.saves_checkpoints = False
         """Whether tasks that are stopped with a grace period save before they exit."""
         self._lease_renewed_at = runtime.now()
@@ -80,7 +82,8 @@
     # Heartbeats
 
     def report(self) -> wire.Heartbeat:
-        self._sequence += 1
+        """Returns a new heartbeat with the next sequence number."""
+        self._sequence_number += 1
         machine = self.machine
         return wire.Heartbeat(
             machine.machine,
@@ -89,11 +92,17 @@
             machine.zone,
             machine.spot,
             self.incarnation,
-            self._sequence,
+            self._sequence_number,
             self.fencing_token,
             [
-                wire.TaskStatus(held.task, held.attempt, held.state, held.cause, held.kept)
-                for held in self.tasks.values()
+                wire.TaskStatus(
+                    worker_task.task,
+                    worker_task.attempt,
+                    worker_task.state,
+                    worker_task.cause,
+                    worker_task.kept,
+                )
+                for worker_task in self.tasks.values()
             ],
             self.preemption_notice_s,
         )
@@ -106,6 +115,7 @@
         self._heartbeat_timer = self._runtime.after(delay, self._send_heartbeat)
 
     def report_soon(self) -> None:
+        """Schedules the next heartbeat to report a change, unless a reply is awaited."""
         if not self._busy:
             self._schedule_heartbeat(min(0.5, self._report_s))
 
@@ -136,9 +146,9 @@
                     self._execute(heartbeat_reply.commands)
             elif reply.status == 421:
                 target = msgspec.msgpack.decode(reply.body, type=wire.Redirect).controller
-                known = target in self._nodes and target != node
-                self._controller = target if known and target else self._next_controller(node)
-                delay = self._rng.uniform(0, 0.5) if known else 1.0
+                is_known = target in self._nodes and target != node
+                self._controller = target if is_known and target else self._next_controller(node)
+                delay = self._rng.uniform(0, 0.5) if is_known else 1.0
             elif reply.status != 200:
                 self._controller, delay = self._next_controller(node), 1.0
             self._schedule_heartbeat(delay)
@@ -155,15 +165,17 @@
         return names[(names.index(node) + 1) % len(names)]
 
     def _expire_lease(self) -> None:
-        for held in list(self.tasks.values()):
-            self._end(held, "lapsed")
+        """Ends all tasks and starts a new incarnation, as a worker does when its lease expires."""
+        for worker_task in list(self.tasks.values()):
+            self._end(worker_task, "lapsed")
         self.tasks.clear()
         self.incarnation += 1
         self._lease_renewed_at = self._runtime.now()
 
     def shut_down(self) -> None:
-        for held in self.tasks.values():
-            self._end(held, "gone")
+        """Ends the worker with all of its tasks, as when its machine is removed."""
+        for worker_task in self.tasks.values():
+            self._end(worker_task, "gone")
         self.tasks.clear()
         self._is_shut_down = True
         self._schedule_heartbeat(0.0)
@@ -195,50 +207,60 @@
 
     def _execute(self, commands: list[wire.Command]) -> None:
         for command in commands:
-            held = self.tasks.get((command.task, command.attempt))
-            if command.verb == wire.LAUNCH and held is None:
+            worker_task = self.tasks.get((command.task, command.attempt))
+            if command.verb == wire.LAUNCH and worker_task is None:
                 self._launch(command)
-            elif command.verb == wire.STOP and held is not None and held.state != wire.EXITED:
-                is_gang = held.state in (wire.WAITING, wire.RUNNING) and self._is_gang(held)
+            elif (
+                command.verb == wire.STOP
+                and worker_task is not None
+                and worker_task.state != wire.EXITED
+            ):
+                is_gang = worker_task.state in (wire.WAITING, wire.RUNNING) and self._is_gang(
+                    worker_task
+                )
                 if self._gangs is not None and is_gang:
-                    self._gangs.stop(self, held, command.grace_s or 0.0)
-                elif not self._try_save(held, command.grace_s or 0.0):
-                    self.exit(held, wire.CAUSE_HALTED)
-            elif command.verb == wire.FORGET and held is not None and held.state == wire.EXITED:
+                    self._gangs.stop(self, worker_task, command.grace_s or 0.0)
+                elif not self._try_save(worker_task, command.grace_s or 0.0):
+                    self.exit(worker_task, wire.CAUSE_HALTED)
+            elif (
+                command.verb == wire.FORGET
+                and worker_task is not None
+                and worker_task.state == wire.EXITED
+            ):
                 del self.tasks[command.task, command.attempt]
 
-    def _is_gang(self, held: WorkerTask) -> bool:
-        spec = self._spec(held.task.partition("/")[0])
+    def _is_gang(self, worker_task: WorkerTask) -> bool:
+        spec = self._spec(worker_task.task.partition("/")[0])
         return spec is not None and spec.job_kind == wire.GANG
 
-    def _try_save(self, held: WorkerTask, grace_s: float) -> bool:
-        """Starts to save, or continues, if it can; returns False if the task is to exit at once."""
-        spec = self._spec(held.task.partition("/")[0])
-        if held.state == wire.FLUSHING:
+    def _try_save(self, worker_task: WorkerTask, grace_s: float) -> bool:
+        """Has a task save a checkpoint, if it can; returns False if it must exit at once."""
+        spec = self._spec(worker_task.task.partition("/")[0])
+        if worker_task.state == wire.FLUSHING:
             return bool(grace_s)
-        if not self.saves_checkpoints or spec is None or held.state != wire.RUNNING:
+        if not self.saves_checkpoints or spec is None or worker_task.state != wire.RUNNING:
             return False
         if not spec.checkpoint_interval_s or grace_s < spec.checkpoint_save_s:
             return False
-        if held.timer is not None:
-            held.timer.cancel()
-        held.timer = self._runtime.after(spec.checkpoint_save_s, self._saved, held)
-        self.set_state(held, wire.FLUSHING)
+        if worker_task.timer is not None:
+            worker_task.timer.cancel()
+        worker_task.timer = self._runtime.after(spec.checkpoint_save_s, self._on_saved, worker_task)
+        self.set_state(worker_task, wire.FLUSHING)
         return True
 
-    def _saved(self, held: WorkerTask) -> None:
-        held.kept = True
-        self.exit(held, wire.CAUSE_HALTED)
+    def _on_saved(self, worker_task: WorkerTask) -> None:
+        worker_task.kept = True
+        self.exit(worker_task, wire.CAUSE_HALTED)
 
     def _launch(self, command: wire.Command) -> None:
-        held = self.tasks[command.task, command.attempt] = WorkerTask(
+        worker_task = self.tasks[command.task, command.attempt] = WorkerTask(
             command.task, command.attempt, wire.FETCHING
         )
         spec = self._spec(command.task.partition("/")[0])
         unfinished = [
             other
             for other in self.tasks.values()
-            if other.state != wire.EXITED and other is not held
+            if other.state != wire.EXITED and other is not worker_task
         ]
         specs = [
             found
@@ -247,66 +269,70 @@
         ]
         machine_type = self._machine_type
         if spec is None:
-            held.state, held.cause = wire.EXITED, wire.CAUSE_UNKNOWN
+            worker_task.state, worker_task.cause = wire.EXITED, wire.CAUSE_UNKNOWN
         elif any(other.task == command.task for other in unfinished):
-            held.state, held.cause = wire.EXITED, wire.CAUSE_IN_USE
+            worker_task.state, worker_task.cause = wire.EXITED, wire.CAUSE_IN_USE
         elif (
             sum(each.cores for each in specs) + spec.cores > machine_type.cores + 1e-6
             or sum(each.gpus for each in specs) + spec.gpus > machine_type.gpus + 1e-6
             or sum(each.memory_gb for each in specs) + spec.memory_gb
             > machine_type.memory_gb + 1e-6
         ):
-            held.state, held.cause = wire.EXITED, wire.CAUSE_FULL
+            worker_task.state, worker_task.cause = wire.EXITED, wire.CAUSE_FULL
         else:
             delay = (
                 0.0 if spec.image in self._images else spec.image_gb / machine_type.fetch_gb_per_s
             )
             self._images.add(spec.image)
-            held.timer = self._runtime.after(delay, self._run, held)
+            worker_task.timer = self._runtime.after(delay, self._run, worker_task)
         self.report_soon()
 
-    def _run(self, held: WorkerTask) -> None:
-        if held.state != wire.FETCHING:
+    def _run(self, worker_task: WorkerTask) -> None:
+        if worker_task.state != wire.FETCHING:
             return
-        ref = held.task.partition("/")[0]
+        ref = worker_task.task.partition("/")[0]
         spec = self._spec(ref)
-        self._on_event("start", self.machine.machine, held.task, held.attempt)
+        self._on_event("start", self.machine.machine, worker_task.task, worker_task.attempt)
         if self._gangs is not None and spec is not None and spec.job_kind == wire.GANG:
-            self._gangs.arrive(self, held, spec)
+            self._gangs.arrive(self, worker_task, spec)
             return
-        held.state = wire.RUNNING
+        worker_task.state = wire.RUNNING
         run_time_s = self._run_time(ref)
         if self.does_job_fail(ref):
-            held.timer = self._runtime.after(0.5, self.exit, held, wire.CAUSE_ERROR)
+            worker_task.timer = self._runtime.after(0.5, self.exit, worker_task, wire.CAUSE_ERROR)
         elif run_time_s is not None:
-            held.timer = self._runtime.after(run_time_s * self.slowness, self._complete, held)
+            worker_task.timer = self._runtime.after(
+                run_time_s * self.slowness, self._complete, worker_task
+            )
         self.report_soon()
 
-    def _complete(self, held: WorkerTask) -> None:
+    def _complete(self, worker_task: WorkerTask) -> None:
         if self.hung:
             # A hung machine makes no progress.
-            held.timer = self._runtime.after(0.5, self._complete, held)
+            worker_task.timer = self._runtime.after(0.5, self._complete, worker_task)
         else:
-            self.exit(held, wire.CAUSE_DONE)
+            self.exit(worker_task, wire.CAUSE_DONE)
 
-    def set_state(self, held: WorkerTask, state: str) -> None:
+    def set_state(self, worker_task: WorkerTask, state: str) -> None:
         """Puts a gang's task into that state and reports it."""
-        held.state = state
+        worker_task.state = state
         self.report_soon()
 
-    def exit(self, held: WorkerTask, cause: str) -> None:
+    def exit(self, worker_task: WorkerTask, cause: str) -> None:
         """Ends the task, unless it has exited already."""
-        if held.state == wire.EXITED:
+        if worker_task.state == wire.EXITED:
             return
-        self._end(held, cause)
-        held.state, held.cause = wire.EXITED, cause
+        self._end(worker_task, cause)
+        worker_task.state, worker_task.cause = wire.EXITED, cause
         self.report_soon()
 
-    def _end(self, held: WorkerTask, why: str) -> None:
-        if held.timer is not None:
-            held.timer.cancel()
-        if held.state in (wire.WAITING, wire.RUNNING, wire.FLUSHING):
-            held.state = wire.EXITED
-            self._on_event("end " + why, self.machine.machine, held.task, held.attempt)
+    def _end(self, worker_task: WorkerTask, cause: str) -> None:
+        if worker_task.timer is not None:
+            worker_task.timer.cancel()
+        if worker_task.state in (wire.WAITING, wire.RUNNING, wire.FLUSHING):
+            worker_task.state = wire.EXITED
+            self._on_event(
+                "end " + cause, self.machine.machine, worker_task.task, worker_task.attempt
+            )
             if self._gangs is not None:
-                self._gangs.leave(held, why)
+                self._gangs.leave(worker_task, cause)
--- a/flaxtally/fakes/worker_task.py
+++ b/flaxtally/fakes/worker_task.py
@@ -1,4 +1,4 @@
-"""A task on a fake worker."""
+"""An attempt of a task on a fake worker."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 class WorkerTask:
-    """A task on the worker, with its attempt, state and cause of exit; `kept`: it has saved."""
+    """An attempt of a task on a worker, with its state and the cause of its exit.
+
+    `kept`: whether it saved a checkpoint when it was stopped. `timer`: its next change of state.
+    """
 
     def __init__(self, task: str, attempt: int, state: str) -> None:
         self.task, self.attempt, self.state = task, attempt, state
--- a/flaxtally/ledger/batch.py
+++ b/flaxtally/ledger/batch.py
@@ -1,4 +1,4 @@
-"""Batches: records that are read completely or not at all, even across several pages. Pure.
+"""Batches: records that are read completely or not at all, even across pages. Performs no I/O.
 
 A batch larger than a page is written as consecutive pieces (`records.BatchPiece`). They may be
 committed by different transactions, and the writer may lose its leadership in between: a batch
--- a/flaxtally/ledger/cluster_state.py
+++ b/flaxtally/ledger/cluster_state.py
@@ -1,5 +1,6 @@
-"""The replicated state machine: records produce the state of all jobs, live as on replay. Pure.
+"""The replicated state machine: applies records to the state of all jobs. Performs no I/O.
 
+The leader applies each record when it proposes it; a new leader applies the stored ones on replay.
 `records` defines the records and their meaning.
 """
 
@@ -56,7 +57,7 @@
 
 
 class ClusterState:
-    """All jobs. Of a terminal job without placements, only the stage is kept."""
+    """All jobs, and what else the ledger stores. A compacted terminal job has only its stage."""
 
     def __init__(self) -> None:
         """Creates the state before the first record."""
--- a/flaxtally/ledger/compaction.py
+++ b/flaxtally/ledger/compaction.py
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 COMPACTION_STEP_BYTES = 7 * 1024
-"""Size of the pages that are compacted in one step."""
+"""Total size of the pages that are compacted in one step."""
 MAX_SNAPSHOT_RATIO = 2
 """Size of all pages relative to a snapshot of the state above which pages are compacted. A record
 that doesn't fit into the rest of a page begins a new one, so up to half of the space may be empty:
@@ -149,7 +149,7 @@
 
 
 def _is_being_concluded(job: Job) -> bool:
-    """Whether the job is concluded, but its final stage is not reported yet.
+    """Whether the job is concluded, but its final stage may not be reported yet.
 
     A cancelled job that still has placements is rewritten like any other.
     """
--- a/flaxtally/ledger/job.py
+++ b/flaxtally/ledger/job.py
@@ -1,4 +1,4 @@
-"""Jobs and the states of their tasks. Pure."""
+"""Jobs and the states of their tasks. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 PLACED_RECORD_BYTES = 24
 """Approximate size of the record of a placement in a page, without names."""
 RUN_BYTES = 20
-"""Approximate size of a run of tasks in a page."""
+"""Approximate size of a run of tasks (`TaskRun`) in a page."""
 
 
 class Job:
     """A job and the states of its tasks. Tasks from `next_unstarted_task` on were never placed.
 
-    A task is unstarted, pending again (`retry_queue`), placed, or done. The last fields of the
-    constructor are the leader's view in its present term; the ledger does not store them.
+    A task is unstarted, pending again (`retry_queue`), placed, or done. The fields from
+    `is_committed` on are the leader's view in its present term; the ledger does not store them.
     """
 
     __slots__ = (
--- a/flaxtally/ledger/pages.py
+++ b/flaxtally/ledger/pages.py
@@ -1,4 +1,4 @@
-"""Pages of the store that hold the records: their keys and size limits. Pure."""
+"""Pages of the store that hold the records: their keys and size limits. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 PAGE_FILL_FRACTION = 7 / 8
 """Fraction of the largest value of the store that the records of a page may take."""
 LEDGER_WRITE_FRACTION = 0.85
-"""Fraction of the changes per second for the ledger; the rest is for leadership and the store
-relay.
+"""Fraction of the store's changes per second that the ledger may make; the rest is for leadership
+and the store relay.
 """
 BURST_S = 0.5
-"""Changes of this time may be sent at once; the store allows those of one second."""
+"""Seconds whose changes may be sent in one burst; the store allows the changes of one second."""
 
 
 def page_key(page: int) -> str:
--- a/flaxtally/ledger/placement.py
+++ b/flaxtally/ledger/placement.py
@@ -1,4 +1,4 @@
-"""Placements: the replicated state of an attempt, and the leader's view of it. Pure."""
+"""Placements: an attempt's replicated state, and the leader's view of it. Performs no I/O."""
 
 from __future__ import annotations
 
--- a/flaxtally/ledger/reclaims.py
+++ b/flaxtally/ledger/reclaims.py
@@ -1,4 +1,4 @@
-"""State of loans that is kept in the ledger, since a new leader could not derive it. Pure.
+"""The state of loans that a new leader could not derive, kept in the ledger. Performs no I/O.
 
 Loans themselves follow from placements and settings. The ledger keeps the reclaims of borrowed
 quota in progress, each with its deadline and the attempts chosen to be stopped, and what the teams
@@ -17,7 +17,7 @@
 ACCOUNT_BYTES = 80
 """Approximate size of the record of an account in a page."""
 BORROWED_ATTEMPT_BYTES = 16
-"""Approximate size of an attempt of a reclaim in a page."""
+"""Approximate size of one attempt in the record of a reclaim in a page."""
 
 
 class BorrowedAttempt(NamedTuple):
@@ -44,7 +44,7 @@
 
     @property
     def id(self) -> str:
-        """Its id in log lines, from the demand to the freed capacity."""
+        """The id that all its log lines have, from the demand to the freed capacity."""
         return f"recall_{self.number:06d}"
 
     @classmethod
@@ -81,7 +81,10 @@
 
 @dataclass(frozen=True)
 class LoanAccount:
-    """What a team has borrowed and lent so far, and how many reclaims served its demand."""
+    """What a team has borrowed and lent so far, and how many reclaims served its demand.
+
+    `met` counts the reclaims that finished by their deadline, `late` those that finished after it.
+    """
 
     team: str
     borrows_since: float = 0.0
--- a/flaxtally/ledger/record_queue.py
+++ b/flaxtally/ledger/record_queue.py
@@ -1,4 +1,4 @@
-"""Records that wait for their commit, each with the page that it goes to. Pure."""
+"""Records that wait for their commit, each with the page that it goes to. Performs no I/O."""
 
 from __future__ import annotations
 
--- a/flaxtally/ledger/records.py
+++ b/flaxtally/ledger/records.py
@@ -1,4 +1,4 @@
-"""The records of the ledger: one struct per kind, encoded as the array that is stored. Pure.
+"""The records of the ledger: one struct per kind, stored as an array. Performs no I/O.
 
 The first item of an array is the tag of the kind:
 
--- a/flaxtally/ledger/snapshot.py
+++ b/flaxtally/ledger/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshots: the records that replace the live content of a page in a compaction. Pure."""
+"""Snapshots: the records that a compaction writes in place of a page. Performs no I/O."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     from .job import Job
 
 MAX_RUNS_PER_RECORD = 16
-"""Limits a record to the size of a page, however many tasks its job has."""
+"""Maximum number of runs in a record, which bounds its size however many tasks its job has."""
 TYPES_PER_RECORD = 1
-"""Machine types of the catalog in one record, if they don't all fit into a page."""
+"""Number of machine types in one record, if they don't all fit into a page."""
 
 
 def build_terminal_record(job: Job) -> JobTerminated:
--- a/flaxtally/ledger/terminal_jobs.py
+++ b/flaxtally/ledger/terminal_jobs.py
@@ -1,4 +1,4 @@
-"""The stages of terminal jobs, which are kept indefinitely in a few bytes each. Pure.
+"""The stages of terminal jobs, kept indefinitely in a few bytes each. Performs no I/O.
 
 A job's id consists of a prefix and digits, so the id and the stage fit into a 64-bit number. The
 numbers are kept in sorted blocks; a string and a dict entry for each would take ten times the
@@ -20,11 +20,11 @@
 _MAX_RECENT_STAGES = 4096
 """Number of stages that are collected before they are sorted into a block."""
 _MAX_MERGED_BLOCK_STAGES = 1 << 16
-"""Larger blocks aren't merged, since that would block the event loop."""
+"""Number of stages from which on a block isn't merged: that would block the event loop."""
 
 
 def _number_of(ref: str) -> int | None:
-    """Returns the id as a number, with a 1 in front to keep leading zeros; None if it is no id."""
+    """Returns the id as a number; None if it is invalid. A 1 in front keeps leading zeros."""
     return int("1" + ref[len(JOB_ID_PREFIX) :]) if wire.JOB_ID.match(ref) else None
 
 
@@ -38,9 +38,9 @@
     def __init__(self) -> None:
         """Starts without terminal jobs."""
         self._recent: dict[int, int] = {}
-        """The number with its stage, by the number of the id."""
+        """The id's number combined with the stage (`number << 1 | aborted`), by the id's number."""
         self._blocks: list[array[int]] = []
-        """Numbers with their stages, sorted within each block."""
+        """Combined numbers of ids and stages, sorted within each block."""
 
     def __len__(self) -> int:
         """Returns how many jobs are terminal."""
@@ -78,7 +78,7 @@
             self._merge_recent()
 
     def _find(self, number: int) -> int | None:
-        """Returns the number with its stage; None if the job is not terminal."""
+        """Returns the combined number of the id and stage; None if the job is not terminal."""
         if number in self._recent:
             return self._recent[number]
         sought = number << 1
--- a/flaxtally/ledger/transaction.py
+++ b/flaxtally/ledger/transaction.py
@@ -32,7 +32,8 @@
 class Transaction:
     """Pages to write and to delete, by compare-and-swap. A retry sends it unchanged.
 
-    The first write, if any, is of a page with a record that no earlier transaction wrote.
+    The first write, if any, is of a page with a record that no earlier transaction wrote: reading
+    that page back shows whether this transaction was executed.
     """
 
     expected_versions: dict[str, int]
@@ -64,7 +65,7 @@
         self._on_outcome = on_outcome
         self._is_open = True
         self._may_be_applied = False
-        """Whether the store may have executed a copy of the present transaction."""
+        """Whether the store may have executed a copy of the present transaction without a reply."""
 
     def close(self) -> None:
         """Ends retries and calls of `on_outcome`."""
@@ -119,16 +120,16 @@
         """Finds out by one of its keys whether the transaction was executed."""
         key = next(iter([*transaction.writes, *transaction.deletes]))
         self._store.get(
-            key, lambda is_known, row: self._on_read_back(transaction, key, row, is_known=is_known)
+            key, lambda is_read, row: self._on_read_back(transaction, key, row, is_read=is_read)
         )
 
     def _on_read_back(
-        self, transaction: Transaction, key: str, row: wire.Row | None, *, is_known: bool
+        self, transaction: Transaction, key: str, row: wire.Row | None, *, is_read: bool
     ) -> None:
         """Derives the outcome from one page, since a transaction is atomic."""
         if not self._is_open:
             return
-        if not is_known:
+        if not is_read:
             self.later(self._retry_s, self._read_back, transaction)
         elif row is None and not transaction.writes:
             self._on_outcome(CommitOutcome.COMMITTED, 0)
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -1,6 +1,6 @@
 """The write-ahead log: records are proposed, applied to the cluster state, and committed soon.
 
-The cluster state applies a record when it is proposed; its *visible* effects (replies, launches)
+The cluster state applies a record when it is proposed; effects that others see (replies, launches)
 wait for `on_committed`, which is called only after the commit. `group_commit` writes the records,
 `replay` reads them at a takeover, and `compaction` rewrites old pages.
 """
@@ -35,7 +35,7 @@
 log = logging.getLogger(__name__)
 
 DAMAGED_RETRY_FACTOR = 10
-"""Factor of `retry_s` that gives the delay until a damaged ledger is read again."""
+"""Delay until a damaged ledger is read again, as a multiple of `retry_s`."""
 
 
 class WriteAheadLog(Actor):
@@ -156,8 +156,9 @@
     def propose_batch(self, records: list[Record], on_committed: OnCommitted | None = None) -> None:
         """Proposes records that are read all or none; calls `on_committed` after the last commit.
 
-        None of them sets the page of a job, a reclaim or an account. A batch larger than a page may
-        only be written in a format that has batches (`writes_batches`).
+        None of them may set the page of a job, a reclaim or an account: they are applied before the
+        pages that they are written to are known. A batch larger than a page may only be written in
+        a format that has batches (`writes_batches`).
         """
         for record in records:
             self.state.apply(record, self._queue.open_page)
--- a/flaxtally/runtime/actor.py
+++ b/flaxtally/runtime/actor.py
@@ -28,7 +28,7 @@
             self.runtime.after(period_s, call_and_repeat)
             callback()
 
-        # Logs and traces of slow callbacks name the repeated callback, not this wrapper.
+        # Logs and traces of slow callbacks show the repeated callback, not this wrapper.
         call_and_repeat.__qualname__ = getattr(
             callback, "__qualname__", call_and_repeat.__qualname__
         )
--- a/flaxtally/runtime/http.py
+++ b/flaxtally/runtime/http.py
@@ -16,13 +16,17 @@
 log = logging.getLogger(__name__)
 
 MAX_HEAD_BYTES = 16 * 1024
-"""Longest start line and headers of a message."""
+"""Maximum size of the start line and headers of a message."""
 MAX_BODY_BYTES = 64 * 1024
-"""Longest body of a request."""
+"""Maximum size of the body of a request."""
 MAX_BUFFERED_BYTES = 2 * (MAX_HEAD_BYTES + MAX_BODY_BYTES)
-"""Bytes buffered per connection: a client may send its next request while one is under way."""
+"""Maximum size of the data buffered per connection: a client may send its next request while one is
+being handled.
+"""
 CROWDED_FRACTION = 0.8
-"""Fraction of a server's connections above which it closes each one after its next reply."""
+"""Fraction of a server's maximum number of connections above which each connection is closed after
+its next reply.
+"""
 REASON_PHRASES = {
     200: "OK",
     201: "Created",
@@ -41,7 +45,7 @@
 
 
 class MalformedMessageError(Exception):
-    """The bytes are not HTTP that this module accepts; `status` is that of the reply."""
+    """The bytes are not HTTP that this module accepts; `status` is the one to reply with."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -49,27 +53,35 @@
 
 
 class Message:
-    """A request or a response as received; `start` is its start line, split at spaces."""
-
-    __slots__ = ("body", "close", "start")
-
-    def __init__(self, start: list[str], body: bytes, close: bool) -> None:
-        self.start, self.body, self.close = start, body, close
+    """A request or a response as received; `start` is its start line, split at spaces.
 
+    `closes_connection`: whether the sender closes the connection after it.
+    """
 
-class Parser:
-    """Takes bytes in pieces of any size, returns whole messages.
+    __slots__ = ("body", "closes_connection", "start")
 
-    `limit` is the largest body in bytes (None: any size).
-    """
+    def __init__(self, start: list[str], body: bytes, closes_connection: bool) -> None:
+        self.start, self.body, self.closes_connection = start, body, closes_connection
 
-    __slots__ = ("_buffer", "_close", "_length", "_limit", "_response", "_start")
 
-    def __init__(self, response: bool, limit: int | None) -> None:
+class Parser:
+    """Splits a byte stream into messages: takes bytes by `feed`, returns messages by `next`."""
+
+    __slots__ = (
+        "_buffer",
+        "_closes_connection",
+        "_is_response",
+        "_length",
+        "_max_body_bytes",
+        "_start",
+    )
+
+    def __init__(self, is_response: bool, max_body_bytes: int | None) -> None:
+        """`max_body_bytes`: the longest body that is accepted; None: any length."""
         self._buffer = bytearray()
-        self._response, self._limit = response, limit
+        self._is_response, self._max_body_bytes = is_response, max_body_bytes
         self._start: list[str] | None = None
-        self._length, self._close = 0, False
+        self._length, self._closes_connection = 0, False
 
     @property
     def is_idle(self) -> bool:
@@ -82,16 +94,20 @@
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
+        """Adds received bytes."""
         self._buffer += data
 
     def next(self) -> Message | None:
-        """The next whole message; None if it has not arrived yet."""
+        """Returns the next whole message, or None if it has not arrived yet.
+
+        Raises `MalformedMessageError`.
+        """
         if self._start is None and not self._parse_head():
             return None
         if len(self._buffer) < self._length:
             return None
         assert self._start is not None
-        message = Message(self._start, bytes(self._buffer[: self._length]), self._close)
+        message = Message(self._start, bytes(self._buffer[: self._length]), self._closes_connection)
         del self._buffer[: self._length]
         self._start = None
         return message
@@ -105,13 +121,13 @@
         try:
             lines = self._buffer[:end].decode("latin-1").lstrip("\r\n").split("\r\n")
             start = lines[0].split(" ", 2)
-            version = start[0] if self._response else start[2]
+            version = start[0] if self._is_response else start[2]
         except IndexError:
             raise MalformedMessageError(400, "no start line") from None
         if not version.startswith("HTTP/1."):
             raise MalformedMessageError(400, "not HTTP/1")
         length: int | None = None
-        self._close = version == "HTTP/1.0"
+        self._closes_connection = version == "HTTP/1.0"
         for line in lines[1:]:
             name, colon, value = line.partition(":")
             if not colon or not name or name != name.strip():
@@ -124,11 +140,11 @@
             elif name == "transfer-encoding":
                 raise MalformedMessageError(400, "transfer encodings are not taken")
             elif name == "connection":
-                self._close = "close" in value.lower()
-        if self._response and (len(start) < 2 or not start[1].isdigit()):
+                self._closes_connection = "close" in value.lower()
+        if self._is_response and (len(start) < 2 or not start[1].isdigit()):
             raise MalformedMessageError(400, "bad status")
         self._length = length or 0
-        if self._limit is not None and self._length > self._limit:
+        if self._max_body_bytes is not None and self._length > self._max_body_bytes:
             raise MalformedMessageError(413, "body too large")
         del self._buffer[: end + 4]
         self._start = start
@@ -150,10 +166,11 @@
         """The client's host; empty after the reply."""
         return self._connection.remote_host if self._connection is not None else ""
 
-    def reply(self, status: int, body: Any = None, retry_after: int | None = None) -> None:
+    def reply(self, status: int, body: Any = None, retry_after_s: int | None = None) -> None:
+        """Sends the reply, with the body in MessagePack; only the first call has an effect."""
         if self._connection is not None:
             connection, self._connection = self._connection, None
-            connection.send_reply(status, body, retry_after)
+            connection.send_reply(status, body, retry_after_s)
 
 
 class ServerConnection:
@@ -193,7 +210,7 @@
             return
         if message is None:
             return
-        self._busy, self._close_after_reply = True, message.close
+        self._busy, self._close_after_reply = True, message.closes_connection
         self._server.idle_connections.pop(self, None)
         request = Request(self, message)
         try:
@@ -202,14 +219,14 @@
             log.exception("the handler of a request failed; replying 500")
             request.reply(500, {"error": "internal"})
 
-    def send_reply(self, status: int, body: Any, retry_after: int | None) -> None:
+    def send_reply(self, status: int, body: Any, retry_after_s: int | None) -> None:
         payload = b"" if body is None else pack(body)
         reason = REASON_PHRASES.get(status, "Status")
         head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(payload)}\r\n"
         if payload:
             head += "Content-Type: application/msgpack\r\n"
-        if retry_after is not None:
-            head += f"Retry-After: {retry_after}\r\n"
+        if retry_after_s is not None:
+            head += f"Retry-After: {retry_after_s}\r\n"
         if self._close_after_reply or self._server.is_crowded:
             self._close_after_reply = True
             head += "Connection: close\r\n"
@@ -255,7 +272,7 @@
 class Server:
     """Accepts up to `max_connections` connections.
 
-    Clients can't take the sockets reserved for peers, state service and cloud. Above
+    They can't take the sockets reserved for peers, the key-value store and the cloud. Above
     `CROWDED_FRACTION` of the limit each connection is closed after its next reply; at the limit a
     new connection replaces the one that has been idle for longest. A controller that is the only
     one running has more workers than connections: if it refused the last ones, they would lose
@@ -275,7 +292,7 @@
         self.idle_timeout_s, self.linger_s = idle_timeout_s, linger_s
         self.connections: set[ServerConnection] = set()
         self.idle_connections: dict[ServerConnection, None] = {}
-        """Connections without a request under way, the longest idle first."""
+        """Connections without a request that is being handled, the longest idle first."""
         runtime.listen(address, self._accept)
 
     @property
@@ -294,7 +311,7 @@
 
 
 class Reply:
-    """A response. Status 0: none arrived; the request may have been executed, or may be later."""
+    """A response. Status 0: none arrived; the request may have been executed, or may still be."""
 
     __slots__ = ("body", "status")
 
@@ -314,7 +331,7 @@
 
 
 class OpenConnections:
-    """Number of connections that several clients have open together."""
+    """The number of connections that the clients which share this object have open together."""
 
     __slots__ = ("count",)
 
@@ -341,8 +358,9 @@
         self._busy: dict[Stream, _Call] = {}
 
     def request(
-        self, method: str, path: str, body: Any, timeout: float, on_reply: ReplyCallback
+        self, method: str, path: str, body: Any, timeout_s: float, on_reply: ReplyCallback
     ) -> None:
+        """Sends a request; `on_reply` gets the response, or status 0 after `timeout_s`."""
         payload = b"" if body is None else pack(body)
         head = (
             f"{method} {path} HTTP/1.1\r\nHost: {self._host}\r\nContent-Length: {len(payload)}\r\n"
@@ -350,15 +368,17 @@
         if payload:
             head += "Content-Type: application/msgpack\r\n"
         call = _Call(head.encode("latin-1") + b"\r\n" + payload, on_reply)
-        call.timer = self._runtime.after(timeout, self._on_timeout, call)
+        call.timer = self._runtime.after(timeout_s, self._on_timeout, call)
         self._waiting.append(call)
         self._start_waiting_calls()
 
     @property
-    def busy(self) -> bool:
+    def is_busy(self) -> bool:
+        """Whether a request has no reply yet."""
         return bool(self._busy or self._waiting)
 
     def close(self) -> None:
+        """Closes all connections; requests without a reply get status 0."""
         streams = [*self._idle_streams, *self._busy]
         for stream in streams:
             stream.close()
@@ -395,7 +415,7 @@
         if message is None:
             return
         call = self._busy.pop(stream, None)
-        if message.close or call is None:
+        if message.closes_connection or call is None:
             if stream in self._idle_streams:
                 self._idle_streams.remove(stream)
             stream.close()
@@ -416,8 +436,8 @@
         self._start_waiting_calls()
 
     def _on_timeout(self, call: _Call) -> None:
-        for stream, busy in self._busy.items():
-            if busy is call:
+        for stream, busy_call in self._busy.items():
+            if busy_call is call:
                 stream.close()
                 self._on_connection_lost(stream)
                 return
--- a/flaxtally/runtime/loop.py
+++ b/flaxtally/runtime/loop.py
@@ -1,7 +1,7 @@
 """The event loop, on a selector: timers, streams, listeners.
 
 All other code uses time and sockets only through a `Runtime`: a `Loop`, or the tests' simulated
-host with the same methods. So the same controllers run on the real clock and on a simulated one.
+host, which has the same methods. So the same controllers run in real and in simulated time.
 """
 
 from __future__ import annotations
@@ -28,11 +28,13 @@
 READ_SIZE_BYTES = 65536
 """Largest number of bytes read from a socket at a time."""
 LISTEN_BACKLOG = 65535
-"""Connections that wait to be accepted; the kernel lowers it to its limit (somaxconn)."""
+"""Maximum number of connections that wait to be accepted; the kernel lowers it to its limit
+(somaxconn).
+"""
 MAX_ACCEPTS_PER_TURN = 64
-"""Connections accepted on one listener in a turn of the loop."""
+"""Maximum number of connections accepted on one listener in a turn of the loop."""
 MIN_TIMERS_TO_CLEAR = 256
-"""Cancelled timers are not dropped early while there are at most this many timers."""
+"""Number of timers up to which cancelled ones stay in the heap until they are due."""
 
 
 class Timer:
@@ -44,20 +46,21 @@
     requests arrived.
     """
 
-    __slots__ = ("_args", "_fn", "live", "when")
+    __slots__ = ("_args", "_callback", "live", "when")
 
     def __init__(self, when: float, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.when, self.live = when, True
-        self._fn, self._args = callback, args
+        self._callback, self._args = callback, args
 
     def cancel(self) -> None:
+        """Prevents the call."""
         self.take()
 
     def take(self) -> tuple[Callable[..., None], tuple[Any, ...]]:
-        """Returns the call, which is due now, and ends the timer."""
-        call = self._fn, self._args
+        """Returns the callback and its arguments, for a call that is due, and ends the timer."""
+        call = self._callback, self._args
         self.live = False
-        self._fn, self._args = _ignore, ()
+        self._callback, self._args = _ignore, ()
         return call
 
 
@@ -79,7 +82,7 @@
 
 
 class Runtime(Protocol):
-    """What actors use of the event loop: the time, later calls, connections."""
+    """The part of the event loop that actors use: the time, later calls, connections."""
 
     def now(self) -> float: ...
 
@@ -108,22 +111,22 @@
 class SocketStream:
     """A non-blocking TCP socket on the loop."""
 
-    __slots__ = ("_events", "_loop", "_open", "_out", "_sock", "far", "on_close", "on_data")
+    __slots__ = ("_events", "_is_open", "_loop", "_socket", "_unsent", "far", "on_close", "on_data")
 
-    def __init__(self, loop: Loop, sock: socket.socket, far: str, connected: bool) -> None:
-        self._loop, self._sock, self.far, self._open = loop, sock, far, connected
-        self._out = bytearray()
+    def __init__(self, loop: Loop, sock: socket.socket, far: str, is_connected: bool) -> None:
+        self._loop, self._socket, self.far, self._is_open = loop, sock, far, is_connected
+        self._unsent = bytearray()
         self.on_data: Callable[[bytes], None] = _ignore
         self.on_close: Callable[[], None] = _ignore
-        self._events = selectors.EVENT_READ if connected else selectors.EVENT_WRITE
+        self._events = selectors.EVENT_READ if is_connected else selectors.EVENT_WRITE
         loop.selector.register(sock, self._events, self._on_ready)
 
     def send(self, data: bytes) -> None:
         if self._events == 0:
             return
-        if self._open and not self._out:
+        if self._is_open and not self._unsent:
             try:
-                sent = self._sock.send(data)
+                sent = self._socket.send(data)
             except (BlockingIOError, InterruptedError):
                 sent = 0
             except OSError:
@@ -131,45 +134,45 @@
                 return
             data = data[sent:]
         if data:
-            self._out += data
+            self._unsent += data
             self._set_events(
                 selectors.EVENT_READ | selectors.EVENT_WRITE
-                if self._open
+                if self._is_open
                 else selectors.EVENT_WRITE
             )
 
     def close(self) -> None:
-        """Closes at once, without calling `on_close`, since the owner requested it."""
+        """Closes the stream at once, without calling `on_close`."""
         self.on_close = self.on_data = _ignore
         self._finish()
 
     def _set_events(self, events: int) -> None:
         if events != self._events:
             self._events = events
-            self._loop.selector.modify(self._sock, events, self._on_ready)
+            self._loop.selector.modify(self._socket, events, self._on_ready)
 
     def _finish(self) -> None:
         if self._events == 0:
             return
         self._events = 0
-        self._loop.selector.unregister(self._sock)
-        self._sock.close()
+        self._loop.selector.unregister(self._socket)
+        self._socket.close()
         on_close, self.on_close, self.on_data = self.on_close, _ignore, _ignore
         on_close()
 
     def _on_ready(self, mask: int) -> None:
-        if not self._open:
-            if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
+        if not self._is_open:
+            if self._socket.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self._finish()
                 return
-            self._open = True
+            self._is_open = True
             self._flush()
             return
         if mask & selectors.EVENT_WRITE:
             self._flush()
         if mask & selectors.EVENT_READ and self._events:
             try:
-                data = self._sock.recv(READ_SIZE_BYTES)
+                data = self._socket.recv(READ_SIZE_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -181,15 +184,15 @@
 
     def _flush(self) -> None:
         try:
-            sent = self._sock.send(self._out) if self._out else 0
+            sent = self._socket.send(self._unsent) if self._unsent else 0
         except (BlockingIOError, InterruptedError):
             sent = 0
         except OSError:
             self._finish()
             return
-        del self._out[:sent]
+        del self._unsent[:sent]
         self._set_events(
-            selectors.EVENT_READ | selectors.EVENT_WRITE if self._out else selectors.EVENT_READ
+            selectors.EVENT_READ | selectors.EVENT_WRITE if self._unsent else selectors.EVENT_READ
         )
 
 
@@ -202,7 +205,7 @@
         self._max_timers_before_drop = MIN_TIMERS_TO_CLEAR
         self._order = itertools.count()
         self._soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
-        self._running = False
+        self._is_running = False
         self._pause_watchers: list[tuple[float, Callable[[float], None]]] = []
         self._delay_monitor: DelayMonitor | None = None
         self._long_callbacks: tuple[float, Callable[[Callable[..., None], float], None]] | None
@@ -220,7 +223,7 @@
         return timer
 
     def _drop_cancelled_timers(self) -> None:
-        """Drops cancelled timers, when they may be half of all.
+        """Drops cancelled timers, once they may be half of all timers.
 
         Most timers are timeouts that are cancelled in time; they would stay until they are due.
         """
@@ -238,21 +241,21 @@
         sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
 
-        def ready(_: int) -> None:
-            # Several per turn: when all workers reconnect at once, one per turn would let the last
-            # ones wait too long.
+        def accept_connections(_: int) -> None:
+            # Several per turn: when all workers reconnect at once, with one per turn the last ones
+            # would wait too long.
             for _ in range(MAX_ACCEPTS_PER_TURN):
                 try:
                     peer, (far, *_) = sock.accept()
-                except OSError as fault:
-                    if fault.errno in (errno.EMFILE, errno.ENFILE):
+                except OSError as error:
+                    if error.errno in (errno.EMFILE, errno.ENFILE):
                         log.warning(
                             "the limit on open files is reached; not accepting connections now"
                         )
                     return
                 accept(self._stream(peer, far, True))
 
-        self.selector.register(sock, selectors.EVENT_READ, ready)
+        self.selector.register(sock, selectors.EVENT_READ, accept_connections)
 
     def connect(self, address: Address) -> Stream:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -260,13 +263,13 @@
         sock.connect_ex(address)
         return self._stream(sock, address[0], False)
 
-    def _stream(self, sock: socket.socket, far: str, connected: bool) -> SocketStream:
+    def _stream(self, sock: socket.socket, far: str, is_connected: bool) -> SocketStream:
         sock.setblocking(False)
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
             log.debug("TCP_NODELAY can't be set on this socket; going on without it")
-        return SocketStream(self, sock, far, connected)
+        return SocketStream(self, sock, far, is_connected)
 
     def on_pause(self, threshold_s: float, notify: Callable[[float], None]) -> None:
         self._pause_watchers.append((threshold_s, notify))
@@ -296,13 +299,13 @@
         return now
 
     def run(self) -> None:
-        self._running = True
+        self._is_running = True
         self._last_checkpoint_at = self.now()
-        while self._running:
+        while self._is_running:
             self._turn()
 
     def stop(self) -> None:
-        self._running = False
+        self._is_running = False
 
     def close(self) -> None:
         """Closes every socket, for a process that continues after the loop; it can't run again."""
@@ -357,5 +360,5 @@
             self._long_callbacks[1](callback, duration_s)
         except Exception:
             log.exception("reporting a long callback failed; the loop continues")
-        # The time that `notify` took is not charged to the next callback.
+        # The time that `notify` took must not count as time of the next callback.
         self._callback_started_at = self.now()
--- a/flaxtally/runtime/loop_delay.py
+++ b/flaxtally/runtime/loop_delay.py
@@ -10,10 +10,10 @@
 
 
 class LoopDelay(NamedTuple):
-    """The largest delays of an interval, in seconds."""
+    """The largest delays since the last report, in seconds."""
 
     max_lateness_s: float
-    """The most that a timer fired late."""
+    """The largest time by which a timer fired late."""
     max_duration_s: float
     """The longest duration of a callback."""
     callback: str
@@ -21,7 +21,7 @@
 
 
 def get_callback_name(callback: Callable[..., Any]) -> str:
-    """The callback's class and method, for logs and traces."""
+    """Returns the callback's qualified name, for logs and traces."""
     while isinstance(callback, partial):
         callback = callback.func
     return getattr(callback, "__qualname__", repr(callback))
--- a/flaxtally/runtime/open_files.py
+++ b/flaxtally/runtime/open_files.py
@@ -5,8 +5,8 @@
 import resource
 
 NON_SOCKET_FILES = 32
-"""Open files of a controller besides its connections: standard streams, the selector, listeners,
-modules being read.
+"""Number of open files that a controller needs besides its connections: standard streams, the
+selector, listeners, modules being read.
 """
 
 
@@ -16,7 +16,7 @@
 
 
 def get_open_files_limit() -> int | None:
-    """Returns the most open files that `raise_limit` can allow; None: unlimited."""
+    """Returns the maximum number of open files that `raise_limit` can allow; None: unlimited."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     return None if hard == resource.RLIM_INFINITY else hard
 
--- a/flaxtally/runtime/token_bucket.py
+++ b/flaxtally/runtime/token_bucket.py
@@ -16,15 +16,16 @@
         self._tokens, self._refilled_at = burst, runtime.now()
 
     def seconds_until_available(self, cost: float) -> float:
-        """Returns the seconds until `cost` tokens can be taken (0: now)."""
+        """Returns the seconds until there are `cost` tokens, or the bucket is full; 0 if now."""
         now = self._runtime.now()
         self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate_per_s)
         self._refilled_at = now
-        seconds_until_available = (min(cost, self._burst) - self._tokens) / self._rate_per_s
+        wait_s = (min(cost, self._burst) - self._tokens) / self._rate_per_s
         # A wait shorter than the clock's resolution would be repeated indefinitely.
-        return seconds_until_available if seconds_until_available > 1e-6 else 0.0
+        return wait_s if wait_s > 1e-6 else 0.0
 
     def take(self, cost: float) -> None:
+        """Takes `cost` tokens, even if there are fewer: later calls then wait longer."""
         self._tokens -= cost
 
     def try_take(self, cost: float) -> bool:
@@ -35,4 +36,5 @@
         return True
 
     def empty(self) -> None:
+        """Removes all tokens, after the other side refused a call as too many."""
         self._tokens = 0.0
