--- a/flaxtally/api/command_relay.py
+++ b/flaxtally/api/command_relay.py
@@ -39,7 +39,7 @@
 number of machines that a controller may have to relay commands to.
 """
 RELAY_TIMEOUT_FACTOR = 1.25
-"""Time-out for the result of a relayed command, as a multiple of that for a call to a worker."""
+"""Timeout for the result of a relayed command, as a multiple of that for a call to a worker."""
 
 
 class _PendingCommand(NamedTuple):
--- a/flaxtally/clients/cloud.py
+++ b/flaxtally/clients/cloud.py
@@ -91,7 +91,7 @@
     """
 
     def __init__(self, runtime: Runtime, address: Address, rps: float, timeout_s: float) -> None:
-        """Takes the cloud's address, its limit of calls per second, and the time-out of a call."""
+        """Takes the cloud's address, its limit of calls per second, and the timeout of a call."""
         self._runtime = runtime
         self._timeout_s = timeout_s
         self._client = Client(runtime, address, MAX_CONNECTIONS)
@@ -147,7 +147,7 @@
     def terminate(self, machines: list[str], on_done: Callable[[bool], None]) -> None:
         """Terminates machines.
 
-        `on_done(True)` only after status 200: the machines and all that ran on them are gone.
+        `on_done` gets True only after status 200: the machines and all that ran on them are gone.
         """
 
         def on_reply(reply: Reply) -> None:
--- a/flaxtally/clients/key_value_store.py
+++ b/flaxtally/clients/key_value_store.py
@@ -26,12 +26,12 @@
 Message = TypeVar("Message")
 
 MAX_CONNECTIONS = 8
-"""More than are needed while all calls get replies: a call without a reply occupies its connection
-until its time-out.
+"""More connections than are needed while all calls get replies: a call without a reply occupies its
+connection until its timeout.
 """
 KEYS_PER_PAGE = 500
 SERVED_STATUSES = frozenset({200, 201, 404, 409, 410})
-"""HTTP statuses that show that the store serves calls; 429 and 503 are refusals."""
+"""HTTP statuses which show that the store serves calls; 429 and 503 are refusals."""
 
 _row_decoder = msgspec.msgpack.Decoder(Row)
 _rows_decoder = msgspec.msgpack.Decoder(Rows)
@@ -64,7 +64,7 @@
         first_timeout_s: float,
         prefix: str = "",
     ) -> None:
-        """Takes the store's address and the time-outs of calls and of a transaction's first try.
+        """Takes the store's address and the timeouts of calls and of a transaction's first try.
 
         `prefix` is prepended to every key, and removed from keys that are read.
         """
@@ -82,8 +82,8 @@
     def get(self, key: str, on_done: Callable[[bool, Row | None], None]) -> None:
         """Reads a key.
 
-        `on_done(True, row)`, with None for a key that does not exist, or `on_done(False, None)`
-        when the store gave no valid reply.
+        Calls `on_done(True, row)`, where `row` is None for a key that does not exist, or
+        `on_done(False, None)` when the store gave no valid reply.
         """
 
         def on_reply(reply: Reply) -> None:
@@ -95,7 +95,7 @@
         self._client.request("GET", path, None, self._timeout_s, on_reply)
 
     def list_prefix(self, prefix: str, on_done: Callable[[list[Row] | None], None]) -> None:
-        """Reads all rows with the prefix, page by page; `on_done(None)` when a call fails."""
+        """Reads all rows with the prefix, page by page; `on_done` gets None when a call fails."""
         found: list[Row] = []
 
         def on_reply(reply: Reply) -> None:
@@ -129,9 +129,9 @@
     ) -> None:
         """Changes keys if all of them still have the expected versions.
 
-        `on_done(outcome, revision)`: the revision is that of the committed changes, else 0. `lease`
-        is attached to every key that is written. `use_commit_connection` selects the connection
-        reserved for the write-ahead log; a first try (`is_first_try`) has a shorter time-out.
+        `on_done` gets the outcome and the revision of the committed changes, else 0. `lease` is
+        attached to every key that is written. `use_commit_connection` selects the connection
+        reserved for the write-ahead log; a first try (`is_first_try`) has a shorter timeout.
         """
 
         def on_reply(reply: Reply) -> None:
--- a/flaxtally/clients/workers.py
+++ b/flaxtally/clients/workers.py
@@ -45,7 +45,7 @@
 
 
 class _QueuedCall(NamedTuple):
-    """A call that waits for a connection; its time-out starts when it is queued."""
+    """A call that waits for a connection; its timeout starts when it is queued."""
 
     request: _Request
     target: Address
@@ -59,7 +59,7 @@
     """
 
     def __init__(self, runtime: Runtime, timeout_s: float, max_connections: int) -> None:
-        """Takes the time-out of a call and the maximum number of connections to all workers."""
+        """Takes the timeout of a call and the maximum number of connections to all workers."""
         self._runtime = runtime
         self._timeout_s = timeout_s
         self._max_connections = max(CONNECTIONS_PER_WORKER, max_connections)
--- a/flaxtally/cluster/candidacy.py
+++ b/flaxtally/cluster/candidacy.py
@@ -76,14 +76,14 @@
         self._refresh_leader_key = refresh_leader_key
         self._started_at = runtime.now()
         self._is_campaign_pending = False
-        """A campaign waits for its delay to end, or for the reply to its write."""
+        """Whether a campaign waits for its delay to end, or for the reply to its write."""
         self._is_checking_lease = False
         self._attempt = 0
         """Number of the current takeover attempt. A process pause raises it, so that callbacks of
         attempts from before the pause are recognized as outdated.
         """
         self._is_ineligible = False
-        """The ledger has a format that this program can't read: it must not lead."""
+        """Whether this program must not lead, since it can't read the ledger's format."""
 
     def on_pause(self) -> None:
         """Invalidates pending attempts and the leader key as last read, after a process pause."""
--- a/flaxtally/cluster/candidacy_rules.py
+++ b/flaxtally/cluster/candidacy_rules.py
@@ -39,11 +39,11 @@
     rank: int
     """Position of this controller, from 0, among the reachable controllers sorted by name."""
     is_alone: bool
-    """No controller other than, possibly, the leader can be reached."""
+    """Whether no controller other than, possibly, the leader can be reached."""
     refuses_connections: bool
-    """The leader's address refuses connections, so its process is probably dead."""
+    """Whether the leader's address refuses connections, so that its process is probably dead."""
     is_seen_by_peer: bool
-    """A reachable peer reports that it can reach the leader."""
+    """Whether a reachable peer reports that it can reach the leader."""
 
 
 def decide_candidacy(leader: UnreachableLeader, policy: Policy) -> CandidacyDecision:
--- a/flaxtally/cluster/election_state.py
+++ b/flaxtally/cluster/election_state.py
@@ -62,7 +62,7 @@
         self.leader: str | None = None
         """The leader of `term`; None if it is not known, or known to have been replaced."""
         self.is_ready = False
-        """This controller leads and serves requests."""
+        """Whether this controller leads and serves requests."""
         self.last_led_term = 0
         """The last term that this incarnation has led. It never leads a term again after stepping
         down from it: launches of that term may still be in transit under the same fencing token, so
--- a/flaxtally/cluster/leader_election.py
+++ b/flaxtally/cluster/leader_election.py
@@ -107,7 +107,7 @@
         self.every(self._policy.probe, self._read_leader_key)
 
     def on_pause(self, pause_s: float) -> None:
-        """Adjusts to a process pause: excludes it from time-outs, drops pending campaigns."""
+        """Adjusts to a process pause: excludes it from timeouts, drops pending campaigns."""
         self._observation.on_pause(self.runtime.now(), pause_s)
         self._candidacy.on_pause()
         self._read_leader_key()
--- a/flaxtally/cluster/leader_key.py
+++ b/flaxtally/cluster/leader_key.py
@@ -52,9 +52,9 @@
         self.version = 0
         """Version of the key as it was last read."""
         self.is_current = False
-        """The key was read, and there has been no sign of a change since."""
+        """Whether the key was read and has, as far as is known, not changed since."""
         self.names_earlier_incarnation = False
-        """The key names this controller, but was written by an earlier process of it."""
+        """Whether the key names this controller, but was written by an earlier process of it."""
 
     def read(self) -> None:
         """Reads the key, unless a read is pending."""
--- a/flaxtally/cluster/leader_lease.py
+++ b/flaxtally/cluster/leader_lease.py
@@ -39,6 +39,7 @@
         self._lease_id: int | None = None
         self._is_call_pending = False
         self._granted_count = 0
+        """Number of leases recorded so far, which makes the key of each one unique."""
 
     def begin_term(self, term: int, leader_key_version: int) -> None:
         """Records that this controller was elected; `renew` then obtains a lease."""
--- a/flaxtally/cluster/leader_observation.py
+++ b/flaxtally/cluster/leader_observation.py
@@ -21,14 +21,15 @@
         self._peers = peers
         self.last_heartbeat_at = float("-inf")
         self.can_commit = False
-        """According to its last heartbeat, the leader can reach the key-value store."""
+        """Whether the leader can reach the key-value store, according to its last heartbeat."""
         self.is_ready = False
-        """According to its last heartbeat, the leader serves requests."""
+        """Whether the leader serves requests, according to its last heartbeat."""
         self.unreachable_since: float | None = None
         """When this controller first found the leader unreachable; None while it can see it."""
         self.replaced_at = float("-inf")
         """When this controller last learned that the previous leader had been replaced."""
         self._can_peer_see_leader: dict[str, bool] = {}
+        """By peer: whether its last heartbeat said that it can see the leader of our term."""
 
     def can_see_leader(self) -> bool:
         """Whether this controller is, or can reach, a leader that can commit."""
--- a/flaxtally/cluster/messages.py
+++ b/flaxtally/cluster/messages.py
@@ -41,7 +41,7 @@
 
     node: str
     formats: Any = None
-    """The formats that the sender reads; `protocol.formats.parse_range` judges it."""
+    """The formats that the sender reads; `protocol.formats.parse_range` validates the value."""
 
 
 class Heartbeat(
@@ -64,14 +64,15 @@
     term: int
     leader: str | None = None
     can_commit: bool = False
-    """The sender leads and can reach the key-value store."""
+    """Whether the sender leads and can reach the key-value store."""
     is_ready: bool = False
-    """The sender leads and serves requests."""
+    """Whether the sender leads and serves requests."""
     can_see_leader: bool = False
+    """Whether the sender is, or can reach, a leader that can commit."""
     live_members: list[str] = []
     """The controllers that the leader can reach; empty in the heartbeats of others."""
     formats: Any = None
-    """The formats that the sender reads; `protocol.formats.parse_range` judges it."""
+    """The formats that the sender reads; `protocol.formats.parse_range` validates the value."""
 
 
 class ForwardedHeartbeat(
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -323,7 +323,7 @@
         )
 
     def _on_pause(self, pause_s: float) -> None:
-        """Excludes a pause of this process from the time-outs of all components."""
+        """Excludes a pause of this process from the timeouts of all components."""
         log.warning("event=process_pause node=%s lost=%.1f", self._settings.node, pause_s)
         self._store.on_pause(pause_s)
         self.peers.on_pause(pause_s)
--- a/flaxtally/ledger/group_commit.py
+++ b/flaxtally/ledger/group_commit.py
@@ -32,12 +32,12 @@
 
 @dataclass(frozen=True)
 class LedgerTimings:
-    """Delays and time-outs of the ledger."""
+    """Delays and timeouts of the ledger."""
 
     retry_s: float
     """Delay before a failed call is retried."""
     first_call_timeout_s: float
-    """Time-out of the first try of a call."""
+    """Timeout of the first try of a call."""
     batching_delay_s: float
     """Time to wait for more records, or requests, that are then sent together."""
 
--- a/flaxtally/ledger/leadership_barrier.py
+++ b/flaxtally/ledger/leadership_barrier.py
@@ -1,7 +1,8 @@
 """Read barrier: leadership is confirmed after a request was received.
 
-A reply that may still change may only be given by a controller that leads *after* it received the
-request. A transaction that only compares the leader key's version, sent after that, proves it.
+Before a controller replies with state that may still change, it must prove that it was the leader
+after it received the request. A transaction that is sent after that, and only compares the leader
+key's version, proves it.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
     @property
     def is_resolved(self) -> bool:
-        """Whether it was resolved."""
+        """Whether the request was resolved."""
         return self._on_done is None
 
     def resolve(self, *, is_leading: bool) -> None:
@@ -65,9 +66,13 @@
         self._is_open = True
         self._is_sending = False
         self._round = 0
+        """Number of the transaction that is in flight, or else of the next one."""
 
     def confirm(self, on_done: Callable[[bool], None]) -> None:
-        """`on_done(True)` once a transaction sent after this call proves leadership."""
+        """Calls `on_done(True)` once a transaction sent after this call proves leadership.
+
+        Calls `on_done(False)` if that transaction fails, or the term ends before.
+        """
         self._waiting.append(_Request(on_done))
         if not self._is_sending:
             self._is_sending = True
--- a/flaxtally/ledger/write_ahead_log.py
+++ b/flaxtally/ledger/write_ahead_log.py
@@ -181,7 +181,7 @@
         self._compactor.compact()
 
     def confirm_leadership(self, on_done: Callable[[bool], None]) -> None:
-        """`on_done(True)` once a transaction sent after this call proves leadership."""
+        """Calls `on_done(True)` once a transaction sent after this call proves leadership."""
         self._barrier.confirm(on_done)
 
     def fits_in_page(self, record: Record) -> bool:
--- a/flaxtally/protocol/formats.py
+++ b/flaxtally/protocol/formats.py
@@ -28,7 +28,7 @@
 SUPPORTED = FormatRange(FIRST, LENDING)
 """The formats that this version reads."""
 UNANNOUNCED = FormatRange(FIRST, FIRST)
-"""The range of a controller that announces none."""
+"""The formats that a controller which announces none reads."""
 
 
 def parse_range(value: object) -> FormatRange:
--- a/flaxtally/protocol/paths.py
+++ b/flaxtally/protocol/paths.py
@@ -8,7 +8,7 @@
 WORKER_STATUS = "/status"
 HEALTH = "/up"
 LOANS = "/loans"
-"""A page for operators; not part of the protocol."""
+"""Path of a page for operators, which is not part of the protocol."""
 
 MACHINE_TYPES = "/catalog"
 MACHINES = "/rentals"
--- a/flaxtally/runtime/loop.py
+++ b/flaxtally/runtime/loop.py
@@ -40,10 +40,10 @@
 class Timer:
     """A scheduled call; `cancel` prevents it.
 
-    It drops its references to the callback and the arguments once it is cancelled or due. A
-    request refers to its timer, and the timer's callback to the request: such cycles can be freed
-    only by the cyclic garbage collector, whose passes blocked a leader for a second when many
-    requests arrived.
+    `when` is the time at which it is due; `live` is False once it was made or cancelled. The timer
+    then drops its references to the callback and the arguments. A request refers to its timer, and
+    the timer's callback to the request: such cycles can be freed only by the cyclic garbage
+    collector, whose passes blocked a leader for a second when many requests arrived.
     """
 
     __slots__ = ("_args", "_callback", "live", "when")
@@ -82,7 +82,11 @@
 
 
 class Runtime(Protocol):
-    """The part of the event loop that actors use: the time, later calls, connections."""
+    """The part of the event loop that actors use: the time, later calls, connections.
+
+    All times are in seconds: `now` is monotonic, `wall` is wall-clock time. `after` calls back once
+    after a delay, `soon` in the next turn of the loop.
+    """
 
     def now(self) -> float: ...
 
@@ -205,8 +209,10 @@
         self._max_timers_before_drop = MIN_TIMERS_TO_CLEAR
         self._order = itertools.count()
         self._soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
+        """Calls to make in the next turn."""
         self._is_running = False
         self._pause_watchers: list[tuple[float, Callable[[float], None]]] = []
+        """Thresholds in seconds, and the callbacks for pauses that exceed them."""
         self._delay_monitor: DelayMonitor | None = None
         self._long_callbacks: tuple[float, Callable[[Callable[..., None], float], None]] | None
         self._long_callbacks = None
@@ -286,10 +292,12 @@
         self._long_callbacks = threshold_s, notify
 
     def _checkpoint(self, waited_s: float = 0.0) -> float:
-        """Returns the time; reports a pause if over `waited_s` passed since the last checkpoint.
+        """Returns the time; reports a pause if too much time passed since the last checkpoint.
 
-        Without the report, a process that did not run (a frozen host, a long garbage collection, a
-        callback that computes for seconds) would blame others for the heartbeats that it missed.
+        That is the case if it exceeds `waited_s`, for which the loop meant to wait, by more than a
+        watcher's threshold. Without the report, a process that did not run (a frozen host, a long
+        garbage collection, a callback that computes for seconds) would blame others for the
+        heartbeats that it missed.
         """
         now = self.now()
         pause_s, self._last_checkpoint_at = now - self._last_checkpoint_at - waited_s, now
--- a/flaxtally/runtime/loop_delay.py
+++ b/flaxtally/runtime/loop_delay.py
@@ -28,7 +28,7 @@
 
 
 class DelayMonitor:
-    """Owns the largest delays since the last report.
+    """Tracks the largest delays since the last report.
 
     `notify` is called when a timer fires more than `threshold_s` late, at most once per `period_s`.
     """
@@ -40,6 +40,7 @@
         self._next_report_at = float("-inf")
         self._max_lateness_s = self._max_duration_s = 0.0
         self._callback: Callable[..., Any] | None = None
+        """The callback that took longest since the last report."""
 
     def record_callback(self, callback: Callable[..., Any], duration_s: float) -> None:
         """Records that a callback took `duration_s`."""
