--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -35,7 +35,7 @@
 PAGE_BYTES = LOWERED_LIMITS.value_bytes * 7 // 8
 
 
-def job_contents(state: Any) -> dict[str, Any]:
+def get_job_contents(state: Any) -> dict[str, Any]:
     """Returns the contents of a state by job, in plain values that both versions have."""
     found: dict[str, Any] = {ref: state.terminal_jobs.get(ref) for ref in state.terminal_jobs}
     for job in state.jobs.values():
@@ -73,7 +73,7 @@
     fixture = json.loads(FIXTURE.read_text())
     assert fixture["commit"] == production.read_commit()
     assert len(fixture["meaning"]) > 20
-    assert job_contents(replay_pages(fixture["rows"], ClusterState())) == fixture["meaning"]
+    assert get_job_contents(replay_pages(fixture["rows"], ClusterState())) == fixture["meaning"]
 
 
 def test_keys_and_relayed_frames_written_by_production_are_read() -> None:
@@ -109,7 +109,7 @@
     rows = {key: value for key, (value, _, _) in cluster.state.rows.items()}
     # Meanwhile the present code has compacted old pages.
     assert min(int(key[2:]) for key in rows if key.startswith("p/") and key != "p/00000000") > 1
-    assert job_contents(replay_pages(rows, production_state)) == job_contents(
+    assert get_job_contents(replay_pages(rows, production_state)) == get_job_contents(
         replay_pages(rows, ClusterState())
     )
 
@@ -173,7 +173,7 @@
     restored = ClusterState()
     for piece in written:
         restored.replay(stored(piece), 2)
-    assert job_contents(restored) == job_contents(state)
+    assert get_job_contents(restored) == get_job_contents(state)
     assert restored.catalog == state.catalog
 
 
@@ -279,12 +279,12 @@
     job = msgspec.to_builtins(batch("j-000001", 2))
     state.replay(["J", 1, 1.0, *job], 1)
     state.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
-    before = job_contents(state)
+    before = get_job_contents(state)
     try:
         state.replay(record, 1)
     except Exception as fault:
         return type(fault).__name__
-    return "ignored" if job_contents(state) == before else "taken"
+    return "ignored" if get_job_contents(state) == before else "taken"
 
 
 @pytest.mark.parametrize(
--- a/tools/production_fixture.py
+++ b/tools/production_fixture.py
@@ -15,7 +15,7 @@
 from tests.scenarios import change_leader, cut_controllers
 from tests.simulated_cluster import batch, spec
 from tests.simulated_upgrade import UpgradingCluster
-from tests.test_formats import FIXTURE, meaning
+from tests.test_formats import FIXTURE, get_job_contents
 
 
 def run_production_cluster() -> UpgradingCluster:
@@ -46,7 +46,7 @@
             for record in rows[key]["r"]:
                 state.replay(record, int(key[2:]))
     FIXTURE.parent.mkdir(exist_ok=True)
-    fixture = {"commit": production.read_commit(), "rows": rows, "meaning": meaning(state)}
+    fixture = {"commit": production.read_commit(), "rows": rows, "meaning": get_job_contents(state)}
     FIXTURE.write_text(json.dumps(fixture, indent=1, sort_keys=True) + "\n")
     print(f"{FIXTURE}: {len(rows)} keys, {len(fixture['meaning'])} jobs")
 
