--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -79,10 +79,12 @@
 def test_keys_and_relayed_frames_written_by_production_are_read() -> None:
     rows = json.loads(FIXTURE.read_text())["rows"]
     assert {"term", "node", "boot"} <= rows["lead"].keys()
-    mailed = [decode_batch(value)[1] for key, value in rows.items() if key.startswith("mail/")]
-    kinds = {frame["k"] for frames in mailed for frame in frames}
+    relayed_batches = [
+        decode_batch(value)[1] for key, value in rows.items() if key.startswith("mail/")
+    ]
+    kinds = {frame["k"] for frames in relayed_batches for frame in frames}
     assert "hb" in kinds
-    heartbeats = [frame for frames in mailed for frame in frames if frame["k"] == "hb"]
+    heartbeats = [frame for frames in relayed_batches for frame in frames if frame["k"] == "hb"]
     assert {parse_range(frame.get("formats")) for frame in heartbeats} == {formats.UNANNOUNCED}
 
 
@@ -117,14 +119,14 @@
 # Batches
 
 
-def read_all(records: list[list[Any]]) -> list[list[Any]]:
+def read_complete_records(records: list[list[Any]]) -> list[list[Any]]:
     """Returns the stored form of the records that take effect."""
     decoded = [decode_record(items) for items in records]
     return [stored(complete) for complete in complete_records(decoded)]
 
 
-def pieces(records: list[list[Any]], max_bytes: int) -> list[list[Any]]:
-    """Returns the stored form of a batch of these records."""
+def split_into_pieces(records: list[list[Any]], max_bytes: int) -> list[list[Any]]:
+    """Returns the stored form of the pieces into which a batch of these records is split."""
     written = split_batch([record(*items) for items in records], max_bytes)
     return [stored(piece) for piece in written]
 
@@ -132,16 +134,18 @@
 def test_a_batch_is_read_completely_or_not_at_all() -> None:
     # A writer may be deposed between the commits of two pieces, and pages may be compacted.
     records = [["E", number, 0, 1, False] for number in range(200)]
-    written = pieces(records, 500)
+    written = split_into_pieces(records, 500)
     assert len(written) > 3
-    assert read_all(written) == records
+    assert read_complete_records(written) == records
     # The writer was deposed before the last piece; its successor writes other records.
-    assert read_all(written[:-1]) == []
-    assert read_all([*written[:-1], ["C", 7]]) == [["C", 7]]
-    assert read_all([*written[:-1], *pieces(records[:3], 500)]) == records[:3]
+    assert read_complete_records(written[:-1]) == []
+    assert read_complete_records([*written[:-1], ["C", 7]]) == [["C", 7]]
+    assert (
+        read_complete_records([*written[:-1], *split_into_pieces(records[:3], 500)]) == records[:3]
+    )
     # The first page was compacted: the records of the others were rewritten.
-    assert read_all(written[1:]) == []
-    assert read_all([*written[1:], ["C", 7]]) == [["C", 7]]
+    assert read_complete_records(written[1:]) == []
+    assert read_complete_records([*written[1:], ["C", 7]]) == [["C", 7]]
 
 
 @pytest.mark.real_processes
@@ -149,11 +153,11 @@
 @examples(derandomize=True, max_examples=60)
 def test_pieces_stay_within_a_page_and_lose_nothing(sizes: list[int], max_bytes: int) -> None:
     records: list[list[Any]] = [["F", 0, "x" * size, "done"] for size in sizes]
-    written = pieces(records, max_bytes)
+    written = split_into_pieces(records, max_bytes)
     assert all(
         piece[0] == "B" and record_size(decode_record(piece)) <= max_bytes for piece in written
     )
-    assert read_all(written) == records
+    assert read_complete_records(written) == records
 
 
 def test_a_snapshot_of_any_job_fits_into_pages_of_the_lower_limits() -> None:
@@ -214,20 +218,20 @@
 
 
 @pytest.mark.parametrize(
-    "stated", [None, 2, "2", [2], [1, 2, 3], [2, 1], [0, 2], [1, "2"], [True, 2], {"newest": 2}]
+    "announced", [None, 2, "2", [2], [1, 2, 3], [2, 1], [0, 2], [1, "2"], [True, 2], {"newest": 2}]
 )
-def test_an_invalid_range_counts_as_the_first_format(stated: object) -> None:
-    assert parse_range(stated) == formats.UNANNOUNCED
+def test_an_invalid_range_counts_as_the_first_format(announced: object) -> None:
+    assert parse_range(announced) == formats.UNANNOUNCED
 
 
-def member_formats() -> FormatNegotiation:
+def create_format_negotiation() -> FormatNegotiation:
     """Returns the format negotiation of a controller that has no peers running."""
     cluster = SimulatedCluster(nodes=NODES[:1])
     return cluster.nodes[NODES[0]].formats
 
 
 def test_only_the_newest_connection_of_a_peer_announces_its_formats() -> None:
-    negotiation = member_formats()
+    negotiation = create_format_negotiation()
     negotiation.on_hello("hearth-1", 5, [1, 2])
     assert negotiation.get_newest_format("hearth-1") == 2
     # From an earlier incarnation, before the upgrade; delayed by the network.
@@ -241,7 +245,7 @@
 
 
 def test_relayed_heartbeats_raise_the_known_format_and_never_lower_it() -> None:
-    negotiation = member_formats()
+    negotiation = create_format_negotiation()
     negotiation.on_relayed_heartbeat("hearth-1", None)
     assert negotiation.get_newest_format("hearth-1") == 1
     negotiation.on_relayed_heartbeat("hearth-1", [1, 2])
@@ -273,22 +277,24 @@
 # How production treats what it doesn't know: the table in docs/upgrade.md
 
 
-def production_reads(record: list[Any]) -> str:
-    """Returns how production treats a record after a job of two tasks, one of them placed."""
+def replay_in_production(items: list[Any]) -> str:
+    """Returns how production treats a stored record that follows a job with one of its two tasks
+    placed: the name of the exception, `ignored` or `taken`.
+    """
     state = production.adapt_to_current_names(production.load_module("ledger.book").Book())
     job = msgspec.to_builtins(batch("j-000001", 2))
     state.replay(["J", 1, 1.0, *job], 1)
     state.replay(["P", 1, 0, 1, "n-000001", "a"], 1)
     before = get_job_contents(state)
     try:
-        state.replay(record, 1)
+        state.replay(items, 1)
     except Exception as fault:
         return type(fault).__name__
     return "ignored" if get_job_contents(state) == before else "taken"
 
 
 @pytest.mark.parametrize(
-    ("record", "outcome"),
+    ("items", "outcome"),
     [
         (["V", 2], "KeyError"),
         (["B", True, True, []], "KeyError"),
@@ -300,9 +306,9 @@
         (["K", [], True], "TypeError"),
     ],
 )
-def test_production_applies_ignores_or_refuses_a_record(record: list[Any], outcome: str) -> None:
+def test_production_applies_ignores_or_refuses_a_record(items: list[Any], outcome: str) -> None:
     # Production logs a record that it refuses as `ledger_damaged`, and serves nothing.
-    assert production_reads(record) == outcome
+    assert replay_in_production(items) == outcome
 
 
 def test_production_ignores_unknown_frames_and_fields() -> None:
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -15,18 +15,22 @@
 from .simulated_cluster import SimulatedCluster, batch, gang, spec
 
 
-def begun_attempts(cluster: SimulatedCluster, ref: str) -> list[int]:
+def list_started_attempts(cluster: SimulatedCluster, ref: str) -> list[int]:
     """Returns the attempts in which the gang started running."""
-    return [attempt for begun_ref, attempt in cluster.gangs.started_attempts if begun_ref == ref]
+    return [
+        attempt for started_ref, attempt in cluster.gangs.started_attempts if started_ref == ref
+    ]
 
 
-def cluster_with_running_gang(
+def start_cluster_with_running_gang(
     seed: int = 1, tasks: int = 4, run_time: float = 30.0, **changes: object
 ) -> SimulatedCluster:
     """Returns a cluster in which the gang j-000001 runs."""
     cluster = SimulatedCluster(seed)
     cluster.submit(gang("j-000001", tasks, **changes), run_time=run_time)
-    assert cluster.run_until(lambda: bool(begun_attempts(cluster, "j-000001")), 90), cluster.trace
+    assert cluster.run_until(lambda: bool(list_started_attempts(cluster, "j-000001")), 90), (
+        cluster.trace
+    )
     cluster.run(1.0)
     return cluster
 
@@ -38,17 +42,19 @@
     )
 
 
-def machines_of(cluster: SimulatedCluster, ref: str) -> set[str]:
+def find_machines_of_job(cluster: SimulatedCluster, ref: str) -> set[str]:
     return {machine for task, (machine, _) in cluster.running.items() if task.startswith(ref + "/")}
 
 
 def test_gang_starts_together_in_one_zone_and_completes_once() -> None:
     # All tasks start together, in a single zone, and the gang completes in its first attempt.
-    cluster = cluster_with_running_gang(run_time=5.0, tasks=12)
-    zones = {cluster.workers[name].machine.zone for name in machines_of(cluster, "j-000001")}
+    cluster = start_cluster_with_running_gang(run_time=5.0, tasks=12)
+    zones = {
+        cluster.workers[name].machine.zone for name in find_machines_of_job(cluster, "j-000001")
+    }
     assert len(zones) == 1
     assert_completes(cluster, "j-000001")
-    assert begun_attempts(cluster, "j-000001") == [1]
+    assert list_started_attempts(cluster, "j-000001") == [1]
     assert cluster.query_job("j-000001")[1] == {
         "ref": "j-000001",
         "stage": "done",
@@ -66,7 +72,7 @@
     cluster.run(25.0)
     cluster.submit(gang("j-000001", 390, cores=0.5, memory_gb=0.5), run_time=5.0)
     # A planning step, a boot of 8 s (at most 1.5 times that), and an image fetch.
-    assert cluster.run_until(lambda: begun_attempts(cluster, "j-000001") == [1], 18.0), (
+    assert cluster.run_until(lambda: list_started_attempts(cluster, "j-000001") == [1], 18.0), (
         cluster.trace[-5:]
     )
 
@@ -74,12 +80,12 @@
 def test_lost_machine_restarts_the_whole_gang_from_its_checkpoint() -> None:
     # Seen in the production version: a lost task was replaced under another attempt number
     # than the others, so the gang never started again.
-    cluster = cluster_with_running_gang(tasks=12, run_time=30.0, cores=8.0)
-    assert len(machines_of(cluster, "j-000001")) > 1
+    cluster = start_cluster_with_running_gang(tasks=12, run_time=30.0, cores=8.0)
+    assert len(find_machines_of_job(cluster, "j-000001")) > 1
     cluster.run(11.0)
-    lost = sorted(machines_of(cluster, "j-000001"))[0]
+    lost = sorted(find_machines_of_job(cluster, "j-000001"))[0]
     cluster.cloud.remove_machine(lost)
-    assert cluster.run_until(lambda: begun_attempts(cluster, "j-000001") == [1, 2], 90), (
+    assert cluster.run_until(lambda: list_started_attempts(cluster, "j-000001") == [1, 2], 90), (
         cluster.trace[-40:]
     )
     assert cluster.gangs.saved_progress_s["j-000001"] == pytest.approx(10.0)
@@ -88,9 +94,11 @@
 
 def test_hung_machine_ends_the_attempt_and_no_task_runs_twice() -> None:
     # A machine that hangs blocks the attempt: the gang has to restart elsewhere, exactly once.
-    cluster = cluster_with_running_gang(tasks=12, cores=8.0)
-    cluster.inject_machine_fault("hung", sorted(machines_of(cluster, "j-000001"))[:1], 25.0)
-    assert cluster.run_until(lambda: len(begun_attempts(cluster, "j-000001")) == 2, 120), (
+    cluster = start_cluster_with_running_gang(tasks=12, cores=8.0)
+    cluster.inject_machine_fault(
+        "hung", sorted(find_machines_of_job(cluster, "j-000001"))[:1], 25.0
+    )
+    assert cluster.run_until(lambda: len(list_started_attempts(cluster, "j-000001")) == 2, 120), (
         cluster.trace[-40:]
     )
     assert_completes(cluster, "j-000001")
@@ -117,7 +125,7 @@
     )
     cluster.cloud.remove_machine(waiting[0])
     assert_completes(cluster, "j-000001")
-    assert len(begun_attempts(cluster, "j-000001")) == 1
+    assert len(list_started_attempts(cluster, "j-000001")) == 1
 
 
 def test_gang_can_be_cancelled_in_every_phase() -> None:
@@ -129,9 +137,9 @@
         cluster.submit(gang("j-000001", 8), run_time=20.0)
         cluster.run(wait)
         cluster.cancel("j-000001", node=1)
-        assert cluster.run_until(lambda w=cluster: "j-000001" in w.reported_cancelled_at, 30.0), (
-            cluster.trace
-        )  # type: ignore[misc]
+        assert cluster.run_until(
+            lambda cluster=cluster: "j-000001" in cluster.reported_cancelled_at, 30.0
+        ), cluster.trace  # type: ignore[misc]
         cluster.run(5.0)
         assert cluster.count("j-000001") == 0
 
@@ -176,7 +184,9 @@
     # Preempting single tasks would break the gang without saving: all tasks have to save and exit.
     cluster = SimulatedCluster(capacity=1)
     cluster.submit(gang("j-000001", 8, cores=8.0, memory_gb=1.0, one_zone=False), run_time=60.0)
-    assert cluster.run_until(lambda: bool(begun_attempts(cluster, "j-000001")), 90), cluster.trace
+    assert cluster.run_until(lambda: bool(list_started_attempts(cluster, "j-000001")), 90), (
+        cluster.trace
+    )
     cluster.run(12.0)
     cluster.submit(spec("j-000002", tasks=2, cores=14.0), node=1)
     assert cluster.run_until(lambda: cluster.count("j-000002") == 2, 90), cluster.trace[-30:]
@@ -208,19 +218,19 @@
 def test_gang_keeps_running_while_every_controller_restarts() -> None:
     # The new leader learns of the attempt from the ledger and heartbeats: it must not start
     # another one.
-    cluster = cluster_with_running_gang(run_time=40.0)
+    cluster = start_cluster_with_running_gang(run_time=40.0)
     for name in cluster.names:
         cluster.crash(name, back_after=2.0)
     cluster.run(6.0)
     wait_for_leader(cluster)
     assert_completes(cluster, "j-000001")
-    assert begun_attempts(cluster, "j-000001") == [1]
+    assert list_started_attempts(cluster, "j-000001") == [1]
 
 
 # Two faults at once
 
 
-def exit_causes(cluster: SimulatedCluster, ref: str, attempt: int) -> list[str]:
+def list_exit_causes(cluster: SimulatedCluster, ref: str, attempt: int) -> list[str]:
     return [
         cause
         for task, number, cause in cluster.gangs.exits
@@ -230,37 +240,39 @@
 
 def test_spot_notices_for_two_machines_at_once_save_the_gang_once() -> None:
     # Each notice requests a stop of the gang; the second one must not start another stop.
-    cluster = cluster_with_running_gang(tasks=12, cores=8.0, spot=True)
+    cluster = start_cluster_with_running_gang(tasks=12, cores=8.0, spot=True)
     cluster.run(8.0)
-    for name in sorted(machines_of(cluster, "j-000001"))[:2]:
+    for name in sorted(find_machines_of_job(cluster, "j-000001"))[:2]:
         cluster.workers[name].notice = 12.0
         cluster.workers[name].report_soon()
         cluster.after(12.0, cluster.cloud.remove_machine, name)
     assert_completes(cluster, "j-000001")
-    assert exit_causes(cluster, "j-000001", 1) == [wire.CAUSE_HALTED] * 12
-    assert begun_attempts(cluster, "j-000001") == [1, 2]
+    assert list_exit_causes(cluster, "j-000001", 1) == [wire.CAUSE_HALTED] * 12
+    assert list_started_attempts(cluster, "j-000001") == [1, 2]
     assert cluster.gangs.saved_progress_s["j-000001"] > 8.0
 
 
 def test_gang_is_done_if_other_machines_are_lost_after_one_task_completed() -> None:
     # A gang that is done must not be restarted because other tasks are lost before they report.
-    cluster = cluster_with_running_gang(tasks=12, cores=8.0, run_time=6.0)
-    assert cluster.run_until(lambda: wire.CAUSE_DONE in exit_causes(cluster, "j-000001", 1), 20.0)
+    cluster = start_cluster_with_running_gang(tasks=12, cores=8.0, run_time=6.0)
+    assert cluster.run_until(
+        lambda: wire.CAUSE_DONE in list_exit_causes(cluster, "j-000001", 1), 20.0
+    )
     # All tasks complete together; the reports of the others are lost with their machines.
     for name in sorted(cluster.workers)[1:]:
         if any(held.state == wire.EXITED for held in cluster.workers[name].tasks.values()):
             cluster.cloud.remove_machine(name)
     assert_completes(cluster, "j-000001")
     cluster.run(30.0)
-    assert begun_attempts(cluster, "j-000001") == [1]
+    assert list_started_attempts(cluster, "j-000001") == [1]
     assert cluster.query_job("j-000001")[1]["stage"] == wire.DONE
 
 
 def test_machine_lost_while_the_gang_saves_restarts_it_from_its_last_checkpoint() -> None:
     # A save in which a task is lost is incomplete: the last complete checkpoint counts.
-    cluster = cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=3.0)
+    cluster = start_cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=3.0)
     cluster.run(13.0)
-    machines = sorted(machines_of(cluster, "j-000001"))
+    machines = sorted(find_machines_of_job(cluster, "j-000001"))
     cluster.workers[machines[0]].notice = 15.0
     cluster.workers[machines[0]].report_soon()
 
@@ -275,7 +287,7 @@
     cluster.run(0.5)
     cluster.cloud.remove_machine(machines[1])
     assert_completes(cluster, "j-000001")
-    assert begun_attempts(cluster, "j-000001") == [1, 2]
+    assert list_started_attempts(cluster, "j-000001") == [1, 2]
     # Checkpoints are saved at multiples of 5 s.
     assert cluster.gangs.saved_progress_s["j-000001"] == pytest.approx(10.0)
 
@@ -284,8 +296,8 @@
 def test_gang_can_be_cancelled_while_it_saves_or_restarts(after: float) -> None:
     # Cancels at several delays after a spot notice: neither the stop nor the restart may leave a
     # task running.
-    cluster = cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=2.0)
-    name = sorted(machines_of(cluster, "j-000001"))[0]
+    cluster = start_cluster_with_running_gang(tasks=12, cores=8.0, spot=True, checkpoint_save_s=2.0)
+    name = sorted(find_machines_of_job(cluster, "j-000001"))[0]
     cluster.workers[name].notice = 15.0
     cluster.workers[name].report_soon()
     cluster.run(1.0 + after)
@@ -308,7 +320,7 @@
     cluster.inject_machine_fault("deaf", [machine_without_replies], for_s)
     cluster.submit(gang("j-000001", 12, cores=2.0, one_zone=False), run_time=4.0)
     assert_completes(cluster, "j-000001", 150.0)
-    assert len(begun_attempts(cluster, "j-000001")) == 1
+    assert len(list_started_attempts(cluster, "j-000001")) == 1
 
 
 def test_gang_completes_if_every_controller_restarts_while_it_fetches_its_last_image() -> None:
@@ -327,8 +339,8 @@
 
 def test_gang_on_partitioned_machines_starts_nowhere_else_before_it_is_proven_finished() -> None:
     # `SimulatedCluster` checks that no task starts while another of its job is in another zone.
-    cluster = cluster_with_running_gang(tasks=8, run_time=60.0)
-    partitioned = sorted(machines_of(cluster, "j-000001"))
+    cluster = start_cluster_with_running_gang(tasks=8, run_time=60.0)
+    partitioned = sorted(find_machines_of_job(cluster, "j-000001"))
     cluster.inject_machine_fault("cut", partitioned, 45.0)
     cluster.run(60.0)
     assert_completes(cluster, "j-000001", 200.0)
@@ -396,7 +408,7 @@
     cluster.cancel("j-000001")
     cluster.run(5.0)
     cluster.submit(gang("j-000002", 6, rank="high", cores=4.0), run_time=3.0)
-    assert cluster.run_until(lambda: begun_attempts(cluster, "j-000002") == [1], 12.0), (
+    assert cluster.run_until(lambda: list_started_attempts(cluster, "j-000002") == [1], 12.0), (
         cluster.trace[-30:]
     )
     assert_completes(cluster, "j-000002")
@@ -420,7 +432,7 @@
         cluster.after(0.5 * number, cluster.submit, job, 5.0 + number % 4, number)
     cluster.run(60.0)
     cluster.submit(gang("j-000001", 5, cores=6.0), run_time=3.0)
-    assert cluster.run_until(lambda: begun_attempts(cluster, "j-000001") == [1], 130.0), (
+    assert cluster.run_until(lambda: list_started_attempts(cluster, "j-000001") == [1], 130.0), (
         cluster.trace[-30:]
     )
 
@@ -449,14 +461,14 @@
     # `SimulatedCluster` checks the limit whenever a task starts.
     cluster = SimulatedCluster(team=Team("crew", 0.0, 20.0, 0.0, 8.0), capacity=6)
     cluster.submit(gang("j-000001", 8, cores=2.0), run_time=60.0)
-    assert cluster.run_until(lambda: begun_attempts(cluster, "j-000001") == [1], 90)
+    assert cluster.run_until(lambda: list_started_attempts(cluster, "j-000001") == [1], 90)
     cluster.submit(gang("j-000002", 6, cores=2.0), run_time=3.0)
-    hung = sorted(machines_of(cluster, "j-000001"))[:1]
+    hung = sorted(find_machines_of_job(cluster, "j-000001"))[:1]
     cluster.run(5.0)
     cluster.inject_machine_fault("hung", hung, 12.0)
     cluster.cancel("j-000001")
     cluster.run(2.0)
-    assert begun_attempts(cluster, "j-000002") == []
+    assert list_started_attempts(cluster, "j-000002") == []
     assert_completes(cluster, "j-000002")
 
 
@@ -472,7 +484,7 @@
     )
     cluster.state.enforce(2048, 4, 15.0)
     assert_completes(cluster, "j-000001", 150.0)
-    assert begun_attempts(cluster, "j-000001") in ([1], [2])
+    assert list_started_attempts(cluster, "j-000001") in ([1], [2])
 
 
 def test_gang_submitted_to_several_nodes_is_one_gang() -> None:
@@ -483,19 +495,19 @@
     for node in range(3):
         cluster.submit(gang("j-000001", 4), run_time=4.0, node=node)
     assert_completes(cluster, "j-000001")
-    assert begun_attempts(cluster, "j-000001") == [1]
+    assert list_started_attempts(cluster, "j-000001") == [1]
     assert len(cluster.gangs.exits) == 4
 
 
 def test_waiting_task_of_an_unknown_attempt_is_stopped() -> None:
     # A task that waits for a gang that isn't in the ledger would occupy its machine for nothing.
-    cluster = cluster_with_running_gang(run_time=60.0)
+    cluster = start_cluster_with_running_gang(run_time=60.0)
     cluster.cloud.add("c16", "a", False, boot=1.0)
     cluster.run(6.0)
-    worker = cluster.workers[min(set(cluster.workers) - machines_of(cluster, "j-000001"))]
+    worker = cluster.workers[min(set(cluster.workers) - find_machines_of_job(cluster, "j-000001"))]
     stray = HeldTask("j-000777/0", 3, wire.WAITING)
     worker.tasks["j-000777/0", 3] = stray
     worker.report_soon()
     assert cluster.run_until(lambda: ("j-000777/0", 3) not in worker.tasks, 20.0)
     assert stray.state == wire.EXITED
-    assert begun_attempts(cluster, "j-000001") == [1]
+    assert list_started_attempts(cluster, "j-000001") == [1]
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -67,7 +67,8 @@
     # A reclaim stops tasks for nothing if a new machine is up within the recall time of 12.5 s.
     # Here the machine type boots in 4 s.
     quickly_booting = [
-        msgspec.structs.replace(kind, boot_s=4.0) if kind.gpus else kind for kind in TYPES
+        msgspec.structs.replace(machine_type, boot_s=4.0) if machine_type.gpus else machine_type
+        for machine_type in TYPES
     ]
     monkeypatch.setattr("tests.simulated_cluster.TYPES", quickly_booting)
     cluster = SimulatedLendingCluster(1, capacity=2)
@@ -157,7 +158,7 @@
     page = msgspec.convert(get_loans(cluster, cluster.names[1])[1], LoansPage)
     assert next(row for row in page.teams if row.team == "crew").recalls_met == 2
     for number in (1, 2):
-        lines = [record.getMessage() for record in caplog.records]
+        lines = [entry.getMessage() for entry in caplog.records]
         events = [line.split()[0] for line in lines if f"recall_{number:06d}" in line]
         assert events == ["event=reclaim_started", "event=reclaim_ended"]
 
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -13,7 +13,7 @@
 from .scenarios import wait_for_leader
 from .simulated_cluster import SimulatedCluster, spec
 
-POLLS = 300
+POLL_COUNT = 300
 
 
 def test_cancelled_timers_are_dropped_before_they_are_due() -> None:
@@ -61,8 +61,8 @@
     gc.collect()
     gc.disable()
     try:
-        answered: list[int] = []
-        for number in range(POLLS):
+        statuses: list[int] = []
+        for number in range(POLL_COUNT):
             cluster.after(
                 0.02 * number,
                 cluster.call,
@@ -70,12 +70,12 @@
                 "GET",
                 f"{wire.JOBS}/j-000001",
                 None,
-                lambda status, _: answered.append(status),
+                lambda status, _: statuses.append(status),
             )
-        cluster.run(0.02 * POLLS + 1.0)
-        assert answered.count(200) > POLLS * 0.9
+        cluster.run(0.02 * POLL_COUNT + 1.0)
+        assert statuses.count(200) > POLL_COUNT * 0.9
         # Rare events like the cloud's list leave some garbage; each poll left over twenty objects.
-        assert gc.collect() < POLLS / 2
+        assert gc.collect() < POLL_COUNT / 2
     finally:
         gc.enable()
 
@@ -87,11 +87,11 @@
     host, timers_set = cluster.sim.hosts[cluster.ip(cluster.names[0])], list[str]()
     after = host.after
 
-    def counted(delay: float, fn, *args):  # type: ignore[no-untyped-def]
+    def count_timer(delay: float, fn, *args):  # type: ignore[no-untyped-def]
         timers_set.append(callback_name(fn))
         return after(delay, fn, *args)
 
-    host.after = counted  # type: ignore[method-assign]
+    host.after = count_timer  # type: ignore[method-assign]
     for number in range(50):
         cluster.after(
             0.05 * number, cluster.call, cluster.names[0], "GET", wire.HEALTH, None, ignore
@@ -111,14 +111,14 @@
     stream = cluster.user.connect((cluster.ip(cluster.names[0]), 8080))
     closed: list[float] = []
     stream.on_close = lambda: closed.append(cluster.sim.time)
-    began = cluster.sim.time
+    opened_at = cluster.sim.time
     for second in range(60):
         # One byte a second must not keep the connection open.
         cluster.after(float(second), stream.send, b"x")
     cluster.run(60.0)
     idle_timeout_s = 3 * 10.0
     assert closed
-    assert idle_timeout_s - 1.0 <= closed[0] - began <= idle_timeout_s + 2.0
+    assert idle_timeout_s - 1.0 <= closed[0] - opened_at <= idle_timeout_s + 2.0
 
 
 def test_delays_are_reported_with_the_longest_callback_at_most_once_a_period() -> None:
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -30,13 +30,13 @@
     loop.after(0.5, seen.append, "timer")
     waits: list[float | None] = []
 
-    class Frozen:
+    class PausingSelector:
         def select(self, wait: float | None) -> list[object]:
             waits.append(wait)
             clock[0] += (wait or 0.0) + (20.0 if len(waits) == 1 else 0.0)
             return []
 
-    monkeypatch.setattr(loop, "selector", Frozen())
+    monkeypatch.setattr(loop, "selector", PausingSelector())
     loop._turn()
     assert waits == [0.5]
     assert seen == [20.0, "timer"]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -18,21 +18,25 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-NAMES = {
+CONSTRAINTS = {
     "a": SettingConstraint(TIME, 0.0, 100.0),
     "b": SettingConstraint(TIME, 0.0),
     "c": SettingConstraint(PLAIN, 0.0, 9.0, is_integer=True),
 }
-PLATFORM = {"workers.lease_s": (10.0, TIME), "params.nodes": (3.0, PLAIN)}
+PLATFORM_SETTINGS = {"workers.lease_s": (10.0, TIME), "params.nodes": (3.0, PLAIN)}
 
 
-def values(text: str) -> dict[str, float]:
-    return evaluate({statement.name: statement for statement in parse(text, "x")}, NAMES, PLATFORM)
+def evaluate_text(text: str) -> dict[str, float]:
+    return evaluate(
+        {statement.name: statement for statement in parse(text, "x")},
+        CONSTRAINTS,
+        PLATFORM_SETTINGS,
+    )
 
 
-def faults(text: str) -> list[str]:
+def list_faults(text: str) -> list[str]:
     with pytest.raises(PolicyError) as raised:
-        values(text)
+        evaluate_text(text)
     return [str(fault) for fault in raised.value.faults]
 
 
@@ -44,7 +48,7 @@
             -1 s + 2 s)
     c = if params.nodes >= 3 then 2 + 3 * (1 - 0) else 9
     """
-    assert values(text) == {"a": 2.5, "b": 4.5, "c": 5.0}
+    assert evaluate_text(text) == {"a": 2.5, "b": 4.5, "c": 5.0}
 
 
 @pytest.mark.parametrize(
@@ -69,18 +73,18 @@
 )
 def test_each_fault_is_reported_with_its_line(text: str, fault: str) -> None:
     # An operator must find the place of an error; a wrong unit must not pass as a plain number.
-    assert faults(text) == [fault]
+    assert list_faults(text) == [fault]
 
 
 def test_all_faults_of_a_file_are_listed_without_their_consequences() -> None:
     # A setting that refers to a faulty one must not be reported as a fault of its own.
-    assert faults("a = 4 GB\nc = nodes\nq = 1") == [
+    assert list_faults("a = 4 GB\nc = nodes\nq = 1") == [
         "x:1: a has the wrong unit: got GB, expected s",
         "x:2: unknown name 'nodes'; did you mean 'params.nodes'?",
         "x:3: unknown setting 'q'",
     ]
-    assert faults("a = b / 0\nb = 1 s") == ["x:1: a divides by zero"]
-    assert faults("a = b") == ["x:1: b has no value"]
+    assert list_faults("a = b / 0\nb = 1 s") == ["x:1: a divides by zero"]
+    assert list_faults("a = b") == ["x:1: b has no value"]
 
 
 @given(st.text("abc=+-*/()<>, 0123.sG#\nifthenelsemxw_", max_size=80))
@@ -91,13 +95,13 @@
     # writes must give errors with a line and a reason.
     found = []
     try:
-        values(text)
+        evaluate_text(text)
     except PolicyError as error:
         found = error.faults
     assert all(fault.line >= 1 and fault.reason for fault in found)
 
 
-PAGE = (
+SETTINGS_TEXT = (
     demo.build_controller_settings(21000, 0)
     .replace("report_s = 1.5", "report_s = 2.0")
     .replace("lease_s = 10.0", "lease_s = 12.0")
@@ -108,7 +112,7 @@
 @pytest.fixture
 def config(tmp_path: Path) -> Path:
     path = tmp_path / "hearth-0.toml"
-    path.write_text(PAGE, encoding="utf-8")
+    path.write_text(SETTINGS_TEXT, encoding="utf-8")
     return path
 
 
@@ -116,26 +120,29 @@
     config: Path, tmp_path: Path
 ) -> None:
     # `very_late` is defined by `late` and must follow its override; others keep their value.
-    shipped = policy.default(load(str(config)))
-    assert (shipped.plan_step, shipped.sample, shipped.unattended) == (3.0, 24, 36.0)
-    own = tmp_path / "own.policy"
-    own.write_text("late = 2\ncool_down = 90 s\n")
-    changed = policy.load(load(str(config)), str(own))
+    defaults = policy.default(load(str(config)))
+    assert (defaults.plan_step, defaults.sample, defaults.unattended) == (3.0, 24, 36.0)
+    operator_file = tmp_path / "own.policy"
+    operator_file.write_text("late = 2\ncool_down = 90 s\n")
+    changed = policy.load(load(str(config)), str(operator_file))
     assert (changed.cool_down, changed.late, changed.very_late) == (90.0, 2.0, pytest.approx(2.7))
-    assert changed.plan_step == shipped.plan_step
+    assert changed.plan_step == defaults.plan_step
 
 
 def test_invalid_files_give_messages_and_exit_code_2(
     config: Path, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     # A typing error in a file or an argument must end the command with a message, not a traceback.
-    own = tmp_path / "own.policy"
-    own.write_text("cool_dwon = 90 s\nlate = 1 s\n")
+    operator_file = tmp_path / "own.policy"
+    operator_file.write_text("cool_dwon = 90 s\nlate = 1 s\n")
     for command in (["check"], ["policy", "show"], ["serve"]):
-        assert main([*command, "--config", str(config), "--policy", str(own)]) == 2
+        assert main([*command, "--config", str(config), "--policy", str(operator_file)]) == 2
         captured = capsys.readouterr()
-        assert f"{own}:1: unknown setting 'cool_dwon'; did you mean 'cool_down'?" in captured.err
-        assert f"{own}:2: late has the wrong unit: got s" in captured.err
+        assert (
+            f"{operator_file}:1: unknown setting 'cool_dwon'; did you mean 'cool_down'?"
+            in captured.err
+        )
+        assert f"{operator_file}:2: late has the wrong unit: got s" in captured.err
         assert captured.out == ""
     assert main(["check", "--config", str(config), "--policy", str(tmp_path / "absent")]) == 2
     assert main(["submit", str(tmp_path / "absent.json"), "--to", "127.0.0.1:1"]) == 2
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -43,7 +43,7 @@
         self.folder = folder
         self._processes: dict[str, subprocess.Popen[bytes]] = {}
         self._start("demo", ROOT, ["flaxtally", "demo", str(folder), "--port", str(PORT)])
-        until(lambda: (folder / "job.json").exists())
+        wait_until(lambda: (folder / "job.json").exists())
 
     def _start(self, name: str, sources: Path, words: list[str]) -> None:
         with (self.folder / f"{name}.log").open("ab") as log:
@@ -102,7 +102,7 @@
         )
         return process.returncode, json.loads(process.stdout) if process.stdout.strip() else {}
 
-    def release(self, machine: str) -> None:
+    def terminate_machine(self, machine: str) -> None:
         """Terminates a machine and all that runs on it, without notifying any controller."""
         loop = Loop()
         statuses: list[int] = []
@@ -117,8 +117,8 @@
         assert statuses == [200]
 
 
-def until(condition: Callable[[], bool], most: float = CONDITION_TIMEOUT_S) -> bool:
-    end = time.monotonic() + most
+def wait_until(condition: Callable[[], bool], timeout_s: float = CONDITION_TIMEOUT_S) -> bool:
+    end = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > end:
             return False
@@ -140,14 +140,18 @@
     job = gang(
         "j-000042", 3, cores=10.0, estimated_run_s=10.0, checkpoint_interval_s=2.0, one_zone=False
     )
-    assert until(lambda: deployment.submit(job))
+    assert wait_until(lambda: deployment.submit(job))
     begins = r"event=gang_begins job=j-000042 attempt=(\d+) progress=([\d.]+)"
-    assert until(lambda: bool(re.search(begins, deployment.log("demo")))), deployment.log("demo")
+    assert wait_until(lambda: bool(re.search(begins, deployment.log("demo")))), deployment.log(
+        "demo"
+    )
     time.sleep(4.5)
     started = r"event=task_start machine=(\S+) task=j-000042/1 "
     machine = re.findall(started, deployment.log("demo"))[0]
-    deployment.release(machine)
-    assert until(lambda: deployment.stage("j-000042") == wire.DONE, 90.0), deployment.log("demo")
+    deployment.terminate_machine(machine)
+    assert wait_until(lambda: deployment.stage("j-000042") == wire.DONE, 90.0), deployment.log(
+        "demo"
+    )
     attempts = re.findall(begins, deployment.log("demo"))
     assert [attempt for attempt, _ in attempts] == ["1", "2"]
     assert float(attempts[1][1]) >= 2.0
@@ -162,25 +166,25 @@
     for node in NODES:
         deployment.serve(node, old, production.PACKAGE)
     kept = spec("j-000001", tasks=2)
-    assert until(lambda: deployment.submit(kept))
+    assert wait_until(lambda: deployment.submit(kept))
     started = r"event=task_start machine=\S+ task=j-000001/"
-    assert until(lambda: len(re.findall(started, deployment.log("demo"))) == 2)
+    assert wait_until(lambda: len(re.findall(started, deployment.log("demo"))) == 2)
     # One of the three is upgraded; it and an old one take over from each other.
     led: list[str] = []
     deployment.kill("controller-0")
     deployment.serve("controller-0")
     for turn in range(4):
-        assert until(lambda: deployment.leader() != "")
+        assert wait_until(lambda: deployment.leader() != "")
         leader = deployment.leader()
         led.append(leader)
         deployment.kill(leader)
-        assert until(lambda gone=leader: deployment.leader() != gone)  # type: ignore[misc]
+        assert wait_until(lambda killed=leader: deployment.leader() != killed)  # type: ignore[misc]
         if leader == "controller-0":
             deployment.serve(leader)
         else:
             deployment.serve(leader, old, production.PACKAGE)
         ref = f"j-{10 + turn:06d}"
-        assert until(lambda ref=ref: deployment.submit(spec(ref)))  # type: ignore[misc]
+        assert wait_until(lambda ref=ref: deployment.submit(spec(ref)))  # type: ignore[misc]
         time.sleep(2.0)
     assert "controller-0" in led
     assert set(led) - {"controller-0"}
@@ -188,8 +192,8 @@
         deployment.kill(node)
         deployment.serve(node)
     gang_job = gang("j-000042", 2, estimated_run_s=2.0)
-    assert until(lambda: deployment.submit(gang_job)), deployment.log("controller-0")
-    assert until(lambda: deployment.stage("j-000042") == wire.DONE)
+    assert wait_until(lambda: deployment.submit(gang_job)), deployment.log("controller-0")
+    assert wait_until(lambda: deployment.stage("j-000042") == wire.DONE)
     # Tasks that were running went on where they were.
     assert deployment.stage("j-000001") == wire.RUNNING
     assert len(re.findall(started, deployment.log("demo"))) == 2
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -104,15 +104,15 @@
 class Cell:
     """A cell's `QuotaRebalancer` whose usage and demand are set by the test."""
 
-    def __init__(self, cluster: Shares, cell: str, host: str) -> None:
+    def __init__(self, deployment: TwoCellDeployment, cell: str, host: str) -> None:
         self.used, self.needed = ZERO, ZERO
-        runtime = cluster.sim.host(host)
+        runtime = deployment.sim.host(host)
         self.quota_rebalancer = QuotaRebalancer(
             runtime,
             KeyValueStore(runtime, STATE, 1.5, 0.5),
             cell,
             lambda: ["north", "south"],
-            cluster.teams,
+            deployment.teams,
             lambda: {"crew": self.used + self.needed},
             PERIOD_S,
             50.0,
@@ -125,7 +125,7 @@
         return team.gpus_max
 
 
-class Shares:
+class TwoCellDeployment:
     """A state service and the rebalancers of two cells."""
 
     def __init__(self, *other_teams: Team) -> None:
@@ -143,9 +143,9 @@
             assert self.north.gpus + self.south.gpus <= TEAM.gpus_max + TOLERANCE
             assert self.row().total.is_within(get_team_limit(TEAM))
 
-    def until(self, condition: Callable[[], bool], most: float = 10.0) -> None:
-        """Runs the simulation until the condition holds; fails after `most` seconds."""
-        end = self.sim.time + most
+    def run_until(self, condition: Callable[[], bool], timeout_s: float = 10.0) -> None:
+        """Runs the simulation until the condition holds; fails after `timeout_s` seconds."""
+        end = self.sim.time + timeout_s
         while not condition():
             assert self.sim.time < end, "the condition did not hold in time"
             run_for(self.sim, 0.01)
@@ -161,103 +161,103 @@
 
 def test_nothing_may_be_used_before_the_cell_is_claimed_and_shares_are_read() -> None:
     # A predecessor may have transferred shares that a new term does not know of yet.
-    cluster = Shares()
-    assert cluster.north.gpus < TOLERANCE
-    cluster.run(3.0)
-    assert cluster.north.gpus == 4.0
-    cluster.state.down = True
-    cluster.north.quota_rebalancer.begin_term(2)
-    cluster.run(3.0)
-    assert cluster.north.gpus < TOLERANCE, (
+    deployment = TwoCellDeployment()
+    assert deployment.north.gpus < TOLERANCE
+    deployment.run(3.0)
+    assert deployment.north.gpus == 4.0
+    deployment.state.down = True
+    deployment.north.quota_rebalancer.begin_term(2)
+    deployment.run(3.0)
+    assert deployment.north.gpus < TOLERANCE, (
         "a new term does not know what its predecessor transferred"
     )
-    cluster.state.down = False
-    cluster.run(3.0)
-    assert cluster.north.gpus == 4.0
+    deployment.state.down = False
+    deployment.run(3.0)
+    assert deployment.north.gpus == 4.0
 
 
 def test_transferred_share_is_not_used_while_the_write_is_pending() -> None:
     # A write may be executed at any time after it was sent: if the giver still used the share, both
     # cells together would exceed the limit.
-    cluster = Shares()
-    cluster.run(3.0)
-    cluster.south.needed = Amount(10.0, 6.0)
-    cluster.until(lambda: bool(cluster.row().wants))
-    cluster.state.lost_fraction, cluster.state.lost_delay_s = 1.0, (20.0, 20.0)
-    cluster.run(2.0)
+    deployment = TwoCellDeployment()
+    deployment.run(3.0)
+    deployment.south.needed = Amount(10.0, 6.0)
+    deployment.run_until(lambda: bool(deployment.row().wants))
+    deployment.state.lost_fraction, deployment.state.lost_delay_s = 1.0, (20.0, 20.0)
+    deployment.run(2.0)
     # The write got no reply, and is executed only after 20 s.
-    assert cluster.row().share("north").gpus == 4.0
-    assert cluster.north.gpus < 4.0
-    cluster.state.lost_fraction = 0.0
-    cluster.run(4.0)
-    assert cluster.south.gpus > 5.5, "it was written again"
-    given = cluster.row()
-    cluster.run(25.0)
-    assert cluster.row().share("south").gpus == given.share("south").gpus, (
+    assert deployment.row().share("north").gpus == 4.0
+    assert deployment.north.gpus < 4.0
+    deployment.state.lost_fraction = 0.0
+    deployment.run(4.0)
+    assert deployment.south.gpus > 5.5, "it was written again"
+    transferred = deployment.row()
+    deployment.run(25.0)
+    assert deployment.row().share("south").gpus == transferred.share("south").gpus, (
         "the late copy had no effect"
     )
 
 
 def test_freed_share_is_not_used_while_the_write_of_its_transfer_is_pending() -> None:
     # Another cell requested it earlier: only the usage here has changed, not the row.
-    cluster = Shares()
-    cluster.run(3.0)
-    cluster.north.used = Amount(20.0, 4.0)
-    cluster.south.needed = Amount(20.0, 8.0)
-    cluster.run(4.0)
-    assert cluster.row().wants["south"].gpus == 4.0
-    assert cluster.north.gpus == 4.0
-    cluster.state.lost_fraction, cluster.state.lost_delay_s = 1.0, (20.0, 20.0)
-    cluster.north.used = ZERO
-    cluster.run(2.5)
-    assert cluster.row().share("north").gpus == 4.0
-    assert cluster.north.gpus < 1.0
+    deployment = TwoCellDeployment()
+    deployment.run(3.0)
+    deployment.north.used = Amount(20.0, 4.0)
+    deployment.south.needed = Amount(20.0, 8.0)
+    deployment.run(4.0)
+    assert deployment.row().wants["south"].gpus == 4.0
+    assert deployment.north.gpus == 4.0
+    deployment.state.lost_fraction, deployment.state.lost_delay_s = 1.0, (20.0, 20.0)
+    deployment.north.used = ZERO
+    deployment.run(2.5)
+    assert deployment.row().share("north").gpus == 4.0
+    assert deployment.north.gpus < 1.0
 
 
 def test_leader_transfers_nothing_that_its_cell_uses_or_needs() -> None:
     # A cell that gave away what it needs would request it again at once.
-    cluster = Shares()
-    cluster.run(3.0)
-    cluster.north.used, cluster.north.needed = Amount(2.0, 2.0), Amount(1.0, 1.0)
-    cluster.south.needed = Amount(20.0, 8.0)
-    cluster.run(6.0)
-    assert cluster.north.gpus >= 3.0
-    assert cluster.south.gpus > 4.0
+    deployment = TwoCellDeployment()
+    deployment.run(3.0)
+    deployment.north.used, deployment.north.needed = Amount(2.0, 2.0), Amount(1.0, 1.0)
+    deployment.south.needed = Amount(20.0, 8.0)
+    deployment.run(6.0)
+    assert deployment.north.gpus >= 3.0
+    assert deployment.south.gpus > 4.0
 
 
 def test_former_leader_transfers_nothing_after_its_successor_has_claimed_the_cell() -> None:
     # The former leader doesn't know its successor's usage; the claim's version must fence it off.
-    cluster = Shares()
-    cluster.run(3.0)
-    successor = Cell(cluster, "north", "10.0.0.3")
+    deployment = TwoCellDeployment()
+    deployment.run(3.0)
+    successor = Cell(deployment, "north", "10.0.0.3")
     successor.quota_rebalancer.begin_term(2)
-    cluster.run(0.6)
-    assert cluster.state.rows[CLAIM_KEY_PREFIX + "north"][0] == 2
+    deployment.run(0.6)
+    assert deployment.state.rows[CLAIM_KEY_PREFIX + "north"][0] == 2
     # The successor uses all of the share; the former leader knows neither and has a surplus.
     successor.used = Amount(20.0, 4.0)
-    cluster.south.needed = Amount(20.0, 8.0)
+    deployment.south.needed = Amount(20.0, 8.0)
     for _ in range(8):
-        cluster.run(1.0)
-        assert cluster.row().share("north").gpus == 4.0
+        deployment.run(1.0)
+        assert deployment.row().share("north").gpus == 4.0
         assert successor.gpus == 4.0
 
 
 def test_transfer_computed_from_outdated_shares_is_rejected() -> None:
     # Without the guard on the row's version a share would be given twice.
-    cluster = Shares()
-    cluster.run(3.0)
-    cluster.state.extra_delay_s = 0.3
-    cluster.south.needed = Amount(20.0, 6.0)
-    cluster.until(lambda: bool(cluster.row().wants))
-    requested = cluster.row()
+    deployment = TwoCellDeployment()
+    deployment.run(3.0)
+    deployment.state.extra_delay_s = 0.3
+    deployment.south.needed = Amount(20.0, 6.0)
+    deployment.run_until(lambda: bool(deployment.row().wants))
+    requested = deployment.row()
     # The giver has read the request and writes; the shares change before the write is executed.
     newer = TeamShares({"north": Amount(20.0, 1.0), "south": Amount(20.0, 7.0)}, requested.wants)
-    cluster.until(lambda: cluster.north.gpus < 3.9)
-    cluster.put(SHARE_KEY_PREFIX + "crew", msgspec.to_builtins(newer))
+    deployment.run_until(lambda: deployment.north.gpus < 3.9)
+    deployment.put(SHARE_KEY_PREFIX + "crew", msgspec.to_builtins(newer))
     for _ in range(400):
-        run_for(cluster.sim, 0.01)
-        assert cluster.row().total.is_within(get_team_limit(TEAM))
-        assert cluster.row().share("north").gpus <= 1.0, "a transferred share came back"
+        run_for(deployment.sim, 0.01)
+        assert deployment.row().total.is_within(get_team_limit(TEAM))
+        assert deployment.row().share("north").gpus <= 1.0, "a transferred share came back"
 
 
 def test_malformed_row_is_one_log_line_and_does_not_affect_other_teams(
@@ -265,30 +265,30 @@
 ) -> None:
     # A row that can't be decoded is left for the operators and is not overwritten.
     other = Team("other crew", 0.0, 10.0, 0.0, 2.0)
-    cluster = Shares(other)
-    cluster.put(SHARE_KEY_PREFIX + "crew", {"of": "everything"})
-    run_for(cluster.sim, 6.0)
-    assert cluster.north.gpus < TOLERANCE
+    deployment = TwoCellDeployment(other)
+    deployment.put(SHARE_KEY_PREFIX + "crew", {"of": "everything"})
+    run_for(deployment.sim, 6.0)
+    assert deployment.north.gpus < TOLERANCE
     damaged = [line for line in caplog.messages if "shares_damaged team=crew" in line]
     assert len(damaged) == 2, "one log line per leader"
-    assert SHARE_KEY_PREFIX + "other%20crew" in cluster.state.rows
-    assert cluster.state.rows[SHARE_KEY_PREFIX + "crew"][0] == {"of": "everything"}
-    held = cluster.north.quota_rebalancer.find_team("other crew")
+    assert SHARE_KEY_PREFIX + "other%20crew" in deployment.state.rows
+    assert deployment.state.rows[SHARE_KEY_PREFIX + "crew"][0] == {"of": "everything"}
+    held = deployment.north.quota_rebalancer.find_team("other crew")
     assert held is not None
     assert held.cores_max == 5.0
 
 
 def test_raised_limit_is_handed_out_to_the_cell_with_a_shortfall() -> None:
     # After a raise the shares sum to less than the limit, and the rest would stay unused.
-    cluster = Shares()
-    cluster.put(
+    deployment = TwoCellDeployment()
+    deployment.put(
         SHARE_KEY_PREFIX + "crew",
         {"of": {"north": [10.0, 2.0], "south": [10.0, 2.0]}, "wants": {}},
     )
-    cluster.north.used = Amount(10.0, 2.0)
-    cluster.south.used = Amount(10.0, 2.0)
-    cluster.south.needed = Amount(15.0, 3.0)
-    cluster.run(5.0)
-    assert cluster.south.gpus == 5.0
-    assert cluster.north.gpus == 2.0
-    assert cluster.row().total == Amount(35.0, 7.0)
+    deployment.north.used = Amount(10.0, 2.0)
+    deployment.south.used = Amount(10.0, 2.0)
+    deployment.south.needed = Amount(15.0, 3.0)
+    deployment.run(5.0)
+    assert deployment.south.gpus == 5.0
+    assert deployment.north.gpus == 2.0
+    assert deployment.row().total == Amount(35.0, 7.0)
--- a/tests/test_record_queue.py
+++ b/tests/test_record_queue.py
@@ -8,10 +8,10 @@
 from flaxtally.settings import StateLimits
 
 LIMITS = StateLimits(write_rps=100.0, value_bytes=1024, txn_ops=32)
-CANCELLATIONS = 5
+CANCELLATION_COUNT = 5
 
 
-def end_records(count: int) -> list[Record]:
+def make_end_records(count: int) -> list[Record]:
     """Returns records of equal size."""
     return [AttemptEnded(1, 100 + task, 1, is_done=False) for task in range(count)]
 
@@ -25,11 +25,11 @@
 
 def propose_cancellations(queue: RecordQueue) -> None:
     """Fills a part of the first page, so that a full page of records no longer fits into it."""
-    for job in range(CANCELLATIONS):
+    for job in range(CANCELLATION_COUNT):
         propose(queue, JobCancelled(job))
 
 
-def bytes_by_page(queue: RecordQueue) -> dict[int, int]:
+def pop_bytes_by_page(queue: RecordQueue) -> dict[int, int]:
     """Empties the queue; returns the bytes of its records by page."""
     sizes: dict[int, int] = {}
     while queue:
@@ -42,13 +42,13 @@
     limits = PageLimits(LIMITS)
     assert limits.page_bytes == 896
     queue = RecordQueue(limits)
-    for record in end_records(130):
+    for record in make_end_records(130):
         propose(queue, record)
     assert queue.first_page == 1
     assert queue.page_count == 3
-    sizes = bytes_by_page(queue)
+    sizes = pop_bytes_by_page(queue)
     assert list(sizes) == [1, 2, 3]
-    size = record_size(end_records(1)[0])
+    size = record_size(make_end_records(1)[0])
     assert all(896 - size < sizes[page] <= 896 for page in (1, 2))
     assert queue.page_count == 0
 
@@ -56,10 +56,12 @@
 def test_a_batch_that_fits_into_a_page_is_not_split() -> None:
     queue = RecordQueue(PageLimits(LIMITS))
     propose_cancellations(queue)
-    first_page = queue.append_batch(end_records(896 // record_size(end_records(1)[0])), None)
+    first_page = queue.append_batch(
+        make_end_records(896 // record_size(make_end_records(1)[0])), None
+    )
     assert first_page == 2
     assert queue.page_count == 2
-    for _ in range(CANCELLATIONS):
+    for _ in range(CANCELLATION_COUNT):
         queue.popleft()
     assert queue.first_page == 2
     assert queue.page_count == 1
@@ -69,8 +71,8 @@
     queue = RecordQueue(PageLimits(LIMITS))
     calls: list[int] = []
     propose_cancellations(queue)
-    assert queue.append_batch(end_records(120), lambda: calls.append(1)) == 2
-    for _ in range(CANCELLATIONS):
+    assert queue.append_batch(make_end_records(120), lambda: calls.append(1)) == 2
+    for _ in range(CANCELLATION_COUNT):
         queue.popleft()
     queued = [queue.popleft() for _ in range(len(queue))]
     pieces = [each.record for each in queued]
@@ -83,7 +85,7 @@
 def test_the_callback_of_the_last_record_is_replaced() -> None:
     queue = RecordQueue(PageLimits(LIMITS))
     calls: list[int] = []
-    for record in end_records(2):
+    for record in make_end_records(2):
         propose(queue, record)
     queue.set_last_callback(lambda: calls.append(1))
     assert queue.popleft().on_committed is None
@@ -99,9 +101,9 @@
     assert (limits.page_bytes, limits.transaction_pages) == (7168, 7)
     limits.halve()
     assert (limits.page_bytes, limits.transaction_pages) == (3584, 3)
-    for record in end_records(400):
+    for record in make_end_records(400):
         propose(queue, record)
-    assert max(bytes_by_page(queue).values()) <= 3584
+    assert max(pop_bytes_by_page(queue).values()) <= 3584
     for _ in range(5):
         limits.halve()
     assert (limits.page_bytes, limits.transaction_pages) == (MIN_PAGE_BYTES, 1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,8 +19,10 @@
 REF = "j-000001"
 
 
-def listed(name: str, zone: str = "a", spot: bool = False, kind: str = "g8") -> wire.ListedMachine:
-    return wire.ListedMachine(name, kind, zone, spot, "running", 0.0, None)
+def listed(
+    name: str, zone: str = "a", spot: bool = False, machine_type: str = "g8"
+) -> wire.ListedMachine:
+    return wire.ListedMachine(name, machine_type, zone, spot, "running", 0.0, None)
 
 
 def create_rules(job: wire.Spec | None = None) -> Rules:
@@ -163,12 +165,12 @@
     rules.record_start(
         f"{REF}/0", 1, listed("n-0", "a", "spread" in change or "one_zone" in change), 1.0
     )
-    right = not rules.broken
+    is_first_place_allowed = not rules.broken
     rules.record_start(
         f"{REF}/1", 1, listed("n-1", "b" if "one_zone" in change else "a", True), 2.0
     )
     assert [broken.split()[1] for broken in rules.broken][-1:] == ["wrong_place:"]
-    assert right or set(change) <= {"machine_types", "zone"}
+    assert is_first_place_allowed or set(change) <= {"machine_types", "zone"}
 
 
 def test_events_without_a_fault_break_no_rule() -> None:
--- a/tests/test_scale_run.py
+++ b/tests/test_scale_run.py
@@ -17,7 +17,7 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PORT = 24100
-SMALLEST = [
+SMALLEST_RUN_OPTIONS = [
     "--workers=12",
     "--seconds=3",
     "--warm-up=20",
@@ -31,7 +31,7 @@
 
 def command(folder: Path, *options: str) -> list[str]:
     words = [sys.executable, "-m", "flaxtally", "emulate", "scale", f"--out={folder}"]
-    return [*words, f"--port={PORT}", *SMALLEST, *options]
+    return [*words, f"--port={PORT}", *SMALLEST_RUN_OPTIONS, *options]
 
 
 def run(folder: Path, *options: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -11,21 +11,21 @@
 from .scenarios import start_busy_cluster, term, wait_for_leader
 from .simulated_cluster import SimulatedCluster, spec
 
-SERVICES = 4
+SERVICE_COUNT = 4
 CALL_S = 0.01
 """The processor time of a call: too long for a controller to keep up with its timers and polls."""
 POLLS_PER_S = 150
 
 
 def start_loaded_cluster(seed: int) -> SimulatedCluster:
-    return start_busy_cluster(seed, services=SERVICES, arrays=1, run_time=40.0)
+    return start_busy_cluster(seed, services=SERVICE_COUNT, arrays=1, run_time=40.0)
 
 
 def start_poll_storm(cluster: SimulatedCluster, nodes: list[str], duration_s: float) -> list[int]:
     """Polls jobs at these controllers; the returned list gets the HTTP status of each reply."""
     statuses: list[int] = []
     for number in range(int(duration_s * POLLS_PER_S)):
-        path = f"{wire.JOBS}/j-{number % SERVICES:06d}"
+        path = f"{wire.JOBS}/j-{number % SERVICE_COUNT:06d}"
         node = nodes[number % len(nodes)]
         cluster.after(
             number / POLLS_PER_S,
@@ -45,7 +45,7 @@
 
 
 def are_all_replicas_running(cluster: SimulatedCluster) -> bool:
-    return all(cluster.count(f"j-{number:06d}") == 2 for number in range(SERVICES))
+    return all(cluster.count(f"j-{number:06d}") == 2 for number in range(SERVICE_COUNT))
 
 
 @pytest.mark.parametrize("which", ["leader", "a follower", "all"])
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -191,13 +191,13 @@
     sent: list[wire.Transaction] = []
     transact = cluster.state.transact
 
-    def recorded(txn: wire.Transaction) -> tuple[int, object]:
+    def transact_and_record(txn: wire.Transaction) -> tuple[int, object]:
         status, body = transact(txn)
         if status == 200 and any((change.put or "").startswith("p/") for change in txn.changes):
             sent.append(txn)
         return status, body
 
-    cluster.state.transact = recorded  # type: ignore[method-assign]
+    cluster.state.transact = transact_and_record  # type: ignore[method-assign]
     for number in range(100):
         cluster.after(number * 0.4, cluster.submit, batch(f"j-{number:06d}", 1), 1.0, number)
     cluster.run(60)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -20,8 +20,8 @@
 
 from .simulated_cluster import CANCEL_S, NODES, TYPES, SimulatedCluster, batch, spec
 
-MACHINES = int(os.environ.get("FLAXTALLY_MACHINES", "120"))
-REPLICAS = 4
+MACHINE_COUNT = int(os.environ.get("FLAXTALLY_MACHINES", "120"))
+REPLICA_COUNT = 4
 SOCKETS_PER_MACHINE, MIN_SOCKETS = 4, 200
 LEASE_S = 10.0
 
@@ -30,21 +30,25 @@
     """A cluster with many machines that are up from the start, all of them in use."""
 
     def __init__(self, sockets: int | None = None) -> None:
-        default_sockets = max(MIN_SOCKETS, SOCKETS_PER_MACHINE * MACHINES)
+        default_sockets = max(MIN_SOCKETS, SOCKETS_PER_MACHINE * MACHINE_COUNT)
         self._sockets = default_sockets if sockets is None else sockets
-        super().__init__(capacity=MACHINES, team=Team("crew", 0.0, 1e6, 0.0, 1e5))
+        super().__init__(capacity=MACHINE_COUNT, team=Team("crew", 0.0, 1e6, 0.0, 1e5))
         # As many connections as users poll at a time: with fewer, the clients would be the
         # bottleneck instead of the service.
         for name in NODES:
-            self._clients[name] = Client(self.user, (self.ip(name), 8080), MACHINES)
-        for number in range(MACHINES):
+            self._clients[name] = Client(self.user, (self.ip(name), 8080), MACHINE_COUNT)
+        for number in range(MACHINE_COUNT):
             self.cloud.add(TYPES[0].name, "ab"[number % 2], False, boot=0.5)
         # Three replicas with five cores each fill a machine.
-        self.services = [f"j-{number:06d}" for number in range(1, MACHINES * 3 // REPLICAS + 1)]
+        self.services = [
+            f"j-{number:06d}" for number in range(1, MACHINE_COUNT * 3 // REPLICA_COUNT + 1)
+        ]
         for number, ref in enumerate(self.services):
-            job = spec(ref, tasks=REPLICAS, cores=5.0, memory_gb=8.0, image=f"img-{number % 8}")
+            job = spec(
+                ref, tasks=REPLICA_COUNT, cores=5.0, memory_gb=8.0, image=f"img-{number % 8}"
+            )
             self.after(2.0 + 0.002 * number, self.submit, job, None, number)
-        assert self.run_until(lambda: len(self.running) >= 0.98 * MACHINES * 3, 60), len(
+        assert self.run_until(lambda: len(self.running) >= 0.98 * MACHINE_COUNT * 3, 60), len(
             self.running
         )
 
@@ -83,7 +87,7 @@
 def test_all_machines_reconnect_to_a_controller_with_few_sockets() -> None:
     # All machines turn to one controller whose sockets, shared with its other connections, are
     # fewer than the machines: no worker may lose its lease.
-    cluster = LargeCluster(sockets=max(60, MACHINES))
+    cluster = LargeCluster(sockets=max(60, MACHINE_COUNT))
     before, third = dict(cluster.running), cluster.follower()
     for name in NODES:
         if name != third:
@@ -113,7 +117,7 @@
 def test_zone_without_heartbeats_does_not_delay_commands_to_the_other_zone() -> None:
     # Probes of a zone without heartbeats held all connections to workers: commands to the others
     # timed out, and healthy machines were considered unresponsive.
-    cluster = LargeCluster(sockets=max(100, MACHINES // 2))
+    cluster = LargeCluster(sockets=max(100, MACHINE_COUNT // 2))
     hung = [name for name, worker in cluster.workers.items() if worker.machine.zone == "b"]
     cluster.inject_machine_fault("hung", hung, 1.5 * LEASE_S)
     cluster.run(6.0)
@@ -132,7 +136,7 @@
     assert cluster.run_until(lambda: cluster.count("j-900000") >= 8, 4.0), cluster.count("j-900000")
     assert not any(machine.is_unresponsive for machine in fleet.values() if machine.zone == "a")
     cluster.run(3 * LEASE_S)
-    assert len(cluster.running) >= 0.97 * (MACHINES * 3 - REPLICAS)
+    assert len(cluster.running) >= 0.97 * (MACHINE_COUNT * 3 - REPLICA_COUNT)
     assert victim in cluster.reported_cancelled_at
 
 
@@ -146,14 +150,14 @@
         cluster.inject_machine_fault("mute", [name], 1.2 * LEASE_S)
     cluster.run(4 * LEASE_S)
     assert min(cluster.workers[name].session for name in restarted if name in cluster.workers) > 1
-    assert len(cluster.running) >= 0.97 * MACHINES * 3
+    assert len(cluster.running) >= 0.97 * MACHINE_COUNT * 3
 
 
 def test_cancellations_during_a_state_service_outage_are_confirmed_only_when_done() -> None:
     # No cancellation can be committed during the outage: none may be confirmed before its tasks are
     # stopped, and all must be confirmed afterwards.
     cluster = LargeCluster()
-    cancelled = cluster.services[:: max(1, len(cluster.services) // (MACHINES // 8))]
+    cancelled = cluster.services[:: max(1, len(cluster.services) // (MACHINE_COUNT // 8))]
     cluster.start_state_outage(CANCEL_S + 6.0)
     for number, ref in enumerate(cancelled):
         cluster.after(0.01 * number, cluster.cancel, ref, number)
@@ -175,7 +179,7 @@
         reply_count[0] += status in (200, 503)
 
     def poll() -> None:
-        cluster.after(1.0 / (1.6 * MACHINES), poll)
+        cluster.after(1.0 / (1.6 * MACHINE_COUNT), poll)
         poll_count[0] += 1
         ref = cluster.rng.choice(cluster.services)
         name = cluster.rng.choice(NODES)
@@ -201,7 +205,7 @@
     cluster.cloud.list_lag_s = 6.0
     booted = [
         cluster.cloud.add(TYPES[0].name, "ab"[number % 2], False, boot=0.01 * number)
-        for number in range(MACHINES // 4)
+        for number in range(MACHINE_COUNT // 4)
     ]
     assert cluster.run_until(lambda: all(name in cluster.workers for name in booted), 10)
     cluster.run(2.0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -62,7 +62,13 @@
             cluster.specs["j-000200"] = gang("j-000200", 2)
             for node in cluster.upgraded:
                 body = wire.build_submission(cluster.specs["j-000200"])
-                cluster.call(node, "POST", wire.JOBS, body, lambda s, _, a=statuses: a.append(s))  # type: ignore[misc]
+                cluster.call(
+                    node,
+                    "POST",
+                    wire.JOBS,
+                    body,
+                    lambda status, _, statuses=statuses: statuses.append(status),
+                )  # type: ignore[misc]
             cluster.run(3.0)
             assert set(statuses) == {503}
     cluster.run(8.0)
