--- a/tests/test_formats.py
+++ b/tests/test_formats.py
@@ -33,6 +33,7 @@
 
 FIXTURE = Path(__file__).parent / "fixtures" / "production_ledger.json"
 PAGE_BYTES = LOWERED_LIMITS.value_bytes * 7 // 8
+"""Bytes of the records of a page under the lowered limits: 7/8 of the largest value."""
 
 
 def get_job_contents(state: Any) -> dict[str, Any]:
@@ -77,6 +78,8 @@
 
 
 def test_keys_and_relayed_frames_written_by_production_are_read() -> None:
+    # An upgraded controller reads keys and relayed frames that the version in production wrote:
+    # heartbeats that announce no formats must count as those of the first format.
     rows = json.loads(FIXTURE.read_text())["rows"]
     assert {"term", "node", "boot"} <= rows["lead"].keys()
     relayed_batches = [
@@ -152,6 +155,8 @@
 @given(st.lists(st.integers(1, 900), max_size=60), st.integers(1000, 4000))
 @examples(derandomize=True, max_examples=60)
 def test_pieces_stay_within_a_page_and_lose_nothing(sizes: list[int], max_bytes: int) -> None:
+    # A piece larger than a page could not be written, and a record that a split loses would be
+    # missing in every later replay.
     records: list[list[Any]] = [["F", 0, "x" * size, "done"] for size in sizes]
     written = split_into_pieces(records, max_bytes)
     assert all(
@@ -161,6 +166,8 @@
 
 
 def test_a_snapshot_of_any_job_fits_into_pages_of_the_lower_limits() -> None:
+    # A record larger than a page could not be written: the snapshot of a job with thousands of
+    # placed tasks has to be split, and must still restore the same state.
     state = ClusterState()
     job = spec("j-000001", job_kind=wire.ARRAY, tasks=100_000, spread=False)
     state.apply(accepted(1, 1.0, job), 1)
@@ -221,6 +228,8 @@
     "announced", [None, 2, "2", [2], [1, 2, 3], [2, 1], [0, 2], [1, "2"], [True, 2], {"newest": 2}]
 )
 def test_an_invalid_range_counts_as_the_first_format(announced: object) -> None:
+    # If an invalid announcement counted as a newer format, the leader could write records that the
+    # peer cannot read.
     assert parse_range(announced) == formats.UNANNOUNCED
 
 
@@ -231,6 +240,8 @@
 
 
 def test_only_the_newest_connection_of_a_peer_announces_its_formats() -> None:
+    # A delayed frame from before an upgrade or a rollback must not replace what the peer has
+    # announced since then.
     negotiation = create_format_negotiation()
     negotiation.on_hello("hearth-1", 5, [1, 2])
     assert negotiation.get_newest_format("hearth-1") == 2
@@ -245,6 +256,8 @@
 
 
 def test_relayed_heartbeats_raise_the_known_format_and_never_lower_it() -> None:
+    # Relayed heartbeats may arrive late: one from before the peer's upgrade must not lower the
+    # format that is known of it.
     negotiation = create_format_negotiation()
     negotiation.on_relayed_heartbeat("hearth-1", None)
     assert negotiation.get_newest_format("hearth-1") == 1
@@ -254,6 +267,8 @@
 
 
 def test_the_common_format_is_read_by_every_configured_member() -> None:
+    # If the common format ignored a peer that returned with an older version, the leader would
+    # write records that this peer cannot read.
     cluster = SimulatedCluster()
     assert cluster.run_until(lambda: cluster.leader() is not None, 20.0)
     cluster.run(3.0)
@@ -307,12 +322,15 @@
     ],
 )
 def test_production_applies_ignores_or_refuses_a_record(items: list[Any], outcome: str) -> None:
-    # Production logs a record that it refuses as `ledger_damaged`, and serves nothing.
+    # After a rollback, production reads records of newer forms: the table must be right about which
+    # it applies, ignores or refuses. Production logs a record that it refuses as `ledger_damaged`,
+    # and serves nothing.
     assert replay_in_production(items) == outcome
 
 
 def test_production_ignores_unknown_frames_and_fields() -> None:
-    # During a rolling upgrade, production receives frames and fields that newer controllers send.
+    # During a rolling upgrade, production receives frames and fields that newer controllers send:
+    # neither its term nor its tasks may be affected.
     cluster = UpgradingCluster(seed=5)
     cluster.submit(spec("j-000001", tasks=2))
     cluster.run(20.0)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -157,8 +157,9 @@
 
 
 def test_attempt_larger_than_a_transaction_is_committed_whole_or_not_at_all() -> None:
-    # With these limits, 200 placements take five pages of two kilobytes, and a transaction holds
-    # two.
+    # A leader that crashes between the transactions of an attempt must not leave a part of it
+    # behind. With these limits, 200 placements take five pages of two kilobytes, and a transaction
+    # holds two.
     for after in (0.05, 0.2, 0.4, 0.8, 1.5):
         cluster = SimulatedCluster(value_bytes=2048, txn_ops=4, capacity=30, seed=int(after * 10))
         cluster.submit(spec("j-000009", tasks=2))
@@ -338,7 +339,9 @@
 
 
 def test_gang_on_partitioned_machines_starts_nowhere_else_before_it_is_proven_finished() -> None:
-    # `SimulatedCluster` checks that no task starts while another of its job is in another zone.
+    # The tasks on partitioned machines may still run: a second attempt elsewhere would run them
+    # twice. `SimulatedCluster` checks that no task starts while another of its job is in another
+    # zone.
     cluster = start_cluster_with_running_gang(tasks=8, run_time=60.0)
     partitioned = sorted(find_machines_of_job(cluster, "j-000001"))
     cluster.inject_machine_fault("cut", partitioned, 45.0)
@@ -440,7 +443,8 @@
 def test_unknown_cause_or_state_is_logged_once_and_other_tasks_still_count(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    # Workers of a newer version may report unknown words: the rest of the report must be handled.
+    # Workers of a newer version may report causes and states that the leader does not know: the
+    # rest of the report must still be handled.
     cluster = SimulatedCluster()
     cluster.submit(spec("j-000001", tasks=2, spread=False, cores=1.0))
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -32,8 +32,8 @@
 def test_large_deployment_keeps_the_invariants_and_examines_few_machines_per_task() -> None:
     # On large deployments, each pending task examined every machine in each scheduling pass, and
     # twice if none had capacity; a leader with a fraction of a core fell seconds behind at the
-    # start. The cluster checks at each start of a task: it runs once, is committed first, is on an
-    # allowed machine, and is within quota.
+    # start. `SimulatedCluster` checks at each start of a task: it runs once, is committed first, is
+    # on an allowed machine, and is within quota.
     cluster = SimulatedCluster(nodes=NAMES, capacity=60, team=Team("crew", 0.0, 1e5, 0.0, 2400.0))
     job_count = 0
     for number in range(90):
@@ -189,9 +189,9 @@
 def test_large_deployment_survives_a_restart_of_all_controllers() -> None:
     # With 560 machines, all seven controllers crash at once and some restart within a fraction of a
     # second, while machines hang and others are preempted: requests for every job must get replies,
-    # running tasks must keep running, and no controller may exceed its socket limit. The cluster
-    # checks the invariants at each start and end of a task. (Only the bench runs this with half as
-    # many machines again: here that would take half of the suite's time.)
+    # running tasks must keep running, and no controller may exceed its socket limit.
+    # `SimulatedCluster` checks the invariants at each start and end of a task. (Only the bench runs
+    # this with half as many machines again: here that would take half of the suite's time.)
     cluster = SimulatedCluster(nodes=NAMES, capacity=140, team=Team("crew", 0.0, 1e5, 0.0, 4000.0))
     for number in range(150):
         cluster.submit(spec(f"j-{number:06d}", tasks=(2, 6, 12)[number % 3]), node=number)
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -89,8 +89,9 @@
 
 
 def test_invalid_submissions_are_rejected_and_known_ids_get_their_status() -> None:
-    # A submission under a known id must be replied to with the job's status, even if its body is
-    # malformed: a client that sends a job again must not be told that it was rejected.
+    # Malformed submissions must get 400, and ones that can never be placed 422. A submission under
+    # a known id must get the job's status, even if its body is malformed: a client that sends a job
+    # again must not be told that it was rejected.
     cluster = start_serving_cluster()
     statuses: dict[str, int] = {}
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -43,6 +43,8 @@
     exit_code: int,
     expected_text: str,
 ) -> None:
+    # CI would hide a fault if it tolerated a failure that is not listed, and the list would become
+    # outdated if it could contain tests that pass or do not exist.
     pytester.makepyfile(test_it=f"RED = {other_fails}\n{TESTS}")
     if listed:
         pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(listed) + "\n")
@@ -70,6 +72,8 @@
     exit_code: int,
     expected_text: str,
 ) -> None:
+    # The same must hold with parallel workers. A listed test that this command deselects belongs to
+    # another command of CI and must not count as unknown.
     pytester.makepyfile(test_it=f"RED = True\n{TESTS}")
     if listed:
         pytester.path.joinpath("KNOWN-RED.txt").write_text("\n".join(listed) + "\n")
--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -49,7 +49,7 @@
 MACHINE_TYPES = {machine_type.name: machine_type for machine_type in TYPES}
 SAMPLE_SIZE = 24
 LONG_BODY_BYTES = 60_000
-"""Nearly the size of the longest body."""
+"""The body of a forwarded heartbeat: nearly the largest HTTP body, which is 64 KiB."""
 
 
 # The index
@@ -170,7 +170,7 @@
 
 
 def test_search_in_a_full_fleet_examines_only_machines_with_free_capacity() -> None:
-    # A pass examined every machine of the fleet for each pending shape.
+    # A scheduling pass examined every machine of the fleet for each shape of pending tasks.
     index = MachineIndex(MACHINE_TYPES, random.Random(1))
     fleet = [
         Machine(f"n-{number}", "c16", "ab"[number % 2], spot=False, now=0.0)
@@ -355,7 +355,8 @@
 
 
 def test_frame_larger_than_a_batch_does_not_block_others() -> None:
-    # A frame that fits into no batch must be dropped, or frames queued behind it are never sent.
+    # A frame that fits into no batch must be dropped, or frames queued behind it are never sent. Of
+    # a machine's heartbeats only the newest may stay queued, and outdated requests must be dropped.
     noise = random.Random(1).randbytes(9000)
     assert encode_batch([{"k": "ord", "o": noise}], 7000, 1.0)[1] == 0
     cluster = SimulatedCluster()
@@ -512,7 +513,8 @@
 
 
 def test_open_connection_count_follows_connects_and_disconnects() -> None:
-    # The connections of all clients were counted for each call to a machine without one.
+    # The connections of all clients were counted for each call to a machine without one. The count
+    # that is kept instead must follow every connect, disconnect and failed connect.
     sim = Simulation(1)
 
     def reply(request: Request) -> None:
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -41,7 +41,9 @@
     from flaxtally.planning.fleet import Machine
 
 TAKEOVER_S = 8.0
+"""Additional time that a change of leader may cost."""
 SLOW_SAVE: dict[str, Any] = {"checkpoint_save_s": 3.0}
+"""Changes of a job: its tasks take 3 s to save a checkpoint."""
 
 
 def get_quota_reclaim(cluster: SimulatedCluster) -> QuotaReclaim:
@@ -106,7 +108,10 @@
 def crash_at(
     cluster: SimulatedCluster, step: Step, nth: int, monkeypatch: pytest.MonkeyPatch
 ) -> Callable[[], bool]:
-    """Crashes the leader at the nth such call; the returned function tells if it has crashed."""
+    """Crashes the leader at the nth call of the step that counts.
+
+    Returns a function that tells whether it has crashed.
+    """
     owner, name, is_after, is_counted = step
     original: Callable[..., Any] = getattr(owner, name)
     calls = [0]
@@ -562,7 +567,8 @@
 
 
 def test_many_small_jobs_of_a_borrower_while_its_loans_are_reclaimed() -> None:
-    # Bounds the reclaims, the pages of the ledger and the writes per second.
+    # Many small jobs of the borrower start, finish and are cancelled while its loans are reclaimed:
+    # the open reclaims, the pages of the ledger and the writes per second must stay bounded.
     cluster = SimulatedLendingCluster(
         1, teams=(CREW, OTHERS), max_reclaim_s=RECLAIM_DEADLINE_S + 4.0
     )
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -62,9 +62,10 @@
 
 
 def test_controller_restarted_in_partitioned_zone_keeps_its_workers_tasks() -> None:
-    # The only controller of a partitioned zone restarted, knew no term and replied 503 to its
-    # workers: 956 tasks were killed when their leases expired. The cluster has two controllers,
-    # because with more a worker's attempts to reach those outside the zone outlast its lease.
+    # On magnolia-plant-fleet, the only controller of a partitioned zone restarted, knew no term and
+    # replied 503 to its workers: 956 tasks were killed when their leases expired. The cluster has
+    # two controllers, because with more a worker's attempts to reach those outside the zone outlast
+    # its lease.
     cluster = SimulatedCluster(nodes=NODES[:2])
     for number in range(4):
         cluster.submit(spec(f"j-{number:06d}", tasks=2))
@@ -327,8 +328,8 @@
 
 
 def test_machine_on_which_several_jobs_fail_is_terminated() -> None:
-    # This holds even if one of the jobs has failed on another machine before: its successful tasks
-    # show that it was submitted without a mistake.
+    # Jobs that fail on one machine succeed on others, which shows that they were submitted without
+    # a mistake: the machine must be considered faulty and terminated, and all jobs must complete.
     cluster = SimulatedCluster()
     for number in range(4):
         cluster.submit(batch(f"j-{number:06d}", 6), run_time=4.0, node=number)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -83,8 +83,8 @@
 
 
 def test_jobs_that_fail_on_every_machine_cost_little_and_block_no_others() -> None:
-    # All tasks of such a job were tried at each retry (656 failures in one recorded run), and
-    # machines were provisioned for its pending tasks.
+    # All tasks of a job that fails on every machine were tried at each retry (656 failures in one
+    # recorded run), and machines were provisioned for its pending tasks.
     cluster = SimulatedCluster(capacity=2)
     cluster.submit(spec("j-000001", tasks=2))
     assert cluster.run_until(lambda: cluster.count("j-000001") == 2, 60)
@@ -139,8 +139,9 @@
 def test_machines_that_do_not_boot_do_not_count_as_capacity_indefinitely(
     boot: float | None,
 ) -> None:
-    # Many machines at once never boot: their pools are not used for a while, and the jobs go to
-    # other pools. With the other parameter all machines boot within a second.
+    # If many machines at once never boot, jobs must not wait for them indefinitely: their pools are
+    # not used for a while, and other machines are provisioned. With the other parameter all
+    # machines boot within a second.
     cluster = SimulatedCluster(capacity=6)
     cluster.cloud.boot = boot
     cluster.cloud.boots_fail = boot is None
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -21,7 +21,8 @@
 def test_the_loop_reports_a_pause_once_and_before_timers_that_became_due(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Without the notice each actor would blame others for heartbeats missed during its own pause.
+    # Without the report of the pause, a component would blame others for the heartbeats that it
+    # missed while its own process was paused.
     loop = Loop()
     clock, seen = [100.0], list[object]()
     monkeypatch.setattr(loop, "now", lambda: clock[0])
@@ -53,6 +54,8 @@
 @pytest.mark.parametrize("for_s", [5.0, 12.0, 30.0])
 @pytest.mark.parametrize("who", ["leader", "follower"])
 def test_a_paused_controller_changes_no_machine_or_replica(who: str, for_s: float) -> None:
+    # A controller that resumes has received no heartbeats during its pause: it must not conclude
+    # that machines are lost, nor move replicas.
     cluster = start_busy_cluster(services=8, run_time=60.0)
     old, before = wait_for_leader(cluster), term(cluster)
     frozen = old if who == "leader" else next(name for name in cluster.names if name != old)
@@ -124,6 +127,8 @@
 
 
 def test_a_candidate_paused_during_its_takeover_does_not_depose_the_new_leader() -> None:
+    # A candidate that resumes after another controller has become the leader must not act on the
+    # takeover that it sent before its pause.
     cluster: SimulatedCluster = start_busy_cluster(arrays=0)
     old = wait_for_leader(cluster)
     others = [name for name in cluster.names if name != old]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -41,7 +41,8 @@
 
 
 def test_expressions_follow_precedence_units_and_other_settings() -> None:
-    # Also covers a reference to a setting that is defined further down, and a continued line.
+    # A misread expression would give a setting a wrong value without an error. Also covers a
+    # reference to a setting that is defined further down, and a continued line.
     text = """
     b = a * 2 - 500 ms      # a follows below
     a = max(workers.lease_s / 4,
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -65,7 +65,7 @@
         process.kill()
         process.wait()
 
-    def end(self) -> None:
+    def kill_all(self) -> None:
         for name in list(self._processes):
             self.kill(name)
 
@@ -130,7 +130,7 @@
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
     running = Deployment(tmp_path)
     yield running
-    running.end()
+    running.kill_all()
 
 
 def test_gang_restarts_from_its_checkpoint_when_a_machine_is_lost(deployment: Deployment) -> None:
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -71,6 +71,7 @@
 
 
 def test_shares_above_the_limit_or_below_zero_are_refused() -> None:
+    # With such shares, the cells together could use more than the team's limit.
     with pytest.raises(ShareError, match="above the limit"):
         TeamShares({"north": Amount(30.0, 4.0), "south": Amount(11.0, 4.0)}).check(
             get_team_limit(TEAM)
@@ -82,6 +83,8 @@
 
 
 def test_cell_sees_its_share_as_the_limit_and_an_equal_part_of_the_guarantee() -> None:
+    # A cell that applied the whole limit, or took an empty share for "no limit", would let the team
+    # exceed its limit.
     shares = TeamShares({"north": Amount(10.0, 0.0), "south": Amount(30.0, 8.0)})
     north = limit_team_to_share(TEAM, shares, shares.share("north"))
     assert (north.cores, north.cores_max, north.gpus) == (2.5, 10.0, 0.0)
@@ -92,7 +95,8 @@
 
 
 def test_shares_shrink_in_proportion_when_the_limit_is_lowered() -> None:
-    # The stored shares still sum to the former limit, so each cell scales its own.
+    # The stored shares still sum to the former limit: unless each cell scales its own, the cells
+    # together exceed the lower one.
     shares = build_equal_shares(TEAM, ["north", "south"])
     lower = Team("crew", 10.0, 20.0, 4.0, 8.0)
     assert limit_team_to_share(lower, shares, shares.share("north")).cores_max == 10.0
@@ -137,7 +141,7 @@
         self.south.quota_rebalancer.begin_term(1)
 
     def run(self, seconds: float) -> None:
-        """Runs the simulation; both cells together may never use more than the limit."""
+        """Runs the simulation; checks that both cells together never use more than the limit."""
         for _ in range(round(seconds / 0.01)):
             run_for(self.sim, 0.01)
             assert self.north.gpus + self.south.gpus <= TEAM.gpus_max + TOLERANCE
@@ -199,7 +203,9 @@
 
 
 def test_freed_share_is_not_used_while_the_write_of_its_transfer_is_pending() -> None:
-    # Another cell requested it earlier: only the usage here has changed, not the row.
+    # Another cell requested the share while it was still in use here. When it becomes free, the row
+    # does not change, only the usage of this cell: the share must be given up before the write is
+    # sent.
     deployment = TwoCellDeployment()
     deployment.run(3.0)
     deployment.north.used = Amount(20.0, 4.0)
--- a/tests/test_record_queue.py
+++ b/tests/test_record_queue.py
@@ -39,6 +39,8 @@
 
 
 def test_records_fill_a_page_before_the_next_is_opened() -> None:
+    # The store refuses pages above the size limit, and pages that are opened too early cost
+    # additional writes.
     limits = PageLimits(LIMITS)
     assert limits.page_bytes == 896
     queue = RecordQueue(limits)
@@ -54,6 +56,8 @@
 
 
 def test_a_batch_that_fits_into_a_page_is_not_split() -> None:
+    # A split batch takes effect only when all its pieces are committed. One that fits into a page
+    # must go to the next page as a whole.
     queue = RecordQueue(PageLimits(LIMITS))
     propose_cancellations(queue)
     first_page = queue.append_batch(
@@ -68,6 +72,8 @@
 
 
 def test_a_larger_batch_is_split_and_its_callback_follows_the_last_piece() -> None:
+    # A callback after an earlier piece would report records as committed that may never take
+    # effect.
     queue = RecordQueue(PageLimits(LIMITS))
     calls: list[int] = []
     propose_cancellations(queue)
@@ -83,6 +89,8 @@
 
 
 def test_the_callback_of_the_last_record_is_replaced() -> None:
+    # Compaction deletes the old pages in this callback: called after an earlier record, it would
+    # delete records whose copies are not committed yet.
     queue = RecordQueue(PageLimits(LIMITS))
     calls: list[int] = []
     for record in make_end_records(2):
@@ -96,6 +104,8 @@
 
 
 def test_halved_limits_apply_at_once_and_have_a_minimum() -> None:
+    # If the store accepts less than the settings say, the next pages and transactions must be
+    # smaller, but never too small for a record.
     limits = PageLimits(StateLimits(write_rps=100.0, value_bytes=8192, txn_ops=32))
     queue = RecordQueue(limits)
     assert (limits.page_bytes, limits.transaction_pages) == (7168, 7)
@@ -110,6 +120,8 @@
 
 
 def test_keys_of_pages_sort_by_page_number() -> None:
+    # Pages are replayed in the order of their keys, which must be the order in which they were
+    # written.
     assert page_key(7) == "p/00000007"
     assert page_of_key(page_key(12345)) == 12345
     assert page_key(9) < page_key(10)
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -44,6 +44,8 @@
 
 
 def test_records_of_the_stored_fixture_are_encoded_as_they_were_stored() -> None:
+    # During a rolling upgrade, production reads what this version writes: a record that is encoded
+    # in another way than production does it could not be read.
     records = stored_records(json.loads(FIXTURE.read_text())["rows"])
     assert len(records) > 300
     assert tags(records) == {"J", "P", "E", "C", "K"}
@@ -52,7 +54,8 @@
 
 
 def test_records_that_production_writes_are_encoded_as_they_were_stored() -> None:
-    # Needs production's sources; skipped if the clone lacks their commit.
+    # The same with records that production's own code writes in a run. Needs production's sources;
+    # skipped if the clone lacks their commit.
     cluster = UpgradingCluster(seed=4, upgraded=())
     cluster.run(10.0)
     for number in range(6):
@@ -68,6 +71,7 @@
 
 
 def test_records_of_a_run_with_loans_and_gangs_are_encoded_as_they_were_stored() -> None:
+    # The same with records that this version writes once the format is raised.
     cluster = SimulatedLendingCluster()
     cluster.run(10.0)
     cluster.submit(gang("j-000001", 3, cores=1.0))
@@ -101,10 +105,13 @@
     ],
 )
 def test_each_form_of_a_record_is_encoded_as_it_was_stored(items: list[Any]) -> None:
+    # Guards against a changed encoding of a form that the runs above may not write.
     assert_encoded_as_stored(items)
 
 
 def test_an_accepted_job_has_the_items_of_its_specification_in_order() -> None:
+    # The record stores the fields of a specification by their position: a field that only one of
+    # the two types has would shift all later ones.
     record_fields = list(get_type_hints(JobAccepted).items())
     assert record_fields[2:] == list(get_type_hints(wire.Spec).items())
     job = spec("j-000001", machine_types=("c16", "g8"), deadline=9.5)
@@ -114,10 +121,13 @@
 
 
 def test_additional_items_of_a_specification_are_ignored() -> None:
+    # A newer version may append fields to a specification; its records must stay readable.
     assert record("J", 3, 1.5, *SPEC_ITEMS, "more") == record("J", 3, 1.5, *SPEC_ITEMS)
 
 
 def test_a_catalog_is_one_record_or_several_that_replace_the_earlier_ones() -> None:
+    # A catalog that exceeds a page is stored in several records: if it is replayed again, its
+    # machine types must not be added twice.
     types = [{"label": f"type-{number}"} for number in range(4)]
     assert [stored(each) for each in build_catalog_records(types, 4096)] == [["K", types]]
     parts = [stored(each) for each in build_catalog_records(types, 64)]
@@ -154,5 +164,7 @@
     ],
 )
 def test_an_invalid_record_is_refused(items: Any) -> None:
+    # A damaged record must raise the typed error, instead of giving a wrong state or another
+    # exception.
     with pytest.raises(InvalidRecordError):
         ClusterState().replay(items, 1)
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -97,6 +97,8 @@
 
 
 def test_deploy_file_runs_with_the_cache_that_its_build_fills() -> None:
+    # If the service looked for compiled modules in another place, it would compile all of them at
+    # each start.
     deploy = tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
     cache = "pycache_prefix=target/pycache"
     assert cache in deploy["run"].split()
@@ -105,6 +107,8 @@
 
 
 def test_serve_imports_little(tmp_path: Path) -> None:
+    # Guards against imports that `serve` does not need: each one costs processor time at every
+    # start.
     modules = list_modules_of_serve(tmp_path)
     own = [name for name in modules if name.split(".")[0] == "flaxtally"]
     assert len(modules) - len(own) <= MAX_FOREIGN_MODULES
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -94,6 +94,7 @@
 
 
 def test_ten_changes_of_leader_in_two_minutes_also_during_outages() -> None:
+    # A takeover could lose jobs or run tasks twice when the next one follows before it is complete.
     # Leaders crash, are isolated or are refused by the state service, some just before an outage.
     cluster = start_busy_cluster()
     first = term(cluster)
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -85,8 +85,8 @@
 
 
 def test_all_machines_reconnect_to_a_controller_with_few_sockets() -> None:
-    # All machines turn to one controller whose sockets, shared with its other connections, are
-    # fewer than the machines: no worker may lose its lease.
+    # All machines turn to one controller that has about as many sockets as there are machines, and
+    # needs some of them for other connections: no worker may lose its lease.
     cluster = LargeCluster(sockets=max(60, MACHINE_COUNT))
     before, third = dict(cluster.running), cluster.follower()
     for name in NODES:
@@ -200,7 +200,7 @@
 
 def test_machines_that_boot_while_the_cloud_list_lags_stay_known() -> None:
     # Many new machines send heartbeats before the cloud lists them, and its list has several pages
-    # that are older still: each machine must be known once, and must not be considered removed.
+    # that are older still: the leader must not remove machines because a list lacks them.
     cluster = LargeCluster()
     cluster.cloud.list_lag_s = 6.0
     booted = [
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -131,7 +131,8 @@
 
 
 def test_format_does_not_wait_for_a_down_controller_that_has_announced_its_version() -> None:
-    # A new leader must not lose what its predecessor heard: it reads it from the state service.
+    # A new leader must know the formats that were announced to its predecessor: it reads them from
+    # the state service.
     cluster = start_serving_cluster(upgraded=NODES[:2])
     cluster.upgraded.add(NODES[2])
     while wait_for_leader(cluster) not in NODES[:2]:
@@ -252,8 +253,8 @@
 
 
 def test_compaction_stops_when_it_cannot_save_space() -> None:
-    # Found by a random run at the lower limits: compaction never stopped: it rewrote 3,900 pages
-    # and tripled the changes at the state service. Here each job takes a page of its own and leaves
+    # In a random run at the lower limits, compaction never stopped: it rewrote 3,900 pages and
+    # tripled the changes at the state service. Here each job takes a page of its own and leaves
     # it almost half empty, so the pages take up much more space than their content needs.
     cluster = SimulatedCluster(
         value_bytes=2048, txn_ops=4, capacity=30, team=Team("crew", 0.0, 1e5, 0.0, 2e3)
--- a/tests/test_wire_messages.py
+++ b/tests/test_wire_messages.py
@@ -77,6 +77,8 @@
 
 @pytest.mark.parametrize("name", SENT)
 def test_a_message_has_the_specified_bytes(name: str) -> None:
+    # Workers, the cloud and the store read these bytes: a renamed, reordered or additional field
+    # would break the protocol.
     message, sent = SENT[name]
     assert pack(message) == pack(sent)
     # Frames between controllers contain some of them as builtins.
@@ -85,11 +87,13 @@
 
 @pytest.mark.parametrize("name", [name for name in SENT if not name.startswith("transaction")])
 def test_a_sent_message_decodes_to_the_original(name: str) -> None:
+    # Guards against fields that are decoded under another name or type than they are encoded.
     message, sent = SENT[name]
     assert msgspec.msgpack.decode(pack(sent), type=type(message)) == message
 
 
 def test_a_write_of_none_differs_from_a_delete() -> None:
+    # A write of None that was read as a delete would remove the key from the store.
     sent = store.Transaction.build({}, {"a": None}, ["b"])
     write, delete = msgspec.msgpack.decode(pack(sent), type=store.Transaction).changes
     assert (write.put, write.value, write.drop) == ("a", None, None)
