--- a/tests/test_large_fleet.py
+++ b/tests/test_large_fleet.py
@@ -430,8 +430,8 @@
 def write_settings(folder: Path, sockets: int) -> str:
     cluster = SimulatedCluster()
     path = folder / "node.toml"
-    settings = dataclasses.replace(cluster.build_settings("hearth-0"), max_sockets=sockets)
-    path.write_text(settings_text(settings))
+    node_settings = dataclasses.replace(cluster.build_settings("hearth-0"), max_sockets=sockets)
+    path.write_text(settings_text(node_settings))
     return str(path)
 
 
@@ -463,14 +463,16 @@
     assert open_files.raise_limit(900) == 900
     assert limits[0] == 900
     assert open_files.raise_limit(5000) == 1024
-    settings = dataclasses.replace(SimulatedCluster().build_settings("hearth-0"), max_sockets=5000)
+    node_settings = dataclasses.replace(
+        SimulatedCluster().build_settings("hearth-0"), max_sockets=5000
+    )
     assert (
-        controller_commands._limit_sockets_to_open_files(settings).max_sockets
+        controller_commands._limit_sockets_to_open_files(node_settings).max_sockets
         == 1024 - open_files.NON_SOCKET_FILES
     )
     assert (
         controller_commands._limit_sockets_to_open_files(
-            dataclasses.replace(settings, max_sockets=700)
+            dataclasses.replace(node_settings, max_sockets=700)
         ).max_sockets
         == 700
     )
