--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -36,9 +36,9 @@
     return cluster.leader() or ""
 
 
-def change_leader(cluster: SimulatedCluster, back_after: float = 2.0) -> str:
+def change_leader(cluster: SimulatedCluster, restart_after_s: float = 2.0) -> str:
     """Crashes the leader; returns the next leader once it is ready."""
-    cluster.crash(wait_for_leader(cluster), back_after=back_after)
+    cluster.crash(wait_for_leader(cluster), restart_after_s=restart_after_s)
     assert cluster.run_until(
         lambda: (new := cluster.leader()) is not None and cluster.nodes[new].leader.term.active, 20
     )
@@ -49,15 +49,19 @@
     return max(node.election.term for node in cluster.nodes.values())
 
 
-def submit_steady_load(cluster: SimulatedCluster, for_s: float, every: float = 0.5) -> None:
+def submit_steady_load(cluster: SimulatedCluster, for_s: float, interval_s: float = 0.5) -> None:
     """Submits small jobs all the time; every third one is cancelled a little later."""
-    for number in range(int(for_s / every)):
+    for number in range(int(for_s / interval_s)):
         ref = f"j-{5000 + number:06d}"
         cluster.after(
-            number * every, cluster.submit, batch(ref, 1 + number % 3), 3.0 + number % 5, number
+            number * interval_s,
+            cluster.submit,
+            batch(ref, 1 + number % 3),
+            3.0 + number % 5,
+            number,
         )
         if number % 3 == 2:
-            cluster.after(number * every + 2.0 + number % 4, cluster.cancel, ref, number + 1)
+            cluster.after(number * interval_s + 2.0 + number % 4, cluster.cancel, ref, number + 1)
 
 
 def check_final_state(cluster: SimulatedCluster, for_s: float = 110.0) -> None:
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -15,7 +15,7 @@
 from flaxtally.protocol import wire
 from flaxtally.settings import Settings, Team
 
-from .simulated_cluster import STATE, SimulatedCluster
+from .simulated_cluster import STATE_ADDRESS, SimulatedCluster
 
 NORTH, SOUTH = "north", "south"
 CELL_NODES = ("north-0", "south-0", "north-1", "south-1", "north-2", "south-2")
@@ -60,7 +60,7 @@
         """Cuts controllers from state service and the others; their workers still reach them."""
         for node in nodes:
             others = [self.ip(name) for name in self.names if name not in nodes]
-            self.cut(self.ip(node), [STATE[0], *others], for_s)
+            self.cut(self.ip(node), [STATE_ADDRESS[0], *others], for_s)
 
     def put(self, key: str, value: Any) -> None:
         """Writes to the state service, like an operator or a fault."""
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -38,7 +38,7 @@
     from flaxtally.cells.membership import CellSetup
     from flaxtally.lending.feature import LendingFeature
 
-STATE, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
+STATE_ADDRESS, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
 GANG_RENDEZVOUS_IP = "10.3.0.2"
 NODES = ("hearth-0", "hearth-1", "hearth-2")
 ZONES = ("a", "b")
@@ -46,7 +46,7 @@
     wire.MachineType("c16", 16.0, 0.0, 64.0, 40.0, 2.0, 1.0, 0.4, 8.0, list(ZONES)),
     wire.MachineType("g8", 32.0, 8.0, 256.0, 200.0, 4.0, 12.0, 4.0, 10.0, list(ZONES)),
 ]
-CANCEL_S = 30.0
+CANCEL_DEADLINE_S = 30.0
 GANG_WAIT_S, GANG_PEER_S = 20.0, 4.0
 
 
@@ -134,7 +134,7 @@
         self.workers: dict[str, Worker] = {}
         self.trace: list[str] = []
         self.teams = {team.name: team for team in (self.team, *other_teams)}
-        self.rules = Rules(self.teams, TYPES, CANCEL_S)
+        self.rules = Rules(self.teams, TYPES, CANCEL_DEADLINE_S)
         self.calm_since = float("inf")
         self.delivered_copies = 0
         self._duplicate_fraction, self._duplicate_in_next_term = 0.0, False
@@ -150,7 +150,9 @@
         self.reported_cancelled_at: dict[str, float] = {}
         self.accepted: set[str] = set()
         self.nodes: dict[str, Controller] = {}
-        self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE, random.Random(seed))
+        self.state = FakeKeyValueStore(
+            self.sim.host(STATE_ADDRESS[0]), STATE_ADDRESS, random.Random(seed)
+        )
         self.cloud = Cloud(
             self.sim.host(CLOUD[0]),
             CLOUD,
@@ -196,7 +198,7 @@
                 if other != node
             },
             cloud=CLOUD,
-            state=STATE,
+            state=STATE_ADDRESS,
             zones=ZONES,
             teams=self.teams,
             objectives=self.objectives,
@@ -204,7 +206,7 @@
             lease_s=10.0,
             gang_wait_s=GANG_WAIT_S,
             gang_peer_s=GANG_PEER_S,
-            cancel_s=CANCEL_S,
+            cancel_s=CANCEL_DEADLINE_S,
             state_rps=250.0,
             state_limits=StateLimits(40.0, self.value_bytes, self.txn_ops),
             cloud_rps=3.0,
@@ -236,11 +238,11 @@
             self.lending_of(node),
         )
 
-    def crash(self, node: str, back_after: float | None = None) -> None:
+    def crash(self, node: str, restart_after_s: float | None = None) -> None:
         self.add_trace_line(f"{node} crashes")
         self.sim.crash(self.ip(node))
-        if back_after is not None:
-            self.sim.at(self.sim.time + back_after, self.start, node)
+        if restart_after_s is not None:
+            self.sim.at(self.sim.time + restart_after_s, self.start, node)
 
     def leader(self) -> str | None:
         leading = [
@@ -465,7 +467,7 @@
 
     def slow_down_links(self, seconds: float, for_s: float) -> None:
         """Delays packets between controllers, and between these and the state service."""
-        hosts = [*(self.ip(name) for name in self.names), STATE[0]]
+        hosts = [*(self.ip(name) for name in self.names), STATE_ADDRESS[0]]
         self.sim.extra_delay_s = {
             frozenset((one, other)): seconds for one in hosts for other in hosts if one != other
         }
@@ -479,7 +481,7 @@
         self.add_trace_line(f"{node} is cut from the state service and its peers")
         self.cut(
             self.ip(node),
-            [STATE[0], *(self.ip(name) for name in self.names if name != node)],
+            [STATE_ADDRESS[0], *(self.ip(name) for name in self.names if name != node)],
             for_s,
         )
 
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -21,8 +21,8 @@
     from flaxtally.protocol import wire
 
 FEATURE = LendingFeature.from_table(Table("features.toml", "lending", {}))
-CREW = Team("crew", 0.0, 0.0, 8.0, 64.0)
-OTHERS = Team("others", 0.0, 0.0, 8.0, 64.0)
+CREW_TEAM = Team("crew", 0.0, 0.0, 8.0, 64.0)
+OTHERS_TEAM = Team("others", 0.0, 0.0, 8.0, 64.0)
 FIVE_NODES = tuple(f"hearth-{number}" for number in range(5))
 RECLAIM_DEADLINE_S = 12.5
 """Seconds from a reclaim to its deadline under the default policy, for a worker lease of 10 s."""
@@ -45,7 +45,7 @@
     def __init__(
         self,
         seed: int = 1,
-        teams: tuple[Team, ...] = (CREW, OTHERS),
+        teams: tuple[Team, ...] = (CREW_TEAM, OTHERS_TEAM),
         nodes: tuple[str, ...] = NODES,
         capacity: int = 1,
         max_reclaim_s: float = RECLAIM_DEADLINE_S,
@@ -57,7 +57,7 @@
         """Tasks that stopped on command: time, task and attempt."""
         self.deadlines: dict[int, float] = {}
         """Deadline of each reclaim seen in the ledger."""
-        self.seen: dict[int, Reclaim] = {}
+        self.seen_reclaims: dict[int, Reclaim] = {}
         super().__init__(seed, team=teams[0], other_teams=teams[1:], nodes=nodes, capacity=capacity)
         self.audit = LoanAudit(self.rules, self.teams, max_reclaim_s)
 
@@ -86,7 +86,7 @@
         self.audit.check_deadlines(self.sim.time, healthy_machines)
         for reclaim in self.recalls().values():
             # A change of leader must not change a deadline.
-            self.seen[reclaim.number] = reclaim
+            self.seen_reclaims[reclaim.number] = reclaim
             assert self.deadlines.setdefault(reclaim.number, reclaim.deadline) == reclaim.deadline
         assert not self.audit.breaches, (self.audit.breaches, self.trace[-30:])
 
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -48,16 +48,16 @@
     def build_settings(self, node: str, limits: StateLimits = LOWERED_LIMITS) -> Any:
         return self.with_limits(super().build_settings(node), limits)
 
-    def upgrade(self, node: str, back_after: float = 1.0) -> None:
+    def upgrade(self, node: str, restart_after_s: float = 1.0) -> None:
         """Kills the controller; it restarts with the new version."""
         self.upgraded.add(node)
-        self.crash(node, back_after)
+        self.crash(node, restart_after_s)
 
-    def roll_out_upgrade(self, every: float = 8.0, names: tuple[str, ...] = NODES) -> None:
+    def roll_out_upgrade(self, interval_s: float = 8.0, names: tuple[str, ...] = NODES) -> None:
         """Upgrades the controllers one after the other."""
         for name in names:
             self.upgrade(name)
-            self.run(every)
+            self.run(interval_s)
 
     def lower_limits(self) -> None:
         """The state service enforces the lower limits from now on."""
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -182,7 +182,7 @@
     cluster.submit(large_array, run_time=4.0)
     assert cluster.run_until(lambda: cluster.count("j-000200") > 100, 60)
     if crash:
-        cluster.crash(wait_for_leader(cluster), back_after=3.0)
+        cluster.crash(wait_for_leader(cluster), restart_after_s=3.0)
     for number in range(20):
         cluster.after(number, cluster.submit, batch(f"j-{300 + number:06d}", 1), 2.0, number)
     cluster.run(30)
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -212,7 +212,7 @@
     cluster.run(0.3 * (seed + 1))
     giver = cluster.find_cell_leader(SOUTH)
     assert giver is not None
-    cluster.crash(giver, back_after=3.0)
+    cluster.crash(giver, restart_after_s=3.0)
     assert cluster.run_until(lambda: cluster.count("j-000001") >= 7, 90), cluster.trace[-20:]
     assert cluster.share(SOUTH).gpus < before.gpus
     cluster.submit(zone_batch("j-000002", "b", 4), run_time=5.0)
@@ -240,7 +240,7 @@
     monkeypatch.setattr(cluster.state, "_serve", serve_slowly)
     cluster.submit(zone_batch("j-000002", "a", 8), run_time=60.0)
     assert cluster.run_until(lambda: cluster.count("j-000002") >= 4, 60)
-    cluster.crash(cluster.find_cell_leader(SOUTH) or "", back_after=2.0)
+    cluster.crash(cluster.find_cell_leader(SOUTH) or "", restart_after_s=2.0)
     cluster.run(20.0)
     assert cluster.share(SOUTH).gpus == 4.0
     assert cluster.count("j-000001") == 4
@@ -267,7 +267,7 @@
     cluster.submit(zone_batch("j-000002", "b", 8), run_time=5.0)
     assert cluster.run_until(lambda: bool(cluster.shares().wants), 30)
     for number, name in enumerate(CELL_NODES):
-        cluster.crash(name, back_after=1.0 + 0.2 * number)
+        cluster.crash(name, restart_after_s=1.0 + 0.2 * number)
     assert cluster.run_until(cluster.both_cells_have_leaders, 30)
     check_final_state(cluster)
     assert all(len(cluster.rules.jobs[ref].done) == 8 for ref in ("j-000001", "j-000002"))
@@ -316,7 +316,7 @@
     lost = {ref for ref in cluster.specs if cluster.find_cells_with_job(ref) == {SOUTH}}
     assert lost
     for name in cluster.list_cell_controllers(SOUTH):
-        cluster.crash(name, back_after=6.0)
+        cluster.crash(name, restart_after_s=6.0)
     statuses: dict[str, list[int]] = {ref: [] for ref in lost}
     cluster.run(2.0)
     for ref, to in statuses.items():
--- a/tests/test_fault_combinations.py
+++ b/tests/test_fault_combinations.py
@@ -21,7 +21,7 @@
     submit_steady_load,
     wait_for_leader,
 )
-from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
+from .simulated_cluster import NODES, STATE_ADDRESS, SimulatedCluster, batch, spec
 
 
 def test_overload_of_urgent_and_other_jobs_over_slow_links() -> None:
@@ -153,7 +153,7 @@
     if with_another_controller:
         # Cut off together with another controller, as when a zone is cut off.
         for name in (old_leader, NODES[other_isolated]):
-            cluster.cut(cluster.ip(name), [STATE[0], cluster.ip(NODES[other])], 60.0)
+            cluster.cut(cluster.ip(name), [STATE_ADDRESS[0], cluster.ip(NODES[other])], 60.0)
     else:
         cluster.isolate(old_leader, 60.0)
     for name in spare:
@@ -204,7 +204,7 @@
     cluster = start_busy_cluster(services=8, run_time=60.0)
     for turn in range(4):
         follower = next(name for name in NODES if name != wait_for_leader(cluster))
-        cluster.crash(follower, back_after=1.5)
+        cluster.crash(follower, restart_after_s=1.5)
         for number in range(2):
             cluster.after(0.7 * number, cluster.cancel, f"j-{2 * turn + number:06d}", turn + number)
         cluster.run(5)
@@ -242,7 +242,7 @@
             if task in cluster.running:
                 cluster.cloud.remove_machine(cluster.find_machine(task))
         if turn == 1:
-            cluster.crash(wait_for_leader(cluster), back_after=2.0)
+            cluster.crash(wait_for_leader(cluster), restart_after_s=2.0)
         cluster.run(8)
     check_final_state(cluster)
 
@@ -253,7 +253,7 @@
     cluster = start_busy_cluster(run_time=60.0)
     submit_steady_load(cluster, 40.0)
     for _ in range(4):
-        cluster.crash(wait_for_leader(cluster), back_after=0.3)
+        cluster.crash(wait_for_leader(cluster), restart_after_s=0.3)
         cluster.run(3)
     for name in NODES:
         cluster.crash(name)
@@ -272,7 +272,7 @@
     cluster = start_busy_cluster(run_time=60.0)
     held = set(cluster.running)
     for name in NODES:
-        cluster.crash(name, back_after=14.0)
+        cluster.crash(name, restart_after_s=14.0)
     cluster.run(13.9)
     assert any(" end lapsed " in line for line in cluster.trace) or not held & set(cluster.running)
     cluster.run(1)
@@ -350,7 +350,7 @@
         seed, services=6, arrays=3, run_time=40.0, value_bytes=rng.choice([768, 8192]), team=team
     )
     cluster.cloud.list_lag_s, cluster.cloud.boot = rng.choice([0.0, 3.0]), rng.choice([None, 1.0])
-    submit_steady_load(cluster, 60.0, every=0.6)
+    submit_steady_load(cluster, 60.0, interval_s=0.6)
     for _ in range(12):
         inject_random_fault(cluster, rng)
         cluster.run(rng.uniform(0.5, 9.0))
@@ -381,7 +381,7 @@
             ("hung", "deaf", "mute")[choice - 7], chosen_machines, duration_s
         )
     elif choice == 10 and cluster.sim.hosts[ip].alive:
-        cluster.crash(leader, back_after=rng.choice([0.3, 3.0]))
+        cluster.crash(leader, restart_after_s=rng.choice([0.3, 3.0]))
     elif choice == 11:
         cluster.isolate(leader, duration_s)
     elif choice == 12:
@@ -404,7 +404,7 @@
     elif choice == 18:
         for name in NODES:
             if cluster.sim.hosts[cluster.ip(name)].alive:
-                cluster.crash(name, back_after=rng.choice([0.3, 3.0, 12.0]))
+                cluster.crash(name, restart_after_s=rng.choice([0.3, 3.0, 12.0]))
     elif choice == 19:
         cluster.faulty_machines |= set(chosen_machines)
         cluster.after(duration_s, cluster.faulty_machines.clear)
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -210,7 +210,7 @@
     # another one.
     cluster = cluster_with_running_gang(run_time=40.0)
     for name in cluster.names:
-        cluster.crash(name, back_after=2.0)
+        cluster.crash(name, restart_after_s=2.0)
     cluster.run(6.0)
     wait_for_leader(cluster)
     assert_completes(cluster, "j-000001")
@@ -321,7 +321,7 @@
         lambda: any(task.startswith("j-000001/") for task in cluster.running), 60.0
     )
     for name in cluster.names:
-        cluster.crash(name, back_after=1.0)
+        cluster.crash(name, restart_after_s=1.0)
     assert_completes(cluster, "j-000001")
 
 
@@ -359,7 +359,7 @@
         machines = sorted(cluster.workers)
         fault = rng.choice(["crash", "hung", "deaf", "mute", "cut", "take", "refuse", "lose"])
         if fault == "crash":
-            cluster.crash(wait_for_leader(cluster), back_after=rng.uniform(0.2, 5.0))
+            cluster.crash(wait_for_leader(cluster), restart_after_s=rng.uniform(0.2, 5.0))
         elif fault == "take":
             cluster.cloud.remove_machine(rng.choice(machines))
         elif fault == "refuse":
--- a/tests/test_grown_deployment.py
+++ b/tests/test_grown_deployment.py
@@ -63,7 +63,7 @@
     examined_count = cluster.nodes[leader].leader.duties.scheduler.examined_count
     assert start_count > 1000
     assert examined_count < start_count * len(cluster.workers) / 2, (examined_count, start_count)
-    cluster.crash(leader, back_after=5.0)
+    cluster.crash(leader, restart_after_s=5.0)
     cluster.cancel("j-000001", node=1)
     cluster.run(9)
     assert "j-000001" in cluster.reported_cancelled_at
@@ -206,7 +206,7 @@
     for name in hung:
         cluster.workers[name].hung = True
     for number, name in enumerate(NAMES):
-        cluster.crash(name, back_after=(0.2, 5.0, 0.4)[number % 3])
+        cluster.crash(name, restart_after_s=(0.2, 5.0, 0.4)[number % 3])
     max_streams = 0
     for _ in range(45):
         cluster.run(1.0)
--- a/tests/test_job_lifecycle.py
+++ b/tests/test_job_lifecycle.py
@@ -69,7 +69,7 @@
     cluster.cancel("j-000001", node=2)
     assert cluster.run_until(lambda: cluster.count("j-000001") == 0, 0.2)
     for name in NODES:
-        cluster.crash(name, back_after=1.0)
+        cluster.crash(name, restart_after_s=1.0)
     cluster.run(8)
     assert cluster.query_job("j-000001")[1]["stage"] == "aborted"
     cluster.submit(spec("j-000001", tasks=2))
--- a/tests/test_leader_failover.py
+++ b/tests/test_leader_failover.py
@@ -10,7 +10,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import start_serving_cluster
-from .simulated_cluster import NODES, STATE, SimulatedCluster, batch, spec
+from .simulated_cluster import NODES, STATE_ADDRESS, SimulatedCluster, batch, spec
 
 
 def test_fresh_deployment_elects_one_leader_and_finishes_an_array() -> None:
@@ -35,7 +35,7 @@
     before = dict(cluster.running)
     old_leader = cluster.leader()
     assert old_leader
-    cluster.crash(old_leader, back_after=5.0)
+    cluster.crash(old_leader, restart_after_s=5.0)
     assert cluster.run_until(lambda: cluster.leader() not in (None, old_leader), 5), cluster.trace
     cluster.run(30)
     assert cluster.running == before
@@ -58,7 +58,7 @@
         1,
         1,
     ]
-    cluster.crash(leader, back_after=5.0)
+    cluster.crash(leader, restart_after_s=5.0)
     assert cluster.run_until(lambda: cluster.count("j-000050") == 2, 30), cluster.trace
     assert {
         attempt for task, (_, attempt) in cluster.running.items() if task.startswith("j-000050")
@@ -71,7 +71,7 @@
     cluster.submit(batch("j-000100", 8), run_time=20.0)
     assert cluster.run_until(lambda: cluster.count("j-000100") == 8, 60)
     for name in NODES:
-        cluster.crash(name, back_after=5.0)
+        cluster.crash(name, restart_after_s=5.0)
     cluster.run(6)
     assert cluster.run_until(lambda: cluster.leader() is not None, 5)
     cluster.run(40)
@@ -85,7 +85,7 @@
     cluster = start_serving_cluster()
     old_leader = cluster.leader()
     assert old_leader
-    for other in [*(cluster.ip(name) for name in NODES if name != old_leader), STATE[0]]:
+    for other in [*(cluster.ip(name) for name in NODES if name != old_leader), STATE_ADDRESS[0]]:
         cluster.sim.cut(cluster.ip(old_leader), other)
     assert cluster.run_until(lambda: cluster.leader() not in (None, old_leader), 15), cluster.trace
     replies: list[int] = []
@@ -96,7 +96,7 @@
     assert cluster.run_until(lambda: cluster.count("j-000060") == 2, 30)
     cluster.run(2)
     assert replies == [503]
-    for other in [*(cluster.ip(name) for name in NODES if name != old_leader), STATE[0]]:
+    for other in [*(cluster.ip(name) for name in NODES if name != old_leader), STATE_ADDRESS[0]]:
         cluster.sim.heal(cluster.ip(old_leader), other)
     cluster.run(20)
     assert sum(node.election.is_leader for node in cluster.nodes.values()) == 1
@@ -133,11 +133,11 @@
     cluster = start_serving_cluster()
     old_leader = cluster.leader()
     assert old_leader
-    cluster.sim.cut(cluster.ip(old_leader), STATE[0])
+    cluster.sim.cut(cluster.ip(old_leader), STATE_ADDRESS[0])
     cluster.submit(spec("j-000062", tasks=2), node=NODES.index(old_leader))
     assert cluster.run_until(lambda: cluster.leader() not in (None, old_leader), 15)
     cluster.run(5)
-    cluster.sim.heal(cluster.ip(old_leader), STATE[0])
+    cluster.sim.heal(cluster.ip(old_leader), STATE_ADDRESS[0])
     assert cluster.run_until(lambda: cluster.count("j-000062") == 2, 30), cluster.trace
     cluster.run(10)
     terms = {row.value["term"] for row in [get_row(cluster, "lead")]}
@@ -173,7 +173,7 @@
     # After a takeover, the placements on every machine that had reported recently were counted
     # twice.
     cluster = start_serving_cluster()
-    cluster.crash(cluster.leader() or "", back_after=5.0)
+    cluster.crash(cluster.leader() or "", restart_after_s=5.0)
     cluster.run(15)
     leader = cluster.nodes[cluster.leader() or ""].leader
     used = sum(machine.cores for machine in leader.term.fleet.machines.values())
@@ -194,7 +194,7 @@
     page_count = sum(key.startswith("p/") for key in cluster.state.rows)
     assert page_count < newest_page / 2
     for name in NODES:
-        cluster.crash(name, back_after=1.0)
+        cluster.crash(name, restart_after_s=1.0)
     cluster.run(20)
     assert {
         task: running_before[task] for task in running_before if task.startswith("j-9")
@@ -212,7 +212,7 @@
     other = next(name for name in NODES if name != leader)
     cluster.sim.cut(cluster.ip(leader), cluster.ip(other))
     cluster.run(2)
-    cluster.crash(other, back_after=3.0)
+    cluster.crash(other, restart_after_s=3.0)
     cluster.run(6)
     cluster.sim.heal(cluster.ip(leader), cluster.ip(other))
     cluster.run(5)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -23,10 +23,10 @@
 
 from .ledger_records import record, stored
 from .scenarios import change_leader
-from .simulated_cluster import CANCEL_S, TYPES, SimulatedCluster, spec
+from .simulated_cluster import CANCEL_DEADLINE_S, TYPES, SimulatedCluster, spec
 from .simulated_lending import (
-    CREW,
-    OTHERS,
+    CREW_TEAM,
+    OTHERS_TEAM,
     RECLAIM_DEADLINE_S,
     SimulatedLendingCluster,
     gpu_array,
@@ -77,7 +77,7 @@
     cluster.submit(gpu_array("j-000200", 8, zone="b"), run_time=30.0)
     run_until(cluster, lambda: cluster.count("j-000200") == 8, RECLAIM_DEADLINE_S + 5.0)
     assert cluster.count_stops("j-000100") == 0
-    assert not cluster.seen
+    assert not cluster.seen_reclaims
 
 
 def test_no_victims_are_searched_among_teams_that_borrow_nothing(
@@ -86,7 +86,7 @@
     # With scarce capacity and all teams within their quotas, each search tried every task of every
     # team, and scheduling passes took eight times as long.
     cluster = SimulatedLendingCluster(
-        1, teams=(CREW, Team("others", 0.0, 0.0, 16.0, 64.0)), max_reclaim_s=0.0
+        1, teams=(CREW_TEAM, Team("others", 0.0, 0.0, 16.0, 64.0)), max_reclaim_s=0.0
     )
     cluster.submit(gpu_array("j-000100", 16, "others"), run_time=300.0)
     run_until(cluster, lambda: cluster.count("j-000100") == 16, 60)
@@ -195,7 +195,7 @@
 
 def write_settings(folder: Path, objectives: tuple[Objective, ...] = ()) -> str:
     cluster = SimulatedCluster(
-        team=CREW, other_teams=(Team("guests", 0.0, 0.0, 0.0, 0.0),), objectives=objectives
+        team=CREW_TEAM, other_teams=(Team("guests", 0.0, 0.0, 0.0, 0.0),), objectives=objectives
     )
     path = folder / "node.toml"
     path.write_text(settings_text(cluster.build_settings("hearth-0")))
@@ -259,8 +259,8 @@
 
 def test_the_audit_finds_an_unmet_guarantee_and_an_unjustified_reclaim() -> None:
     # Guards the other tests against an audit that reports nothing.
-    teams = {team.name: team for team in (CREW, OTHERS)}
-    rules = Rules(teams, TYPES, CANCEL_S)
+    teams = {team.name: team for team in (CREW_TEAM, OTHERS_TEAM)}
+    rules = Rules(teams, TYPES, CANCEL_DEADLINE_S)
     audit = LoanAudit(rules, teams, 10.0)
     machine = wire.ListedMachine("n-1", "g8", "a", False, "running", 1.0)
     for job in (gpu_array("j-000100", 12, "others"), gpu_array("j-000200", 4)):
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -24,9 +24,9 @@
 from .scenarios import change_leader, check_final_state, cut_zone, wait_for_leader
 from .simulated_cluster import NODES, SimulatedCluster, gang
 from .simulated_lending import (
-    CREW,
+    CREW_TEAM,
     FIVE_NODES,
-    OTHERS,
+    OTHERS_TEAM,
     RECLAIM_DEADLINE_S,
     SimulatedLendingCluster,
     gpu_array,
@@ -120,7 +120,7 @@
             return original(self, *rest, **named)
         result = original(self, *rest, **named) if is_after else None
         node = next(name for name in cluster.names if cluster.ip(name) == runtime.ip)
-        cluster.crash(node, back_after=6.0)
+        cluster.crash(node, restart_after_s=6.0)
         return result
 
     monkeypatch.setattr(owner, name, call_or_crash)
@@ -233,7 +233,7 @@
         if name != second:
             cluster.crash(name, 0.2)
     cluster.run(1.0)
-    assert change_leader(cluster, back_after=10.0) != second
+    assert change_leader(cluster, restart_after_s=10.0) != second
     cluster.submit(gpu_array("j-000400", 2), run_time=100.0)
     run_until(cluster, lambda: cluster.count("j-000400") == 2, RECLAIM_DEADLINE_S + TAKEOVER_S)
     assert len(cluster.deadlines) == started_count + 2
@@ -275,7 +275,7 @@
 # 5. and 6. Several teams with demand at the same time
 
 
-THREE_TEAMS = (CREW, Team("others", 0.0, 0.0, 4.0, 64.0), Team("third", 0.0, 0.0, 4.0, 64.0))
+THREE_TEAMS = (CREW_TEAM, Team("others", 0.0, 0.0, 4.0, 64.0), Team("third", 0.0, 0.0, 4.0, 64.0))
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -376,10 +376,10 @@
     run_until(cluster, lambda: cluster.count("j-000100") == 16, 30)
     stops = cluster.count_stops("j-000100")
     assert stops >= 8
-    quota_reclaim, seen = get_quota_reclaim(cluster), list(cluster.seen.values())
-    assert len(seen) >= 8
+    quota_reclaim, seen_reclaims = get_quota_reclaim(cluster), list(cluster.seen_reclaims.values())
+    assert len(seen_reclaims) >= 8
     assert not any(
-        quota_reclaim.open_reclaims.find_remaining_victims(reclaim) for reclaim in seen
+        quota_reclaim.open_reclaims.find_remaining_victims(reclaim) for reclaim in seen_reclaims
     ), "the reclaims name the first attempts"
     cluster.run(40.0)
     assert cluster.delivered_copies > 10
@@ -564,7 +564,7 @@
 def test_many_small_jobs_of_a_borrower_while_its_loans_are_reclaimed() -> None:
     # Bounds the reclaims, the pages of the ledger and the writes per second.
     cluster = SimulatedLendingCluster(
-        1, teams=(CREW, OTHERS), max_reclaim_s=RECLAIM_DEADLINE_S + 4.0
+        1, teams=(CREW_TEAM, OTHERS_TEAM), max_reclaim_s=RECLAIM_DEADLINE_S + 4.0
     )
     warm_up(cluster)
     max_pages = max_reclaims = 0
--- a/tests/test_machine_failures.py
+++ b/tests/test_machine_failures.py
@@ -75,7 +75,7 @@
     before = dict(cluster.running)
     heal = cut_zone(cluster, "b")
     cluster.run(4)
-    cluster.crash("hearth-1", back_after=1.0)
+    cluster.crash("hearth-1", restart_after_s=1.0)
     cluster.run(25)
     assert cluster.running == before
     heal()
@@ -137,7 +137,7 @@
     cluster = start_serving_cluster()
     old_leader = cluster.leader()
     assert old_leader
-    cluster.crash(old_leader, back_after=30.0)
+    cluster.crash(old_leader, restart_after_s=30.0)
     assert cluster.run_until(
         lambda: (new := cluster.leader()) is not None and cluster.nodes[new].leader.term.active, 10
     )
@@ -373,7 +373,7 @@
     cluster = start_serving_cluster()
     lost = cluster.find_machine("j-000000/0")
     for name in NODES:
-        cluster.crash(name, back_after=4.0)
+        cluster.crash(name, restart_after_s=4.0)
     cluster.cloud.remove_machine(lost)
     assert cluster.run_until(lambda: cluster.leader() is not None, 8)
     cluster.run(2.5)
--- a/tests/test_message_faults.py
+++ b/tests/test_message_faults.py
@@ -36,7 +36,7 @@
     for _ in range(3):
         leader = wait_for_leader(cluster)
         if crash:
-            cluster.crash(leader, back_after=2.0)
+            cluster.crash(leader, restart_after_s=2.0)
         else:
             cluster.isolate(leader, 6.0)
         cluster.run(7)
@@ -60,7 +60,7 @@
     cluster.inject_machine_fault("cut", [names[0]], 11.0)
     cluster.inject_machine_fault("hung", names[1:2], 30.0)
     cluster.run(16)
-    cluster.crash(wait_for_leader(cluster), back_after=2.0)
+    cluster.crash(wait_for_leader(cluster), restart_after_s=2.0)
     cluster.run(30)
     assert cluster.delivered_copies > 30
     assert (
@@ -80,7 +80,7 @@
         cluster.inject_machine_fault("cut", [name], 2.0 + round_number)
         cluster.inject_machine_fault("hung", [name], 1.0 + round_number / 2)
         if round_number % 3 == 2:
-            cluster.crash(wait_for_leader(cluster), back_after=1.0)
+            cluster.crash(wait_for_leader(cluster), restart_after_s=1.0)
         cluster.run(6)
     check_final_state(cluster)
 
@@ -102,7 +102,7 @@
             cluster.poll_repeatedly(ref)
             cancelled += 1
         if number % 5 == 4:
-            cluster.crash(wait_for_leader(cluster), back_after=1.0)
+            cluster.crash(wait_for_leader(cluster), restart_after_s=1.0)
         cluster.run(1.5)
     while not all(cluster.rules.jobs[f"j-{500 + number:06d}"].final_stage for number in range(20)):
         cluster.run(0.5)
@@ -172,7 +172,7 @@
     cluster.slow_down_state_service(1.0, 10.0)
     cluster.call(node, "GET", f"{wire.JOBS}/j-000000", None, lambda *_: None)
     cluster.run(0.05)
-    cluster.crash(node, back_after=0.1)
+    cluster.crash(node, restart_after_s=0.1)
     assert cluster.run_until(
         lambda: (
             cluster.nodes[node].election.is_available and cluster.sim.hosts[cluster.ip(node)].alive
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,7 +13,7 @@
 from flaxtally.protocol import wire
 
 from .scenarios import check_final_state, start_busy_cluster, submit_steady_load, wait_for_leader
-from .simulated_cluster import STATE, SimulatedCluster, batch, spec
+from .simulated_cluster import STATE_ADDRESS, SimulatedCluster, batch, spec
 
 
 def start_poll_storm(
@@ -48,11 +48,11 @@
     refs = list(cluster.specs)
     before = cluster.state.requests
     replies = start_poll_storm(cluster, refs, 30.0)
-    submit_steady_load(cluster, 30.0, every=0.5)
+    submit_steady_load(cluster, 30.0, interval_s=0.5)
     cluster.run(10)
     leader = wait_for_leader(cluster)
     if fault == "crash":
-        cluster.crash(leader, back_after=3.0)
+        cluster.crash(leader, restart_after_s=3.0)
     elif fault == "refuse":
         cluster.refuse(leader, 12.0)
     elif fault == "isolate":
@@ -64,7 +64,7 @@
             cluster.ip(leader), [cluster.get_machine_ip(name) for name in cluster.workers], 15.0
         )
     elif fault == "state":
-        cluster.cut(cluster.ip(leader), [STATE[0]], 15.0)
+        cluster.cut(cluster.ip(leader), [STATE_ADDRESS[0]], 15.0)
     elif fault == "network":
         cluster.cut(
             cluster.ip(leader), [ip for ip in cluster.sim.hosts if ip != cluster.ip(leader)], 15.0
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -56,7 +56,7 @@
     cluster = start_busy_cluster(services=8, run_time=60.0)
     old, before = wait_for_leader(cluster), term(cluster)
     frozen = old if who == "leader" else next(name for name in cluster.names if name != old)
-    submit_steady_load(cluster, 40.0, every=1.0)
+    submit_steady_load(cluster, 40.0, interval_s=1.0)
     cluster.run(3)
     machines = set(cluster.workers)
     services = {task: at for task, at in cluster.running.items() if task < "j-000008"}
@@ -127,7 +127,7 @@
     cluster: SimulatedCluster = start_busy_cluster(arrays=0)
     old = wait_for_leader(cluster)
     others = [name for name in cluster.names if name != old]
-    cluster.crash(old, back_after=3.0)
+    cluster.crash(old, restart_after_s=3.0)
     # The candidate that has sent its takeover is paused until another controller leads.
     assert cluster.run_until(
         lambda: any(cluster.nodes[name].election.role is Role.CANDIDATE for name in others), 10
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -33,7 +33,7 @@
 
 TEAM = Team("crew", 10.0, 40.0, 4.0, 8.0)
 CELLS = ["east", "north", "south"]
-STATE = ("10.2.0.1", 2379)
+STATE_ADDRESS = ("10.2.0.1", 2379)
 PERIOD_S = 1.0
 
 
@@ -109,7 +109,7 @@
         runtime = cluster.sim.host(host)
         self.quota_rebalancer = QuotaRebalancer(
             runtime,
-            KeyValueStore(runtime, STATE, 1.5, 0.5),
+            KeyValueStore(runtime, STATE_ADDRESS, 1.5, 0.5),
             cell,
             lambda: ["north", "south"],
             cluster.teams,
@@ -131,7 +131,7 @@
     def __init__(self, *other_teams: Team) -> None:
         self.teams = {team.name: team for team in (TEAM, *other_teams)}
         self.sim = Simulation(1)
-        self.state = FakeKeyValueStore(self.sim.host(STATE[0]), STATE)
+        self.state = FakeKeyValueStore(self.sim.host(STATE_ADDRESS[0]), STATE_ADDRESS)
         self.north, self.south = Cell(self, "north", "10.0.0.1"), Cell(self, "south", "10.0.0.2")
         self.north.quota_rebalancer.begin_term(1)
         self.south.quota_rebalancer.begin_term(1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,7 +11,7 @@
 from flaxtally.protocol import wire
 from flaxtally.settings import Team
 
-from .simulated_cluster import CANCEL_S, TYPES, batch, spec
+from .simulated_cluster import CANCEL_DEADLINE_S, TYPES, batch, spec
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 def create_rules(job: wire.Spec | None = None) -> Rules:
     """Creates rules with a job that was accepted at 1 s and whose task 0 runs on n-0 since 2 s."""
-    rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
+    rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_DEADLINE_S)
     rules.record_submission(job or batch(REF, 2))
     rules.record_reply("submit", REF, 0.5, 1.0, 201, {"ref": REF, "stage": "pending"})
     rules.record_start(f"{REF}/0", 1, listed("n-0"), 2.0)
@@ -55,9 +55,9 @@
 
 def ran_cancelled(rules: Rules) -> None:
     cancelled(rules)
-    rules.check_deadlines(3.0 + CANCEL_S)
+    rules.check_deadlines(3.0 + CANCEL_DEADLINE_S)
     assert not rules.broken
-    rules.check_deadlines(3.2 + CANCEL_S)
+    rules.check_deadlines(3.2 + CANCEL_DEADLINE_S)
 
 
 def started_cancelled(rules: Rules) -> None:
@@ -157,7 +157,7 @@
 )
 def test_a_task_on_a_machine_that_its_job_excludes_is_found(change: dict[str, object]) -> None:
     """Each constraint on a job's machines must be checked: type, zone, spot, one zone, spread."""
-    rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_S)
+    rules = Rules({"crew": Team("crew", 0.0, 20.0, 0.0, 8.0)}, TYPES, CANCEL_DEADLINE_S)
     job = msgspec.structs.replace(batch(REF, 4), **change)
     rules.record_submission(job)
     rules.record_start(
--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -82,7 +82,7 @@
     # processors: a leader must still be found within a few terms, and cancellations must work.
     cluster = start_loaded_cluster(seed=6)
     for name in cluster.names:
-        cluster.crash(name, back_after=2.0)
+        cluster.crash(name, restart_after_s=2.0)
     cluster.run(2.1)
     for name in cluster.names:
         cluster.slow_down_processor(name, CALL_S, 15.0)
--- a/tests/test_state_service_faults.py
+++ b/tests/test_state_service_faults.py
@@ -97,11 +97,11 @@
     # Leaders crash, are isolated or are refused by the state service, some just before an outage.
     cluster = start_busy_cluster()
     first = term(cluster)
-    submit_steady_load(cluster, 100.0, every=1.0)
+    submit_steady_load(cluster, 100.0, interval_s=1.0)
     for turn in range(12):
         leader = wait_for_leader(cluster, 30)
         if turn % 3 == 0:
-            cluster.crash(leader, back_after=1.0)
+            cluster.crash(leader, restart_after_s=1.0)
         elif turn % 3 == 1:
             cluster.isolate(leader, 8.0)
         else:
@@ -177,7 +177,7 @@
         cluster.submit(batch(f"j-{100 + number:06d}", 3), run_time=15.0, node=number)
     assert cluster.run_until(lambda: len(cluster.running) >= 6, 30), cluster.trace
     working = {cluster.find_machine(task) for task in cluster.running}
-    cluster.crash(wait_for_leader(cluster), back_after=3.0)
+    cluster.crash(wait_for_leader(cluster), restart_after_s=3.0)
     cluster.run(12)
     assert working <= set(cluster.workers), cluster.trace
     check_final_state(cluster)
@@ -285,7 +285,7 @@
         cluster.state.rows["p/00000001"] = damage, *intact[1:]
         caplog.clear()
         with caplog.at_level(logging.ERROR):
-            cluster.crash(wait_for_leader(cluster), back_after=1.0)
+            cluster.crash(wait_for_leader(cluster), restart_after_s=1.0)
             cluster.run(4)
         assert [record.message.split()[0] for record in caplog.records] == ["event=ledger_damaged"]
         assert not any(node.election.is_ready for node in cluster.nodes.values())
--- a/tests/test_storms.py
+++ b/tests/test_storms.py
@@ -18,7 +18,7 @@
 from flaxtally.runtime.http import Client
 from flaxtally.settings import Settings, Team
 
-from .simulated_cluster import CANCEL_S, NODES, TYPES, SimulatedCluster, batch, spec
+from .simulated_cluster import CANCEL_DEADLINE_S, NODES, TYPES, SimulatedCluster, batch, spec
 
 MACHINES = int(os.environ.get("FLAXTALLY_MACHINES", "120"))
 REPLICAS = 4
@@ -154,13 +154,13 @@
     # stopped, and all must be confirmed afterwards.
     cluster = LargeCluster()
     cancelled = cluster.services[:: max(1, len(cluster.services) // (MACHINES // 8))]
-    cluster.start_state_outage(CANCEL_S + 6.0)
+    cluster.start_state_outage(CANCEL_DEADLINE_S + 6.0)
     for number, ref in enumerate(cancelled):
         cluster.after(0.01 * number, cluster.cancel, ref, number)
-    cluster.run(CANCEL_S)
+    cluster.run(CANCEL_DEADLINE_S)
     assert not cluster.reported_cancelled_at
     assert set(cluster.sessions()) == {1}
-    cluster.run(CANCEL_S)
+    cluster.run(CANCEL_DEADLINE_S)
     assert set(cluster.reported_cancelled_at) == set(cancelled)
     assert not any(cluster.count(ref) for ref in cancelled)
 
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -36,7 +36,7 @@
     cluster.submit(spec("j-000001", tasks=2))
     cluster.submit(batch("j-000002", 2), run_time=20.0, node=1)
     cluster.run_until(lambda: len(cluster.running) == 4, 60)
-    cluster.crash(cluster.leader() or "", back_after=5.0)
+    cluster.crash(cluster.leader() or "", restart_after_s=5.0)
     cluster.submit(spec("j-000003"), node=1)
     cluster.run(30)
     cluster.add_trace_line(
@@ -61,7 +61,7 @@
     cluster.submit(spec("j-000001", tasks=2))
     cluster.run_until(lambda: len(cluster.running) == 2, 60)
     for name in NODES:
-        cluster.crash(name, back_after=5.0)
+        cluster.crash(name, restart_after_s=5.0)
     cluster.add_trace_line("the state service has trouble")
     cluster.state.down = True
     cluster.run(12)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -82,7 +82,7 @@
     old = wait_for_leader(cluster)
     for turn in range(24):
         cluster.run(1.0 + 0.37 * (turn % 6) + 0.11 * seed)
-        new = change_leader(cluster, back_after=0.5)
+        new = change_leader(cluster, restart_after_s=0.5)
         handovers.add((old in cluster.upgraded, new in cluster.upgraded))
         old = new
         if {(True, False), (False, True)} <= handovers:
@@ -98,7 +98,7 @@
     cluster.upgrade(NODES[0])
     cluster.upgrade(NODES[1])
     cluster.run(4.0)
-    cluster.crash(NODES[2], back_after=1.0)
+    cluster.crash(NODES[2], restart_after_s=1.0)
     cluster.run(10.0)
     assert cluster.format == formats.FIRST
     cluster.upgrade(NODES[2])
@@ -138,14 +138,14 @@
     assert cluster.run_until(lambda: NODES[2] in cluster.state.rows["formats"][0]["newest"], 10.0)
     cluster.crash(NODES[2])
     for name in NODES[:2]:
-        cluster.crash(name, back_after=1.0)
+        cluster.crash(name, restart_after_s=1.0)
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 30.0)
 
 
 def test_format_raise_whose_reply_is_lost() -> None:
     # The transaction that raises the format may be applied although its reply never arrives.
     cluster = start_serving_cluster(upgraded=NODES[:2])
-    cluster.upgrade(NODES[2], back_after=2.0)
+    cluster.upgrade(NODES[2], restart_after_s=2.0)
     cluster.lose_writes(0.7, 12.0, at_once=True)
     cluster.run(15.0)
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 20.0)
@@ -159,7 +159,7 @@
     cluster = start_serving_cluster()
     cluster.lose_writes(0.5, 20.0)
     submit_small_jobs(cluster)
-    cluster.roll_out_upgrade(every=5.0)
+    cluster.roll_out_upgrade(interval_s=5.0)
     cluster.run(20.0)
     assert cluster.state.late_statuses
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 20.0)
@@ -172,7 +172,7 @@
     # or reported any more.
     cluster = start_serving_cluster()
     submit_small_jobs(cluster)
-    cluster.roll_out_upgrade(every=6.0)
+    cluster.roll_out_upgrade(interval_s=6.0)
     if situation == "lost_answers":
         cluster.lose_writes(0.5, 10.0)
     if situation == "team_at_limit":
@@ -223,7 +223,7 @@
     cluster.state.rows[newest] = {"r": [*value["r"], ["V", 99]]}, stamp, lease
     before = dict(cluster.running)
     for name in NODES:
-        cluster.crash(name, back_after=0.5)
+        cluster.crash(name, restart_after_s=0.5)
     cluster.run(12.0)
     assert cluster.leader() is None
     refusals = [entry for entry in caplog.records if "event=leadership_refused" in entry.message]
@@ -236,7 +236,7 @@
     # Pages that exceed the announced limits would be refused once the state service enforces them.
     assert LOWERED_LIMITS.value_bytes == 2048
     cluster = start_serving_cluster()
-    cluster.roll_out_upgrade(every=6.0)
+    cluster.roll_out_upgrade(interval_s=6.0)
     largest_bytes = max(
         len(msgspec.json.encode(value))
         for key, (value, stamp, _) in cluster.state.rows.items()
@@ -286,7 +286,7 @@
     if loses_machine:
         cluster.cloud.remove_machine(cluster.find_machine("j-000200/0"))
         cluster.run(3.0)
-    cluster.roll_out_upgrade(every=6.0)
+    cluster.roll_out_upgrade(interval_s=6.0)
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 20.0)
     check_final_state(cluster, 120.0)
     assert cluster.query_job("j-000200")[1]["stage"] == wire.DONE
@@ -295,7 +295,7 @@
 def test_state_service_refuses_only_the_leader_during_the_raise() -> None:
     # If only the leader is refused, leadership must pass on and the format must still be raised.
     cluster = start_serving_cluster(upgraded=NODES[:2])
-    cluster.upgrade(NODES[2], back_after=1.0)
+    cluster.upgrade(NODES[2], restart_after_s=1.0)
     cluster.run(1.0)
     cluster.refuse(wait_for_leader(cluster), 8.0)
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 30.0)
@@ -311,7 +311,7 @@
     assert cluster.run_until(lambda: cluster.query_job("j-000300")[1]["stage"] == wire.DONE, 60.0)
     cluster.cancel("j-000001")
     assert cluster.run_until(lambda: "j-000001" in cluster.reported_cancelled_at, 30.0)
-    cluster.roll_out_upgrade(every=6.0)
+    cluster.roll_out_upgrade(interval_s=6.0)
     assert cluster.query_job("j-000300")[1]["stage"] == wire.DONE
     assert cluster.query_job("j-000001")[1]["stage"] == wire.ABORTED
     assert cluster.query_job("j-000000")[1]["stage"] == wire.RUNNING
@@ -340,7 +340,7 @@
     for number in range(160):
         cluster.after(0.2 * number, cluster.submit, batch(f"j-{1000 + number:06d}", 6), 1.0, number)
     cluster.run(40.0)
-    cluster.roll_out_upgrade(every=5.0)
+    cluster.roll_out_upgrade(interval_s=5.0)
     compacting = [False]
 
     def is_compacting() -> bool:
--- a/tools/wire_digest.py
+++ b/tools/wire_digest.py
@@ -122,8 +122,8 @@
     def pick_controller(self) -> str:
         return self.random.choice(self.controllers)
 
-    def crash(self, controller: str, back_after: float = 4.0) -> None:
-        self.cluster.crash(controller, back_after=back_after)
+    def crash(self, controller: str, restart_after_s: float = 4.0) -> None:
+        self.cluster.crash(controller, restart_after_s=restart_after_s)
 
     def change_leader(self) -> None:
         scenarios.change_leader(self.cluster)
