--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -48,10 +48,10 @@
         teams: tuple[Team, ...] = (CREW_TEAM, OTHERS_TEAM),
         nodes: tuple[str, ...] = NODES,
         capacity: int = 1,
-        max_reclaim_s: float = RECLAIM_DEADLINE_S,
+        max_shortfall_s: float = RECLAIM_DEADLINE_S,
         nodes_without_lending: tuple[str, ...] = (),
     ) -> None:
-        """`max_reclaim_s`: the audit's bound; `nodes_without_lending` lack the feature."""
+        """`max_shortfall_s`: the audit's bound; `nodes_without_lending` lack the feature."""
         self.nodes_without_lending = set(nodes_without_lending)
         self.stopped_tasks: list[tuple[float, str, int]] = []
         """Tasks that stopped on command: time, task and attempt."""
@@ -59,7 +59,7 @@
         """Deadline of each reclaim seen in the ledger."""
         self.seen_reclaims: dict[int, Reclaim] = {}
         super().__init__(seed, team=teams[0], other_teams=teams[1:], nodes=nodes, capacity=capacity)
-        self.audit = LoanAudit(self.rules, self.teams, max_reclaim_s)
+        self.audit = LoanAudit(self.rules, self.teams, max_shortfall_s)
 
     def lending_of(self, node: str) -> LendingFeature | None:
         return None if node in self.nodes_without_lending else FEATURE
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -86,7 +86,7 @@
     # With scarce capacity and all teams within their quotas, each search tried every task of every
     # team, and scheduling passes took eight times as long.
     cluster = SimulatedLendingCluster(
-        1, teams=(CREW_TEAM, Team("others", 0.0, 0.0, 16.0, 64.0)), max_reclaim_s=0.0
+        1, teams=(CREW_TEAM, Team("others", 0.0, 0.0, 16.0, 64.0)), max_shortfall_s=0.0
     )
     cluster.submit(gpu_array("j-000100", 16, "others"), run_time=300.0)
     run_until(cluster, lambda: cluster.count("j-000100") == 16, 60)
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -135,7 +135,7 @@
     # Guards against capacity that is reclaimed late or twice after a takeover. Eight tasks are
     # reclaimed: these are all the crash points of this seed's run.
     cluster = start_cluster_with_loans(
-        seed=1, nodes=FIVE_NODES, max_reclaim_s=RECLAIM_DEADLINE_S + TAKEOVER_S
+        seed=1, nodes=FIVE_NODES, max_shortfall_s=RECLAIM_DEADLINE_S + TAKEOVER_S
     )
     has_crashed = crash_at(cluster, STEPS[step], nth, monkeypatch)
     since = submit_lender_job(cluster, node=nth)
@@ -158,7 +158,7 @@
 ) -> None:
     # The old leader doesn't know whether its records are stored: delayed copies of the writes must
     # not start or repeat a reclaim.
-    cluster = start_cluster_with_loans(seed, max_reclaim_s=RECLAIM_DEADLINE_S + TAKEOVER_S + 12.0)
+    cluster = start_cluster_with_loans(seed, max_shortfall_s=RECLAIM_DEADLINE_S + TAKEOVER_S + 12.0)
     cluster.lose_writes(1.0, 2.0, at_once)
     since = submit_lender_job(cluster)
     cluster.run(1.0)
@@ -179,7 +179,7 @@
 ) -> None:
     # The state service rejects first the leader, then all controllers: the next leader must finish
     # the same reclaims instead of starting others.
-    cluster = SimulatedLendingCluster(seed, max_reclaim_s=3 * RECLAIM_DEADLINE_S + TAKEOVER_S)
+    cluster = SimulatedLendingCluster(seed, max_shortfall_s=3 * RECLAIM_DEADLINE_S + TAKEOVER_S)
     borrow(cluster, **SLOW_SAVE)
     submit_lender_job(cluster, 4)
     run_until(cluster, lambda: len(cluster.recalls()) == 4, 5)
@@ -211,7 +211,7 @@
 def test_a_leader_without_the_feature_finishes_reclaims_and_starts_none(seed: int) -> None:
     # While the feature is being enabled or disabled, controllers differ: open reclaims must still
     # be finished by whichever leads.
-    cluster = SimulatedLendingCluster(seed, max_reclaim_s=200.0)
+    cluster = SimulatedLendingCluster(seed, max_shortfall_s=200.0)
     borrow(cluster, **SLOW_SAVE)
     submit_lender_job(cluster, 4)
     run_until(cluster, lambda: len(cluster.recalls()) == 4, 5)
@@ -247,7 +247,7 @@
 def test_a_rolling_upgrade_from_production_while_capacity_is_lent() -> None:
     # Until all controllers are upgraded, the new version must not write records of reclaims, which
     # the version in production can't read.
-    cluster = RollingCluster(seed=3, max_reclaim_s=200.0)
+    cluster = RollingCluster(seed=3, max_shortfall_s=200.0)
     cluster.submit(gpu_array("j-000100", 16, "others", checkpoint_save_s=1.0), run_time=400.0)
     run_until(cluster, lambda: cluster.count("j-000100") == 16, 60)
     # The version in production stops tasks one by one, without a record.
@@ -282,7 +282,7 @@
 def test_two_teams_borrow_the_same_quota_while_the_lender_submits_work(seed: int) -> None:
     # The lender must get its quota back from two borrowers, neither of which falls below its own.
     cluster = SimulatedLendingCluster(
-        seed, teams=THREE_TEAMS, max_reclaim_s=RECLAIM_DEADLINE_S + TAKEOVER_S
+        seed, teams=THREE_TEAMS, max_shortfall_s=RECLAIM_DEADLINE_S + TAKEOVER_S
     )
     warm_up(cluster)
     cluster.submit(gpu_array("j-000100", 16, "others"), run_time=300.0, node=0)
@@ -308,7 +308,7 @@
 def test_lender_and_borrower_submit_work_while_the_leader_is_frozen(seed: int) -> None:
     # The next leader sees both demands at once; the frozen one must not act on its old state when
     # it resumes.
-    cluster = SimulatedLendingCluster(seed, max_reclaim_s=RECLAIM_DEADLINE_S + 2 * TAKEOVER_S)
+    cluster = SimulatedLendingCluster(seed, max_shortfall_s=RECLAIM_DEADLINE_S + 2 * TAKEOVER_S)
     borrow(cluster, run_time=30.0)
     frozen = wait_for_leader(cluster)
     cluster.freeze(frozen, 11.0)
@@ -340,7 +340,9 @@
 @pytest.mark.parametrize("fault", list(MACHINE_FAULTS))
 def test_a_reclaim_moves_when_the_borrowed_machine_fails(fault: str) -> None:
     # The capacity must come from another machine, under the same reclaim and within its deadline.
-    cluster = SimulatedLendingCluster(2, capacity=2, max_reclaim_s=RECLAIM_DEADLINE_S + TAKEOVER_S)
+    cluster = SimulatedLendingCluster(
+        2, capacity=2, max_shortfall_s=RECLAIM_DEADLINE_S + TAKEOVER_S
+    )
     borrow(cluster, 32, **SLOW_SAVE)
     since = submit_lender_job(cluster, 2)
     run_until(cluster, lambda: len(cluster.recalls()) == 2, 5)
@@ -363,7 +365,7 @@
 def test_late_stops_and_heartbeats_do_not_affect_the_next_attempt(seed: int) -> None:
     # A stop that is repeated or delayed must not stop the task's next attempt, and an old heartbeat
     # must not count for it.
-    cluster = SimulatedLendingCluster(seed, max_reclaim_s=RECLAIM_DEADLINE_S + 20.0)
+    cluster = SimulatedLendingCluster(seed, max_shortfall_s=RECLAIM_DEADLINE_S + 20.0)
     borrow(cluster)
     cluster.duplicate_heartbeats(0.5, 30.0)
     # The machine's replies are late: stops are sent to it repeatedly, and delayed.
@@ -440,7 +442,7 @@
 @pytest.mark.parametrize("run_s", [4.5, 5.0, 5.5])
 def test_tasks_reclaimed_around_a_checkpoint_are_spared_by_the_next_reclaim(run_s: float) -> None:
     # Guards against reclaims that stop the same tasks again before their next checkpoint.
-    cluster = SimulatedLendingCluster(1, max_reclaim_s=RECLAIM_DEADLINE_S + 1.0)
+    cluster = SimulatedLendingCluster(1, max_shortfall_s=RECLAIM_DEADLINE_S + 1.0)
     warm_up(cluster)
     cluster.submit(
         gpu_array("j-000100", 16, "others", checkpoint_interval_s=10.0, **SLOW_SAVE), run_time=300.0
@@ -465,7 +467,7 @@
 
 def test_a_borrowing_gang_is_stopped_though_one_machine_receives_no_replies() -> None:
     # A gang is stopped as a whole: the capacity of the other machines must not wait indefinitely.
-    cluster = SimulatedLendingCluster(2, max_reclaim_s=2 * RECLAIM_DEADLINE_S)
+    cluster = SimulatedLendingCluster(2, max_shortfall_s=2 * RECLAIM_DEADLINE_S)
     warm_up(cluster)
     gang_spec = gang("j-000100", 16, team="others", gpus=1.0, one_zone=False, rank="standard")
     cluster.submit(msgspec.structs.replace(gang_spec, cores=3.0, memory_gb=16.0), run_time=300.0)
@@ -490,7 +492,7 @@
 def test_three_teams_lend_in_turn_beside_one_without_a_quota(seed: int) -> None:
     # Each team is lender, borrower and lender again: reclaims must not block each other or remain.
     cluster = SimulatedLendingCluster(
-        seed, teams=(*TEAMS_IN_TURN, TEAM_WITHOUT_QUOTA), max_reclaim_s=RECLAIM_DEADLINE_S
+        seed, teams=(*TEAMS_IN_TURN, TEAM_WITHOUT_QUOTA), max_shortfall_s=RECLAIM_DEADLINE_S
     )
     warm_up(cluster)
     for turn in range(6):
@@ -523,7 +525,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_quota_is_lowered_while_it_is_being_reclaimed(seed: int) -> None:
     # Reclaims beyond the new quota must end, and no task may be stopped without use.
-    cluster = LoweredQuotaCluster(seed, max_reclaim_s=500.0)
+    cluster = LoweredQuotaCluster(seed, max_shortfall_s=500.0)
     borrow(cluster, **SLOW_SAVE)
     submit_lender_job(cluster, 8)
     run_until(cluster, lambda: len(cluster.recalls()) > 1, 5)
@@ -541,7 +543,7 @@
 
 def test_a_quota_is_removed_before_any_stop_is_sent(monkeypatch: pytest.MonkeyPatch) -> None:
     # The next leader's settings grant the lender nothing: its committed reclaims must be withdrawn.
-    cluster = LoweredQuotaCluster(1, max_reclaim_s=500.0)
+    cluster = LoweredQuotaCluster(1, max_shortfall_s=500.0)
     cluster.lowered_to = 0.0
     borrow(cluster)
     first = wait_for_leader(cluster)
@@ -564,7 +566,7 @@
 def test_many_small_jobs_of_a_borrower_while_its_loans_are_reclaimed() -> None:
     # Bounds the reclaims, the pages of the ledger and the writes per second.
     cluster = SimulatedLendingCluster(
-        1, teams=(CREW_TEAM, OTHERS_TEAM), max_reclaim_s=RECLAIM_DEADLINE_S + 4.0
+        1, teams=(CREW_TEAM, OTHERS_TEAM), max_shortfall_s=RECLAIM_DEADLINE_S + 4.0
     )
     warm_up(cluster)
     max_pages = max_reclaims = 0
--- a/tools/wire_digest.py
+++ b/tools/wire_digest.py
@@ -176,7 +176,7 @@
 
 
 def build_lending_scenario(seed: int) -> Scenario:
-    return Scenario(seed, SimulatedLendingCluster(seed, max_reclaim_s=MAX_RECLAIM_S))
+    return Scenario(seed, SimulatedLendingCluster(seed, max_shortfall_s=MAX_RECLAIM_S))
 
 
 @contextlib.contextmanager
