--- a/tests/production.py
+++ b/tests/production.py
@@ -1,8 +1,9 @@
 """Imports the version in production beside the current one, for tests in which both run.
 
 Its sources are extracted from the repository's history, at the commit that `deploy/service.toml`
-names. In a clone without that commit, the tests that need it are skipped with that reason; what
-production wrote is still checked by the stored fixtures (`tests/test_formats.py`).
+names. In a clone without that commit, the tests that need it are skipped with that reason; that
+the current version reads what production stored is still checked against the fixtures
+(`tests/test_formats.py`).
 """
 
 from __future__ import annotations
--- a/tests/scenarios.py
+++ b/tests/scenarios.py
@@ -32,6 +32,7 @@
 
 
 def wait_for_leader(cluster: SimulatedCluster, timeout_s: float = 15.0) -> str:
+    """Returns the leader; fails the test if there is none within the timeout."""
     assert cluster.run_until(lambda: cluster.leader() is not None, timeout_s), cluster.trace
     return cluster.leader() or ""
 
@@ -46,11 +47,12 @@
 
 
 def term(cluster: SimulatedCluster) -> int:
+    """Returns the highest term that any controller knows."""
     return max(node.election.term for node in cluster.nodes.values())
 
 
 def submit_steady_load(cluster: SimulatedCluster, for_s: float, interval_s: float = 0.5) -> None:
-    """Submits small jobs all the time; every third one is cancelled a little later."""
+    """Schedules a small job every `interval_s`; every third one is cancelled 2 to 5 s later."""
     for number in range(int(for_s / interval_s)):
         ref = f"j-{5000 + number:06d}"
         cluster.after(
@@ -65,7 +67,11 @@
 
 
 def check_final_state(cluster: SimulatedCluster, for_s: float = 110.0) -> None:
-    """After all faults: every accepted job is known, arrays are done or run, services run."""
+    """Runs without faults, then checks the accepted jobs.
+
+    No task of a job reported as aborted runs, unfinished arrays and gangs have all their tasks
+    running or done, and services that nobody cancelled run all their replicas.
+    """
     cluster.run_without_faults(for_s)
     for ref, job in cluster.specs.items():
         checked = cluster.rules.jobs[ref]
@@ -74,8 +80,8 @@
         if checked.final_stage == wire.ABORTED:
             assert cluster.count(ref) == 0
         elif job.job_kind in (wire.ARRAY, wire.GANG):
-            has_ended = checked.final_stage == wire.DONE or checked.is_cancel_requested
-            assert has_ended or len(checked.done) + cluster.count(ref) == job.tasks, (
+            is_finished = checked.final_stage == wire.DONE or checked.is_cancel_requested
+            assert is_finished or len(checked.done) + cluster.count(ref) == job.tasks, (
                 ref,
                 cluster.query_job(ref),
                 cluster.trace[-40:],
@@ -85,7 +91,10 @@
 
 
 def cut_zone(cluster: SimulatedCluster, zone: str) -> Callable[[], None]:
-    """Cuts a zone's controllers and machines off from the rest; returns a function to heal it."""
+    """Cuts a zone's controllers and machines off from all other hosts.
+
+    Returns a function that heals the cut.
+    """
     inside = {
         cluster.ip(name) for number, name in enumerate(cluster.names) if "ab"[number % 2] == zone
     }
@@ -101,7 +110,7 @@
 
 
 def cut_controllers(cluster: SimulatedCluster) -> Callable[[], None]:
-    """Cuts the controllers off from each other only; returns a function to heal it."""
+    """Cuts the controllers off from each other only; returns a function that heals the cut."""
     pairs = [(a, b) for a in cluster.names for b in cluster.names if a < b]
     for a, b in pairs:
         cluster.sim.cut(cluster.ip(a), cluster.ip(b))
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -23,7 +23,7 @@
 
 
 def cell_map(version: int = 1, **closed: bool) -> CellMap:
-    """The map of the two cells; `north=False` closes that cell."""
+    """Returns the map of the two cells; `north=False` closes that cell to new jobs."""
     cells = []
     for name, zone in ((NORTH, "a"), (SOUTH, "b")):
         controllers = tuple(node for node in CELL_NODES if node.startswith(name))
@@ -32,10 +32,13 @@
 
 
 class SimulatedCells(SimulatedCluster):
-    """Six controllers, three per cell, on one state service; ledgers and shares are audited."""
+    """Six controllers, three per cell, on one state service.
 
-    def __init__(self, seed: int = 1, team: Team = TEAM, **more: Any) -> None:
-        super().__init__(seed, team=team, nodes=CELL_NODES, **more)
+    Ledgers and shares are audited every 0.5 s of simulated time.
+    """
+
+    def __init__(self, seed: int = 1, team: Team = TEAM, **cluster_options: Any) -> None:
+        super().__init__(seed, team=team, nodes=CELL_NODES, **cluster_options)
         self.after(0.5, self._audit)
 
     def build_cell_setup(self, settings: Settings) -> CellSetup:
@@ -57,7 +60,10 @@
         return [name for name in CELL_NODES if name.startswith(cell)]
 
     def cut_off(self, nodes: list[str], for_s: float) -> None:
-        """Cuts controllers from state service and the others; their workers still reach them."""
+        """Cuts these controllers off from the state service and from all controllers not listed.
+
+        Their workers still reach them.
+        """
         for node in nodes:
             others = [self.ip(name) for name in self.names if name not in nodes]
             self.cut(self.ip(node), [STATE_ADDRESS[0], *others], for_s)
@@ -70,7 +76,7 @@
         self.put(MAP_KEY, msgspec.to_builtins(newer))
 
     def map_versions(self) -> dict[str, int]:
-        """The version of the cell map that each running controller has."""
+        """Returns the version of the cell map at each running controller."""
         return {
             name: node.membership.map_watcher.index.version
             for name, node in self.nodes.items()
@@ -78,22 +84,24 @@
         }
 
     def shares(self, team: str = TEAM.name) -> TeamShares:
+        """Returns the team's shares as stored, and the requests for more."""
         value = self.state.rows[SHARE_KEY_PREFIX + team][0]
         return msgspec.convert(value, TeamShares)
 
     def share(self, cell: str) -> Amount:
+        """Returns the cell's share of the limit of the default team."""
         return self.shares().share(cell)
 
     def find_cells_with_job(self, ref: str) -> set[str]:
-        """The cells whose ledgers have accepted the job."""
+        """Returns the cells in whose ledgers the job is accepted."""
         found = set()
         for key, (value, _, _) in self.state.rows.items():
-            words = key.split("/")
-            if words[0] == "cell" and words[2] == "p":
+            parts = key.split("/")
+            if parts[0] == "cell" and parts[2] == "p":
                 for stored in value["r"]:
                     record = decode_record(stored)
                     if isinstance(record, JobAccepted) and record.ref == ref:
-                        found.add(words[1])
+                        found.add(parts[1])
         return found
 
     def _audit(self) -> None:
--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -38,7 +38,7 @@
     from flaxtally.cells.membership import CellSetup
     from flaxtally.lending.feature import LendingFeature
 
-STATE_ADDRESS, CLOUD, USER = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
+STATE_ADDRESS, CLOUD_ADDRESS, USER_IP = ("10.2.0.1", 2379), ("10.2.0.2", 8443), "10.3.0.1"
 GANG_RENDEZVOUS_IP = "10.3.0.2"
 NODES = ("hearth-0", "hearth-1", "hearth-2")
 ZONES = ("a", "b")
@@ -47,11 +47,13 @@
     wire.MachineType("g8", 32.0, 8.0, 256.0, 200.0, 4.0, 12.0, 4.0, 10.0, list(ZONES)),
 ]
 CANCEL_DEADLINE_S = 30.0
+"""Seconds after a cancellation was reported by which no task of the job may run."""
 GANG_WAIT_S, GANG_PEER_S = 20.0, 4.0
+"""The settings `gang_wait_s` and `gang_peer_s`, in seconds."""
 
 
 def spec(ref: str, **changes: Any) -> wire.Spec:
-    """A job: by default a critical service with one small replica."""
+    """Returns the specification of a job: by default a critical service with one small replica."""
     base = wire.Spec(
         ref,
         "gate",
@@ -78,7 +80,7 @@
 
 
 def batch(ref: str, tasks: int, **changes: Any) -> wire.Spec:
-    """An array of GPU tasks that may run on spot machines."""
+    """Returns the specification of an array of GPU tasks that may run on spot machines."""
     return spec(
         ref,
         job_class="batch",
@@ -96,7 +98,7 @@
 
 
 def gang(ref: str, tasks: int = 4, **changes: Any) -> wire.Spec:
-    """A gang that saves checkpoints, by default in one zone."""
+    """Returns the specification of a gang that saves checkpoints, by default in one zone."""
     defaults: dict[str, Any] = {
         "job_class": "gang",
         "job_kind": wire.GANG,
@@ -124,6 +126,11 @@
         objectives: tuple[Objective, ...] = (),
         other_teams: tuple[Team, ...] = (),
     ) -> None:
+        """Starts all controllers.
+
+        `value_bytes` and `txn_ops`: the configured limits of the state service; `capacity`: the
+        machines that the cloud can provision in each pool.
+        """
         self.value_bytes, self.txn_ops = value_bytes, txn_ops
         self.names, self.objectives = nodes, objectives
         self.sim = Simulation(seed)
@@ -135,8 +142,9 @@
         self.trace: list[str] = []
         self.teams = {team.name: team for team in (self.team, *other_teams)}
         self.rules = Rules(self.teams, TYPES, CANCEL_DEADLINE_S)
-        self.calm_since = float("inf")
+        self.faults_ended_at = float("inf")
         self.delivered_copies = 0
+        """Number of duplicated heartbeats that were sent to a controller."""
         self._duplicate_fraction, self._duplicate_in_next_term = 0.0, False
         self._kept_heartbeats: list[tuple[int, wire.Heartbeat]] = []
         self.broken: set[str] = set()
@@ -154,8 +162,8 @@
             self.sim.host(STATE_ADDRESS[0]), STATE_ADDRESS, random.Random(seed)
         )
         self.cloud = Cloud(
-            self.sim.host(CLOUD[0]),
-            CLOUD,
+            self.sim.host(CLOUD_ADDRESS[0]),
+            CLOUD_ADDRESS,
             TYPES,
             equal_pools(TYPES, ZONES, capacity),
             lambda count: f"10.1.{count // 250}.{count % 250 + 1}:9000",
@@ -163,7 +171,7 @@
             self._end_worker,
             self.rng,
         )
-        self.user = self.sim.host(USER)
+        self.user = self.sim.host(USER_IP)
         self.gangs = GangRendezvous(
             self.sim.host(GANG_RENDEZVOUS_IP), GANG_WAIT_S, GANG_PEER_S, self.run_times.get
         )
@@ -197,7 +205,7 @@
                 for number, other in enumerate(self.names)
                 if other != node
             },
-            cloud=CLOUD,
+            cloud=CLOUD_ADDRESS,
             state=STATE_ADDRESS,
             zones=ZONES,
             teams=self.teams,
@@ -220,11 +228,11 @@
         return dataclasses.replace(settings, state_limits=limits)
 
     def build_cell_setup(self, settings: Settings) -> CellSetup | None:
-        """The controller's cell; None: the fleet is not divided into cells."""
+        """Returns the controller's cell, or None if the fleet is not divided into cells."""
         return None
 
-    def lending_of(self, node: str) -> LendingFeature | None:
-        """The lending feature of a controller that reclaims loans between teams; None: without."""
+    def build_lending_feature(self, node: str) -> LendingFeature | None:
+        """Returns the controller's feature for loans between teams, or None."""
         return None
 
     def start(self, node: str) -> None:
@@ -235,7 +243,7 @@
             policy.default(settings),
             random.Random(self.rng.random()),
             self.build_cell_setup(settings),
-            self.lending_of(node),
+            self.build_lending_feature(node),
         )
 
     def crash(self, node: str, restart_after_s: float | None = None) -> None:
@@ -255,13 +263,13 @@
     # Machines
 
     def _start_worker(self, machine: wire.ListedMachine) -> None:
-        kind = next(entry for entry in TYPES if entry.name == machine.machine_type)
+        machine_type = next(entry for entry in TYPES if entry.name == machine.machine_type)
         assert machine.address is not None
         ip, _, port = machine.address.partition(":")
         worker = self.workers[machine.machine] = Worker(
             self.sim.host(ip),
             machine,
-            kind,
+            machine_type,
             (ip, int(port)),
             {name: (self.ip(name), 8080) for name in self.names},
             1.5,
@@ -304,7 +312,7 @@
     def _check_rules(self) -> None:
         self.sim.at(self.sim.time + 1.0, self._check_rules)
         self.rules.check_deadlines(self.sim.time)
-        if self.sim.time > self.calm_since:
+        if self.sim.time > self.faults_ended_at:
             healthy_machines = [
                 (
                     worker.machine,
@@ -313,10 +321,10 @@
                 for worker in self.workers.values()
                 if worker.notice is None
             ]
-            self.rules.check_after_faults(self.sim.time, self.calm_since, healthy_machines)
+            self.rules.check_after_faults(self.sim.time, self.faults_ended_at, healthy_machines)
 
     def _is_committed(self, task: str, attempt: int, machine: str) -> bool:
-        """Whether the state service's pages hold the placement.
+        """Returns whether the state service's ledger pages hold the placement.
 
         Pages are decoded when they change; records in batches count only if the batch is complete.
         """
@@ -359,7 +367,7 @@
             if isinstance(each, TaskPlaced)
         }
 
-    # Faults; each ends by itself
+    # Faults; each ends by itself after `for_s` seconds
 
     def after(self, seconds: float, callback: Callable[..., None], *args: Any) -> None:
         self.sim.at(self.sim.time + seconds, callback, *args)
@@ -377,8 +385,9 @@
         self.after(for_s, self.state.recover)
 
     def lose_writes(self, fraction: float, for_s: float, at_once: bool = False) -> None:
-        """That fraction of transactions gets no reply; each is executed 2 to 12 s later, or at
-        once.
+        """Leaves that fraction of transactions without a reply.
+
+        Each of these is executed 2 to 12 s later, or without delay if `at_once`.
         """
         self.state.lost_fraction, self.state.lost_delay_s = (
             fraction,
@@ -392,22 +401,24 @@
         self.sim.hosts[self.ip(node)].freeze(for_s)
 
     def slow_down_processor(self, node: str, call_duration_s: float, for_s: float) -> None:
-        """Each callback of the controller takes that long; others wait in a queue meanwhile."""
+        """Makes each callback of the controller take that long; others wait in a queue."""
         self.add_trace_line(f"{node} has a slow processor")
         host = self.sim.hosts[self.ip(node)]
         host.call_duration_s = call_duration_s
         self.after(for_s, setattr, host, "call_duration_s", 0.0)
 
-    def slow_down_state_service(self, seconds: float, for_s: float) -> None:
-        self.state.extra_delay_s = seconds
+    def slow_down_state_service(self, mean_delay_s: float, for_s: float) -> None:
+        """Delays each request to the state service by a random time with that mean."""
+        self.state.extra_delay_s = mean_delay_s
         self.after(for_s, setattr, self.state, "extra_delay_s", 0.0)
 
     def duplicate_heartbeats(
         self, fraction: float, for_s: float, deliver_in_next_term: bool = False
     ) -> None:
-        """A copy of that fraction of heartbeats arrives 2 to 16 s later, at any controller.
+        """Sends a copy of that fraction of heartbeats to a random controller.
 
-        With `deliver_in_next_term`: at every controller once the next leader's term is active.
+        The copy is sent 2 to 16 s later, at most 1.6 worker leases; with `deliver_in_next_term` it
+        is sent to every controller as soon as the next leader's term is active.
         """
         self._duplicate_fraction, self._duplicate_in_next_term = fraction, deliver_in_next_term
         self.after(for_s, setattr, self, "_duplicate_fraction", 0.0)
@@ -415,7 +426,7 @@
     def _duplicate_at_random(self, node: str, report: wire.Heartbeat) -> None:
         if self._duplicate_fraction and self.rng.random() < self._duplicate_fraction:
             if self._duplicate_in_next_term:
-                self._kept_heartbeats.append((self._term_active(), report))
+                self._kept_heartbeats.append((self._find_highest_active_term(), report))
             else:
                 self.after(
                     self.rng.uniform(2.0, 16.0),
@@ -424,7 +435,7 @@
                     report,
                 )
 
-    def _term_active(self) -> int:
+    def _find_highest_active_term(self) -> int:
         return max(
             (node.leader.term.number for node in self.nodes.values() if node.leader.term.active),
             default=0,
@@ -432,7 +443,7 @@
 
     def _deliver_kept_heartbeats(self) -> None:
         self.after(0.05, self._deliver_kept_heartbeats)
-        term = self._term_active()
+        term = self._find_highest_active_term()
         due = [report for kept_in_term, report in self._kept_heartbeats if kept_in_term < term]
         self._kept_heartbeats = [entry for entry in self._kept_heartbeats if entry[0] >= term]
         for report in due:
@@ -445,31 +456,31 @@
             "POST", wire.HEARTBEAT, report, 4.0, lambda _: None
         )
 
-    def inject_machine_fault(self, what: str, machines: list[str], for_s: float) -> None:
+    def inject_machine_fault(self, fault: str, machines: list[str], for_s: float) -> None:
         """Applies a fault to the machines.
 
-        `what`: hung; deaf (receives no replies or commands, its heartbeats arrive); mute (its
+        `fault`: hung; deaf (receives no replies or commands, its heartbeats arrive); mute (its
         heartbeats are lost); or cut (from all controllers; packets are held until the end).
         """
         for name in machines:
-            self.add_trace_line(f"{name} is {what}")
-            if what == "cut":
+            self.add_trace_line(f"{name} is {fault}")
+            if fault == "cut":
                 self.cut(self.get_machine_ip(name), [self.ip(node) for node in self.names], for_s)
                 continue
-            setattr(self.workers[name], what, True)
-            self.after(for_s, setattr, self.workers[name], what, False)
+            setattr(self.workers[name], fault, True)
+            self.after(for_s, setattr, self.workers[name], fault, False)
 
     def cut(self, one: str, others: list[str], for_s: float) -> None:
-        """Holds all packets between these hosts, and then delivers them in order."""
+        """Holds all packets between `one` and each of `others`, then delivers them in order."""
         for other in others:
             self.sim.cut(one, other)
             self.after(for_s, self.sim.heal, one, other)
 
-    def slow_down_links(self, seconds: float, for_s: float) -> None:
+    def slow_down_links(self, delay_s: float, for_s: float) -> None:
         """Delays packets between controllers, and between these and the state service."""
         hosts = [*(self.ip(name) for name in self.names), STATE_ADDRESS[0]]
         self.sim.extra_delay_s = {
-            frozenset((one, other)): seconds for one in hosts for other in hosts if one != other
+            frozenset((one, other)): delay_s for one in hosts for other in hosts if one != other
         }
         self.after(for_s, self.sim.extra_delay_s.clear)
 
@@ -490,7 +501,7 @@
 
         From now on the rules limit how long requests and pending jobs may wait.
         """
-        self.calm_since = self.sim.time
+        self.faults_ended_at = self.sim.time
         for _ in range(int(for_s / 5)):
             for ref, job in self.rules.jobs.items():
                 if job.accepted:
@@ -507,7 +518,7 @@
         client = self._clients.setdefault(node, Client(self.user, (self.ip(node), 8080), 8))
         requested_at = self.sim.time
         if path == wire.JOBS:
-            what, ref = (
+            operation, ref = (
                 "submit",
                 getattr(body, "ref", "") or (body.get("ref", "") if isinstance(body, dict) else ""),
             )
@@ -517,22 +528,25 @@
                 )
         else:
             ref, _, verb = path[len(wire.JOBS) + 1 :].partition("/")
-            what = verb or "poll"
-            if what == "cancel":
+            operation = verb or "poll"
+            if operation == "cancel":
                 self.rules.record_cancel_request(ref)
 
         def on_reply(reply: Reply) -> None:
             body_of_reply = msgspec.msgpack.decode(reply.body) if reply.body else None
             if path.startswith(wire.JOBS) and ref:
                 self.rules.record_reply(
-                    what, ref, requested_at, self.sim.time, reply.status, body_of_reply
+                    operation, ref, requested_at, self.sim.time, reply.status, body_of_reply
                 )
             on_done(reply.status, body_of_reply)
 
         client.request(method, path, body, 5.0, on_reply)
 
     def submit(self, job: wire.Spec, run_time: float | None = None, node: int = 0) -> None:
-        """Submits a job; like users, retries until it is accepted or rejected."""
+        """Submits a job; like users, retries until it is accepted or rejected.
+
+        `run_time`: seconds after which each task is done; None: tasks run until they are stopped.
+        """
         self.specs[job.ref] = job
         if run_time is not None:
             self.run_times[job.ref] = run_time
@@ -614,4 +628,5 @@
         return True
 
     def count(self, ref: str) -> int:
+        """Returns the number of running tasks of the job."""
         return sum(task.startswith(ref + "/") for task in self.running)
--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -1,4 +1,7 @@
-"""A simulated deployment with lending: teams on a fleet that is too small for them, audited."""
+"""A simulated deployment with lending: teams on a fleet that is too small for them.
+
+An audit checks at every event that no team waits too long for capacity that others borrow.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +23,7 @@
     from flaxtally.ledger.reclaims import Reclaim
     from flaxtally.protocol import wire
 
-FEATURE = LendingFeature.from_table(Table("features.toml", "lending", {}))
+LENDING_FEATURE = LendingFeature.from_table(Table("features.toml", "lending", {}))
 CREW_TEAM = Team("crew", 0.0, 0.0, 8.0, 64.0)
 OTHERS_TEAM = Team("others", 0.0, 0.0, 8.0, 64.0)
 FIVE_NODES = tuple(f"hearth-{number}" for number in range(5))
@@ -29,7 +32,7 @@
 
 
 def gpu_array(ref: str, tasks: int, team: str = "crew", **changes: Any) -> wire.Spec:
-    """An array of GPU tasks on on-demand machines that saves every 5 s."""
+    """Returns an array of GPU tasks on on-demand machines that saves a checkpoint every 5 s."""
     defaults: dict[str, Any] = {
         "team": team,
         "checkpoint_interval_s": 5.0,
@@ -51,18 +54,22 @@
         max_shortfall_s: float = RECLAIM_DEADLINE_S,
         nodes_without_lending: tuple[str, ...] = (),
     ) -> None:
-        """`max_shortfall_s`: the audit's bound; `nodes_without_lending` lack the feature."""
+        """Starts the controllers; those in `nodes_without_lending` lack the feature.
+
+        `max_shortfall_s`: how long the audit lets a team wait for capacity that others borrow.
+        """
         self.nodes_without_lending = set(nodes_without_lending)
         self.stopped_tasks: list[tuple[float, str, int]] = []
         """Tasks that stopped on command: time, task and attempt."""
         self.deadlines: dict[int, float] = {}
-        """Deadline of each reclaim seen in the ledger."""
+        """Deadline of each reclaim that was in the ledger at a check, by its number."""
         self.seen_reclaims: dict[int, Reclaim] = {}
+        """The latest state of each reclaim that was in the ledger at a check, by its number."""
         super().__init__(seed, team=teams[0], other_teams=teams[1:], nodes=nodes, capacity=capacity)
         self.audit = LoanAudit(self.rules, self.teams, max_shortfall_s)
 
-    def lending_of(self, node: str) -> LendingFeature | None:
-        return None if node in self.nodes_without_lending else FEATURE
+    def build_lending_feature(self, node: str) -> LendingFeature | None:
+        return None if node in self.nodes_without_lending else LENDING_FEATURE
 
     def _start_worker(self, machine: wire.ListedMachine) -> None:
         super()._start_worker(machine)
@@ -93,7 +100,7 @@
     # Contents of the ledger
 
     def read_ledger(self) -> ClusterState:
-        """The cluster state that a new leader would replay from the ledger now."""
+        """Returns the cluster state that a new leader would replay from the ledger now."""
         state = ClusterState()
         for key, (value, _, _) in sorted(self.state.rows.items()):
             if key.startswith("p/"):
@@ -102,6 +109,7 @@
         return state
 
     def recalls(self) -> dict[int, Reclaim]:
+        """Returns the reclaims that the ledger holds now, by number."""
         return self.read_ledger().loan_state.reclaims
 
     def count_stops(self, ref: str) -> int:
@@ -111,7 +119,7 @@
 def start_cluster_with_loans(
     seed: int = 1, run_time: float = 300.0, **cluster_options: Any
 ) -> SimulatedLendingCluster:
-    """The team `others` uses all 16 GPUs, 8 of them borrowed from `crew`."""
+    """Returns a cluster in which team `others` uses all 16 GPUs, 8 of them borrowed from `crew`."""
     cluster = SimulatedLendingCluster(seed, **cluster_options)
     cluster.submit(gpu_array("j-000100", 16, "others"), run_time=run_time)
     assert cluster.run_until(lambda: cluster.count("j-000100") == 16, 60), cluster.trace[-30:]
--- a/tests/simulated_upgrade.py
+++ b/tests/simulated_upgrade.py
@@ -54,7 +54,7 @@
         self.crash(node, restart_after_s)
 
     def roll_out_upgrade(self, interval_s: float = 8.0, names: tuple[str, ...] = NODES) -> None:
-        """Upgrades the controllers one after the other."""
+        """Upgrades the controllers one after the other, one per interval."""
         for name in names:
             self.upgrade(name)
             self.run(interval_s)
@@ -68,6 +68,6 @@
 
     @property
     def format(self) -> int:
-        """The ledger's format according to the leader."""
+        """The ledger's format according to the leader; 0 without a leader."""
         leader = self.leader()
         return getattr(self.nodes[leader].leader.state, "format", 1) if leader else 0
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -27,11 +27,14 @@
     """One end of a stream; `other` is the remote end, once connected."""
 
     def __init__(self, host: Host, far: str) -> None:
+        """`far`: the IP address of the remote host."""
         self.host, self.far = host, far
         self.other: SimStream | None = None
         self.opened = self.is_closed = False
         self.pending: list[bytes] = []
+        """Data sent before the connection was established."""
         self.arrives_at = 0.0
+        """When the data sent last arrives; later data does not arrive before it."""
         self.on_data: Callable[[bytes], None] = ignore
         self.on_close: Callable[[], None] = ignore
 
@@ -70,12 +73,14 @@
         self._pause_watchers: list[tuple[float, Callable[[float], None]]] = []
         self._frozen_at: float | None = None
         self._delayed_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        """Data and connections that arrived while the process was paused."""
         self._delayed_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        """Timers and calls that became due while the process was paused."""
         self.call_duration_s = 0.0
-        """Seconds that each call takes: over 0 on a host with a slow processor."""
+        """Seconds that each callback takes: over 0 on a host with a slow processor."""
         self._busy_until = 0.0
         self.queue: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
-        """Calls waiting for the processor."""
+        """Callbacks waiting for the processor."""
 
     def now(self) -> float:
         return self.sim.time
@@ -110,7 +115,7 @@
             self.call(callback, *args)
 
     def call(self, callback: Callable[..., None], *args: Any) -> None:
-        """Makes a call that is due: a timer, data, a new connection or its end."""
+        """Runs a callback that is due: of a timer, of data, of a new connection or of its end."""
         if self._frozen_at is not None:
             self._delayed_events.append((callback, args))
             return
@@ -123,7 +128,7 @@
             self.sim.at(max(self.sim.time, self._busy_until), self._run_queued_calls)
 
     def _run_queued_calls(self) -> None:
-        """Makes the calls that waited for the processor, in order, when it is free."""
+        """Runs the callbacks that waited for the processor, in order, when it is free."""
         while self.queue and self._busy_until <= self.sim.time:
             if self._frozen_at is not None:
                 self._delayed_events += self.queue
@@ -263,7 +268,10 @@
             self.transmit(stream, data)
 
     def refuse(self, one: str, other: str) -> None:
-        """Refuses and resets connections between two hosts, until `refused_pairs.discard`."""
+        """Resets the connections between two hosts and refuses new ones.
+
+        This lasts until the pair is removed from `refused_pairs`.
+        """
         self.refused_pairs.add(frozenset((one, other)))
         for ip, far in ((one, other), (other, one)):
             for stream in self.hosts[ip].streams:
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -35,16 +35,19 @@
 
 
 def test_page_names_many_code_locations() -> None:
+    # Without names that match the pattern, the test of each name would have no cases and pass.
     assert len(NAMES) > 40
 
 
 @pytest.mark.parametrize("name", NAMES)
 def test_each_name_on_the_page_exists(name: str) -> None:
+    # A renamed or moved function would leave the page pointing at nothing.
     module, _, path = name.partition(":")
     reduce(getattr, path.split("."), importlib.import_module(f"flaxtally.{module}"))
 
 
 def test_each_event_on_the_page_is_logged_by_its_module() -> None:
+    # An event that moved to another module would send readers of the page to the wrong file.
     rows = EVENT_ROW.findall(EVENT_SECTION)
     assert len(rows) > 40
     for event, module in rows:
@@ -54,6 +57,7 @@
 
 
 def test_each_logged_event_is_on_the_page() -> None:
+    # An operator who sees a new event in the log would not find it on the page.
     logged = set().union(*map(find_events, list_modules()))
     assert logged - {event for event, _ in EVENT_ROW.findall(EVENT_SECTION)} == set()
 
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -41,7 +41,7 @@
     ],
 )
 def test_malformed_requests_are_rejected_at_once(path: str, body: object, expected: int) -> None:
-    # Malformed requests that were forwarded or stored would load the leader and the store.
+    # Malformed requests that were forwarded or stored would load the leader or the key-value store.
     cluster = create_idle_cluster()
     before, initial_term = count_store_changes(cluster), term(cluster)
     replies: list[int] = []
@@ -81,7 +81,8 @@
     ],
 )
 def test_malformed_frames_close_only_their_connection(data: bytes) -> None:
-    # Frames from an unknown sender, or without a valid form, must not affect any other connection.
+    # Malformed frames, or frames from an unknown sender, must not affect any other connection or
+    # be taken for messages of a leader.
     cluster = create_idle_cluster()
     initial_term, closed = term(cluster), list[int]()
     for number in range(200):
--- a/tests/test_best_effort_jobs.py
+++ b/tests/test_best_effort_jobs.py
@@ -116,8 +116,8 @@
 
 
 def test_best_effort_job_with_a_due_time_runs_before_older_ones_without() -> None:
-    # 25,000 short tasks with an objective waited behind 2,670 older long ones without any, which
-    # stayed ahead of them long after the long job had started.
+    # 25,000 short tasks with an objective waited behind 2,670 older long tasks without one: the
+    # older job kept its precedence long after its first tasks had started.
     objectives = (Objective("finished", "archive", 160.0, 0.9),)
     cluster = SimulatedCluster(other_teams=(BEST_EFFORT_TEAM,), capacity=1, objectives=objectives)
     cluster.submit(
@@ -161,9 +161,9 @@
 def test_very_large_array_does_not_delay_other_jobs(
     crash: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against passes that grow with a job: of 6,000 short tasks on an idle fleet, a pass must
-    # place a bounded number, commits must stay within the limits of the state service, other jobs
-    # must run, and cancelling the array halfway must stop all its tasks.
+    # Guards against scheduling passes that take longer the larger a job is: of 6,000 short tasks on
+    # an idle fleet, a pass must place a bounded number, commits must stay within the limits of the
+    # state service, other jobs must run, and cancelling the array halfway must stop all its tasks.
     placed: Counter[float] = Counter()
     place_task = Scheduler.place_task
 
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -92,16 +92,19 @@
 def test_check_prints_cells_and_version_of_a_valid_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    # The operator must see which version of the map the checked file holds.
     assert main(["cells", "check", write(tmp_path, VALID_FILE)]) == 0
     assert "2 cells, version 1" in capsys.readouterr().out
 
 
 def test_missing_deploy_file_is_named(capsys: pytest.CaptureFixture[str]) -> None:
+    # The error must have the path that the operator gave.
     assert main(["cells", "check", "/nowhere/scale.toml"]) == 2
     assert "/nowhere/scale.toml" in capsys.readouterr().err
 
 
 def test_shipped_deploy_file_is_valid_and_starts_the_service() -> None:
+    # With an invalid file, or commands that don't use it, no controller would start in its cell.
     import tomllib
 
     path = ROOT / "deploy" / "scale.toml"
@@ -159,6 +162,8 @@
 def test_cell_settings_have_its_peers_zones_key_prefix_and_part_of_the_rates(
     tmp_path: Path,
 ) -> None:
+    # A controller that used the settings of the whole fleet would take controllers of other cells
+    # for its peers, share their keys, and exceed the rates of the services that all cells use.
     settings = load(write_config(tmp_path, 1))
     setup = CellSetup(read_file(write(tmp_path, VALID_FILE)), settings)
     cell_settings = setup.cell_settings
@@ -191,12 +196,14 @@
 def test_deploy_file_that_contradicts_the_settings_is_refused(
     tmp_path: Path, old: str, new: str, place: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    # A controller must not start with a cell whose controllers or zones its settings do not have.
     path = write(tmp_path, VALID_FILE.replace(old, new))
     assert main(["check", "--config", write_config(tmp_path), "--cells", path]) == 2
     assert place in capsys.readouterr().err
 
 
 def test_deploy_file_with_one_cell_is_an_undivided_fleet(tmp_path: Path) -> None:
+    # A fleet whose file has a single cell must run like one without the file, under the same keys.
     import argparse
 
     from flaxtally.cli.controller_commands import read_cells
@@ -274,6 +281,7 @@
 def test_unreachable_state_service_and_malformed_address_are_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    # An operator must be able to tell an unreachable service from a wrong command line.
     path = write(tmp_path, VALID_FILE)
     assert main(["cells", "apply", path, "--state", "127.0.0.1:1"]) == 1
     assert "no answer" in capsys.readouterr().err
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -32,8 +32,8 @@
     return spec(ref, tasks=tasks, spread=False, **changes)
 
 
-def start_cells(seed: int = 1, **cluster_args: object) -> SimulatedCells:
-    cluster = SimulatedCells(seed, **cluster_args)  # type: ignore[arg-type]
+def start_cells(seed: int = 1, **cluster_options: object) -> SimulatedCells:
+    cluster = SimulatedCells(seed, **cluster_options)  # type: ignore[arg-type]
     assert cluster.run_until(cluster.both_cells_have_leaders, 15), cluster.trace
     # The first leader writes the initial shares.
     assert cluster.run_until(lambda: SHARE_KEY_PREFIX + cluster.team.name in cluster.state.rows, 10)
@@ -79,6 +79,7 @@
 
 
 def test_status_of_an_unknown_job_is_404_at_every_controller() -> None:
+    # If a controller answered 503 about a job that no cell has, its user would retry indefinitely.
     cluster = start_cells()
     for name in CELL_NODES:
         replies: list[int] = []
@@ -261,7 +262,8 @@
 
 
 def test_shares_survive_a_restart_of_all_controllers_during_a_transfer() -> None:
-    # Nothing about a transfer may depend on the memory of a controller.
+    # A transfer whose state was only in the memory of a controller would be lost, or applied twice,
+    # when all controllers restart.
     cluster = start_cells(team=EIGHT_TASKS_TEAM)
     cluster.submit(zone_batch("j-000001", "a", 8), run_time=15.0)
     cluster.submit(zone_batch("j-000002", "b", 8), run_time=5.0)
@@ -330,7 +332,7 @@
 
 
 def test_cells_cut_off_from_each_other_still_serve_requests_and_jobs() -> None:
-    # A cell must not depend on links to other cells for its own jobs.
+    # Controllers that waited for replies of another cell would stop serving their own cell's jobs.
     cluster = start_busy_cells()
     for north in cluster.list_cell_controllers(NORTH):
         cluster.cut(
@@ -417,6 +419,7 @@
 def test_cells_do_not_start_beside_the_leader_of_an_undivided_fleet(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
+    # Two leaders would command the same machines: the fleet's former leader may still be running.
     cluster = SimulatedCells()
     cluster.put(LEADER_KEY, {"term": 4, "node": "hearth-0", "boot": "x"})
     cluster.run(20.0)
@@ -471,7 +474,8 @@
 
 
 def test_requests_are_answered_in_time_while_the_shared_state_service_is_slow() -> None:
-    # A request whose job can't be looked up in time gets 503 by then; it is not held back.
+    # A request that waited until the slow service has replied would be answered too late: when the
+    # job can't be looked up in time, the controller must answer 503 instead.
     cluster = start_busy_cells()
     cluster.slow_down_state_service(4.0, 20.0)
     requested_at = cluster.sim.time
--- a/tests/test_cluster_state.py
+++ b/tests/test_cluster_state.py
@@ -70,8 +70,8 @@
             task: (placement.attempt, placement.machine, placement.zone)
             for task, placement in job.placements.items()
         }
-        waiting = {*job.retry_queue, *range(job.next_unstarted_task, job.spec.tasks)}
-        jobs[job.spec.ref] = (job.spec, job.is_cancelled, job.done_tasks, placed, waiting)
+        pending = {*job.retry_queue, *range(job.next_unstarted_task, job.spec.tasks)}
+        jobs[job.spec.ref] = (job.spec, job.is_cancelled, job.done_tasks, placed, pending)
     usage = {
         team: (round(team_usage.cores, 6), round(team_usage.gpus, 6))
         for team, team_usage in state.usage_by_team.items()
@@ -118,8 +118,9 @@
 
 
 def test_a_record_that_breaks_an_invariant_is_refused() -> None:
-    # A second placement of a task, a reused attempt number, a placement after a cancellation, the
-    # end of an attempt that does not exist.
+    # Guards against a leader that stores a contradiction: a second placement of a running task, the
+    # end of an attempt that does not run, a second job with the same reference, a reused attempt
+    # number, or a placement after a cancellation.
     state = ClusterState()
     state.apply(accepted(1, 0.0, batch("j-000001", 2)), 1)
     state.apply(record("P", 1, 0, 1, "n-1", "a"), 1)
--- a/tests/test_election.py
+++ b/tests/test_election.py
@@ -63,7 +63,8 @@
 def test_candidacy_decision_about_an_unreachable_leader(
     leader: UnreachableLeader, decision: CandidacyDecision
 ) -> None:
-    # A controller that campaigns too early replaces a live leader; one too late prolongs an outage.
+    # A controller that campaigns too early replaces a live leader; one that campaigns too late
+    # prolongs an outage.
     assert decide_candidacy(leader, POLICY) == decision
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -63,7 +63,7 @@
 
 
 def test_the_load_depends_on_the_seed_alone() -> None:
-    """Processes would disagree on a job if the order in which they draw jobs had an effect."""
+    """Processes would disagree on a job if it depended on the order in which they generate jobs."""
     numbers = range(1, 200)
     first = [Load(PLAN).job(number) for number in numbers]
     assert first == [Load(PLAN).job(number) for number in reversed(numbers)][::-1]
@@ -179,7 +179,7 @@
 
 
 def test_a_disconnected_worker_loses_its_tasks_at_lease_expiry_and_begins_a_new_session() -> None:
-    """Tasks that outlive the lease would run twice, as the leader starts them elsewhere then."""
+    """Tasks that outlived the lease would run twice: the leader starts them on other machines."""
     sim, events = Simulation(1), list[str]()
     controller = Controller(sim, PLAN)
     worker = create_worker(sim, events)
@@ -355,7 +355,10 @@
 
 
 def test_a_forgotten_job_and_a_run_without_starts_are_found() -> None:
-    """A run in which nothing starts breaks no other rule and must not pass for that reason."""
+    """A 404 after an accepted submission must be reported, and so must a run without any start.
+
+    Such a run breaks no other rule and would pass.
+    """
     not_found = Event(3.0, POLL_REPLY, SERVICE, asked_at=2.9, status=404)
     broken = create_history(*create_submission(SERVICE, 1.0), not_found).check()
     assert [rule.text.split(":")[0].split()[-1] for rule in broken] == ["forgotten", "nothing_ran"]
@@ -392,6 +395,7 @@
 
 
 def test_percentiles_are_within_one_percent() -> None:
+    """A larger error of the histogram could hide a missed aim or report a wrong one."""
     values = [number / 1000 for number in range(1, 10_001)]
     found = compute_percentiles(values)
     assert found.count == 10_000
@@ -497,7 +501,7 @@
 
 
 def test_too_many_processes_are_refused() -> None:
-    """Small groups of workers would give hundreds of processes."""
+    """With few workers per process, a run would start hundreds of processes."""
     many = msgspec.structs.replace(PLAN, workers=400, workers_per_process=2)
     with pytest.raises(limits.LimitError, match="206 processes"):
         limits.check(many)
--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -1,4 +1,8 @@
-"""Entitlement and reclaims in a model of the leader: two invariants over any events."""
+"""Entitlement and reclaims in a model of the leader, under random events.
+
+Two invariants hold throughout: a stop leaves no team below its quota, and no team lacks capacity
+that others borrow for longer than the deadline of a reclaim.
+"""
 
 from __future__ import annotations
 
@@ -37,8 +41,8 @@
 }
 QUOTAS = {name: Quota.from_settings(team) for name, team in TEAMS.items()}
 MACHINES, GPUS = 3, 4.0
-RECALL_S, SAVE_S, RESEND_S, STOP_S = 12, 2, 2, 2
-TIMES = ReclaimTimes(resend_after_s=RESEND_S, stop_s=STOP_S, give_up_after_s=RECALL_S)
+RECLAIM_DEADLINE_S, SAVE_S, RESEND_S, STOP_S = 12, 2, 2, 2
+TIMES = ReclaimTimes(resend_after_s=RESEND_S, stop_s=STOP_S, give_up_after_s=RECLAIM_DEADLINE_S)
 
 
 @dataclass(eq=False)
@@ -50,14 +54,14 @@
     machine: int | None = None
     exits_at: int | None = None
     """The step at which the task exits after a stop; None: it runs on."""
-    stopping: bool = False
+    is_stopping: bool = False
 
 
 @dataclass(eq=False)
 class ModelReclaim:
     task: Task
     machine: int
-    borrowed: list[Task]
+    victims: list[Task]
     deadline: int
     stops_sent_at: int | None = None
     is_forced: bool = False
@@ -70,7 +74,7 @@
     now: int = 0
     tasks: list[Task] = field(default_factory=list)
     reclaims: list[ModelReclaim] = field(default_factory=list)
-    up: set[int] = field(default_factory=lambda: set(range(MACHINES)))
+    running_machines: set[int] = field(default_factory=lambda: set(range(MACHINES)))
     stops_lost_until: int = 0
     """The step until which stops are lost."""
     entitled_since: dict[str, int] = field(default_factory=dict)
@@ -79,9 +83,15 @@
         return [task for task in self.tasks if task.machine == machine]
 
     def usage(self, team: str, without_leaving: bool = False) -> Amounts:
+        """Returns what the team's placed tasks use.
+
+        `without_leaving` omits tasks that stop or are victims of a reclaim.
+        """
         usage = NO_RESOURCES
         for task in self.tasks:
-            is_leaving = task.stopping or any(task in reclaim.borrowed for reclaim in self.reclaims)
+            is_leaving = task.is_stopping or any(
+                task in reclaim.victims for reclaim in self.reclaims
+            )
             if (
                 task.spec.team == team
                 and task.machine is not None
@@ -107,7 +117,7 @@
         self.now += 1
         for task in self.tasks:
             if task.exits_at is not None and task.exits_at <= self.now:
-                task.machine, task.exits_at, task.stopping = None, None, False
+                task.machine, task.exits_at, task.is_stopping = None, None, False
         for reclaim in list(self.reclaims):
             self.advance_reclaim(reclaim)
         for task in [task for task in self.tasks if task.machine is None]:
@@ -115,43 +125,45 @@
                 self.place_or_reclaim(task)
 
     def place_or_reclaim(self, task: Task) -> None:
-        for machine in sorted(self.up):
+        for machine in sorted(self.running_machines):
             if self.free_on(machine).holds(task.spec):
                 task.machine = machine
                 return
         if self.is_entitled(task):
-            self.reclaim(ModelReclaim(task, -1, [], self.now + RECALL_S))
+            self.reclaim(ModelReclaim(task, -1, [], self.now + RECLAIM_DEADLINE_S))
 
     def reclaim(self, reclaim: ModelReclaim) -> None:
         """Starts the reclaim, or moves it, on a machine where capacity can be freed."""
         team = reclaim.task.spec.team
-        for machine in sorted(self.up):
+        for machine in sorted(self.running_machines):
             budget = ReclaimBudget(
                 QUOTAS.__getitem__, lambda name: self.usage(name, without_leaving=True)
             )
-            leaving = [t for t in self.tasks_on(machine) if t.stopping]
-            others = [t for t in self.tasks_on(machine) if not t.stopping and t.spec.team != team]
+            leaving = [t for t in self.tasks_on(machine) if t.is_stopping]
+            others = [
+                t for t in self.tasks_on(machine) if not t.is_stopping and t.spec.team != team
+            ]
             free_after_stops, victims = select_victims(
                 reclaim.task.spec,
                 self.free_on(machine),
                 [*leaving, *others],
                 lambda t: t.spec,
                 lambda t, budget=budget: (  # type: ignore[misc]
-                    t.stopping or budget.try_take(t.spec.team, compute_amounts(t.spec))
+                    t.is_stopping or budget.try_take(t.spec.team, compute_amounts(t.spec))
                 ),
             )
             if free_after_stops.holds(reclaim.task.spec):
-                reclaim.machine, reclaim.borrowed, reclaim.stops_sent_at = machine, victims, None
+                reclaim.machine, reclaim.victims, reclaim.stops_sent_at = machine, victims, None
                 if reclaim not in self.reclaims:
                     self.reclaims.append(reclaim)
                 return
 
     def advance_reclaim(self, reclaim: ModelReclaim) -> None:
-        remaining = [task for task in reclaim.borrowed if task.machine == reclaim.machine]
+        remaining = [task for task in reclaim.victims if task.machine == reclaim.machine]
         step = choose_next_step(
             ReclaimSituation(
                 is_wanted=reclaim.task in self.tasks and reclaim.task.machine is None,
-                can_machine_serve=reclaim.machine in self.up,
+                can_machine_serve=reclaim.machine in self.running_machines,
                 remaining_victim_count=len(remaining),
                 since_stop_s=None
                 if reclaim.stops_sent_at is None
@@ -171,26 +183,29 @@
             self.reclaim(reclaim)
         elif step in (Step.WITHDRAW, Step.GIVE_UP):
             self.reclaims.remove(reclaim)
-        elif not remaining and reclaim.machine in self.up:
+        elif not remaining and reclaim.machine in self.running_machines:
             self.reclaims.remove(reclaim)
             if self.free_on(reclaim.machine).holds(reclaim.task.spec):
                 reclaim.task.machine = reclaim.machine
 
     def stop(self, task: Task, reclaim: ModelReclaim, grace: int) -> None:
-        if not task.stopping:
+        if not task.is_stopping:
             team = task.spec.team
             remaining = self.usage(team, without_leaving=True)
             assert team != reclaim.task.spec.team
             assert QUOTAS[team].is_preserved(remaining, compute_amounts(task.spec)), (
                 f"{team} falls below its quota"
             )
-        task.stopping = True
+        task.is_stopping = True
         if self.now >= self.stops_lost_until:
             task.exits_at = min(task.exits_at or self.now + grace, self.now + grace)
 
 
 class LendingStateMachine(RuleBasedStateMachine):
-    """Task arrivals and ends, machine losses and provisioning, and lost stops, in any order."""
+    """Task arrivals and ends, machine losses and provisioning, and lost stops, in any order.
+
+    `Model.stop` checks that the team keeps its quota, `check_shortfalls` that reclaims are in time.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -216,15 +231,16 @@
 
     @rule(machine=st.integers(0, MACHINES - 1))
     def lose_machine(self, machine: int) -> None:
-        # Capacity that was almost free may be lost with the machine: the recall time starts again.
+        # Capacity that was almost free may be lost with the machine: from now on each team may wait
+        # for the full time again.
         self.shortfall_s = {}
-        self.model.up.discard(machine)
+        self.model.running_machines.discard(machine)
         for task in self.model.tasks_on(machine):
-            task.machine, task.exits_at, task.stopping = None, None, False
+            task.machine, task.exits_at, task.is_stopping = None, None, False
 
     @rule(machine=st.integers(0, MACHINES - 1))
     def provision_machine(self, machine: int) -> None:
-        self.model.up.add(machine)
+        self.model.running_machines.add(machine)
 
     @rule()
     def lose_stops(self) -> None:
@@ -237,12 +253,14 @@
             self.check_shortfalls()
 
     def check_shortfalls(self) -> None:
-        """Checks that no team lacks capacity that others borrow for longer than the recall time."""
+        """Checks that no team lacks capacity that others borrow for longer than the deadline."""
         teams_with_shortfall = {team for team in TEAMS if self.has_shortfall(team)}
         self.shortfall_s = {
             team: self.shortfall_s.get(team, 0) + 1 for team in teams_with_shortfall
         }
-        assert all(since <= RECALL_S for since in self.shortfall_s.values()), self.shortfall_s
+        assert all(since <= RECLAIM_DEADLINE_S for since in self.shortfall_s.values()), (
+            self.shortfall_s
+        )
 
     def has_shortfall(self, team: str) -> bool:
         model = self.model
@@ -250,7 +268,7 @@
         for task in waiting:
             if not QUOTAS[team].covers(model.usage(team).plus(compute_amounts(task.spec))):
                 continue
-            for machine in model.up:
+            for machine in model.running_machines:
                 budget = ReclaimBudget(QUOTAS.__getitem__, model.usage)
                 free_after_stops, _ = select_victims(
                     task.spec,
@@ -300,7 +318,8 @@
 def test_the_next_step_of_a_reclaim_in_each_situation(
     changes: dict[str, float], step: Step
 ) -> None:
-    # Each case changes some observations of a committed reclaim whose victims still run.
+    # A wrong step would stop tasks whose capacity is no longer needed, or miss the deadline. Each
+    # case changes some observations of a committed reclaim whose victims still run.
     assert choose_next_step(replace(SITUATION, **changes), TIMES) is step  # type: ignore[arg-type]
 
 
@@ -322,12 +341,15 @@
 def test_a_quota_is_preserved_at_or_above_it_in_a_resource_taken(
     team: Team | None, usage: tuple[float, float], taken: tuple[float, float], is_preserved: bool
 ) -> None:
-    """A team's tasks may be stopped only if it keeps its quota; `usage`: what remains then."""
+    """A wrong answer would let a reclaim stop tasks that the team's quota guarantees.
+
+    `usage`: what the team still uses after its tasks were stopped.
+    """
     assert Quota.from_settings(team).is_preserved(Amounts(*usage), Amounts(*taken)) is is_preserved
 
 
 def test_one_decision_takes_no_more_than_is_borrowed() -> None:
-    # Guards against several stops of one decision that are each within the limit, but not together.
+    # Guards against stops in one decision that each leave the team its quota, but not together.
     budget = ReclaimBudget(QUOTAS.__getitem__, lambda _: Amounts(0.0, 10.0))
     taken = [budget.try_take("north", Amounts(0.0, 1.0)) for _ in range(4)]
     assert taken == [True, True, False, False]
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -1,4 +1,4 @@
-"""Features that a file enables, and the feature `tracing`."""
+"""Tests of the features file and of the feature `tracing`."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
 
 
 def test_the_shipped_features_file_is_valid() -> None:
-    # Guards against an example file that the present checks reject or read differently.
+    # Guards against a shipped file that the current checks reject or read differently.
     tracing, lending = read_file(str(ROOT / "deploy" / "features.toml"))
     assert isinstance(tracing, Tracing)
     assert tracing.min_callback_s == 0.01
@@ -81,7 +81,7 @@
 
 @pytest.mark.real_processes
 def test_without_a_features_file_no_library_of_a_feature_is_imported() -> None:
-    # Guards the start of a controller without features against the imports of their libraries.
+    # A controller without features must start without the optional libraries, and not import them.
     found = subprocess.run(
         [
             sys.executable,
@@ -117,7 +117,8 @@
 
 @pytest.mark.real_processes
 def test_long_callbacks_are_spans_and_short_ones_are_not(tmp_path: Path) -> None:
-    # Only callbacks that take at least `least_ms` are traced, in the order in which they ran.
+    # Spans of short callbacks would fill the trace; a missing long one would hide a slow callback.
+    # Callbacks that take at least `least_ms` are traced, in the order in which they ran.
     trace = tmp_path / "trace.jsonl"
     features = read_file(write_features(tmp_path, f'[tracing]\nfile = "{trace}"\nleast_ms = 20\n'))
     loop = Loop()
@@ -177,9 +178,9 @@
 def test_a_trace_file_that_cannot_be_written_is_named(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
+    # An error of the operating system must come with the field of the features file.
     config = tmp_path / "node.toml"
     config.write_text(settings_text(SimulatedCluster().build_settings("hearth-0")))
-    # The error of the operating system must name the field of the features file.
     path = write_features(tmp_path, '[tracing]\nfile = "/nowhere/trace.jsonl"\n')
     assert main(["serve", "--config", str(config), "--features", path]) == 2
     captured = capsys.readouterr().err.splitlines()
