--- a/tests/simulated_cluster.py
+++ b/tests/simulated_cluster.py
@@ -350,9 +350,10 @@
     def _placements_in(
         self, ledger: str, records: Sequence[StoredRecord]
     ) -> set[tuple[str, int, str]]:
-        """The placements in the records; also remembers their jobs for records on later pages.
+        """Returns the placements in the records, and remembers the references of accepted jobs.
 
-        Of records in batches only the jobs are used here: they may be placed on later pages.
+        Later pages may place these jobs. Batch pieces are skipped: their records count only once
+        the batch is complete.
         """
         self._refs_by_number.update(
             {(ledger, each.number): each.ref for each in records if isinstance(each, JobAccepted)}
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -27,7 +27,7 @@
 
 def count_store_changes(cluster: SimulatedCluster) -> int:
     """Returns the number of changes to the key-value store; each raises the revision by one."""
-    return max(stamp for _, stamp, _ in cluster.state.rows.values())
+    return max(revision for _, revision, _ in cluster.state.rows.values())
 
 
 @pytest.mark.parametrize(
--- a/tests/test_cell_map.py
+++ b/tests/test_cell_map.py
@@ -98,7 +98,7 @@
 
 
 def test_missing_deploy_file_is_named(capsys: pytest.CaptureFixture[str]) -> None:
-    # The error must have the path that the operator gave.
+    # The error must contain the path that the operator gave.
     assert main(["cells", "check", "/nowhere/scale.toml"]) == 2
     assert "/nowhere/scale.toml" in capsys.readouterr().err
 
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -203,17 +203,19 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_share_is_neither_lost_nor_duplicated_when_the_giving_leader_crashes(seed: int) -> None:
-    # The giver's transaction is executed after its crash; its successor must count the share once.
+    # The transaction of the giving leader is executed after its crash; its successor must count the
+    # share once.
     cluster = start_cells(seed, team=EIGHT_TASKS_TEAM)
     cluster.submit(zone_batch("j-000001", "a", 8), run_time=30.0)
     before = cluster.share(SOUTH)
-    # The giver's transactions are executed late and get no reply: it crashes during the transfer.
+    # Transactions are executed late and get no reply, so the giving leader crashes during the
+    # transfer.
     assert cluster.run_until(lambda: NORTH in cluster.shares().wants, 30), cluster.trace
     cluster.lose_writes(1.0, 1.5)
     cluster.run(0.3 * (seed + 1))
-    giver = cluster.find_cell_leader(SOUTH)
-    assert giver is not None
-    cluster.crash(giver, restart_after_s=3.0)
+    giving_leader = cluster.find_cell_leader(SOUTH)
+    assert giving_leader is not None
+    cluster.crash(giving_leader, restart_after_s=3.0)
     assert cluster.run_until(lambda: cluster.count("j-000001") >= 7, 90), cluster.trace[-20:]
     assert cluster.share(SOUTH).gpus < before.gpus
     cluster.submit(zone_batch("j-000002", "b", 4), run_time=5.0)
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -65,7 +65,7 @@
 
 
 def test_a_missing_features_file_is_named() -> None:
-    # The error must have the path that the operator gave.
+    # The error must contain the path that the operator gave.
     with pytest.raises(FeatureError, match=r"/nowhere/features\.toml: No such file"):
         read_file("/nowhere/features.toml")
 
