--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -88,9 +88,9 @@
         value = self.state.rows[SHARE_KEY_PREFIX + team][0]
         return msgspec.convert(value, TeamShares)
 
-    def share(self, cell: str) -> Amount:
+    def get_share(self, cell: str) -> Amount:
         """Returns the cell's share of the limit of the default team."""
-        return self.shares().share(cell)
+        return self.shares().get_share(cell)
 
     def find_cells_with_job(self, ref: str) -> set[str]:
         """Returns the cells in whose ledgers the job is accepted."""
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -63,7 +63,7 @@
             shares = shares.with_transfer(source_cell, target_cell, Amount(cores, gpus))
         except ShareError:
             assert source_cell == target_cell or not Amount(cores, gpus).is_within(
-                before.share(source_cell)
+                before.get_share(source_cell)
             )
         shares.check(get_team_limit(TEAM))
         assert shares.total.cores == pytest.approx(40.0, abs=1e-3)
@@ -86,7 +86,7 @@
     # A cell that applied the whole limit, or took an empty share for "no limit", would let the team
     # exceed its limit.
     shares = TeamShares({"north": Amount(10.0, 0.0), "south": Amount(30.0, 8.0)})
-    north = limit_team_to_share(TEAM, shares, shares.share("north"))
+    north = limit_team_to_share(TEAM, shares, shares.get_share("north"))
     assert (north.cores, north.cores_max, north.gpus) == (2.5, 10.0, 0.0)
     # 0 would mean that there is no limit.
     assert 0 < north.gpus_max < TOLERANCE
@@ -99,7 +99,7 @@
     # together exceed the lower one.
     shares = build_equal_shares(TEAM, ["north", "south"])
     lower = Team("crew", 10.0, 20.0, 4.0, 8.0)
-    assert limit_team_to_share(lower, shares, shares.share("north")).cores_max == 10.0
+    assert limit_team_to_share(lower, shares, shares.get_share("north")).cores_max == 10.0
 
 
 # Leaders
@@ -190,14 +190,14 @@
     deployment.state.lost_fraction, deployment.state.lost_delay_s = 1.0, (20.0, 20.0)
     deployment.run(2.0)
     # The write got no reply, and is executed only after 20 s.
-    assert deployment.row().share("north").gpus == 4.0
+    assert deployment.row().get_share("north").gpus == 4.0
     assert deployment.north.gpus < 4.0
     deployment.state.lost_fraction = 0.0
     deployment.run(4.0)
     assert deployment.south.gpus > 5.5, "it was written again"
     transferred = deployment.row()
     deployment.run(25.0)
-    assert deployment.row().share("south").gpus == transferred.share("south").gpus, (
+    assert deployment.row().get_share("south").gpus == transferred.get_share("south").gpus, (
         "the late copy had no effect"
     )
 
@@ -216,7 +216,7 @@
     deployment.state.lost_fraction, deployment.state.lost_delay_s = 1.0, (20.0, 20.0)
     deployment.north.used = ZERO
     deployment.run(2.5)
-    assert deployment.row().share("north").gpus == 4.0
+    assert deployment.row().get_share("north").gpus == 4.0
     assert deployment.north.gpus < 1.0
 
 
@@ -244,7 +244,7 @@
     deployment.south.needed = Amount(20.0, 8.0)
     for _ in range(8):
         deployment.run(1.0)
-        assert deployment.row().share("north").gpus == 4.0
+        assert deployment.row().get_share("north").gpus == 4.0
         assert successor.gpus == 4.0
 
 
@@ -263,7 +263,7 @@
     for _ in range(400):
         run_for(deployment.sim, 0.01)
         assert deployment.row().total.is_within(get_team_limit(TEAM))
-        assert deployment.row().share("north").gpus <= 1.0, "a transferred share came back"
+        assert deployment.row().get_share("north").gpus <= 1.0, "a transferred share came back"
 
 
 def test_malformed_row_is_one_log_line_and_does_not_affect_other_teams(
