--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -9,7 +9,7 @@
 
 from ..clients.key_value_store import KeyValueStore, Outcome
 from ..runtime.loop import Loop
-from ..settings import address
+from ..settings import parse_address
 from .map import CellIndex, CellMap, CellMapError, decode, read_file
 from .map_watcher import MAP_KEY
 from .quota_rebalancer import SHARE_KEY_PREFIX, parse_share_key
@@ -45,7 +45,7 @@
 
     def __init__(self, state_address: str) -> None:
         """Raises `CellMapError` if the address is malformed."""
-        found = address(state_address)
+        found = parse_address(state_address)
         if found is None:
             raise CellMapError(
                 f"--state {state_address}: not HOST:PORT; expected the state service's address"
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -190,7 +190,7 @@
 
     # Requests from users
 
-    def ask(self, kind: str, subject: str | bytes, on_reply: ReplyCallback) -> None:
+    def handle_user_request(self, kind: str, subject: str | bytes, on_reply: ReplyCallback) -> None:
         """Handles a user's request; `subject` is a submission's body or the job's id."""
         if self._open_requests >= self._max_requests:
             on_reply(UNAVAILABLE, None)
--- a/flaxtally/cells/map.py
+++ b/flaxtally/cells/map.py
@@ -14,7 +14,7 @@
 from pyrsistent import PMap, pmap
 
 from ..runtime.loop import Address
-from ..settings import SettingsError, address, read_toml
+from ..settings import SettingsError, parse_address, read_toml
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -154,7 +154,7 @@
     if unknown:
         raise CellMapError(f"{min(unknown)}: unknown field; expected version, state or cell")
     state = table.get("state")
-    state_address = address(state) if isinstance(state, str) else None
+    state_address = parse_address(state) if isinstance(state, str) else None
     if state is not None and state_address is None:
         raise CellMapError(f"state: {state!r} is not HOST:PORT")
     cell_map = decode({"version": table.get("version"), "cells": table.get("cell", [])})
--- a/flaxtally/cells/quota_rebalancer.py
+++ b/flaxtally/cells/quota_rebalancer.py
@@ -132,9 +132,9 @@
     def _compute_limit(self, settings: Team) -> Team:
         row = self._rows.get(settings.name)
         shares = row.shares if row is not None else TeamShares({})
-        share = shares.share(self._cell)
+        share = shares.get_share(self._cell)
         if row is not None and row.pending is not None:
-            share = share.at_most(row.pending.share(self._cell))
+            share = share.at_most(row.pending.get_share(self._cell))
         return limit_team_to_share(settings, shares, share)
 
     def begin_term(self, term: int) -> None:
@@ -272,7 +272,7 @@
         if row.pending is not None:
             # Written again unchanged, guarded by the same version: at most one copy is executed.
             return row.pending
-        share, limit = row.shares.share(self._cell), get_team_limit(team)
+        share, limit = row.shares.get_share(self._cell), get_team_limit(team)
         shortfall = demand.minus(share).at_least_zero()
         shares = row.shares
         free = limit.minus(shares.total).at_least_zero().at_most(shortfall)
--- a/flaxtally/cells/shares.py
+++ b/flaxtally/cells/shares.py
@@ -64,7 +64,7 @@
     wants: dict[str, Amount] = {}
     """What cells request in addition to their shares."""
 
-    def share(self, cell: str) -> Amount:
+    def get_share(self, cell: str) -> Amount:
         return self.of.get(cell, ZERO)
 
     @property
@@ -86,10 +86,10 @@
 
     def with_transfer(self, source_cell: str, target_cell: str, amount: Amount) -> TeamShares:
         """Moves an amount to another cell's share, and reduces that cell's request by it."""
-        if source_cell == target_cell or not amount.is_within(self.share(source_cell)):
+        if source_cell == target_cell or not amount.is_within(self.get_share(source_cell)):
             raise ShareError(
                 f"cell {source_cell} can't transfer {tuple(amount)} to {target_cell}: "
-                f"its share is {tuple(self.share(source_cell))}"
+                f"its share is {tuple(self.get_share(source_cell))}"
             )
         wants = dict(self.wants)
         remaining_want = wants.pop(target_cell, ZERO).minus(amount).at_least_zero()
@@ -97,14 +97,14 @@
             wants[target_cell] = remaining_want
         of = {
             **self.of,
-            source_cell: self.share(source_cell).minus(amount).at_least_zero(),
-            target_cell: self.share(target_cell) + amount,
+            source_cell: self.get_share(source_cell).minus(amount).at_least_zero(),
+            target_cell: self.get_share(target_cell) + amount,
         }
         return TeamShares(of, wants)
 
     def with_growth(self, cell: str, amount: Amount) -> TeamShares:
         """Adds to a cell's share what no cell has, as after the team's limit was raised."""
-        return TeamShares({**self.of, cell: self.share(cell) + amount}, self.wants)
+        return TeamShares({**self.of, cell: self.get_share(cell) + amount}, self.wants)
 
     def with_want(self, cell: str, amount: Amount) -> TeamShares:
         """Replaces the cell's request; the shares stay the same."""
--- a/flaxtally/cli/request_commands.py
+++ b/flaxtally/cli/request_commands.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-from ..settings import address
+from ..settings import parse_address
 from .common import ExitCode, InvalidInputError
 
 if TYPE_CHECKING:
@@ -93,7 +93,7 @@
 
 def _send(arguments: argparse.Namespace, request: ControllerRequest) -> ExitCode:
     """Sends the request to the controller at `--to`, and prints its reply to standard output."""
-    controller = address(arguments.to)
+    controller = parse_address(arguments.to)
     if controller is None:
         raise InvalidInputError(
             f"--to {arguments.to}: not HOST:PORT; expected a controller's address"
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -239,7 +239,7 @@
         route: RequestRouter = self.leader_requests.forward_to_leader
         if self.membership is not None:
             self.membership.connect(self.election, self.peers, self.leader_requests, self.leader)
-            route = self.membership.gateway.ask
+            route = self.membership.gateway.handle_user_request
         self.heartbeat_endpoint = HeartbeatEndpoint(
             runtime,
             settings.node,
--- a/flaxtally/emulator/workers.py
+++ b/flaxtally/emulator/workers.py
@@ -7,7 +7,7 @@
 
 from ..fakes.held_task import HeldTask
 from ..protocol import wire
-from ..settings import address
+from ..settings import parse_address
 from .hollow_worker import HollowWorker
 from .load import Load
 from .messages import (
@@ -49,7 +49,7 @@
                 self._add_worker(machine)
 
     def _add_worker(self, machine: wire.ListedMachine) -> None:
-        listen_address = address(str(machine.address))
+        listen_address = parse_address(str(machine.address))
         assert listen_address is not None, machine.address
         worker = HollowWorker(
             self._loop,
--- a/flaxtally/settings.py
+++ b/flaxtally/settings.py
@@ -97,7 +97,7 @@
     max_sockets: int
 
 
-def address(text: str) -> Address | None:
+def parse_address(text: str) -> Address | None:
     """Parses a text of the form HOST:PORT; returns None if it has another form."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
@@ -159,7 +159,7 @@
 
     def address(self, field: str) -> Address:
         """Returns the address in a field of the form HOST:PORT."""
-        parsed = address(self.text(field))
+        parsed = parse_address(self.text(field))
         if parsed is None:
             raise SettingsError(
                 f"{self._full_name(field)}: expected HOST:PORT, got {self._data[field]!r}"
--- a/tests/simulated_cells.py
+++ b/tests/simulated_cells.py
@@ -81,8 +81,8 @@
         value = self.state.rows[SHARE_KEY_PREFIX + team][0]
         return msgspec.convert(value, TeamShares)
 
-    def share(self, cell: str) -> Amount:
-        return self.shares().share(cell)
+    def get_share(self, cell: str) -> Amount:
+        return self.shares().get_share(cell)
 
     def find_cells_with_job(self, ref: str) -> set[str]:
         """The cells whose ledgers have accepted the job."""
--- a/tests/test_cells.py
+++ b/tests/test_cells.py
@@ -180,7 +180,7 @@
     cluster.submit(zone_batch("j-000001", "a", 8), run_time=40.0)
     # The cell's own share holds four tasks; the other cell keeps a small reserve for new tasks.
     assert cluster.run_until(lambda: cluster.count("j-000001") >= 7, 60), cluster.trace[-20:]
-    assert cluster.share(NORTH).gpus >= 7.0
+    assert cluster.get_share(NORTH).gpus >= 7.0
     cluster.submit(zone_batch("j-000002", "b", 8), run_time=5.0)
     assert cluster.run_until(lambda: cluster.count("j-000002") >= 4, 120), cluster.trace[-20:]
     check_final_state(cluster)
@@ -205,7 +205,7 @@
     # The giver's transaction is executed after its crash; its successor must count the share once.
     cluster = start_cells(seed, team=EIGHT_TASKS_TEAM)
     cluster.submit(zone_batch("j-000001", "a", 8), run_time=30.0)
-    before = cluster.share(SOUTH)
+    before = cluster.get_share(SOUTH)
     # The giver's transactions are executed late and get no reply: it crashes during the transfer.
     assert cluster.run_until(lambda: NORTH in cluster.shares().wants, 30), cluster.trace
     cluster.lose_writes(1.0, 1.5)
@@ -214,7 +214,7 @@
     assert giver is not None
     cluster.crash(giver, back_after=3.0)
     assert cluster.run_until(lambda: cluster.count("j-000001") >= 7, 90), cluster.trace[-20:]
-    assert cluster.share(SOUTH).gpus < before.gpus
+    assert cluster.get_share(SOUTH).gpus < before.gpus
     cluster.submit(zone_batch("j-000002", "b", 4), run_time=5.0)
     check_final_state(cluster)
     assert len(cluster.rules.jobs["j-000002"].done) == 4
@@ -228,7 +228,7 @@
     cluster = start_cells(team=EIGHT_TASKS_TEAM)
     cluster.submit(zone_batch("j-000001", "b", 4), run_time=60.0, node=1)
     assert cluster.run_until(lambda: cluster.count("j-000001") == 4, 60)
-    assert cluster.share(SOUTH).gpus == 4.0
+    assert cluster.get_share(SOUTH).gpus == 4.0
     serve = cluster.state._serve
 
     def serve_slowly(request: Request) -> None:
@@ -242,7 +242,7 @@
     assert cluster.run_until(lambda: cluster.count("j-000002") >= 4, 60)
     cluster.crash(cluster.find_cell_leader(SOUTH) or "", back_after=2.0)
     cluster.run(20.0)
-    assert cluster.share(SOUTH).gpus == 4.0
+    assert cluster.get_share(SOUTH).gpus == 4.0
     assert cluster.count("j-000001") == 4
 
 
--- a/tests/test_quota_rebalancer.py
+++ b/tests/test_quota_rebalancer.py
@@ -63,7 +63,7 @@
             shares = shares.with_transfer(source_cell, target_cell, Amount(cores, gpus))
         except ShareError:
             assert source_cell == target_cell or not Amount(cores, gpus).is_within(
-                before.share(source_cell)
+                before.get_share(source_cell)
             )
         shares.check(get_team_limit(TEAM))
         assert shares.total.cores == pytest.approx(40.0, abs=1e-3)
@@ -83,7 +83,7 @@
 
 def test_cell_sees_its_share_as_the_limit_and_an_equal_part_of_the_guarantee() -> None:
     shares = TeamShares({"north": Amount(10.0, 0.0), "south": Amount(30.0, 8.0)})
-    north = limit_team_to_share(TEAM, shares, shares.share("north"))
+    north = limit_team_to_share(TEAM, shares, shares.get_share("north"))
     assert (north.cores, north.cores_max, north.gpus) == (2.5, 10.0, 0.0)
     # 0 would mean that there is no limit.
     assert 0 < north.gpus_max < TOLERANCE
@@ -95,7 +95,7 @@
     # The stored shares still sum to the former limit, so each cell scales its own.
     shares = build_equal_shares(TEAM, ["north", "south"])
     lower = Team("crew", 10.0, 20.0, 4.0, 8.0)
-    assert limit_team_to_share(lower, shares, shares.share("north")).cores_max == 10.0
+    assert limit_team_to_share(lower, shares, shares.get_share("north")).cores_max == 10.0
 
 
 # Leaders
@@ -186,14 +186,14 @@
     cluster.state.lost_fraction, cluster.state.lost_delay_s = 1.0, (20.0, 20.0)
     cluster.run(2.0)
     # The write got no reply, and is executed only after 20 s.
-    assert cluster.row().share("north").gpus == 4.0
+    assert cluster.row().get_share("north").gpus == 4.0
     assert cluster.north.gpus < 4.0
     cluster.state.lost_fraction = 0.0
     cluster.run(4.0)
     assert cluster.south.gpus > 5.5, "it was written again"
     given = cluster.row()
     cluster.run(25.0)
-    assert cluster.row().share("south").gpus == given.share("south").gpus, (
+    assert cluster.row().get_share("south").gpus == given.get_share("south").gpus, (
         "the late copy had no effect"
     )
 
@@ -210,7 +210,7 @@
     cluster.state.lost_fraction, cluster.state.lost_delay_s = 1.0, (20.0, 20.0)
     cluster.north.used = ZERO
     cluster.run(2.5)
-    assert cluster.row().share("north").gpus == 4.0
+    assert cluster.row().get_share("north").gpus == 4.0
     assert cluster.north.gpus < 1.0
 
 
@@ -238,7 +238,7 @@
     cluster.south.needed = Amount(20.0, 8.0)
     for _ in range(8):
         cluster.run(1.0)
-        assert cluster.row().share("north").gpus == 4.0
+        assert cluster.row().get_share("north").gpus == 4.0
         assert successor.gpus == 4.0
 
 
@@ -257,7 +257,7 @@
     for _ in range(400):
         run_for(cluster.sim, 0.01)
         assert cluster.row().total.is_within(get_team_limit(TEAM))
-        assert cluster.row().share("north").gpus <= 1.0, "a transferred share came back"
+        assert cluster.row().get_share("north").gpus <= 1.0, "a transferred share came back"
 
 
 def test_malformed_row_is_one_log_line_and_does_not_affect_other_teams(
