--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -84,7 +84,7 @@
 
 
 def apply(path: str, state_address: str) -> int:
-    """Puts a file's map in force if it may replace the one in force."""
+    """Stores a deploy file's map as the one in force, if it may replace the present one."""
     try:
         cell_map, calls = read_file(path).map, _StoreCalls(state_address)
     except CellMapError as error:
--- a/flaxtally/cells/gateway.py
+++ b/flaxtally/cells/gateway.py
@@ -1,4 +1,4 @@
-"""Users' requests in a fleet of cells: any controller forwards a request to the job's cell.
+"""Users' requests in a fleet of cells: each controller accepts them and forwards to the job's cell.
 
 The directory names the cell of a job. A new job is assigned to a cell that can serve it. If that
 cell becomes unreachable before it has kept the job, the job is assigned to another cell.
@@ -60,7 +60,7 @@
 
 
 class _UserRequest:
-    """A user's request until its single answer, which after the deadline is `UNAVAILABLE`."""
+    """A user's request that is replied to exactly once; after the deadline with `UNAVAILABLE`."""
 
     __slots__ = ("_clock", "_deadline", "_on_finished", "_on_reply", "timer")
 
@@ -133,7 +133,7 @@
 
 
 def order_by_job(ref: str, cells: list[Cell]) -> list[Cell]:
-    """Orders the cells by the job's id alone (rendezvous hashing)."""
+    """Returns the cells in an order that depends on the job's id alone (rendezvous hashing)."""
     return sorted(cells, key=lambda cell: compute_rendezvous_weight(ref, cell.name))
 
 
@@ -146,7 +146,7 @@
         policy: Policy,
         node: str,
         cell: str,
-        index: Callable[[], CellIndex],
+        get_index: Callable[[], CellIndex],
         election: LeaderElection,
         links: PeerLinks,
         directory: Directory,
@@ -157,14 +157,14 @@
     ) -> None:
         """Takes the names of this controller and its cell, and the parts that the gateway uses.
 
-        `index`: returns the cell map in force. `forward_to_leader`: sends a request to this cell's
-        leader. `build_state`: returns this cell's state. `broadcast_in_cell`: sends a frame to the
-        other controllers of this cell. `max_requests`: limit on open users' requests, and on
-        forwarded ones.
+        `get_index`: returns the cell map in force. `forward_to_leader`: sends a request to this
+        cell's leader. `build_state`: returns this cell's state. `broadcast_in_cell`: sends a frame
+        to the other controllers of this cell. `max_requests`: limit on users' requests without a
+        reply, and on forwarded ones.
         """
         super().__init__(runtime)
         self._policy, self._node, self._cell = policy, node, cell
-        self._index, self._election = index, election
+        self._get_index, self._election = get_index, election
         self._links, self._directory = links, directory
         self._forward_to_leader, self._build_state, self._max_requests = (
             forward_to_leader,
@@ -173,10 +173,13 @@
         )
         self._broadcast_in_cell = broadcast_in_cell
         self.cell_states = CellStates(links)
-        self._numbers = itertools.count(election.incarnation)
+        self._request_numbers = itertools.count(election.incarnation)
+        """Numbers of forwarded requests. They begin at the incarnation, so that replies to requests
+        of an earlier incarnation are not mistaken for replies to this one's.
+        """
         self._forwarded: dict[int, _ForwardedRequest] = {}
         self._open_requests = 0
-        """Number of users' requests to this controller without an answer."""
+        """Number of users' requests to this controller that have no reply yet."""
         self.every(policy.heartbeat * 2, self._broadcast_state)
 
     def _broadcast_state(self) -> None:
@@ -198,7 +201,7 @@
         self._open_requests += 1
         timeout_s = self._policy.ask
         deadline = self.runtime.now() + timeout_s + self._policy.process_pause
-        request = _UserRequest(on_reply, self.runtime.now, deadline, self._count_reply)
+        request = _UserRequest(on_reply, self.runtime.now, deadline, self._on_request_finished)
         request.timer = self.later(timeout_s, request.reply, UNAVAILABLE, None)
         if isinstance(subject, bytes):
             self._place_job(
@@ -209,7 +212,7 @@
                 subject, partial(self._forward_to_kept_cell, kind, subject, request.reply)
             )
 
-    def _count_reply(self) -> None:
+    def _on_request_finished(self) -> None:
         self._open_requests -= 1
 
     def _forward_to_kept_cell(
@@ -218,8 +221,7 @@
         if lookup is None:
             on_reply(UNAVAILABLE, None)
         elif lookup.entry is None or not lookup.entry.kept:
-            # A cell accepts a job only after it has kept it, so no user was told that this one was
-            # accepted.
+            # A cell accepts a job only after it has kept it, so this one was not accepted.
             on_reply(NOT_FOUND, None)
         else:
             self._forward_to_cell(lookup.entry.cell, kind, ref, b"", on_reply)
@@ -301,7 +303,7 @@
     def _find_available_cells(self) -> set[str]:
         available = {
             cell.name
-            for cell in self._index().cells.values()
+            for cell in self._get_index().cells.values()
             if self.cell_states.find_available_controllers(cell)
         }
         if self._election.is_available:
@@ -310,7 +312,7 @@
 
     def _choose_cell(self, spec: wire.Spec) -> Cell | None:
         """Chooses a cell that can serve the job; None if no cell is available."""
-        index, available = self._index(), self._find_available_cells()
+        index, available = self._get_index(), self._find_available_cells()
         cells = [cell for cell in index.cells.values() if cell.name in available and cell.open]
         if spec.zone is not None:
             home = index.by_zone.get(spec.zone)
@@ -342,12 +344,12 @@
         if cell_name == self._cell:
             self._forward_to_leader(kind, submission or ref, on_reply)
             return
-        cell = self._index().cells.get(cell_name)
+        cell = self._get_index().cells.get(cell_name)
         available = self.cell_states.find_available_controllers(cell) if cell is not None else []
         if not available or len(self._forwarded) >= self._max_requests:
             on_reply(UNAVAILABLE, None)
             return
-        number = next(self._numbers)
+        number = next(self._request_numbers)
         node = available[number % len(available)]
         forwarded = self._forwarded[number] = _ForwardedRequest(node, on_reply)
         forwarded.timer = self.later(
@@ -374,7 +376,7 @@
             log.warning("event=cell_frame_malformed sender=%s why=%s", sender, error)
             return
         if isinstance(message, CellState):
-            cell = self._index().by_controller.get(sender)
+            cell = self._get_index().by_controller.get(sender)
             if cell is not None and cell.name == message.cell:
                 self.cell_states.record(sender, message)
         elif isinstance(message, CellRequest):
--- a/flaxtally/cells/map.py
+++ b/flaxtally/cells/map.py
@@ -1,4 +1,4 @@
-"""The cell map: which zones and controllers make up which cell. Pure; persistent structures.
+"""The cell map: which zones and controllers make up which cell.
 
 A map is immutable and only replaced as a whole by a newer one, so a reader never sees a mixture of
 two versions. Zones and controllers never change their cell: whatever version of the map the
@@ -20,7 +20,7 @@
     from collections.abc import Iterable
 
 CELL_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,39}\Z")
-"""Names of cells are part of keys at the state service."""
+"""Matches valid names of cells, which are part of keys at the state service."""
 MAX_CELLS = 64
 
 
@@ -46,7 +46,7 @@
 
 
 class CellIndex:
-    """A validated map with lookups by cell name, zone and controller."""
+    """A validated map with lookups by cell name, zone and controller; it is never modified."""
 
     def __init__(self, cell_map: CellMap) -> None:
         check(cell_map)
@@ -83,12 +83,12 @@
         return newer
 
 
-def _index_cells_by(cell_map: CellMap, names: Any) -> dict[str, Cell]:
-    return {name: cell for cell in cell_map.cells for name in names(cell)}
+def _index_cells_by(cell_map: CellMap, get_names: Any) -> dict[str, Cell]:
+    return {name: cell for cell in cell_map.cells for name in get_names(cell)}
 
 
 def check(cell_map: CellMap) -> None:
-    """Raises `CellMapError` for the first fault; the text names the field."""
+    """Raises `CellMapError` for the first error; the text names the field."""
     if cell_map.version < 1:
         raise CellMapError(f"version: {cell_map.version} is below 1, the lowest version")
     if not 1 <= len(cell_map.cells) <= MAX_CELLS:
@@ -163,7 +163,10 @@
 
 
 def decode(value: Any) -> CellMap:
-    """Converts plain values to an unchecked map; raises `CellMapError` if a type is wrong."""
+    """Converts plain values to a map without calling `check`.
+
+    Raises `CellMapError` if a field is missing or has the wrong type.
+    """
     try:
         return msgspec.convert(value, CellMap)
     except msgspec.ValidationError as error:
--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -43,7 +43,9 @@
 log = logging.getLogger(__name__)
 
 SHARED_KEYS_RATE_FRACTION = 0.2
-"""Fraction of the state service's rates for shared keys, unless these have their own service."""
+"""Fraction of the state service's rates that is reserved for the keys that all cells share, unless
+these keys have a state service of their own.
+"""
 FORWARDED_REQUESTS_SOCKET_FRACTION = 0.25
 """Limit on the requests forwarded to other cells, as a fraction of `max_sockets`."""
 
@@ -86,7 +88,7 @@
 
     @cached_property
     def cell_settings(self) -> Settings:
-        """The settings limited to the cell: its peers, its zones, its part of the rate limits."""
+        """The settings reduced to the cell: its peers, its zones, its part of the rate limits."""
         settings, cells = self._settings, len(self.index.cells)
         state_rate_fraction = (
             (1 - SHARED_KEYS_RATE_FRACTION) / cells if self.file.state is None else 1.0
@@ -145,6 +147,7 @@
         self._own_store = KeyValueStore(runtime, settings.state, policy.call, policy.first_call)
         """Client of the cell's own state service that doesn't add the cell's prefix to keys."""
         self._has_warned = False
+        """Whether the leader key of an undivided fleet was logged."""
         self._leader: Leader | None = None
         self._election: LeaderElection | None = None
 
@@ -214,7 +217,10 @@
         self._own_store.get(LEADER_KEY, on_reply)
 
     def on_pause(self, lost_s: float) -> None:
-        """Discounts a pause of this process, in which it could not read other cells' frames."""
+        """Handles a pause of this process, in which it could not read other cells' frames.
+
+        `lost_s`: the length of the pause, which doesn't count against those controllers.
+        """
         self.links.on_pause(lost_s)
 
     def redirect_to_cell(self, heartbeat: wire.Heartbeat) -> CellRedirect | None:
--- a/flaxtally/cells/messages.py
+++ b/flaxtally/cells/messages.py
@@ -28,7 +28,7 @@
     able: bool
     """Whether requests sent to this controller reach a leader that can commit."""
     pressure: float | None = None
-    """Pending tasks per machine; reported by the cell's leader only."""
+    """Pending tasks per machine of the cell; reported by the cell's leader only."""
     kinds: list[MachineKind] = []
     """Machine types that the cell can provision; reported by the cell's leader only."""
 
--- a/flaxtally/cells/quota_rebalancer.py
+++ b/flaxtally/cells/quota_rebalancer.py
@@ -42,7 +42,7 @@
 CLAIM_KEY_PREFIX = "claim/"
 """Prefix of a cell's claim: the term of its leader, which fences off former leaders."""
 RESERVED_SHARE_FRACTION = 0.1
-"""Fraction of an equal share that a cell keeps for new tasks although it does not use it."""
+"""A cell doesn't transfer this fraction of an equal share, which it keeps unused for new tasks."""
 SHORTFALL_CHANGE_RATIO = 1.5
 """A cell announces its shortfall again when it has grown or shrunk by more than this factor."""
 SHARE_WRITES_FRACTION = 0.5
@@ -89,22 +89,24 @@
         runtime: Runtime,
         store: KeyValueStore,
         cell: str,
-        cells: Callable[[], list[str]],
+        list_cells: Callable[[], list[str]],
         teams: dict[str, Team],
         compute_demand: Callable[[], dict[str, Amount]],
         period_s: float,
         write_rps: float,
     ) -> None:
-        """Takes the shared state service, the names of this cell and of all cells, and the teams.
+        """Takes the client of the shared state service, this cell's name, and the teams.
 
+        `list_cells`: returns the names of all cells.
         `compute_demand`: returns each team's demand in this cell, which is all usage that counts
         against its share plus what its pending tasks need. `period_s`: time between reads of the
         shares. `write_rps`: writes per second that the shared state service accepts.
         """
         super().__init__(runtime)
-        self._store, self._cell, self._cells, self._teams = store, cell, cells, teams
+        self._store, self._cell, self._list_cells, self._teams = store, cell, list_cells, teams
         self._compute_demand, self._period_s = compute_demand, period_s
         self._generation = 0
+        """Increases when a term ends; replies and timers of an earlier generation are ignored."""
         self._term = 0
         self._claim: int | None = None
         """Version of the cell's claim by this term; None while the cell is not claimed."""
@@ -113,7 +115,7 @@
         """Cached limits of the teams; an entry is dropped when the team's row changes."""
         self._damaged_teams: set[str] = set()
         """Teams whose key can't be decoded. It is not overwritten: operators must repair it."""
-        self._busy = False
+        self._is_call_in_flight = False
         self._write_rps = write_rps
         self._teams_to_visit = sorted(
             name for name, team in teams.items() if any(get_team_limit(team))
@@ -123,7 +125,8 @@
     # Limits that the leader enforces
 
     def find_team(self, team: str) -> Team | None:
-        # Called for each task that is placed, while shares change about once a second.
+        # The limit is cached: this is called for each task that is placed, while shares change only
+        # about once a second.
         limit = self._limits.get(team)
         if limit is None and team in self._teams:
             limit = self._limits[team] = self._compute_limit(self._teams[team])
@@ -145,7 +148,7 @@
         """
         self.end_term()
         self._term = term
-        cells = self._cells()
+        cells = self._list_cells()
         first = cells.index(self._cell) * len(self._teams_to_visit) // len(cells)
         # Cells that start together begin with different teams, so that they don't all try to create
         # the same keys.
@@ -154,7 +157,7 @@
 
     def end_term(self) -> None:
         self._generation += 1
-        self._claim, self._rows, self._busy, self._term = None, {}, False, 0
+        self._claim, self._rows, self._is_call_in_flight, self._term = None, {}, False, 0
         self._limits.clear()
 
     # Claiming the cell and reading the shares; one call is in flight at a time
@@ -163,9 +166,9 @@
         if generation != self._generation:
             return
         self.later(self._period_s, self._run_cycle, generation)
-        if self._busy:
+        if self._is_call_in_flight:
             return
-        self._busy = True
+        self._is_call_in_flight = True
         if self._claim is None:
             self._store.get(
                 CLAIM_KEY_PREFIX + self._cell, self._only_in_this_term(self._handle_claim)
@@ -179,7 +182,7 @@
 
         def on_reply(*reply: Any) -> None:
             if generation == self._generation:
-                self._busy = False
+                self._is_call_in_flight = False
                 handler(*reply)
 
         return on_reply
@@ -205,13 +208,13 @@
                 log.info("event=claimed cell=%s term=%d", self._cell, self._term)
                 self._read_shares()
 
-        self._busy = True
+        self._is_call_in_flight = True
         self._store.compare_and_swap(
             {key: version}, {key: self._term}, [], self._only_in_this_term(on_reply), first=True
         )
 
     def _read_shares(self) -> None:
-        self._busy = True
+        self._is_call_in_flight = True
         self._store.list_prefix(SHARE_KEY_PREFIX, self._only_in_this_term(self._handle_rows))
 
     def _handle_rows(self, rows: list[wire.Row] | None) -> None:
@@ -244,7 +247,7 @@
 
     def _write_changes(self) -> None:
         changes: dict[str, TeamShares] = {}
-        demand_by_team, cells = self._compute_demand(), self._cells()
+        demand_by_team, cells = self._compute_demand(), self._list_cells()
         max_writes = max(
             1, int(self._write_rps * SHARE_WRITES_FRACTION * self._period_s / len(cells))
         )
@@ -280,7 +283,7 @@
             shares, shortfall = shares.with_growth(self._cell, free), shortfall.minus(free)
         if has_shortfall_changed(shares.wants.get(self._cell, ZERO), shortfall):
             shares = shares.with_want(self._cell, shortfall.at_most(limit))
-        reserve = limit.times(RESERVED_SHARE_FRACTION / len(self._cells()))
+        reserve = limit.times(RESERVED_SHARE_FRACTION / len(self._list_cells()))
         surplus = share.minus(demand + reserve).at_least_zero()
         for target_cell in sorted(shares.wants):
             amount = shares.wants[target_cell].at_most(surplus)
@@ -314,5 +317,5 @@
                 self._claim = None
             # Any other outcome: not executed, or unknown. The next cycle writes the same again.
 
-        self._busy = True
+        self._is_call_in_flight = True
         self._store.compare_and_swap(guards, puts, [], self._only_in_this_term(on_reply))
--- a/flaxtally/cells/shares.py
+++ b/flaxtally/cells/shares.py
@@ -1,7 +1,7 @@
-"""How a team's limit is divided among cells. Pure arithmetic, in cores and GPUs.
+"""How a team's limit is divided among cells, in cores and GPUs. Performs no I/O.
 
-The shares of a team never sum to more than its limit. `with_transfer` takes from one cell as much
-as it gives to another, in a single record; `with_growth` hands out what no cell has yet.
+The shares of a team never sum to more than its limit. `with_transfer` moves an amount from one cell
+to another in a single record; `with_growth` assigns to a cell what no cell has yet.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from ..settings import Team
 
 EMPTY_SHARE = 1e-9
-"""Cores or GPUs of a share that holds no task: in a team's settings 0 would mean "no limit"."""
+"""Cores or GPUs that stand for an empty share: in a team's settings 0 would mean "no limit"."""
 TOLERANCE = 1e-6
 """Cores or GPUs by which amounts may differ because of rounding."""
 
@@ -53,7 +53,7 @@
 
 
 class ShareError(Exception):
-    """A change would break the invariant of the shares; it is not made."""
+    """A change was refused because it would break the invariant of the shares."""
 
 
 class TeamShares(msgspec.Struct, frozen=True):
@@ -103,7 +103,7 @@
         return TeamShares(of, wants)
 
     def with_growth(self, cell: str, amount: Amount) -> TeamShares:
-        """Adds to a cell's share what no cell has, as after the team's limit was raised."""
+        """Adds to a cell's share an amount that no cell has, as after the limit was raised."""
         return TeamShares({**self.of, cell: self.get_share(cell) + amount}, self.wants)
 
     def with_want(self, cell: str, amount: Amount) -> TeamShares:
@@ -125,9 +125,10 @@
 
 
 def limit_team_to_share(team: Team, shares: TeamShares, share: Amount) -> Team:
-    """Builds the team as a cell sees it: its limit is the share, its guarantee as large a part.
+    """Builds the team as a cell sees it: the limit is the cell's share of it.
 
-    Shares that were divided under a higher limit than the present one shrink in proportion.
+    The guarantee is reduced by the same ratio. Shares that were divided under a higher limit than
+    the present one shrink in proportion.
     """
     limit = get_team_limit(team)
 
--- a/flaxtally/cli/controller_commands.py
+++ b/flaxtally/cli/controller_commands.py
@@ -43,8 +43,9 @@
 
 def serve(arguments: argparse.Namespace) -> ExitCode:
     """Runs a controller until it is killed."""
-    # What a start allocates lives as long as the process. Collecting it would find no garbage, now
-    # and each time that the state of the jobs has grown; `gc.freeze` below excludes it.
+    # Objects that a start allocates live as long as the process. A collection would find no garbage
+    # among them, now or later when the jobs' state has grown; `gc.freeze` below excludes them from
+    # later collections.
     gc.disable()
     settings = load_settings(arguments)
     built_policy = policy.build(explain_policy(arguments, settings))
--- a/flaxtally/cli/entry_point.py
+++ b/flaxtally/cli/entry_point.py
@@ -21,7 +21,8 @@
     except KeyboardInterrupt:
         return ExitCode.INTERRUPTED
     except BrokenPipeError:
-        # The reader of standard output has closed it. Without this, flushing it at exit would fail.
+        # The reader of standard output has closed it. Redirected to the null device, it can still
+        # be flushed at exit without a second error.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ExitCode.DONE
 
--- a/flaxtally/cli/parser.py
+++ b/flaxtally/cli/parser.py
@@ -15,7 +15,7 @@
 DEFAULT_TIMEOUT_S = 5.0
 """Default timeout of a request to a controller."""
 DEFAULT_DEMO_PORT = 21000
-"""Default first port of the demo."""
+"""Default of the first port that the demo uses."""
 
 
 def build_parser() -> argparse.ArgumentParser:
@@ -49,7 +49,7 @@
 
 
 def _add_controller_commands(commands: Any) -> None:
-    policy_commands = _add_group(commands, "policy", "the operators' settings")
+    policy_commands = _add_group(commands, "policy", "inspect the operators' policy")
     serve = _add_command(commands, "serve", controller_commands.serve, "run a controller")
     check = _add_command(
         commands, "check", controller_commands.check, "check a settings file, and a policy file"
@@ -58,7 +58,7 @@
         policy_commands,
         "show",
         controller_commands.show_policy,
-        "show each setting, its value and its origin",
+        "show each setting of the policy, its value and its origin",
     )
     for command in (serve, check, show):
         _add_file_options(command)
@@ -68,14 +68,12 @@
     command.add_argument(
         "--config", required=True, metavar="FILE", help="the platform's settings (TOML)"
     )
-    command.add_argument(
-        "--policy", metavar="FILE", help="the operators' settings (docs/policy.md)"
-    )
+    command.add_argument("--policy", metavar="FILE", help="the operators' policy (docs/policy.md)")
     command.add_argument(
         "--cells", metavar="FILE", help="the deploy file with the fleet's cells (docs/cells.md)"
     )
     command.add_argument(
-        "--features", metavar="FILE", help="features to enable (docs/operations.md)"
+        "--features", metavar="FILE", help="the optional features to enable (docs/operations.md)"
     )
 
 
@@ -119,7 +117,7 @@
             type=float,
             default=DEFAULT_TIMEOUT_S,
             metavar="SECONDS",
-            help="default: 5",
+            help="how long to wait for the reply; default: 5",
         )
 
 
@@ -131,7 +129,7 @@
         "run fakes of the state service, the cloud and the workers on loopback",
     )
     demo.add_argument(
-        "folder", metavar="FOLDER", help="where the settings of three controllers are written"
+        "folder", metavar="FOLDER", help="folder for the settings files of three controllers"
     )
     demo.add_argument(
         "--port",
--- a/flaxtally/feature_table.py
+++ b/flaxtally/feature_table.py
@@ -12,7 +12,7 @@
 
 
 class FeatureError(Exception):
-    """A features file is invalid; the text is one line that names the place."""
+    """A features file is invalid; the text is one line that names the file and the field."""
 
 
 class Feature(Protocol):
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Table:
-    """A feature's table in a features file; errors have the full name of the field."""
+    """A feature's table in a features file; errors name the file and the field."""
 
     path: str
     name: str
--- a/flaxtally/features.py
+++ b/flaxtally/features.py
@@ -39,11 +39,11 @@
     "lending": _create_lending,
     "tracing": _create_tracing,
 }
-"""By the name of a feature's table: the function that checks the table and creates the feature."""
+"""The function that checks a feature's table and creates the feature, by the table's name."""
 
 
 def read_file(path: str) -> list[Feature]:
-    """Returns the features that a file enables; raises `FeatureError` for the first fault."""
+    """Returns the features that a file enables; raises `FeatureError` for the first error."""
     try:
         content = read_toml(path)
     except SettingsError as error:
--- a/flaxtally/policy/__init__.py
+++ b/flaxtally/policy/__init__.py
@@ -45,7 +45,7 @@
     "pass_rest": _RATIO_CONSTRAINT,
     "sample": SettingConstraint(PLAIN, 1.0, 10000.0, is_integer=True),
 }
-"""By the name of the setting. Those that are not listed here are times."""
+"""The constraint of each setting, by its name; settings that are not listed here are times."""
 
 
 @dataclass(frozen=True)
@@ -101,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Setting:
-    """A setting with its value and the place of its definition, as `policy show` prints it."""
+    """A setting with its value and its definition, as `policy show` prints them."""
 
     name: str
     value: float
@@ -111,7 +111,7 @@
     text: str
 
 
-def _platform_values(settings: Settings) -> dict[str, tuple[float, Unit]]:
+def _collect_platform_values(settings: Settings) -> dict[str, tuple[float, Unit]]:
     """Returns the values of the platform's settings file that expressions may refer to."""
     return {
         "workers.report_s": (settings.report_s, TIME),
@@ -154,9 +154,9 @@
 
 
 def explain(settings: Settings, path: str | None = None) -> list[Setting]:
-    """Returns each setting and the place of its definition.
+    """Returns each setting of the policy, with the place of its definition.
 
-    Raises `PolicyError` with every fault.
+    `path`: an operators' file with overrides. Raises `PolicyError` with every fault.
     """
     statements = {
         statement.name: statement
@@ -166,7 +166,7 @@
         statements |= {
             statement.name: statement for statement in _read_statements(Path(path), path)
         }
-    values = evaluate(statements, SETTING_CONSTRAINTS, _platform_values(settings))
+    values = evaluate(statements, SETTING_CONSTRAINTS, _collect_platform_values(settings))
     return [
         Setting(
             name,
--- a/flaxtally/policy/language.py
+++ b/flaxtally/policy/language.py
@@ -40,7 +40,7 @@
 
 PLAIN, TIME, SIZE, RATE = Unit(), Unit(1), Unit(0, 1), Unit(-1)
 UNITS = {"ms": (TIME, 0.001), "s": (TIME, 1.0), "GB": (SIZE, 1.0), "share": (PLAIN, 1.0)}
-"""By its name in a policy file: the unit, and the factor that converts a number to it."""
+"""Each unit's name in a policy file, the unit, and the factor that converts a number to it."""
 COMPARISONS: dict[str, Callable[[float, float], bool]] = {
     "<": operator.lt,
     "<=": operator.le,
@@ -325,7 +325,7 @@
         self.faults.append(Fault(statement.file, statement.line, reason))
 
     def _infer_unit(self, expression: Expression, statement: Statement) -> Unit | None:
-        """Infers the unit of an expression; returns None if it added a fault."""
+        """Returns the unit of an expression; None if it is invalid, after adding the fault."""
         match expression:
             case Number(_, unit):
                 return unit
--- a/flaxtally/settings.py
+++ b/flaxtally/settings.py
@@ -12,7 +12,9 @@
     from .runtime.loop import Address
 
 MIN_VALUE_KB = 1.0
-"""The largest record that can't be split, a job with long names, must fit into one value."""
+"""The least `value_kb`: a job with long names, the largest record that can't be split, must fit
+into one value.
+"""
 BYTES_PER_KB = 1024
 DEFAULT_MAX_SOCKETS = 512.0
 MAX_PORT = 65535
@@ -37,7 +39,8 @@
 class Objective:
     """A service-level objective of the platform for a job class.
 
-    It is a time in seconds (`within`), or a multiple of each job's deadline (`times`).
+    It is a time in seconds (`within`), or a multiple of each job's deadline (`times`). `share` is
+    the fraction that must meet it.
     """
 
     kind: str
@@ -85,12 +88,14 @@
     gang_wait_s: float
     """A waiting task of a gang exits if its gang is not complete within this time."""
     gang_peer_s: float
-    """Within this time the tasks of a gang notice that one is lost, and must be sent a stop."""
+    """Within this time the tasks of a gang notice that one of them is lost, and must be sent a stop
+    command.
+    """
     cancel_s: float
     state_rps: float
     state_limits: StateLimits
-    """The strictest limits of the key-value store over time: limits that it announces to lower
-    later hold from the start.
+    """The strictest limits of the key-value store over time: lower limits that are announced for
+    later are kept from the start.
     """
     cloud_rps: float
     list_lag_s: float
@@ -200,7 +205,7 @@
 
 
 def parse(data: dict[str, Any]) -> Settings:
-    """Builds the settings from the file's content; raises `SettingsError` for the first fault."""
+    """Builds the settings from the file's content; raises `SettingsError` for the first error."""
     top = _Table(data, "")
     params = top.table("params")
     endpoints = top.table("endpoints")
--- a/flaxtally/tracing/__init__.py
+++ b/flaxtally/tracing/__init__.py
@@ -1,9 +1,9 @@
 """Traces of long callbacks of a controller's event loop, as OpenTelemetry spans in a file.
 
 Each callback that takes longer than a threshold becomes a span with its function, start and end.
-The spans show which duty of a leader of thousands of machines (a pass, a plan, a replay) delayed
-the others, and when. The table `tracing` of a features file enables them; `docs/tracing.md` is the
-operators' page.
+In a fleet of thousands of machines the spans show which of the leader's duties (a scheduling pass,
+an autoscaling plan, a replay) delayed the others, and when. The table `tracing` of a features file
+enables them; `docs/tracing.md` is the operators' page.
 """
 
 from __future__ import annotations
