--- a/flaxtally/emulator/command.py
+++ b/flaxtally/emulator/command.py
@@ -20,10 +20,10 @@
 
 
 class CompletedRun(NamedTuple):
-    """The report of a run that was not aborted, and whether it found no violation."""
+    """The report of a run that was not aborted, and whether its checks passed."""
 
     report: list[str]
-    is_good: bool
+    has_passed: bool
 
 
 def _parse_positive(text: str) -> float:
@@ -55,46 +55,60 @@
     )
     commands = emulate.add_subparsers(dest="what", required=True, metavar="COMMAND")
     text = (
-        "Real controllers on loopback, stand-ins of state service, cloud and workers, a load by "
-        "the expected fleet's ratios. Steps the fleet's size up, holds each, then ends the "
-        "leader, restarts workers and silences a zone; checks the rules over all starts and ends. "
-        "Needs the libraries of requirements-emulator.txt. Exit code 1: a rule was broken, or a "
-        "process died; 2: an option, or the machine, doesn't allow the run."
+        "Runs real controllers on loopback with a fake state service, cloud and workers, and a "
+        "load with the ratios of the expected fleet. Runs one fleet size after the other: first "
+        "without faults, then the leader is killed, workers restart and a zone is cut off. Checks "
+        "the protocol's rules over all starts and ends of tasks. Needs the libraries of "
+        "requirements-emulator.txt. Exit code 1: a rule was broken, or a process exited; 2: an "
+        "option is invalid, or the machine lacks a resource for the run."
+    )
+    scale = commands.add_parser(
+        "scale", help="find the resource that is saturated first", description=text
     )
-    scale = commands.add_parser("scale", help="find what saturates first", description=text)
     scale.set_defaults(run=run_scale)
     scale.add_argument(
         "--workers",
         type=_parse_sizes,
         default=[250, 500],
         metavar="N,N,…",
-        help="sizes to play, in this order; default: 250,500",
+        help="the fleet sizes, in the order in which they are run; default: 250,500",
     )
     scale.add_argument("--out", type=Path, required=True, metavar="DIR", help="results and logs")
     _add_plan_options(scale)
     text = (
-        "Three real controllers on loopback with lending, two teams that swap roles, a controller "
-        "killed or stopped and continued every few seconds. Every loan goes to loans.jsonl; an "
-        "audit that sees only the workers' starts and ends gives the verdict. Exit code 1: a "
-        "guarantee or a rule was broken, or nothing was recalled."
+        "Runs three real controllers on loopback with lending, and two teams that lend and borrow "
+        "in turn; every few seconds a controller is killed, or paused for a while. Writes each "
+        "change of a loan to loans.jsonl. An audit that sees only what users submit and cancel and "
+        "which tasks start and end gives the verdict. Exit code 1: a guarantee or a rule was "
+        "broken, or no loan was reclaimed."
     )
     lending = commands.add_parser(
-        "lending", help="loans recalled while controllers fail", description=text
+        "lending", help="reclaim loans while controllers fail", description=text
     )
     lending.set_defaults(run=run_lending)
     lending.add_argument("--out", type=Path, required=True, metavar="DIR", help="results and logs")
     for name, kind, default, meaning in (
-        ("--seconds", _parse_positive, 60.0, "how long it is played"),
-        ("--seed", int, 1, "draws the faults"),
+        ("--seconds", _parse_positive, 60.0, "how long the run lasts"),
+        ("--seed", int, 1, "seed of the random faults"),
         ("--port", _parse_count, 23500, "the first of the ports"),
         ("--fault-every", _parse_positive, 10.0, "seconds between two faults"),
-        ("--swap-every", _parse_positive, 8.0, "seconds until the next team comes back, or leaves"),
-        ("--most-s", _parse_positive, 10.0, "seconds that a team may lack what it is entitled to"),
+        (
+            "--swap-every",
+            _parse_positive,
+            8.0,
+            "seconds until the next team's job is submitted or cancelled",
+        ),
+        (
+            "--most-s",
+            _parse_positive,
+            10.0,
+            "seconds that a team may wait for capacity that it is guaranteed",
+        ),
     ):
         lending.add_argument(
             name, type=kind, default=default, metavar="N", help=f"{meaning}; default: {default:g}"
         )
-    text = "print the results of runs again, several as one; aims and lines are reckoned anew"
+    text = "print the combined results of earlier runs; aims and fitted lines are computed again"
     report = commands.add_parser("report", help=text, description=text)
     report.set_defaults(run=run_report)
     report.add_argument("folders", type=Path, nargs="+", metavar="DIR", help="a run's --out")
@@ -116,26 +130,30 @@
             name, type=kind, default=default, metavar="N", help=f"{text}; default: {default:g}"
         )
 
-    add("--seconds", _parse_positive, "how long a size is held, and at least disturbed")
-    add("--warm-up", _parse_positive, "seconds at most until the standing replicas run")
-    add("--seed", int, "the same seed draws the same load")
+    add(
+        "--seconds",
+        _parse_positive,
+        "seconds of the phase without faults, and at least of the phase with faults",
+    )
+    add("--warm-up", _parse_positive, "longest time until the services' replicas run, in seconds")
+    add("--seed", int, "seed of the load; the same seed gives the same load")
     add("--port", _parse_count, "the first of the ports")
-    add("--controllers", _parse_count, "real controllers a cell")
+    add("--controllers", _parse_count, "controllers per cell")
     add("--cells", _parse_count, "cells, each with controllers and a state service of its own")
-    add("--zones", _parse_count, "zones; the last one falls silent")
-    add("--workers-per-process", _parse_count, "hollow workers that a process plays")
-    add("--state-rps", _parse_positive, "the state service's requests a second")
-    add("--state-write-rps", _parse_positive, "the state service's changes a second")
-    add("--report-s", _parse_positive, "seconds between a worker's reports")
+    add("--zones", _parse_count, "zones; the last one is cut off")
+    add("--workers-per-process", _parse_count, "hollow workers that a process runs")
+    add("--state-rps", _parse_positive, "requests per second that the state service allows")
+    add("--state-write-rps", _parse_positive, "changes per second that the state service allows")
+    add("--report-s", _parse_positive, "seconds between a worker's heartbeats")
     add("--lease-s", _parse_positive, "a worker's lease, in seconds")
-    add("--tasks-per-worker", _parse_positive, "running tasks a worker")
-    add("--starts-per-worker", _parse_positive, "starts a second and worker")
-    add("--array-tasks", _parse_count, "mean tasks of a batch job")
+    add("--tasks-per-worker", _parse_positive, "running tasks per worker")
+    add("--starts-per-worker", _parse_positive, "task starts per second and worker")
+    add("--array-tasks", _parse_count, "mean number of tasks of a batch job")
     scale.add_argument("--policy", metavar="FILE", help="the controllers' policy (docs/policy.md)")
     scale.add_argument(
         "--break-rule",
         action="store_true",
-        help="have a worker start a task twice: the run must notice it and end with exit code 1",
+        help="start a task on a second worker: the run must report it and end with exit code 1",
     )
 
 
@@ -196,7 +214,7 @@
         print(f"flaxtally: {error}", file=sys.stderr)
         return EXIT_FAILED
     print("\n".join(completed.report))
-    return EXIT_OK if completed.is_good else EXIT_FAILED
+    return EXIT_OK if completed.has_passed else EXIT_FAILED
 
 
 def run_lending(arguments: argparse.Namespace) -> int:
@@ -209,7 +227,7 @@
 
     def run() -> CompletedRun:
         verdict = lending.run(lending.Options(**options), arguments.out)
-        return CompletedRun(lending.format_report(verdict), verdict.is_good)
+        return CompletedRun(lending.format_report(verdict), verdict.has_passed)
 
     return _run_and_report(arguments.out, (OSError,), run)
 
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -46,7 +46,7 @@
 """The number of the cell whose leader is killed."""
 LEADER_ELECTED_PATTERN = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
 TAKEOVER_POLL_INTERVAL_S = 0.1
-"""Seconds between two looks at the controllers' logs for a new leader."""
+"""Seconds between two reads of the controllers' logs, which show whether there is a new leader."""
 DRAIN_S = 1.5
 """Seconds from the end of the last phase to the end of the run; by then every child process has
 sent its events and samples of that phase.
@@ -66,8 +66,8 @@
 LEADER_KILL_FRACTION, WORKER_RESTART_FRACTION, ZONE_DISCONNECT_FRACTION = 0.0, 0.2, 0.35
 """When each fault is injected, as a fraction of the disturbed phase's length."""
 MIN_RECOVERY_LEASES = 1.0
-"""The least time from the end of the zone's cut to the end of the disturbed phase, in worker
-leases.
+"""The least time from the zone's reconnection to the end of the disturbed phase, in leases of a
+worker.
 """
 
 
--- a/flaxtally/emulator/fake_environment.py
+++ b/flaxtally/emulator/fake_environment.py
@@ -25,7 +25,7 @@
 
 
 def _create_bucket(loop: CountingLoop, rate: float, burst_s: float) -> TokenBucket:
-    """Creates a token bucket; PROTOCOL allows bursts of `burst_s` seconds' worth of requests."""
+    """Creates a token bucket; PROTOCOL allows bursts of `burst_s` seconds of the rate."""
     return TokenBucket(loop, rate, rate * burst_s)
 
 
@@ -33,13 +33,14 @@
     """A fake cloud whose machines run in other processes.
 
     A request to terminate machines is answered only when all of these processes have confirmed that
-    the machines are gone, because controllers take the reply as proof of it.
+    the machines are removed, because controllers take the reply as proof of it.
     """
 
     def __init__(self, loop: CountingLoop, plan: Plan, link: CoordinatorLink) -> None:
         self._link, self._processes = link, plan.worker_processes
-        self._pending_releases: dict[int, tuple[Request, int]] = {}
-        self._release_count = 0
+        self._pending_terminations: dict[int, tuple[Request, int]] = {}
+        """Requests to terminate machines, and how many processes have not confirmed them yet."""
+        self._termination_count = 0
         super().__init__(
             loop,
             plan.cloud,
@@ -56,15 +57,15 @@
     def _terminate(self, request: Request, names: list[str]) -> None:
         for name in names:
             self.remove_machine(name)
-        self._release_count += 1
-        self._pending_releases[self._release_count] = request, self._processes
-        self._link.send(RemoveMachines(self._release_count, names))
+        self._termination_count += 1
+        self._pending_terminations[self._termination_count] = request, self._processes
+        self._link.send(RemoveMachines(self._termination_count, names))
 
-    def record_machines_removed(self, release_number: int) -> None:
+    def record_machines_removed(self, request_number: int) -> None:
         """Records that one of the workers' processes has terminated the machines of a request."""
-        request, unconfirmed_count = self._pending_releases.pop(release_number)
+        request, unconfirmed_count = self._pending_terminations.pop(request_number)
         if unconfirmed_count > 1:
-            self._pending_releases[release_number] = request, unconfirmed_count - 1
+            self._pending_terminations[request_number] = request, unconfirmed_count - 1
         else:
             request.reply(200, {})
 
--- a/flaxtally/emulator/fit.py
+++ b/flaxtally/emulator/fit.py
@@ -26,7 +26,7 @@
     residual: float
     """Root mean square of the deviations from the line, as a fraction of the figures' mean."""
     power: float | None
-    """The power of the size with which the figure grows; None: it is not positive everywhere."""
+    """The power of the size with which the figure grows; None if a value is not positive."""
     target: int
     at_target: float
     """The figure at `target` workers, extrapolated."""
--- a/flaxtally/emulator/history.py
+++ b/flaxtally/emulator/history.py
@@ -54,7 +54,9 @@
         self._machines = {machine.machine: machine for machine in plan.machines}
         self.events: list[Event] = []
         self.until = float("inf")
-        """Later events are ignored: when the run ends, not every child process has sent them."""
+        """Events after this time are ignored: not every child process has sent its last events
+        when the run ends.
+        """
 
     def add_machine(self, machine: wire.ListedMachine) -> None:
         self._machines[machine.machine] = machine
@@ -157,7 +159,7 @@
         )
 
     def compute_longest_gap_s(self, kinds: tuple[str, ...], since: float, until: float) -> float:
-        """Returns the longest time without a successful reply of these kinds."""
+        """Returns the longest time in the interval without a successful reply of these kinds."""
         times = [
             event.at
             for event in self.events
--- a/flaxtally/emulator/hollow_worker.py
+++ b/flaxtally/emulator/hollow_worker.py
@@ -68,7 +68,7 @@
         self.report_soon()
 
     def disconnect(self, seconds: float) -> None:
-        """Drops all messages to and from the worker for so many seconds."""
+        """Drops all messages to and from the worker for that time."""
         self.mute = self.deaf = True
         self._runtime.after(seconds, self._reconnect)
 
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -1,4 +1,4 @@
-"""Lending with real controllers: three that fail, two teams that borrow in turn, and an audit.
+"""`emulate lending`: three controllers that fail, two teams that borrow in turn, and an audit.
 
 State service, cloud, workers and users are fakes in this process. The fleet has 16 GPUs; each of
 the two teams is guaranteed half of them and requests all of them when its turn comes.
@@ -62,8 +62,11 @@
     """How long the run lasts."""
     seed: int
     port: int
+    """The first of the ports that the run uses."""
     fault_every: float
+    """Time between two faults."""
     swap_every: float
+    """Time between two changes of the load, each of which submits or cancels a team's job."""
     most_s: float
     """How long a team may wait for capacity within its guarantee while others borrow it."""
 
@@ -81,7 +84,7 @@
     faults: list[str]
 
     @property
-    def is_good(self) -> bool:
+    def has_passed(self) -> bool:
         """Whether no guarantee and no rule was broken and at least one loan was reclaimed."""
         return not self.breaches and not self.rules_broken and self.recalled > 0
 
@@ -352,7 +355,7 @@
     lines += [f"  {team} lacked room for {s:g} s at most" for team, s in verdict.longest_s.items()]
     lines += [f"GUARANTEE BROKEN: {breach}" for breach in verdict.breaches]
     lines += [f"RULE BROKEN: {rule}" for rule in verdict.rules_broken]
-    if verdict.is_good:
+    if verdict.has_passed:
         lines.append("no guarantee and no rule was broken")
     elif not verdict.recalled:
         lines.append("nothing was recalled: the run shows nothing")
--- a/flaxtally/emulator/limits.py
+++ b/flaxtally/emulator/limits.py
@@ -39,8 +39,8 @@
 
 def compute_open_files_needed(plan: Plan) -> int:
     """Computes the open files of the process that needs most of them."""
-    hollow = min(plan.workers, plan.workers_per_process) * OPEN_FILES_PER_WORKER
-    return max(hollow, plan.sockets) + OTHER_OPEN_FILES
+    worker_files = min(plan.workers, plan.workers_per_process) * OPEN_FILES_PER_WORKER
+    return max(worker_files, plan.sockets) + OTHER_OPEN_FILES
 
 
 def estimate_memory_bytes(plan: Plan) -> int:
@@ -53,7 +53,7 @@
 
 
 def check(plan: Plan) -> None:
-    """Raises `LimitError` for the first resource that does not suffice."""
+    """Raises `LimitError` for the first resource that is insufficient."""
     if plan.zones < plan.cells:
         raise LimitError(f"{plan.cells} cells need as many zones: raise --zones")
     processes = len(plan.nodes) + plan.worker_processes + OTHER_PROCESSES
--- a/flaxtally/emulator/link.py
+++ b/flaxtally/emulator/link.py
@@ -27,7 +27,7 @@
 
 
 class RoleHandler(Protocol):
-    """The work of a child process, apart from the connection to the coordinator."""
+    """What a child process does in its role, apart from the connection to the coordinator."""
 
     def receive(self, message: Message) -> None:
         """Handles a message from the coordinator."""
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -20,14 +20,14 @@
 RESOURCE_TOLERANCE = 1e-6
 """Absolute tolerance for sums of cores and GPUs."""
 VICTIM_STOP_DELAY_S = 2.0
-"""Seconds from the choice of a task to preempt until it is told to stop and, if it saves its state,
-begins to do so.
+"""Seconds from the choice of a task to preempt until it receives the stop command and, if it saves
+its state, begins to do so.
 """
 
 
 @dataclass(frozen=True)
 class _OwedCapacity:
-    """Capacity that a task gave up on a machine although its team was within its guarantee."""
+    """Capacity that a task had on a machine until it was stopped within its team's guarantee."""
 
     task: str
     team: str
@@ -44,7 +44,7 @@
     cores: float = 0.0
     gpus: float = 0.0
     rank: int = len(wire.RANKS)
-    """The highest rank of a service replica in it, which is the lowest value of `wire.RANKS`."""
+    """The highest rank (lowest value of `wire.RANKS`) of a service replica that uses it."""
 
 
 class LoanAudit:
@@ -62,8 +62,8 @@
         """The longest time that each team waited for such capacity, in seconds."""
         self._shortfall_since: dict[str, float] = {}
         self._last_above_guarantee_at: dict[str, float] = {}
-        """When a team last used more than its guarantee. A preempted task is chosen some time
-        before it stops, and its team may have been above the guarantee only then.
+        """When each team last used more than its guarantee. A preempted task is chosen some time
+        before it stops, and its team may have been above the guarantee at the choice only.
         """
         self._owed_by_machine: dict[str, list[_OwedCapacity]] = {}
 
@@ -179,7 +179,7 @@
     def _find_jobs_with_shortfall(
         self, machines: Collection[wire.ListedMachine]
     ) -> list[wire.Spec]:
-        """Returns jobs with a waiting task that is entitled to capacity that other teams borrow."""
+        """Returns the jobs with a waiting task that is entitled to capacity which others borrow."""
         loans = self._find_borrowed_capacity(machines)
         found = []
         for ref, job in self._rules.jobs.items():
@@ -221,7 +221,7 @@
         return list(found.values())
 
     def _cap_at_team_loan(self, loan: _BorrowedCapacity) -> None:
-        """Limits a sum of tasks, each counted as borrowed in full, to what their team borrows."""
+        """Limits the loan, which counts each of its tasks in full, to what the team borrows."""
         team, used = self._teams[loan.team], self._rules.usage_by_team[loan.team]
         if loan.gpus and team.gpus:
             loan.gpus = min(loan.gpus, used[1] - team.gpus)
--- a/flaxtally/emulator/messages.py
+++ b/flaxtally/emulator/messages.py
@@ -102,7 +102,7 @@
 
 
 class DisconnectZone(msgspec.Struct, tag_field="k", tag="silence_zone"):
-    """Drops all messages to and from a zone's workers for so many seconds."""
+    """Drops all messages to and from a zone's workers for `seconds`."""
 
     zone: str
     seconds: float
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -23,12 +23,12 @@
 FIRST_WORKER_HOST = int(ipaddress.IPv4Address("127.1.0.1"))
 """The first of the loopback addresses on which hollow workers listen, one address per worker."""
 MAX_WORKER_HOSTS = 60_000
-"""Addresses after which the workers' addresses begin again at the first one."""
+"""Number of workers' addresses; after the last one they begin again at the first."""
 CONTROLLER = "controller"
 GPU_TYPE, CPU_TYPE = "g8", "c64"
 MACHINES_PER_GPU_MACHINE = 5
-"""One machine in so many has GPUs. It has 8 of them, which gives 1.6 GPUs per machine (31,000 GPUs
-on 20,000 workers).
+"""Every fifth machine has GPUs: 8 of them, which gives 1.6 GPUs per machine (31,000 GPUs on 20,000
+workers).
 """
 CORES_PER_CPU_MACHINE, CORES_PER_GPU_MACHINE, GPUS_PER_GPU_MACHINE = 64.0, 96.0, 8.0
 CORES_PER_TASK, RAM_GB_PER_TASK = 6.0, 8.0
@@ -38,11 +38,11 @@
 LIMIT_RATIO, GUARANTEE_RATIO = 2.0, 0.8
 """A team's limit and guarantee, as ratios to the mean amount of the fleet per team."""
 SOCKETS_PER_WORKER, MIN_SOCKETS = 4, 700
-"""Sockets of a controller: per worker, and the least in all."""
+"""Sockets of a controller: the number per worker, and the least number in total."""
 URGENT_CLASS, SERVICE_CLASS, BATCH_CLASS = "gate", "serve", "batch"
 """Job classes of the load."""
 URGENT_START_AIM_S, URGENT_AIM_FRACTION = 3.6, 0.95
-"""The aim for urgent jobs: this fraction of their tasks starts within so many seconds."""
+"""The aim for urgent jobs: this fraction of their tasks starts within this time."""
 
 (
     SHARED_STATE_PORT_OFFSET,
@@ -165,7 +165,10 @@
         return [self.port + offset for offset in offsets]
 
     def worker_address(self, number: int) -> Address:
-        """Returns a worker's own loopback address; no host is used twice within a run."""
+        """Returns a worker's own loopback address.
+
+        A run does not use a host twice unless it starts more than `MAX_WORKER_HOSTS` workers.
+        """
         host = ipaddress.IPv4Address(FIRST_WORKER_HOST + number % MAX_WORKER_HOSTS)
         return str(host), self.port + WORKER_PORT_OFFSET
 
--- a/flaxtally/emulator/processes.py
+++ b/flaxtally/emulator/processes.py
@@ -26,7 +26,7 @@
 
 
 class ProcessEndedError(Exception):
-    """A process exited that should run; the text says which one and where its log is."""
+    """A process exited that should still run; the text says which one and where its log is."""
 
 
 class ManagedProcess:
@@ -64,7 +64,7 @@
             )
 
     def kill(self) -> None:
-        """Kills the process with SIGKILL, which it can't handle, as in the failure of a machine."""
+        """Kills the process with SIGKILL: it can't clean up, as if its machine had failed."""
         if self._process is None:
             return
         if self.usages:
--- a/flaxtally/emulator/results.py
+++ b/flaxtally/emulator/results.py
@@ -28,8 +28,8 @@
 fraction of the submitted tasks that must start.
 """
 SATURATION_FRACTION = 0.7
-"""A resource is reported as saturated from this fraction of its capacity on; for processors the
-peak counts.
+"""A resource is reported as saturated if at least this fraction of its capacity is used; of a
+process's processor time the peak counts.
 """
 PEAK_WINDOW_S = 5.0
 """A processor's peak is the highest mean over windows of at least this length."""
@@ -53,7 +53,7 @@
     processor_peak: float
     """The highest mean over a window of a few seconds, in cores."""
     memory_mb: float
-    """The highest resident memory."""
+    """The highest resident memory, in MB."""
     files: int
     """The highest number of open files."""
 
@@ -254,7 +254,7 @@
         )
 
 
-# Missed aims and the reason
+# Missed aims and the saturated resource
 
 
 def evaluate_aims(size: SizeResult) -> None:
--- a/flaxtally/emulator/rules.py
+++ b/flaxtally/emulator/rules.py
@@ -31,7 +31,7 @@
         self.spec = spec
         self.submitted = self.accepted = self.is_cancel_requested = False
         self.final_stage: str | None = None
-        """The final stage that the user was told first; None: none yet."""
+        """The first final stage that was reported to the user; None: none yet."""
         self.final_stage_at = self.accepted_at = float("inf")
         self.done: set[str] = set()
         """Tasks that ended successfully."""
@@ -76,8 +76,8 @@
         """Cores and GPUs that each team uses."""
         self.broken: list[str] = []
         self.reordered_replies = 0
-        """How many replies were older than one before them, and answered a request that was sent
-        before that one arrived; this is allowed.
+        """The number of replies with an older stage than an earlier reply. This is allowed if the
+        request was sent before that earlier reply arrived.
         """
 
     def record_violation(self, rule: str, details: str, at: float) -> None:
@@ -124,8 +124,8 @@
             self.record_violation("quota", f"{spec.team} uses {used}", now)
 
     def record_end(self, task: str, attempt: int, machine: str, done: bool) -> None:
-        there = self.placements.get(task)
-        if there is None or (there[0].machine, there[1]) != (machine, attempt):
+        placement = self.placements.get(task)
+        if placement is None or (placement[0].machine, placement[1]) != (machine, attempt):
             return
         del self.placements[task]
         job = self.job(task.partition("/")[0])
@@ -235,7 +235,8 @@
     ) -> None:
         """Checks, after the last fault, that requests are answered and no job waits without reason.
 
-        `machines`: the machines that are up, with their tasks, also tasks that fetch an image.
+        `machines`: the machines that are up, each with its tasks, including those that still fetch
+        an image.
         """
         held = {task for _, tasks in machines for task in tasks}
         free_by_machine = [
--- a/flaxtally/emulator/scale.py
+++ b/flaxtally/emulator/scale.py
@@ -141,12 +141,13 @@
     "starts a second": lambda phase: phase.starts_per_s,
     "running tasks": lambda phase: phase.running_tasks,
 }
-"""Figures of the steady phase through which lines are fitted over the sizes."""
+"""Figures of the steady phase, by name; a line over the sizes is fitted through each."""
 
 
 def fit_steady_phases(sizes: Sequence[SizeResult]) -> list[Fit]:
-    """Fits lines through the steady phases of the sizes that met the aims; none if these are few.
+    """Fits lines through the steady phases of the sizes that met the aims.
 
+    Leaves out sizes with several cells. Returns none if fewer than `MIN_SIZES` sizes remain.
     At a size that missed an aim, a figure shows what the machine could deliver, not what the size
     needs.
     """
--- a/flaxtally/emulator/users.py
+++ b/flaxtally/emulator/users.py
@@ -40,7 +40,7 @@
 """Seconds after the first attempt at which a user stops retrying a request."""
 CONNECTIONS_PER_CONTROLLER = 32
 SERVICE_SUBMISSION_FRACTION = 0.3
-"""Services are submitted within this fraction of the longest warm-up."""
+"""Services are submitted within this fraction of the warm-up's time limit."""
 DUPLICATE_FRACTION = 0.02
 """Fraction of the accepted jobs that are submitted a second time."""
 DUPLICATE_DELAY_RANGE_S = (0.0, 8.0)
