--- a/tools/limits.py
+++ b/tools/limits.py
@@ -1,5 +1,6 @@
-"""Measures what 10,000 known jobs cost a controller: memory of the ledger's state, and processor
-time of replay and snapshots. Run from the repository's root: `python3 tools/limits.py [JOBS]`.
+"""Measures what many known jobs (10,000 by default) cost a controller: the memory of the ledger's
+state, and the processor time of replay and snapshots. Run it from the repository's root:
+`python3 tools/limits.py [JOBS]`.
 """
 
 from __future__ import annotations
--- a/tools/poll_storm.py
+++ b/tools/poll_storm.py
@@ -55,9 +55,11 @@
     parser = argparse.ArgumentParser(description="Measure what polls cost a controller.")
     parser.add_argument("address", help="HOST:PORT of a controller on this machine")
     parser.add_argument("job")
-    parser.add_argument("--rate", type=float, default=200.0, help="polls a second, 2000 at most")
-    parser.add_argument("--seconds", type=float, default=10.0, help="60 at most")
-    parser.add_argument("--pid", type=int, help="the controller's process")
+    parser.add_argument("--rate", type=float, default=200.0, help="polls per second; at most 2000")
+    parser.add_argument(
+        "--seconds", type=float, default=10.0, help="duration of the run; at most 60"
+    )
+    parser.add_argument("--pid", type=int, help="the controller's process id")
     arguments = parser.parse_args()
     rate, seconds = min(arguments.rate, 2000.0), min(arguments.seconds, 60.0)
     cpu_before_s = read_cpu_seconds(arguments.pid) if arguments.pid else 0.0
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -95,11 +95,14 @@
         "runtime.http:Client._expired",
     ],
 }
+"""The entry points of each duty, as `MODULE:CLASS.METHOD` within the package `flaxtally`."""
 OTHER_DUTY = "other"
+"""The duty that is charged with time outside the entry points."""
 LEADER, FOLLOWER, FAKES = "leader", "follower", "fakes"
 MAX_PRINTED_FUNCTIONS = 50
-REPLICA_IMAGES, BATCH_IMAGES = 16, 12
-POOLS = 8
+SERVICE_IMAGE_COUNT, BATCH_IMAGE_COUNT = 16, 12
+POOL_COUNT = 8
+"""Pools of the simulated cloud: machine types, zones, and spot or not, two of each."""
 SOCKETS_PER_MACHINE, MIN_SOCKETS = 4, 500
 ARRAY_SIZES = (4, 8, 12, 12, 20, 40)
 
@@ -152,7 +155,7 @@
 
         return metered
 
-    def table(self, role: str, seconds: float, controllers: int) -> str:
+    def format_table(self, role: str, seconds: float, controllers: int) -> str:
         """Format what one controller of the role did per second, averaged over `seconds`."""
         spent_s = {
             duty: took_s for (duty_role, duty), took_s in self.spent_s.items() if duty_role == role
@@ -189,7 +192,7 @@
 
 
 def intercept_calls(find_role: Callable[[str], str], run_as: Callable[..., None]) -> None:
-    """Route every call on a simulated host through `run_as`, with the host's role."""
+    """Route every call on a simulated host through `run_as`, which also gets the host's role."""
     call = simulation.Host.call
 
     def call_as_role(host: simulation.Host, fn: Callable[..., None], *args: Any) -> None:
@@ -220,14 +223,14 @@
 
     def _submit_service(self) -> None:
         self._jobs += 1
-        image = f"gate-{self._rng.randrange(REPLICA_IMAGES)}"
+        image = f"gate-{self._rng.randrange(SERVICE_IMAGE_COUNT)}"
         tasks = self._rng.choice((2, 3, 6))
         job = simulated_cluster.spec(f"j-{self._jobs:06d}", tasks=tasks, image=image)
         self._cluster.submit(job, node=self._jobs)
 
     def _submit_array(self) -> None:
         self._jobs += 1
-        ref, image = f"j-{self._jobs:06d}", f"batch-{self._rng.randrange(BATCH_IMAGES)}"
+        ref, image = f"j-{self._jobs:06d}", f"batch-{self._rng.randrange(BATCH_IMAGE_COUNT)}"
         run_time = self._rng.uniform(20.0, 50.0)
         job = simulated_cluster.batch(ref, self._rng.choice(ARRAY_SIZES), image=image)
         self._cluster.submit(job, run_time=run_time, node=self._jobs)
@@ -250,7 +253,7 @@
     """A deployment whose controllers may open as many sockets as its size needs."""
 
     def __init__(self, capacity: int, team: Team) -> None:
-        self._sockets = max(MIN_SOCKETS, SOCKETS_PER_MACHINE * capacity * POOLS)
+        self._sockets = max(MIN_SOCKETS, SOCKETS_PER_MACHINE * capacity * POOL_COUNT)
         super().__init__(capacity=capacity, team=team)
 
     def build_settings(self, node: str) -> Settings:
@@ -264,8 +267,10 @@
 
     `running` machines run at the start; each pool has `capacity` machines at most.
     """
-    pools = capacity * POOLS
-    team = Team("crew", 0.0, max(20000.0, 19.0 * pools), 0.0, max(4000.0, 3.8 * pools))
+    max_machines = capacity * POOL_COUNT
+    team = Team(
+        "crew", 0.0, max(20000.0, 19.0 * max_machines), 0.0, max(4000.0, 3.8 * max_machines)
+    )
     deployment = LargeCluster(capacity, team)
     for number in range(running):
         kind, zone = (
@@ -290,8 +295,8 @@
     meter.reset()
     deployment.run(seconds)
     print(f"-- {text}: {len(deployment.workers)} machines, {len(deployment.running)} tasks")
-    print(meter.table(LEADER, seconds, 1))
-    print(meter.table(FOLLOWER, seconds, len(deployment.nodes) - 1))
+    print(meter.format_table(LEADER, seconds, 1))
+    print(meter.format_table(FOLLOWER, seconds, len(deployment.nodes) - 1))
 
 
 def main() -> None:
@@ -299,9 +304,11 @@
     parser.add_argument("--capacity", type=int, default=33, help="machines per pool (of eight)")
     parser.add_argument("--running", type=int, default=0, help="machines running at the start")
     parser.add_argument("--gates", type=int, default=200, help="services running at the start")
-    parser.add_argument("--arrivals", type=float, default=1.2, help="jobs a second")
-    parser.add_argument("--polls", type=float, default=20.0, help="polls a second")
-    parser.add_argument("--storm", type=float, default=20.0, help="times as many polls")
+    parser.add_argument("--arrivals", type=float, default=1.2, help="jobs per second")
+    parser.add_argument("--polls", type=float, default=20.0, help="polls per second")
+    parser.add_argument(
+        "--storm", type=float, default=20.0, help="factor on the rate of polls in the poll storm"
+    )
     parser.add_argument("--warm-up", type=float, default=60.0, metavar="SECONDS")
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--functions", choices=(LEADER, FOLLOWER), metavar="ROLE")
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,9 +1,9 @@
 """Measures the cost of one more job, task, machine, team: `python3 tools/slopes.py`.
 
-Each figure is measured at four sizes over a factor of eight and fitted to a line (see
-`flaxtally/emulator/fit.py`): its slope, the residual, and the power of the size with which it
-grows. Memory counts the objects alone (`tracemalloc`); seconds are processor time, the minimum of
-five tries.
+Each figure is measured at four sizes over a factor of eight, and a line is fitted through the
+values (see `flaxtally/emulator/fit.py`). Prints the slope, the residual, and the power of the size
+with which the figure grows. Memory counts the objects alone (`tracemalloc`); seconds are processor
+time, the minimum of five tries.
 """
 
 from __future__ import annotations
@@ -203,10 +203,12 @@
     return measure_seconds(lambda: decode_share_rows(rows)) * 1000
 
 
-PLACED_JOBS = TARGET_TASKS // 8
+TARGET_PLACED_JOBS = TARGET_TASKS // 8
 FIGURES = [
     Figure("ledger: KB of memory, jobs", JOB_SIZES, TARGET_JOBS, _measure_waiting_jobs_kb),
-    Figure("ledger: KB of memory, 8-task jobs", JOB_SIZES, PLACED_JOBS, _measure_placed_jobs_kb),
+    Figure(
+        "ledger: KB of memory, 8-task jobs", JOB_SIZES, TARGET_PLACED_JOBS, _measure_placed_jobs_kb
+    ),
     Figure(
         "ledger: KB stored, jobs",
         JOB_SIZES,
@@ -216,11 +218,11 @@
     Figure(
         "ledger: KB stored, 8-task jobs",
         JOB_SIZES,
-        PLACED_JOBS,
+        TARGET_PLACED_JOBS,
         lambda n: measure_ledger_bytes(n, True) / BYTES_PER_KB,
     ),
     Figure("ledger: KB of memory, final jobs", JOB_SIZES, TARGET_JOBS, _measure_terminal_jobs_kb),
-    Figure("takeover: s of replay, 8-task jobs", JOB_SIZES, PLACED_JOBS, _measure_replay_s),
+    Figure("takeover: s of replay, 8-task jobs", JOB_SIZES, TARGET_PLACED_JOBS, _measure_replay_s),
     Figure("leader: KB of memory, machines", MACHINE_SIZES, TARGET_MACHINES, _measure_machines_kb),
     Figure(
         "worker: bytes of a report, tasks",
--- a/tools/wire_digest.py
+++ b/tools/wire_digest.py
@@ -31,7 +31,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-# All names of `tests/` are used between here and "The course of each scenario".
+# Names of `tests/` are used only between here and "The course of each scenario".
 
 import pytest
 
@@ -225,7 +225,7 @@
 
 
 def run_lending(scenario: Scenario) -> None:
-    """Let the borrower ask for all GPUs while the lender repeatedly submits jobs of its own."""
+    """Let the borrower request all GPUs while the lender repeatedly submits jobs of its own."""
     scenario.submit_gpu_array(scenario.next_job_name(), 16, BORROWER, 300.0)
     scenario.run(scenario.random.uniform(25, 30))
     for step in range(8):
