--- a/flaxtally/cells/command.py
+++ b/flaxtally/cells/command.py
@@ -33,10 +33,10 @@
 def check(path: str) -> int:
     """Checks the cells of a deploy file."""
     try:
-        found = read_file(path)
+        cell_file = read_file(path)
     except CellMapError as error:
         return _fail(INVALID_INPUT, str(error))
-    print(f"{path}: {len(found.map.cells)} cells, version {found.map.version}")
+    print(f"{path}: {len(cell_file.map.cells)} cells, version {cell_file.map.version}")
     return DONE
 
 
@@ -45,13 +45,13 @@
 
     def __init__(self, state_address: str) -> None:
         """Raises `CellMapError` if the address is malformed."""
-        found = parse_address(state_address)
-        if found is None:
+        parsed_address = parse_address(state_address)
+        if parsed_address is None:
             raise CellMapError(
                 f"--state {state_address}: not HOST:PORT; expected the state service's address"
             )
         self._loop = Loop()
-        self._store = KeyValueStore(self._loop, found, TIMEOUT_S, TIMEOUT_S)
+        self._store = KeyValueStore(self._loop, parsed_address, TIMEOUT_S, TIMEOUT_S)
 
     def _wait(self, call: Callable[[Callable[..., None]], None]) -> tuple[Any, ...]:
         replies: list[tuple[Any, ...]] = []
@@ -70,8 +70,8 @@
 
     def rows(self, prefix: str) -> list[wire.Row] | None:
         (rows,) = self._wait(lambda on_reply: self._store.list_prefix(prefix, on_reply))
-        found: list[wire.Row] | None = rows
-        return found
+        result: list[wire.Row] | None = rows
+        return result
 
     def put(self, key: str, version: int, value: Any) -> Outcome:
         (outcome, _) = self._wait(
@@ -79,8 +79,8 @@
                 {key: version}, {key: value}, [], on_reply
             )
         )
-        found: Outcome = outcome
-        return found
+        result: Outcome = outcome
+        return result
 
 
 def apply(path: str, state_address: str) -> int:
--- a/flaxtally/cells/map_watcher.py
+++ b/flaxtally/cells/map_watcher.py
@@ -79,13 +79,13 @@
 
     def _handle_value(self, value: Any) -> None:
         try:
-            found = decode(value)
+            stored_map = decode(value)
             if not self._is_agreed:
-                self._agree_on(CellIndex(found))
+                self._agree_on(CellIndex(stored_map))
                 return
-            if found.version <= self.index.version:
+            if stored_map.version <= self.index.version:
                 return
-            self.index = self.index.build_successor(found)
+            self.index = self.index.build_successor(stored_map)
         except CellMapError as error:
             if value != self._last_refused_value:
                 self._last_refused_value = value
--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -320,8 +320,8 @@
 
 def find_leaders(plan: Plan, folder: Path) -> list[str]:
     """Returns the leaders, one per cell; a cell without a leader is left out."""
-    found = [find_newest_cell_term(plan, folder, cell).leader for cell in range(plan.cells)]
-    return [name for name in found if name]
+    leaders = [find_newest_cell_term(plan, folder, cell).leader for cell in range(plan.cells)]
+    return [name for name in leaders if name]
 
 
 def find_newest_cell_term(plan: Plan, folder: Path, cell: int) -> Term:
@@ -331,12 +331,12 @@
 
 def find_newest_term(folder: Path, names: Iterable[str]) -> Term:
     """Returns the newest term that the logs of these controllers announce."""
-    found = Term(0, "")
+    newest = Term(0, "")
     for name in names:
         log_file = folder / f"{name}.log"
         if log_file.exists():
             text = log_file.read_text(encoding="utf-8", errors="replace")
-            found = max(
-                [found, *(Term(int(term), name) for term in LEADER_ELECTED_PATTERN.findall(text))]
+            newest = max(
+                [newest, *(Term(int(term), name) for term in LEADER_ELECTED_PATTERN.findall(text))]
             )
-    return found
+    return newest
--- a/flaxtally/emulator/lending.py
+++ b/flaxtally/emulator/lending.py
@@ -332,13 +332,13 @@
             restart_delay_s = self._rng.uniform(*RESTART_DELAY_RANGE_S)
             controller.kill()
             self.later(restart_delay_s, controller.start)
-            what = f"killed, back after {restart_delay_s:.1f} s"
+            fault = f"killed, back after {restart_delay_s:.1f} s"
         else:
             controller.pause()
             self.later(PAUSE_DURATION_LEASES * LEASE_S, controller.resume)
-            what = f"stopped for {PAUSE_DURATION_LEASES * LEASE_S:g} s"
+            fault = f"stopped for {PAUSE_DURATION_LEASES * LEASE_S:g} s"
         role = "the leader" if name == leader else "no leader"
-        self._faults.append(f"{self._get_elapsed_s():.1f} {name} ({role}) {what}")
+        self._faults.append(f"{self._get_elapsed_s():.1f} {name} ({role}) {fault}")
 
 
 def run(options: Options, folder: Path) -> Verdict:
--- a/flaxtally/emulator/load.py
+++ b/flaxtally/emulator/load.py
@@ -88,10 +88,10 @@
             yield at, number
 
     def job(self, number: int) -> JobPlan:
-        found = self._jobs.get(number)
-        if found is None:
-            found = self._jobs[number] = self._draw_job(number)
-        return found
+        job = self._jobs.get(number)
+        if job is None:
+            job = self._jobs[number] = self._draw_job(number)
+        return job
 
     def _draw_job(self, number: int) -> JobPlan:
         rng = random.Random(f"{self._plan.seed}/job/{number}")
--- a/flaxtally/emulator/loan_audit.py
+++ b/flaxtally/emulator/loan_audit.py
@@ -71,10 +71,10 @@
 
     def _is_within_guarantee(self, team: str, cores: float, gpus: float) -> bool:
         """Returns whether that usage is within the team's guarantee."""
-        found = self._teams[team]
-        return bool(found.cores or found.gpus) and all(
+        quota = self._teams[team]
+        return bool(quota.cores or quota.gpus) and all(
             not guaranteed or used <= guaranteed + RESOURCE_TOLERANCE
-            for guaranteed, used in ((found.cores, cores), (found.gpus, gpus))
+            for guaranteed, used in ((quota.cores, cores), (quota.gpus, gpus))
         )
 
     def _is_entitled(self, spec: wire.Spec) -> bool:
@@ -103,16 +103,16 @@
 
     def compute_borrowed(self) -> dict[str, tuple[float, float]]:
         """Returns the cores and GPUs that each borrowing team uses beyond its guarantee."""
-        found = {}
+        borrowed = {}
         for name, team in self._teams.items():
             used = self._rules.usage_by_team.get(name, [0.0, 0.0])
             if not self._is_within_guarantee(name, *used):
                 has_no_guarantee = not (team.cores or team.gpus)
-                found[name] = (
+                borrowed[name] = (
                     max(0.0, used[0] - team.cores) if team.cores or has_no_guarantee else 0.0,
                     max(0.0, used[1] - team.gpus) if team.gpus or has_no_guarantee else 0.0,
                 )
-        return {name: amounts for name, amounts in found.items() if any(amounts)}
+        return {name: amounts for name, amounts in borrowed.items() if any(amounts)}
 
     # Observations
 
@@ -205,20 +205,20 @@
     ) -> list[_BorrowedCapacity]:
         """Returns the borrowed capacity of each machine, by team."""
         by_name = {machine.machine: machine for machine in machines}
-        found: dict[tuple[str, str], _BorrowedCapacity] = {}
+        loans: dict[tuple[str, str], _BorrowedCapacity] = {}
         for task, (machine, _) in self._rules.placements.items():
             spec = self._get_spec(task)
             if machine.machine not in by_name or not self._is_borrowed(spec):
                 continue
             key = machine.machine, spec.team
-            loan = found.setdefault(key, _BorrowedCapacity(by_name[machine.machine], spec.team))
+            loan = loans.setdefault(key, _BorrowedCapacity(by_name[machine.machine], spec.team))
             loan.cores += spec.cores
             loan.gpus += spec.gpus
             if spec.job_kind == wire.SERVICE:
                 loan.rank = min(loan.rank, wire.RANKS[spec.rank])
-        for loan in found.values():
+        for loan in loans.values():
             self._cap_at_team_loan(loan)
-        return list(found.values())
+        return list(loans.values())
 
     def _cap_at_team_loan(self, loan: _BorrowedCapacity) -> None:
         """Limits the loan, which counts each of its tasks in full, to what the team borrows."""
--- a/flaxtally/emulator/processes.py
+++ b/flaxtally/emulator/processes.py
@@ -13,7 +13,7 @@
 
 SOURCE_ROOT = Path(__file__).resolve().parent.parent.parent
 KILL_TIMEOUT_S = 5.0
-"""Seconds within which a killed process must be gone."""
+"""Seconds within which a killed process must have exited."""
 
 
 class ResourceUsage(NamedTuple):
