--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -130,7 +130,7 @@
         """Runs the size; raises `ProcessEndedError` if a process exits on its own."""
         plan_file = self._folder / "plan.json"
         save(self._plan, plan_file)
-        self._loop.listen(self._plan.control, self._accept)
+        self._loop.listen(self._plan.coordinator, self._accept)
         self._loop.on_delay(LOOP_LATE_THRESHOLD_S, SAMPLE_INTERVAL_S, self._on_delay)
         try:
             self._start_child(plan_file, ENVIRONMENT, 0)
--- a/flaxtally/emulator/link.py
+++ b/flaxtally/emulator/link.py
@@ -45,7 +45,9 @@
         self._events: list[Event] = []
         self._samples: dict[str, list[float]] = {}
         self.handler: RoleHandler | None = None
-        self._channel = Channel(loop.connect(plan.control), self._receive, lambda _: loop.stop())
+        self._channel = Channel(
+            loop.connect(plan.coordinator), self._receive, lambda _: loop.stop()
+        )
         loop.on_delay(LOOP_LATE_THRESHOLD_S, COUNTER_INTERVAL_S, self._on_delay)
 
     def start(self, handler: RoleHandler) -> None:
--- a/flaxtally/emulator/plan.py
+++ b/flaxtally/emulator/plan.py
@@ -47,7 +47,7 @@
 (
     SHARED_STATE_PORT_OFFSET,
     CLOUD_PORT_OFFSET,
-    CONTROL_PORT_OFFSET,
+    COORDINATOR_PORT_OFFSET,
     WORKER_PORT_OFFSET,
     FIRST_STATE_PORT_OFFSET,
 ) = 0, 1, 2, 3, 4
@@ -135,11 +135,13 @@
 
     @property
     def cloud(self) -> Address:
+        """Address of the fake cloud."""
         return HOST, self.port + CLOUD_PORT_OFFSET
 
     @property
-    def control(self) -> Address:
-        return HOST, self.port + CONTROL_PORT_OFFSET
+    def coordinator(self) -> Address:
+        """Address on which the coordinator listens to the child processes."""
+        return HOST, self.port + COORDINATOR_PORT_OFFSET
 
     def users_address(self, number: int) -> Address:
         """Returns where a controller listens to users and workers; peers use the next port."""
@@ -159,7 +161,7 @@
         offsets = (
             SHARED_STATE_PORT_OFFSET,
             CLOUD_PORT_OFFSET,
-            CONTROL_PORT_OFFSET,
+            COORDINATOR_PORT_OFFSET,
             *controller_and_state_offsets,
         )
         return [self.port + offset for offset in offsets]
