--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -65,7 +65,7 @@
         "ledger.write_ahead_log:WriteAheadLog.propose",
         "ledger.group_commit:GroupCommit._commit",
         "ledger.group_commit:GroupCommit._on_outcome",
-        "ledger.leadership_barrier:LeadershipBarrier._ask",
+        "ledger.leadership_barrier:LeadershipBarrier._send_round",
     ],
     "compaction": ["ledger.write_ahead_log:WriteAheadLog.compact"],
     "replay": ["ledger.write_ahead_log:WriteAheadLog.replay", "leader.leader:Leader._on_replayed"],
@@ -85,14 +85,14 @@
         "leader.reconciliation.stragglers:Stragglers.check_running_tasks",
     ],
     "http server": [
-        "runtime.http:ServerConn._data",
-        "runtime.http:ServerConn.answer",
+        "runtime.http:ServerConnection._on_data",
+        "runtime.http:ServerConnection.send_reply",
         "runtime.http:Server._accept",
     ],
     "http client": [
         "runtime.http:Client.request",
-        "runtime.http:Client._data",
-        "runtime.http:Client._expired",
+        "runtime.http:Client._on_data",
+        "runtime.http:Client._on_timeout",
     ],
 }
 """The entry points of each duty, as `MODULE:CLASS.METHOD` within the package `flaxtally`."""
