--- a/flaxtally/emulator/coordinator.py
+++ b/flaxtally/emulator/coordinator.py
@@ -46,7 +46,7 @@
 """The number of the cell whose leader is killed."""
 LEADER_ELECTED_PATTERN = re.compile(r"event=leader_elected node=\S+ term=([0-9]+)")
 TAKEOVER_POLL_INTERVAL_S = 0.1
-"""Seconds between two looks at the controllers' logs for a new leader."""
+"""Seconds between two reads of the controllers' logs, which show whether there is a new leader."""
 DRAIN_S = 1.5
 """Seconds from the end of the last phase to the end of the run; by then every child process has
 sent its events and samples of that phase.
@@ -66,8 +66,8 @@
 LEADER_KILL_FRACTION, WORKER_RESTART_FRACTION, ZONE_DISCONNECT_FRACTION = 0.0, 0.2, 0.35
 """When each fault is injected, as a fraction of the disturbed phase's length."""
 MIN_RECOVERY_LEASES = 1.0
-"""The least time from the end of the zone's cut to the end of the disturbed phase, in worker
-leases.
+"""The least time from the zone's reconnection to the end of the disturbed phase, in leases of a
+worker.
 """
 
 
@@ -130,7 +130,7 @@
         """Runs the size; raises `ProcessEndedError` if a process exits on its own."""
         plan_file = self._folder / "plan.json"
         save(self._plan, plan_file)
-        self._loop.listen(self._plan.control, self._accept)
+        self._loop.listen(self._plan.coordinator, self._accept)
         self._loop.on_delay(LOOP_LATE_THRESHOLD_S, SAMPLE_INTERVAL_S, self._on_delay)
         try:
             self._start_child(plan_file, ENVIRONMENT, 0)
@@ -322,8 +322,8 @@
 
 def find_leaders(plan: Plan, folder: Path) -> list[str]:
     """Returns the leaders, one per cell; a cell without a leader is left out."""
-    found = [find_newest_cell_term(plan, folder, cell).leader for cell in range(plan.cells)]
-    return [name for name in found if name]
+    leaders = [find_newest_cell_term(plan, folder, cell).leader for cell in range(plan.cells)]
+    return [name for name in leaders if name]
 
 
 def find_newest_cell_term(plan: Plan, folder: Path, cell: int) -> Term:
@@ -333,12 +333,12 @@
 
 def find_newest_term(folder: Path, names: Iterable[str]) -> Term:
     """Returns the newest term that the logs of these controllers announce."""
-    found = Term(0, "")
+    newest = Term(0, "")
     for name in names:
         log_file = folder / f"{name}.log"
         if log_file.exists():
             text = log_file.read_text(encoding="utf-8", errors="replace")
-            found = max(
-                [found, *(Term(int(term), name) for term in LEADER_ELECTED_PATTERN.findall(text))]
+            newest = max(
+                [newest, *(Term(int(term), name) for term in LEADER_ELECTED_PATTERN.findall(text))]
             )
-    return found
+    return newest
--- a/flaxtally/emulator/link.py
+++ b/flaxtally/emulator/link.py
@@ -27,7 +27,7 @@
 
 
 class RoleHandler(Protocol):
-    """The work of a child process, apart from the connection to the coordinator."""
+    """What a child process does in its role, apart from the connection to the coordinator."""
 
     def receive(self, message: Message) -> None:
         """Handles a message from the coordinator."""
@@ -45,7 +45,9 @@
         self._events: list[Event] = []
         self._samples: dict[str, list[float]] = {}
         self.handler: RoleHandler | None = None
-        self._channel = Channel(loop.connect(plan.control), self._receive, lambda _: loop.stop())
+        self._channel = Channel(
+            loop.connect(plan.coordinator), self._receive, lambda _: loop.stop()
+        )
         loop.on_delay(LOOP_LATE_THRESHOLD_S, COUNTER_INTERVAL_S, self._on_delay)
 
     def start(self, handler: RoleHandler) -> None:
