--- a/flaxtally/cells/membership.py
+++ b/flaxtally/cells/membership.py
@@ -107,7 +107,7 @@
             cloud_rps=settings.cloud_rps / cells,
         )
 
-    def cloud(self, runtime: Runtime, policy: Policy) -> Cloud:
+    def create_cloud_client(self, runtime: Runtime, policy: Policy) -> Cloud:
         """Creates the cell's client of the cloud."""
         cell_settings = self.cell_settings
         zones = frozenset(self.cell.zones)
--- a/flaxtally/controller.py
+++ b/flaxtally/controller.py
@@ -90,7 +90,7 @@
     from .cells.membership import Membership
 
     membership = Membership(runtime, settings, policy, cells)
-    cloud = cells.cloud(runtime, policy)
+    cloud = cells.create_cloud_client(runtime, policy)
     return _Scope(
         cells.cell_settings, cloud, membership.quota_rebalancer, cells.key_prefix, membership
     )
