--- a/tests/simulated_lending.py
+++ b/tests/simulated_lending.py
@@ -91,7 +91,7 @@
             w.machine for w in self.workers.values() if not w.hung and w.preemption_notice_s is None
         ]
         self.audit.check_deadlines(self.sim.time, healthy_machines)
-        for reclaim in self.recalls().values():
+        for reclaim in self.read_reclaims().values():
             # A change of leader must not change a deadline.
             self.seen_reclaims[reclaim.number] = reclaim
             assert self.deadlines.setdefault(reclaim.number, reclaim.deadline) == reclaim.deadline
@@ -108,7 +108,7 @@
                     state.replay(record, int(key[2:]))
         return state
 
-    def recalls(self) -> dict[int, Reclaim]:
+    def read_reclaims(self) -> dict[int, Reclaim]:
         """Returns the reclaims that the ledger holds now, by number."""
         return self.read_ledger().loan_state.reclaims
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -151,7 +151,7 @@
     caplog.set_level(logging.INFO, logger="flaxtally.leader.reclaim.quota_reclaim")
     cluster = start_cluster_with_loans()
     cluster.submit(gpu_array("j-000200", 2), run_time=30.0)
-    run_until(cluster, lambda: len(cluster.recalls()) == 2, 5)
+    run_until(cluster, lambda: len(cluster.read_reclaims()) == 2, 5)
     page = msgspec.convert(get_loans(cluster, cluster.names[1])[1], LoansPage)
     assert {row.job for row in page.recalls} <= {"j-000200"}
     run_until(cluster, lambda: cluster.count("j-000200") == 2, RECLAIM_DEADLINE_S)
--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -68,7 +68,7 @@
 
 
 def wait_for_no_open_reclaim(cluster: SimulatedLendingCluster) -> None:
-    run_until(cluster, lambda: not cluster.recalls(), 3 * RECLAIM_DEADLINE_S)
+    run_until(cluster, lambda: not cluster.read_reclaims(), 3 * RECLAIM_DEADLINE_S)
 
 
 # 1. The leader crashes at every step
@@ -174,7 +174,7 @@
     # The lender's job is cancelled: delayed copies of writes must not start a reclaim again.
     cluster.cancel("j-000200")
     cluster.run(20.0)
-    assert not cluster.recalls()
+    assert not cluster.read_reclaims()
     assert cluster.count_stops("j-000100") == 8
 
 
@@ -187,8 +187,8 @@
     cluster = SimulatedLendingCluster(seed, max_shortfall_s=3 * RECLAIM_DEADLINE_S + TAKEOVER_S)
     borrow(cluster, **SLOW_SAVE)
     submit_lender_job(cluster, 4)
-    run_until(cluster, lambda: len(cluster.recalls()) == 4, 5)
-    before = {reclaim.number: reclaim.deadline for reclaim in cluster.recalls().values()}
+    run_until(cluster, lambda: len(cluster.read_reclaims()) == 4, 5)
+    before = {reclaim.number: reclaim.deadline for reclaim in cluster.read_reclaims().values()}
     cluster.refuse(wait_for_leader(cluster), 8.0)
     cluster.run(6.0)
     cluster.start_state_outage(RECLAIM_DEADLINE_S + 5.0)
@@ -219,7 +219,7 @@
     cluster = SimulatedLendingCluster(seed, max_shortfall_s=200.0)
     borrow(cluster, **SLOW_SAVE)
     submit_lender_job(cluster, 4)
-    run_until(cluster, lambda: len(cluster.recalls()) == 4, 5)
+    run_until(cluster, lambda: len(cluster.read_reclaims()) == 4, 5)
     # The present leader has the feature; all others restart without it, one of which leads next.
     cluster.nodes_without_lending = set(NODES) - {wait_for_leader(cluster)}
     for name in cluster.nodes_without_lending:
@@ -352,8 +352,8 @@
     )
     borrow(cluster, 32, **SLOW_SAVE)
     since = submit_lender_job(cluster, 2)
-    run_until(cluster, lambda: len(cluster.recalls()) == 2, 5)
-    before = cluster.recalls()
+    run_until(cluster, lambda: len(cluster.read_reclaims()) == 2, 5)
+    before = cluster.read_reclaims()
     machine = next(iter(before.values())).machine
     MACHINE_FAULTS[fault](cluster, machine)
     wait_for_lender_capacity(cluster, since, 2, extra_s=TAKEOVER_S)
@@ -429,7 +429,7 @@
     cluster.slow_down_state_service(1.0, 6.0)
     may_start[0] = True
     run_until(cluster, lambda: len(get_quota_reclaim(cluster).open_reclaims) == 2, 5)
-    assert not cluster.recalls(), "proposed, and not committed"
+    assert not cluster.read_reclaims(), "proposed, and not committed"
     if cause == "cancelled":
         cluster.cancel("j-000200")
         cluster.run(10.0)
@@ -482,7 +482,7 @@
     cluster.run(3.0)
     without_replies = sorted(cluster.workers)[0]
     since = submit_lender_job(cluster, 8)
-    run_until(cluster, lambda: bool(cluster.recalls()), 8)
+    run_until(cluster, lambda: bool(cluster.read_reclaims()), 8)
     cluster.inject_machine_fault("deaf", [without_replies], 6.0)
     wait_for_lender_capacity(cluster, since, 8, extra_s=RECLAIM_DEADLINE_S)
     wait_for_no_open_reclaim(cluster)
@@ -535,7 +535,7 @@
     cluster = LoweredQuotaCluster(seed, max_shortfall_s=500.0)
     borrow(cluster, **SLOW_SAVE)
     submit_lender_job(cluster, 8)
-    run_until(cluster, lambda: len(cluster.recalls()) > 1, 5)
+    run_until(cluster, lambda: len(cluster.read_reclaims()) > 1, 5)
     for name in NODES:
         cluster.lowered |= {name}
         cluster.crash(name, 0.5)
@@ -561,7 +561,7 @@
     has_crashed = crash_at(cluster, STEPS["committed"], 1, monkeypatch)
     submit_lender_job(cluster, 2)
     run_until(cluster, has_crashed, 5)
-    assert cluster.recalls()
+    assert cluster.read_reclaims()
     wait_for_no_open_reclaim(cluster)
     assert wait_for_leader(cluster) != first
     assert cluster.count_stops("j-000100") == 0
@@ -589,9 +589,9 @@
             cluster.submit(gpu_array(f"j-{500 + second:06d}", 8), run_time=4.0, node=second)
         cluster.run(1.0)
         max_pages = max(max_pages, sum(key.startswith("p/") for key in cluster.state.rows))
-        max_reclaims = max(max_reclaims, len(cluster.recalls()))
+        max_reclaims = max(max_reclaims, len(cluster.read_reclaims()))
     assert len(cluster.deadlines) > 8, "loans were reclaimed"
     assert max_reclaims <= 8, "no more than the pending tasks"
     assert max_pages <= 24
     assert (cluster.state.changes - writes) / 60 < 30.0
-    run_until(cluster, lambda: not cluster.recalls(), 30)
+    run_until(cluster, lambda: not cluster.read_reclaims(), 30)
