--- a/flaxtally/cli/request_commands.py
+++ b/flaxtally/cli/request_commands.py
@@ -21,7 +21,7 @@
 """Range of the ASCII codes that the path of a request may contain."""
 STATUS_MEANINGS = {
     400: "the request is malformed",
-    404: "unknown job or path; check the job's id",
+    404: "unknown job or page; check the job's id, or whether the leader enables the feature",
     422: "the request can never be carried out; see the reply's error",
     429: "too many requests; try again later",
     503: "no leader can answer now; try again later",
