--- a/tests/test_entitlement.py
+++ b/tests/test_entitlement.py
@@ -341,7 +341,7 @@
 def test_a_quota_is_preserved_at_or_above_it_in_a_resource_taken(
     team: Team | None, usage: tuple[float, float], taken: tuple[float, float], is_preserved: bool
 ) -> None:
-    """A wrong answer would let a reclaim stop tasks that the team's quota guarantees.
+    """A wrong answer would let a reclaim stop tasks that the team's quota covers.
 
     `usage`: what the team still uses after its tasks were stopped.
     """
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -273,7 +273,7 @@
         audit.check_deadlines(float(now), [machine])
     assert audit.breaches == ["11.00 crew is below its guarantee for 11.0 s"]
     assert audit.longest_shortfall_s == {"crew": 19.0}
-    # The victim is within its own quota, and its capacity goes to another team.
+    # The victim is within its team's guarantee, and its capacity goes to another team.
     for task in range(4, 12):
         audit.record_upcoming_end(f"j-000100/{task}", 21.0)
         rules.record_end(f"j-000100/{task}", 1, "n-1", True)
