--- a/tests/test_lending_failures.py
+++ b/tests/test_lending_failures.py
@@ -249,7 +249,7 @@
     """Controllers run the version in production until they are upgraded, then one with lending."""
 
 
-def test_a_rolling_upgrade_from_production_while_capacity_is_lent() -> None:
+def test_no_reclaim_record_is_written_before_a_rolling_upgrade_is_complete() -> None:
     # Until all controllers are upgraded, the new version must not write records of reclaims, which
     # the version in production can't read.
     cluster = RollingCluster(seed=3, max_shortfall_s=200.0)
@@ -570,7 +570,7 @@
 # 12. Many small jobs
 
 
-def test_many_small_jobs_of_a_borrower_while_its_loans_are_reclaimed() -> None:
+def test_ledger_stays_bounded_while_loans_of_many_small_jobs_are_reclaimed() -> None:
     # Many small jobs of the borrower start, finish and are cancelled while its loans are reclaimed:
     # the open reclaims, the pages of the ledger and the writes per second must stay bounded.
     cluster = SimulatedLendingCluster(
--- a/tests/test_slow_processor.py
+++ b/tests/test_slow_processor.py
@@ -77,7 +77,7 @@
     assert are_all_replicas_running(cluster)
 
 
-def test_slow_processors_when_all_controllers_restart() -> None:
+def test_slow_controllers_serve_again_within_a_few_terms_after_all_restart() -> None:
     # After a restart of all controllers, polls and the replay of the log compete for slow
     # processors: a leader must still be found within a few terms, and cancellations must work.
     cluster = start_loaded_cluster(seed=6)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -149,7 +149,7 @@
     assert cluster.run_until(lambda: cluster.format == formats.GANGS, 30.0)
 
 
-def test_format_raise_whose_reply_is_lost() -> None:
+def test_format_is_raised_although_replies_to_writes_are_lost() -> None:
     # The transaction that raises the format may be applied although its reply never arrives.
     cluster = start_serving_cluster(upgraded=NODES[:2])
     cluster.upgrade(NODES[2], restart_after_s=2.0)
@@ -174,7 +174,7 @@
 
 
 @pytest.mark.parametrize("situation", ["quiet", "takeover", "lost_answers", "team_at_limit"])
-def test_limits_are_lowered_without_notice(situation: str) -> None:
+def test_upgraded_controllers_keep_to_limits_lowered_without_notice(situation: str) -> None:
     # The version in production retried an oversized page indefinitely, so that no job was accepted
     # or reported any more.
     cluster = start_serving_cluster()
@@ -341,7 +341,7 @@
     assert not cluster.state.oversized_transactions
 
 
-def test_limits_are_lowered_during_compaction() -> None:
+def test_compaction_writes_no_oversized_transaction_when_limits_are_lowered() -> None:
     # Pages of the production version are rewritten as small ones while the leader is replaced.
     cluster = start_serving_cluster()
     for number in range(160):
