--- a/flaxtally/leader/reclaim/loan_accounts.py
+++ b/flaxtally/leader/reclaim/loan_accounts.py
@@ -73,7 +73,7 @@
         )
 
     def _get_account(self, team: str) -> LoanAccount:
-        """Returns the account as of the last sample, with the ledger's counts of reclaims."""
+        """Returns the account as of the last sample; the counts of reclaims are current."""
         stored = self.ledger.state.loan_state.accounts.get(team) or LoanAccount(team)
         unstored = self._unstored.get(team)
         if unstored is None:
--- a/flaxtally/leader/reclaim/quota_reclaim.py
+++ b/flaxtally/leader/reclaim/quota_reclaim.py
@@ -251,8 +251,8 @@
         """Finishes a reclaim for the job, a task of which was placed on the machine."""
         entries = self.open_reclaims.list_for_job(job)
         on_machine = [entry for entry in entries if entry.reclaim.machine == machine.name]
-        # The task was placed elsewhere: a reclaim that has sent no stops is no longer needed, and
-        # its victims keep running.
+        # If the task was placed elsewhere, a reclaim that has sent no stops may be surplus: it is
+        # withdrawn, and its victims keep running.
         surplus = [entry for entry in entries if entry.stops_sent_at is None and entry.is_committed]
         if on_machine:
             self._finish(on_machine[0], "met")
--- a/flaxtally/leader/reclaim/reclaimed_capacity.py
+++ b/flaxtally/leader/reclaim/reclaimed_capacity.py
@@ -68,7 +68,10 @@
         return self._machine_status.is_schedulable(machine)
 
     def make_reservation_filter(self, job: Job) -> Callable[[Machine], bool] | None:
-        """Returns a filter of machines that hold the job beside reserved capacity; None: all do."""
+        """Returns a filter of machines that hold the job beside reserved capacity.
+
+        None: no capacity is reserved.
+        """
         by_machine = self._open_reclaims.get_by_machine()
         if not by_machine:
             return None
