--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -151,7 +151,7 @@
     caplog.set_level(logging.INFO, logger="flaxtally.leader.reclaim.quota_reclaim")
     cluster = start_cluster_with_loans()
     cluster.submit(gpu_array("j-000200", 2), run_time=30.0)
-    run_until(cluster, lambda: len(cluster.recalls()) == 2, 5)
+    run_until(cluster, lambda: len(cluster.read_reclaims()) == 2, 5)
     page = msgspec.convert(get_loans(cluster, cluster.names[1])[1], LoansPage)
     assert {row.job for row in page.recalls} <= {"j-000200"}
     run_until(cluster, lambda: cluster.count("j-000200") == 2, RECLAIM_DEADLINE_S)
@@ -273,7 +273,7 @@
         audit.check_deadlines(float(now), [machine])
     assert audit.breaches == ["11.00 crew is below its guarantee for 11.0 s"]
     assert audit.longest_shortfall_s == {"crew": 19.0}
-    # The victim is within its own quota, and its capacity goes to another team.
+    # The victim is within its team's guarantee, and its capacity goes to another team.
     for task in range(4, 12):
         audit.record_upcoming_end(f"j-000100/{task}", 21.0)
         rules.record_end(f"j-000100/{task}", 1, "n-1", True)
