--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -154,16 +154,25 @@
     controller_commands._start_features(
         features, loop, SimulatedCluster().build_settings("hearth-1")
     )
+
+    def sleep_and_stop() -> None:
+        # Sleeps, so that it always gets a span: `loop.stop` alone takes longer than `least_ms` only
+        # if the process is preempted meanwhile.
+        time.sleep(0.001)
+        loop.stop()
+
     for number in range(12):
         loop.after(0.002 * number, time.sleep, 0.001)
-    loop.after(0.2, loop.stop)
+    loop.after(0.2, sleep_and_stop)
     loop.run()
     loop.close()
-    lines = trace.read_text().splitlines()
     rotated = trace.with_name("trace.jsonl.1")
     assert rotated.exists()
     assert rotated.stat().st_size < 3000
-    assert all(json.loads(line)["name"] == "sleep" for line in lines)
+    lines = [line for path in (rotated, trace) for line in path.read_text().splitlines()]
+    names = [json.loads(line)["name"] for line in lines]
+    assert names[-1].endswith(".sleep_and_stop")
+    assert set(names[:-1]) == {"sleep"}
     exporter = FileExporter(tmp_path / "other.jsonl", 1000)
     exporter._file.close()
     exporter._file = open("/dev/full", "w")  # noqa: SIM115  closed at the end of the test
