--- a/flaxtally/fakes/key_value_store.py
+++ b/flaxtally/fakes/key_value_store.py
@@ -35,7 +35,7 @@
         self.lost_delay = (2.0, 12.0)
         self.late: list[int] = []
         """How those came out that got no answer."""
-        self.slow = 0.0
+        self.extra_delay_s = 0.0
         """How much later everything is carried out and answered."""
         self.refuse_changes = False
         self.requests = 0
@@ -64,8 +64,10 @@
             self.change_limit = TokenBucket(self._runtime, write_rps, write_rps)
 
     def _handle(self, request: Request) -> None:
-        if self.slow:
-            self._runtime.after(self.slow * self._rng.uniform(0.5, 1.5), self._serve, request)
+        if self.extra_delay_s:
+            self._runtime.after(
+                self.extra_delay_s * self._rng.uniform(0.5, 1.5), self._serve, request
+            )
         else:
             self._serve(request)
 
--- a/tools/profile_controller.py
+++ b/tools/profile_controller.py
@@ -200,7 +200,7 @@
     def __init__(
         self, deployment: simulated_cluster.SimulatedCluster, jobs_a_second: float, polls: float
     ) -> None:
-        self._world, self._rng = deployment, random.Random(7)
+        self._cluster, self._rng = deployment, random.Random(7)
         self._jobs_a_second, self.polls = jobs_a_second, polls
         self._jobs = 0
 
@@ -216,30 +216,30 @@
         image = f"gate-{self._rng.randrange(REPLICA_IMAGES)}"
         tasks = self._rng.choice((2, 3, 6))
         job = simulated_cluster.spec(f"j-{self._jobs:06d}", tasks=tasks, image=image)
-        self._world.submit(job, node=self._jobs)
+        self._cluster.submit(job, node=self._jobs)
 
     def _submit_array(self) -> None:
         self._jobs += 1
         ref, image = f"j-{self._jobs:06d}", f"batch-{self._rng.randrange(BATCH_IMAGES)}"
         length = self._rng.uniform(20.0, 50.0)
         job = simulated_cluster.batch(ref, self._rng.choice(ARRAY_SIZES), image=image)
-        self._world.submit(job, run_time=length, node=self._jobs)
+        self._cluster.submit(job, run_time=length, node=self._jobs)
 
     def _arrive(self) -> None:
-        self._world.after(self._rng.expovariate(self._jobs_a_second), self._arrive)
+        self._cluster.after(self._rng.expovariate(self._jobs_a_second), self._arrive)
         if self._rng.random() < 0.25:
             self._submit_gate()
         else:
             self._submit_array()
 
     def _poll(self) -> None:
-        self._world.after(self._rng.expovariate(self.polls), self._poll)
+        self._cluster.after(self._rng.expovariate(self.polls), self._poll)
         ref = f"j-{self._rng.randrange(self._jobs) + 1:06d}"
-        node = self._rng.choice(self._world.names)
-        self._world.call(node, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
+        node = self._rng.choice(self._cluster.names)
+        self._cluster.call(node, "GET", f"{wire.WORK}/{ref}", None, lambda *_: None)
 
 
-class LargeWorld(simulated_cluster.SimulatedCluster):
+class LargeCluster(simulated_cluster.SimulatedCluster):
     """A deployment whose controllers are granted what its size needs."""
 
     def __init__(self, capacity: int, team: Team) -> None:
@@ -256,7 +256,7 @@
     """A deployment, and what role a host plays in it. `running`: machines that it starts with."""
     pools = capacity * POOLS
     team = Team("crew", 0.0, max(20000.0, 19.0 * pools), 0.0, max(4000.0, 3.8 * pools))
-    deployment = LargeWorld(capacity, team)
+    deployment = LargeCluster(capacity, team)
     for number in range(running):
         kind, zone = (
             simulated_cluster.TYPES[number % 2].name,
