--- a/flaxtally/runtime/__init__.py
+++ b/flaxtally/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""The loop, timers, streams, actors and HTTP: all that knows of sockets and clocks.
+"""Event loop, timers, streams, actors and HTTP: the only code that uses sockets and clocks.
 
-Imports nothing else of the project; everything else may import it. Start with `loop`.
+Imports no other package of the project; every other package may import it. Start with `loop`.
 """
--- a/flaxtally/runtime/http.py
+++ b/flaxtally/runtime/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 of our own: an incremental parser, a server and a client, with limits and time-outs."""
+"""An HTTP/1.1 implementation: incremental parser, server and client, with limits and timeouts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
 
 log = logging.getLogger(__name__)
 
-HEAD_LIMIT = 16 * 1024
-BODY_LIMIT = 64 * 1024
-MOST_BUFFERED = 2 * (HEAD_LIMIT + BODY_LIMIT)
-"""Bytes kept of one connection: a client may send its next request while one is under way."""
-CROWDED = 0.8
-REASONS = {
+MAX_HEAD_BYTES = 16 * 1024
+"""Longest start line and headers of a message."""
+MAX_BODY_BYTES = 64 * 1024
+"""Longest body of a request."""
+MAX_BUFFERED_BYTES = 2 * (MAX_HEAD_BYTES + MAX_BODY_BYTES)
+"""Bytes buffered per connection: a client may send its next request while one is under way."""
+CROWDED_FRACTION = 0.8
+"""Fraction of a server's connections above which it closes each one after its next reply."""
+REASON_PHRASES = {
     200: "OK",
     201: "Created",
     400: "Bad Request",
@@ -38,15 +41,15 @@
 
 
 class MalformedMessageError(Exception):
-    """The bytes are no HTTP we accept; `status` is the answer that they get."""
+    """The bytes are not HTTP that this module accepts; `status` is that of the reply."""
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 class Message:
-    """A request or a response as it came off the wire."""
+    """A request or a response as received; `start` is its start line, split at spaces."""
 
     __slots__ = ("body", "close", "start")
 
@@ -55,7 +58,10 @@
 
 
 class Parser:
-    """Takes bytes in any pieces, gives whole messages. `limit` bounds the body (None: any size)."""
+    """Takes bytes in pieces of any size, returns whole messages.
+
+    `limit` is the largest body in bytes (None: any size).
+    """
 
     __slots__ = ("_buffer", "_close", "_length", "_limit", "_response", "_start")
 
@@ -66,19 +72,21 @@
         self._length, self._close = 0, False
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
+        """Whether no part of a message is waiting for the rest."""
         return self._start is None and not self._buffer
 
     @property
-    def buffered(self) -> int:
-        """Bytes that came and belong to no message yet."""
+    def buffered_bytes(self) -> int:
+        """Bytes received that are not part of a returned message yet."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> None:
         self._buffer += data
 
     def next(self) -> Message | None:
-        if self._start is None and not self._head():
+        """The next whole message; None if it has not arrived yet."""
+        if self._start is None and not self._parse_head():
             return None
         if len(self._buffer) < self._length:
             return None
@@ -88,10 +96,10 @@
         self._start = None
         return message
 
-    def _head(self) -> bool:
+    def _parse_head(self) -> bool:
         end = self._buffer.find(b"\r\n\r\n")
-        if end < 0 or end > HEAD_LIMIT:
-            if len(self._buffer) > HEAD_LIMIT:
+        if end < 0 or end > MAX_HEAD_BYTES:
+            if len(self._buffer) > MAX_HEAD_BYTES:
                 raise MalformedMessageError(400, "head too long")
             return False
         try:
@@ -128,124 +136,130 @@
 
 
 class Request:
-    """A request to answer exactly once, now or later."""
+    """A request; the handler replies to it exactly once, now or later."""
 
-    __slots__ = ("_conn", "body", "method", "path")
+    __slots__ = ("_connection", "body", "method", "path")
 
-    def __init__(self, conn: ServerConn, message: Message) -> None:
-        self._conn: ServerConn | None = conn
+    def __init__(self, connection: ServerConn, message: Message) -> None:
+        self._connection: ServerConn | None = connection
         self.method, self.path = message.start[0], message.start[1]
         self.body = message.body
 
     @property
     def far(self) -> str:
-        """The host that asks."""
-        return self._conn.far if self._conn is not None else ""
+        """The client's host; empty after the reply."""
+        return self._connection.far if self._connection is not None else ""
 
     def reply(self, status: int, body: Any = None, retry_after: int | None = None) -> None:
-        if self._conn is not None:
-            conn, self._conn = self._conn, None
-            conn.answer(status, body, retry_after)
+        if self._connection is not None:
+            connection, self._connection = self._connection, None
+            connection.send_reply(status, body, retry_after)
 
 
 class ServerConn:
-    """One accepted connection: a request at a time, bounded in size and in patience."""
+    """One accepted connection: one request at a time, limited in size and idle time."""
 
     def __init__(self, server: Server, stream: Stream) -> None:
         self._server, self._stream = server, stream
-        self._parser = Parser(False, BODY_LIMIT)
-        self._busy = self._last = False
-        server.idle[self] = None
+        self._parser = Parser(False, MAX_BODY_BYTES)
+        self._busy = self._close_after_reply = False
+        server.idle_connections[self] = None
         self._idle_since = server.runtime.now()
-        self._timer = server.runtime.after(server.patience, self._check_patience)
-        stream.on_data, stream.on_close = self._data, self._closed
+        self._timer = server.runtime.after(server.idle_timeout_s, self._check_idle_timeout)
+        stream.on_data, stream.on_close = self._on_data, self._on_closed
 
     @property
     def far(self) -> str:
         return self._stream.far
 
-    def _data(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         self._parser.feed(data)
         if not self._busy:
-            self._step()
-        if self._parser.buffered > MOST_BUFFERED:
-            # Nobody who waits for answers sends so much ahead of them.
-            log.debug("%s sends without waiting for answers", self._stream.far)
-            self.shut()
-
-    def _step(self) -> None:
+            self._handle_next_request()
+        if self._parser.buffered_bytes > MAX_BUFFERED_BYTES:
+            # A client that waits for replies never sends this much ahead of them.
+            log.debug(
+                "%s sent requests without waiting for replies; closing its connection",
+                self._stream.far,
+            )
+            self.close()
+
+    def _handle_next_request(self) -> None:
         try:
             message = self._parser.next()
-        except MalformedMessageError as fault:
-            self._last = True
-            self.answer(fault.status, {"error": str(fault)}, None)
+        except MalformedMessageError as error:
+            self._close_after_reply = True
+            self.send_reply(error.status, {"error": str(error)}, None)
             return
         if message is None:
             return
-        self._busy, self._last = True, message.close
-        self._server.idle.pop(self, None)
+        self._busy, self._close_after_reply = True, message.close
+        self._server.idle_connections.pop(self, None)
         request = Request(self, message)
         try:
             self._server.handler(request)
         except Exception:
-            log.exception("a request's handler failed")
+            log.exception("the handler of a request failed; replying 500")
             request.reply(500, {"error": "internal"})
 
-    def answer(self, status: int, body: Any, retry_after: int | None) -> None:
+    def send_reply(self, status: int, body: Any, retry_after: int | None) -> None:
         payload = b"" if body is None else pack(body)
-        reason = REASONS.get(status, "Status")
+        reason = REASON_PHRASES.get(status, "Status")
         head = f"HTTP/1.1 {status} {reason}\r\nContent-Length: {len(payload)}\r\n"
         if payload:
             head += "Content-Type: application/msgpack\r\n"
         if retry_after is not None:
             head += f"Retry-After: {retry_after}\r\n"
-        if self._last or self._server.crowded:
-            self._last = True
+        if self._close_after_reply or self._server.is_crowded:
+            self._close_after_reply = True
             head += "Connection: close\r\n"
         self._stream.send(head.encode("latin-1") + b"\r\n" + payload)
         self._busy = False
-        if self._last:
-            self._server.runtime.after(self._server.linger, self.shut)
+        if self._close_after_reply:
+            self._server.runtime.after(self._server.linger_s, self.close)
             return
-        self._server.idle[self] = None
+        self._server.idle_connections[self] = None
         self._idle_since = self._server.runtime.now()
-        if not self._parser.idle:
-            self._server.runtime.soon(self._step)
+        if not self._parser.is_idle:
+            self._server.runtime.soon(self._handle_next_request)
 
-    def _check_patience(self) -> None:
-        """Closes a connection on which no whole request came for too long.
+    def _check_idle_timeout(self) -> None:
+        """Closes a connection on which no whole request arrived within the idle timeout.
 
-        One timer a connection, set anew when it is due: one a request would be the most of all
-        timers.
+        Each connection has one timer, set again when it fires: with one per request these would be
+        the majority of all timers.
         """
         server = self._server
-        left = server.patience
+        remaining_s = server.idle_timeout_s
         if not self._busy:
-            left += self._idle_since - server.runtime.now()
-        if left > 0:
-            # Not sooner than `linger`: what is left may be too little to move the clock.
-            self._timer = server.runtime.after(max(left, server.linger), self._check_patience)
+            remaining_s += self._idle_since - server.runtime.now()
+        if remaining_s > 0:
+            # At least `linger_s`: the remaining time may be less than the clock's resolution.
+            self._timer = server.runtime.after(
+                max(remaining_s, server.linger_s), self._check_idle_timeout
+            )
         else:
-            self.shut()
+            self.close()
 
-    def shut(self) -> None:
+    def close(self) -> None:
         self._stream.close()
-        self._closed()
+        self._on_closed()
 
-    def _closed(self) -> None:
+    def _on_closed(self) -> None:
         self._timer.cancel()
         self._busy = True
         self._server.open.discard(self)
-        self._server.idle.pop(self, None)
+        self._server.idle_connections.pop(self, None)
 
 
 class Server:
-    """Accepts up to `most` connections.
+    """Accepts up to `max_connections` connections.
 
-    The sockets kept for peers, state service and cloud can't be taken by others. When there are
-    nearly as many, each ends with its next answer; for one beyond them the one that is idle for
-    longest is closed. A controller that is alone has more workers than connections to keep: were it
-    to refuse the last ones, these would lose their leases.
+    Clients can't take the sockets reserved for peers, state service and cloud. Above
+    `CROWDED_FRACTION` of the limit each connection is closed after its next reply; at the limit a
+    new connection replaces the one that has been idle for longest. A controller that is the only
+    one running has more workers than connections: if it refused the last ones, they would lose
+    their leases.
     """
 
     def __init__(
@@ -253,33 +267,34 @@
         runtime: Runtime,
         address: Address,
         handler: Callable[[Request], None],
-        most: int,
-        patience: float,
-        linger: float,
+        max_connections: int,
+        idle_timeout_s: float,
+        linger_s: float,
     ) -> None:
-        self.runtime, self.handler, self.most = runtime, handler, most
-        self.patience, self.linger = patience, linger
+        self.runtime, self.handler, self.max_connections = runtime, handler, max_connections
+        self.idle_timeout_s, self.linger_s = idle_timeout_s, linger_s
         self.open: set[ServerConn] = set()
-        self.idle: dict[ServerConn, None] = {}
-        """Those without a request under way, the longest idle first."""
+        self.idle_connections: dict[ServerConn, None] = {}
+        """Connections without a request under way, the longest idle first."""
         runtime.listen(address, self._accept)
 
     @property
-    def crowded(self) -> bool:
-        return len(self.open) > self.most * CROWDED
+    def is_crowded(self) -> bool:
+        """Whether connections are closed after their next reply."""
+        return len(self.open) > self.max_connections * CROWDED_FRACTION
 
     def _accept(self, stream: Stream) -> None:
-        if len(self.open) >= self.most:
-            oldest = next(iter(self.idle), None)
-            if oldest is None:
+        if len(self.open) >= self.max_connections:
+            longest_idle = next(iter(self.idle_connections), None)
+            if longest_idle is None:
                 stream.close()
                 return
-            oldest.shut()
+            longest_idle.close()
         self.open.add(ServerConn(self, stream))
 
 
 class Reply:
-    """A response. Status 0: none came, so the request may have been executed or may yet be."""
+    """A response. Status 0: none arrived; the request may have been executed, or may be later."""
 
     __slots__ = ("body", "status")
 
@@ -291,15 +306,15 @@
 
 
 class _Call:
-    __slots__ = ("data", "done", "timer")
+    __slots__ = ("data", "on_reply", "timer")
 
-    def __init__(self, data: bytes, done: ReplyCallback) -> None:
-        self.data, self.done = data, done
+    def __init__(self, data: bytes, on_reply: ReplyCallback) -> None:
+        self.data, self.on_reply = data, on_reply
         self.timer: Timer | None = None
 
 
 class OpenConnections:
-    """How many connections several clients hold together."""
+    """Number of connections that several clients have open together."""
 
     __slots__ = ("count",)
 
@@ -308,25 +323,25 @@
 
 
 class Client:
-    """Requests to one address over at most `most` kept connections, none pipelined."""
+    """Sends requests to one address, without pipelining, over at most `max_connections`."""
 
     def __init__(
         self,
         runtime: Runtime,
         address: Address,
-        most: int = 1,
-        opened: OpenConnections | None = None,
+        max_connections: int = 1,
+        open_connections: OpenConnections | None = None,
     ) -> None:
-        """`opened`: where the connections are counted together with those of other clients."""
-        self._runtime, self._address, self._most = runtime, address, most
-        self._opened = opened or OpenConnections()
+        """`open_connections`: counts the connections of this client and of others that share it."""
+        self._runtime, self._address, self._max_connections = runtime, address, max_connections
+        self._open_connections = open_connections or OpenConnections()
         self._host = f"{address[0]}:{address[1]}"
         self._idle: list[Stream] = []
         self._waiting: deque[_Call] = deque()
         self._busy: dict[Stream, _Call] = {}
 
     def request(
-        self, method: str, path: str, body: Any, timeout: float, done: ReplyCallback
+        self, method: str, path: str, body: Any, timeout: float, on_reply: ReplyCallback
     ) -> None:
         payload = b"" if body is None else pack(body)
         head = (
@@ -334,10 +349,10 @@
         )
         if payload:
             head += "Content-Type: application/msgpack\r\n"
-        call = _Call(head.encode("latin-1") + b"\r\n" + payload, done)
-        call.timer = self._runtime.after(timeout, self._expired, call)
+        call = _Call(head.encode("latin-1") + b"\r\n" + payload, on_reply)
+        call.timer = self._runtime.after(timeout, self._on_timeout, call)
         self._waiting.append(call)
-        self._pump()
+        self._start_waiting_calls()
 
     @property
     def busy(self) -> bool:
@@ -347,35 +362,35 @@
         streams = [*self._idle, *self._busy]
         for stream in streams:
             stream.close()
-        self._opened.count -= len(streams)
+        self._open_connections.count -= len(streams)
         calls = [*self._busy.values(), *self._waiting]
         self._idle, self._busy = [], {}
         self._waiting.clear()
         for call in calls:
             self._finish(call, Reply(0))
 
-    def _pump(self) -> None:
-        while self._waiting and (self._idle or len(self._busy) < self._most):
+    def _start_waiting_calls(self) -> None:
+        while self._waiting and (self._idle or len(self._busy) < self._max_connections):
             call = self._waiting.popleft()
             stream = self._idle.pop() if self._idle else self._connect()
             self._busy[stream] = call
             parser = Parser(True, None)
-            stream.on_data = partial(self._data, stream, parser)
-            stream.on_close = partial(self._lost, stream)
+            stream.on_data = partial(self._on_data, stream, parser)
+            stream.on_close = partial(self._on_connection_lost, stream)
             stream.send(call.data)
 
     def _connect(self) -> Stream:
-        self._opened.count += 1
+        self._open_connections.count += 1
         return self._runtime.connect(self._address)
 
-    def _data(self, stream: Stream, parser: Parser, data: bytes) -> None:
+    def _on_data(self, stream: Stream, parser: Parser, data: bytes) -> None:
         parser.feed(data)
         try:
             message = parser.next()
-        except MalformedMessageError as fault:
-            log.warning("bad response from %s: %s", self._host, fault)
+        except MalformedMessageError as error:
+            log.warning("malformed response from %s: %s; closing the connection", self._host, error)
             stream.close()
-            self._lost(stream)
+            self._on_connection_lost(stream)
             return
         if message is None:
             return
@@ -384,27 +399,27 @@
             if stream in self._idle:
                 self._idle.remove(stream)
             stream.close()
-            self._opened.count -= 1
+            self._open_connections.count -= 1
         else:
             self._idle.append(stream)
         if call is not None:
             self._finish(call, Reply(int(message.start[1]), message.body))
-        self._pump()
+        self._start_waiting_calls()
 
-    def _lost(self, stream: Stream) -> None:
-        self._opened.count -= 1
+    def _on_connection_lost(self, stream: Stream) -> None:
+        self._open_connections.count -= 1
         if stream in self._idle:
             self._idle.remove(stream)
         call = self._busy.pop(stream, None)
         if call is not None:
             self._finish(call, Reply(0))
-        self._pump()
+        self._start_waiting_calls()
 
-    def _expired(self, call: _Call) -> None:
+    def _on_timeout(self, call: _Call) -> None:
         for stream, busy in self._busy.items():
             if busy is call:
                 stream.close()
-                self._lost(stream)
+                self._on_connection_lost(stream)
                 return
         if call in self._waiting:
             self._waiting.remove(call)
@@ -414,4 +429,4 @@
     def _finish(call: _Call, reply: Reply) -> None:
         if call.timer is not None:
             call.timer.cancel()
-        call.done(reply)
+        call.on_reply(reply)
--- a/flaxtally/runtime/loop.py
+++ b/flaxtally/runtime/loop.py
@@ -1,8 +1,7 @@
-"""The selector loop: timers, streams, listeners.
+"""The event loop, on a selector: timers, streams, listeners.
 
-Everything above this module sees time and sockets only through a `Loop` (or the tests' simulated
-one, which has the same methods), so the same controllers run on a real clock and on an injected
-one.
+All other code uses time and sockets only through a `Runtime`: a `Loop`, or the tests' simulated
+host with the same methods. So the same controllers run on the real clock and on a simulated one.
 """
 
 from __future__ import annotations
@@ -25,45 +24,49 @@
 log = logging.getLogger(__name__)
 
 Address = tuple[str, int]
-READ = 65536
-BACKLOG = 65535
-"""Connections that wait to be accepted: as many as the kernel grants (somaxconn)."""
-ACCEPTS = 64
-FEW_TIMERS = 256
-"""Cancelled timers are not looked for among so few."""
+"""Host and port."""
+READ_SIZE_BYTES = 65536
+"""Largest number of bytes read from a socket at a time."""
+LISTEN_BACKLOG = 65535
+"""Connections that wait to be accepted; the kernel lowers it to its limit (somaxconn)."""
+MAX_ACCEPTS_PER_TURN = 64
+"""Connections accepted on one listener in a turn of the loop."""
+MIN_TIMERS_TO_CLEAR = 256
+"""Cancelled timers are not dropped early while there are at most this many timers."""
 
 
 class Timer:
-    """A call to come; `cancel` makes it never come.
+    """A scheduled call; `cancel` prevents it.
 
-    Once it is cancelled or due it lets go of what it was to call. Who waits for an answer holds
-    the timer, and the timer's call holds who waits: kept, each pair was garbage that only the
-    cyclic collector finds, and its passes held up a leader for a second in a storm of questions.
+    It drops its references to the callback and the arguments once it is cancelled or due. A
+    request refers to its timer, and the timer's callback to the request: such cycles can be freed
+    only by the cyclic garbage collector, whose passes blocked a leader for a second when many
+    requests arrived.
     """
 
     __slots__ = ("_args", "_fn", "live", "when")
 
-    def __init__(self, when: float, fn: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def __init__(self, when: float, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
         self.when, self.live = when, True
-        self._fn, self._args = fn, args
+        self._fn, self._args = callback, args
 
     def cancel(self) -> None:
         self.take()
 
     def take(self) -> tuple[Callable[..., None], tuple[Any, ...]]:
-        """The call, which is due now; the timer is over."""
+        """Returns the call, which is due now, and ends the timer."""
         call = self._fn, self._args
         self.live = False
-        self._fn, self._args = _nothing, ()
+        self._fn, self._args = _ignore, ()
         return call
 
 
-def _nothing(*_: Any) -> None:
-    """The callback of a stream or a timer that nobody listens to any more."""
+def _ignore(*_: Any) -> None:
+    """The callback of a closed stream or an ended timer."""
 
 
 class Stream(Protocol):
-    """A byte stream: bytes sent before it opens are kept; `on_close` comes once, whoever closed."""
+    """A byte stream. Bytes sent before it opens are kept; `on_close` is called at most once."""
 
     on_data: Callable[[bytes], None]
     on_close: Callable[[], None]
@@ -76,28 +79,30 @@
 
 
 class Runtime(Protocol):
-    """What actors may ask of the world: the time, a call later, a connection."""
+    """What actors use of the event loop: the time, later calls, connections."""
 
     def now(self) -> float: ...
 
     def wall(self) -> float: ...
 
-    def after(self, delay: float, fn: Callable[..., None], *args: Any) -> Timer: ...
+    def after(self, delay: float, callback: Callable[..., None], *args: Any) -> Timer: ...
 
-    def soon(self, fn: Callable[..., None], *args: Any) -> None: ...
+    def soon(self, callback: Callable[..., None], *args: Any) -> None: ...
 
     def listen(self, address: Address, accept: Callable[[Stream], None]) -> None: ...
 
     def connect(self, address: Address) -> Stream: ...
 
-    def on_pause(self, least: float, notify: Callable[[float], None]) -> None:
-        """Calls `notify` with the seconds lost when the process stood still for over `least`.
+    def on_pause(self, threshold_s: float, notify: Callable[[float], None]) -> None:
+        """Calls `notify` with the seconds lost when the process was paused for over `threshold_s`.
 
-        It comes before anything that arrived or fell due during the pause is handled.
+        The call comes before anything that arrived or became due during the pause is handled.
         """
 
-    def on_delay(self, least: float, period: float, notify: Callable[[LoopDelay], None]) -> None:
-        """Calls `notify` when timers fire over `least` seconds late, at most once a `period`."""
+    def on_delay(
+        self, threshold_s: float, period_s: float, notify: Callable[[LoopDelay], None]
+    ) -> None:
+        """Calls `notify` when timers fire over `threshold_s` late, at most once per `period_s`."""
 
 
 class SocketStream:
@@ -108,10 +113,10 @@
     def __init__(self, loop: Loop, sock: socket.socket, far: str, connected: bool) -> None:
         self._loop, self._sock, self.far, self._open = loop, sock, far, connected
         self._out = bytearray()
-        self.on_data: Callable[[bytes], None] = _nothing
-        self.on_close: Callable[[], None] = _nothing
+        self.on_data: Callable[[bytes], None] = _ignore
+        self.on_close: Callable[[], None] = _ignore
         self._events = selectors.EVENT_READ if connected else selectors.EVENT_WRITE
-        loop.selector.register(sock, self._events, self._ready)
+        loop.selector.register(sock, self._events, self._on_ready)
 
     def send(self, data: bytes) -> None:
         if self._events == 0:
@@ -127,21 +132,21 @@
             data = data[sent:]
         if data:
             self._out += data
-            self._watch(
+            self._set_events(
                 selectors.EVENT_READ | selectors.EVENT_WRITE
                 if self._open
                 else selectors.EVENT_WRITE
             )
 
     def close(self) -> None:
-        """Closes at once; the owner asked for it, so `on_close` does not come."""
-        self.on_close = self.on_data = _nothing
+        """Closes at once, without calling `on_close`, since the owner requested it."""
+        self.on_close = self.on_data = _ignore
         self._finish()
 
-    def _watch(self, events: int) -> None:
+    def _set_events(self, events: int) -> None:
         if events != self._events:
             self._events = events
-            self._loop.selector.modify(self._sock, events, self._ready)
+            self._loop.selector.modify(self._sock, events, self._on_ready)
 
     def _finish(self) -> None:
         if self._events == 0:
@@ -149,10 +154,10 @@
         self._events = 0
         self._loop.selector.unregister(self._sock)
         self._sock.close()
-        told, self.on_close, self.on_data = self.on_close, _nothing, _nothing
-        told()
+        on_close, self.on_close, self.on_data = self.on_close, _ignore, _ignore
+        on_close()
 
-    def _ready(self, mask: int) -> None:
+    def _on_ready(self, mask: int) -> None:
         if not self._open:
             if self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                 self._finish()
@@ -164,7 +169,7 @@
             self._flush()
         if mask & selectors.EVENT_READ and self._events:
             try:
-                data = self._sock.recv(READ)
+                data = self._sock.recv(READ_SIZE_BYTES)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -183,18 +188,18 @@
             self._finish()
             return
         del self._out[:sent]
-        self._watch(
+        self._set_events(
             selectors.EVENT_READ | selectors.EVENT_WRITE if self._out else selectors.EVENT_READ
         )
 
 
 class Loop:
-    """One thread, one selector. An exception in a callback is logged and ends nothing else."""
+    """One thread, one selector. An exception in a callback is logged and stops nothing else."""
 
     def __init__(self) -> None:
         self.selector = selectors.DefaultSelector()
         self._timers: list[tuple[float, int, Timer]] = []
-        self._clear_timers_at = FEW_TIMERS
+        self._max_timers_before_drop = MIN_TIMERS_TO_CLEAR
         self._order = itertools.count()
         self._soon: deque[tuple[Callable[..., None], tuple[Any, ...]]] = deque()
         self._running = False
@@ -202,46 +207,48 @@
         self._delay_monitor: DelayMonitor | None = None
         self._long_callbacks: tuple[float, Callable[[Callable[..., None], float], None]] | None
         self._long_callbacks = None
-        self._last_seen = time.monotonic()
-        self._callback_began = 0.0
+        self._last_checkpoint_at = time.monotonic()
+        self._callback_started_at = 0.0
         self.now = time.monotonic
         self.wall = time.time
 
-    def after(self, delay: float, fn: Callable[..., None], *args: Any) -> Timer:
-        timer = Timer(self.now() + delay, fn, args)
+    def after(self, delay: float, callback: Callable[..., None], *args: Any) -> Timer:
+        timer = Timer(self.now() + delay, callback, args)
         heapq.heappush(self._timers, (timer.when, next(self._order), timer))
-        if len(self._timers) > self._clear_timers_at:
-            self._clear_timers()
+        if len(self._timers) > self._max_timers_before_drop:
+            self._drop_cancelled_timers()
         return timer
 
-    def _clear_timers(self) -> None:
-        """Drops cancelled timers, once they may be half of all.
+    def _drop_cancelled_timers(self) -> None:
+        """Drops cancelled timers, when they may be half of all.
 
-        Most timers are time limits that were kept; they would lie here until their time.
+        Most timers are timeouts that are cancelled in time; they would stay until they are due.
         """
         self._timers = [entry for entry in self._timers if entry[2].live]
         heapq.heapify(self._timers)
-        self._clear_timers_at = max(FEW_TIMERS, 2 * len(self._timers))
+        self._max_timers_before_drop = max(MIN_TIMERS_TO_CLEAR, 2 * len(self._timers))
 
-    def soon(self, fn: Callable[..., None], *args: Any) -> None:
-        self._soon.append((fn, args))
+    def soon(self, callback: Callable[..., None], *args: Any) -> None:
+        self._soon.append((callback, args))
 
     def listen(self, address: Address, accept: Callable[[Stream], None]) -> None:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind(address)
-        sock.listen(BACKLOG)
+        sock.listen(LISTEN_BACKLOG)
         sock.setblocking(False)
 
         def ready(_: int) -> None:
-            # Many at a time: when all workers come back at once, one a turn lets the rest wait for
-            # too long.
-            for _ in range(ACCEPTS):
+            # Several per turn: when all workers reconnect at once, one per turn would let the last
+            # ones wait too long.
+            for _ in range(MAX_ACCEPTS_PER_TURN):
                 try:
                     peer, (far, *_) = sock.accept()
                 except OSError as fault:
                     if fault.errno in (errno.EMFILE, errno.ENFILE):
-                        log.warning("no sockets left to accept with")
+                        log.warning(
+                            "the limit on open files is reached; not accepting connections now"
+                        )
                     return
                 accept(self._stream(peer, far, True))
 
@@ -258,37 +265,39 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
-            log.debug("no TCP_NODELAY here")
+            log.debug("TCP_NODELAY can't be set on this socket; going on without it")
         return SocketStream(self, sock, far, connected)
 
-    def on_pause(self, least: float, notify: Callable[[float], None]) -> None:
-        self._pause_watchers.append((least, notify))
+    def on_pause(self, threshold_s: float, notify: Callable[[float], None]) -> None:
+        self._pause_watchers.append((threshold_s, notify))
 
-    def on_delay(self, least: float, period: float, notify: Callable[[LoopDelay], None]) -> None:
-        self._delay_monitor = DelayMonitor(least, period, notify)
+    def on_delay(
+        self, threshold_s: float, period_s: float, notify: Callable[[LoopDelay], None]
+    ) -> None:
+        self._delay_monitor = DelayMonitor(threshold_s, period_s, notify)
 
     def on_long_callback(
-        self, least: float, notify: Callable[[Callable[..., None], float], None]
+        self, threshold_s: float, notify: Callable[[Callable[..., None], float], None]
     ) -> None:
-        """Calls `notify` with each callback that took over `least` seconds, and its length."""
-        self._long_callbacks = least, notify
+        """Calls `notify` with each callback that took over `threshold_s`, and its duration."""
+        self._long_callbacks = threshold_s, notify
 
-    def _checkpoint(self, waited: float = 0.0) -> float:
-        """The time now; reports a pause if more than `waited` passed since the last checkpoint.
+    def _checkpoint(self, waited_s: float = 0.0) -> float:
+        """Returns the time; reports a pause if over `waited_s` passed since the last checkpoint.
 
-        A process that is not scheduled (a frozen host, a long garbage collection, a callback that
-        computes for seconds) would otherwise take its own silence for that of others.
+        Without the report, a process that did not run (a frozen host, a long garbage collection, a
+        callback that computes for seconds) would blame others for the heartbeats that it missed.
         """
         now = self.now()
-        lost, self._last_seen = now - self._last_seen - waited, now
-        for least, notify in self._pause_watchers:
-            if lost > least:
-                self._call(notify, (lost,))
+        lost_s, self._last_checkpoint_at = now - self._last_checkpoint_at - waited_s, now
+        for threshold_s, notify in self._pause_watchers:
+            if lost_s > threshold_s:
+                self._call(notify, (lost_s,))
         return now
 
     def run(self) -> None:
         self._running = True
-        self._last_seen = self.now()
+        self._last_checkpoint_at = self.now()
         while self._running:
             self._turn()
 
@@ -296,57 +305,57 @@
         self._running = False
 
     def close(self) -> None:
-        """Closes every socket, for those who go on after the loop. It can't be run again."""
+        """Closes every socket, for a process that continues after the loop; it can't run again."""
         for key in list(self.selector.get_map().values()):
             assert isinstance(key.fileobj, socket.socket)
             key.fileobj.close()
         self.selector.close()
 
     def _turn(self) -> None:
-        wait: float | None = None
-        # Most timers are time limits that are kept: to wake for each of them cost more than most
-        # messages.
+        wait_s: float | None = None
+        # Most timers are timeouts that are cancelled in time: waking up for each of them cost more
+        # than handling most messages.
         while self._timers and not self._timers[0][2].live:
             heapq.heappop(self._timers)
         now = self._checkpoint()
         if self._soon:
-            wait = 0.0
+            wait_s = 0.0
         elif self._timers:
-            wait = max(0.0, self._timers[0][0] - now)
-        ready = self.selector.select(wait)
-        self._callback_began = self._checkpoint(float("inf") if wait is None else wait)
+            wait_s = max(0.0, self._timers[0][0] - now)
+        ready = self.selector.select(wait_s)
+        self._callback_started_at = self._checkpoint(float("inf") if wait_s is None else wait_s)
         for key, mask in ready:
             self._call(key.data, (mask,))
         now = self._checkpoint()
         if self._delay_monitor is not None and self._timers and self._timers[0][0] <= now:
-            self._delay_monitor.fired(now - self._timers[0][0], now)
+            self._delay_monitor.record_timer(now - self._timers[0][0], now)
         while self._timers and self._timers[0][0] <= now:
             timer = heapq.heappop(self._timers)[2]
             if timer.live:
                 self._call(*timer.take())
         for _ in range(len(self._soon)):
-            fn, args = self._soon.popleft()
-            self._call(fn, args)
+            callback, args = self._soon.popleft()
+            self._call(callback, args)
 
-    def _call(self, fn: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def _call(self, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
         try:
-            fn(*args)
+            callback(*args)
         except Exception:
-            log.exception("a callback failed; the loop goes on")
+            log.exception("a callback of the event loop failed; the loop continues")
         if self._delay_monitor is None and self._long_callbacks is None:
             return
-        ended = self.now()
-        took, self._callback_began = ended - self._callback_began, ended
+        ended_at = self.now()
+        duration_s, self._callback_started_at = ended_at - self._callback_started_at, ended_at
         if self._delay_monitor is not None:
-            self._delay_monitor.ran(fn, took)
-        if self._long_callbacks is not None and took > self._long_callbacks[0]:
-            self._tell_long_callback(fn, took)
+            self._delay_monitor.record_callback(callback, duration_s)
+        if self._long_callbacks is not None and duration_s > self._long_callbacks[0]:
+            self._notify_long_callback(callback, duration_s)
 
-    def _tell_long_callback(self, fn: Callable[..., None], took: float) -> None:
+    def _notify_long_callback(self, callback: Callable[..., None], duration_s: float) -> None:
         assert self._long_callbacks is not None
         try:
-            self._long_callbacks[1](fn, took)
+            self._long_callbacks[1](callback, duration_s)
         except Exception:
-            log.exception("a watcher of callbacks failed; the loop goes on")
-        # What the watcher takes is no callback's.
-        self._callback_began = self.now()
+            log.exception("reporting a long callback failed; the loop continues")
+        # The time that `notify` took is not charged to the next callback.
+        self._callback_started_at = self.now()
--- a/flaxtally/runtime/loop_delay.py
+++ b/flaxtally/runtime/loop_delay.py
@@ -1,4 +1,4 @@
-"""How far an event loop is behind: how late timers fire, and which callback took longest."""
+"""Delay of an event loop: how late its timers fire, and which callback took longest."""
 
 from __future__ import annotations
 
@@ -10,49 +10,50 @@
 
 
 class LoopDelay(NamedTuple):
-    """The worst of a stretch of time, in seconds."""
+    """The largest delays of an interval, in seconds."""
 
     late: float
-    """How late a timer fired."""
+    """The most that a timer fired late."""
     longest: float
-    """How long a single callback took."""
+    """The longest duration of a callback."""
     callback: str
-    """The name of that callback."""
+    """The name of the callback that took longest, or `none`."""
 
 
-def callback_name(fn: Callable[..., Any]) -> str:
-    """The callback as operators and developers know it: class and method."""
-    while isinstance(fn, partial):
-        fn = fn.func
-    return getattr(fn, "__qualname__", repr(fn))
+def callback_name(callback: Callable[..., Any]) -> str:
+    """The callback's class and method, for logs and traces."""
+    while isinstance(callback, partial):
+        callback = callback.func
+    return getattr(callback, "__qualname__", repr(callback))
 
 
 class DelayMonitor:
-    """Owns the worst delays since the last notice.
+    """Owns the largest delays since the last report.
 
-    `notify` is called when a timer fires more than `least` seconds late, at most once in `period`
-    seconds.
+    `notify` is called when a timer fires more than `threshold_s` late, at most once per `period_s`.
     """
 
-    def __init__(self, least: float, period: float, notify: Callable[[LoopDelay], None]) -> None:
-        self._least, self._period, self._notify = least, period, notify
-        self._next_notice = float("-inf")
-        self._late = self._longest = 0.0
+    def __init__(
+        self, threshold_s: float, period_s: float, notify: Callable[[LoopDelay], None]
+    ) -> None:
+        self._threshold_s, self._period_s, self._notify = threshold_s, period_s, notify
+        self._next_notice_at = float("-inf")
+        self._max_lateness_s = self._longest_s = 0.0
         self._callback: Callable[..., Any] | None = None
 
-    def ran(self, fn: Callable[..., Any], took: float) -> None:
-        """A callback ran for so many seconds."""
-        if took > self._longest:
-            self._longest, self._callback = took, fn
+    def record_callback(self, callback: Callable[..., Any], duration_s: float) -> None:
+        """Records that a callback took `duration_s`."""
+        if duration_s > self._longest_s:
+            self._longest_s, self._callback = duration_s, callback
 
-    def fired(self, late: float, now: float) -> None:
-        """A timer fired so many seconds after its time."""
-        self._late = max(self._late, late)
-        if self._late <= self._least or now < self._next_notice:
+    def record_timer(self, late: float, now: float) -> None:
+        """Records that a timer fired `late` seconds after it was due."""
+        self._max_lateness_s = max(self._max_lateness_s, late)
+        if self._max_lateness_s <= self._threshold_s or now < self._next_notice_at:
             return
-        self._next_notice = now + self._period
+        self._next_notice_at = now + self._period_s
         name = callback_name(self._callback) if self._callback is not None else "none"
-        delay = LoopDelay(self._late, self._longest, name)
-        self._late = self._longest = 0.0
+        loop_delay = LoopDelay(self._max_lateness_s, self._longest_s, name)
+        self._max_lateness_s = self._longest_s = 0.0
         self._callback = None
-        self._notify(delay)
+        self._notify(loop_delay)
--- a/flaxtally/runtime/open_files.py
+++ b/flaxtally/runtime/open_files.py
@@ -1,26 +1,28 @@
-"""How many files this process may open, sockets included."""
+"""The process's limit on open files, which include sockets."""
 
 from __future__ import annotations
 
 import resource
 
 NON_SOCKET_FILES = 32
-"""Beside a controller's sockets: standard streams, the selector, listeners, modules being read."""
+"""Open files of a controller besides its connections: standard streams, the selector, listeners,
+modules being read.
+"""
 
 
 def compute_open_files_needed(sockets: int) -> int:
-    """Open files of a controller that uses so many sockets."""
+    """Returns the number of open files that a controller with that many sockets needs."""
     return sockets + NON_SOCKET_FILES
 
 
 def get_open_files_limit() -> int | None:
-    """As many as the process may have after `raise_limit`; None: there is no bound."""
+    """Returns the most open files that `raise_limit` can allow; None: unlimited."""
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     return None if hard == resource.RLIM_INFINITY else hard
 
 
 def raise_limit(needed: int) -> int:
-    """Raises the process's own limit if it is lower and may be; returns how many it may open."""
+    """Raises the soft limit to `needed` as far as allowed; returns how many files may be open."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY or soft >= needed:
         return needed
--- a/flaxtally/runtime/token_bucket.py
+++ b/flaxtally/runtime/token_bucket.py
@@ -1,4 +1,4 @@
-"""A budget of calls a second."""
+"""A token bucket: a rate limit with bursts."""
 
 from __future__ import annotations
 
@@ -9,30 +9,30 @@
 
 
 class TokenBucket:
-    """A call budget: `rate` a second, with bursts of `burst`."""
+    """Limits calls to `rate_per_s`, with bursts of up to `burst`."""
 
-    def __init__(self, runtime: Runtime, rate: float, burst: float) -> None:
-        self._runtime, self._rate, self._burst = runtime, rate, burst
-        self._level, self._at = burst, runtime.now()
+    def __init__(self, runtime: Runtime, rate_per_s: float, burst: float) -> None:
+        self._runtime, self._rate_per_s, self._burst = runtime, rate_per_s, burst
+        self._tokens, self._refilled_at = burst, runtime.now()
 
     def wait(self, cost: float) -> float:
-        """Seconds until `cost` can be taken (0: now)."""
+        """Returns the seconds until `cost` tokens can be taken (0: now)."""
         now = self._runtime.now()
-        self._level = min(self._burst, self._level + (now - self._at) * self._rate)
-        self._at = now
-        wait = (min(cost, self._burst) - self._level) / self._rate
-        # Below what a clock can tell apart it would be waited for without end.
+        self._tokens = min(self._burst, self._tokens + (now - self._refilled_at) * self._rate_per_s)
+        self._refilled_at = now
+        wait = (min(cost, self._burst) - self._tokens) / self._rate_per_s
+        # A wait shorter than the clock's resolution would be repeated indefinitely.
         return wait if wait > 1e-6 else 0.0
 
     def take(self, cost: float) -> None:
-        self._level -= cost
+        self._tokens -= cost
 
     def try_take(self, cost: float) -> bool:
-        """Takes `cost` if it can be taken now."""
+        """Takes `cost` tokens if there are that many now; returns whether it did."""
         if self.wait(cost):
             return False
         self.take(cost)
         return True
 
     def empty(self) -> None:
-        self._level = 0.0
+        self._tokens = 0.0
