--- a/tools/limits.py
+++ b/tools/limits.py
@@ -1,5 +1,5 @@
-"""What 10,000 known jobs cost a controller: memory of the ledger's content, and processor time of
-what the leader does with it. Run from the repository's root: `python3 tools/limits.py [JOBS]`.
+"""Measures what 10,000 known jobs cost a controller: memory of the ledger's state, and processor
+time of replay and snapshots. Run from the repository's root: `python3 tools/limits.py [JOBS]`.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-PAGE_BYTES = 7 * 1024
+SNAPSHOT_PAGE_BYTES = 7 * 1024
 
 
-def spec(number: int) -> wire.Spec:
+def build_job_spec(number: int) -> wire.Spec:
     service = number % 3 == 0
     job_class, kind, rank = (
         ("gate", wire.SERVICE, "critical") if service else ("batch", wire.ARRAY, "standard")
@@ -55,48 +55,54 @@
     )
 
 
-def records(jobs: int, placed: bool) -> list[list[Any]]:
-    found: list[list[Any]] = []
+def build_ledger_records(jobs: int, placed: bool) -> list[list[Any]]:
+    records: list[list[Any]] = []
     for number in range(1, jobs + 1):
-        found.append(["J", number, 1.8e9, *msgspec.to_builtins(spec(number))])
+        records.append(["J", number, 1.8e9, *msgspec.to_builtins(build_job_spec(number))])
         if placed:
-            found += [
+            records += [
                 ["P", number, task, 1, f"n-{(number * 8 + task) % 340:06d}", "a"]
                 for task in range(8)
             ]
-    return found
+    return records
 
 
-def fill(found: list[list[Any]]) -> ClusterState:
-    book = ClusterState()
-    for number, record in enumerate(found):
-        book.replay(record, number // 100 + 1)
-    return book
+def replay_records(records: list[list[Any]]) -> ClusterState:
+    state = ClusterState()
+    for number, record in enumerate(records):
+        state.replay(record, number // 100 + 1)
+    return state
 
 
-def timed(text: str, act: Callable[[], object]) -> None:
-    began = time.process_time()
-    act()
-    print(f"{text}: {(time.process_time() - began) * 1000:.1f} ms")
+def print_processor_time(text: str, action: Callable[[], object]) -> None:
+    started_at = time.process_time()
+    action()
+    print(f"{text}: {(time.process_time() - started_at) * 1000:.1f} ms")
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="What many known jobs cost a controller.")
+    parser = argparse.ArgumentParser(description="Measure what many known jobs cost a controller.")
     parser.add_argument("jobs", nargs="?", type=int, default=10_000)
     jobs = parser.parse_args().jobs
     for placed, text in ((False, "waiting"), (True, "with 8 placements each")):
-        found = records(jobs, placed)
+        records = build_ledger_records(jobs, placed)
         tracemalloc.start()
-        book = fill(found)
+        state = replay_records(records)
         print(f"{jobs} jobs {text}: {tracemalloc.get_traced_memory()[0] / 2**20:.1f} MB")
         tracemalloc.stop()
-        timed(f"  replay of {len(found)} records", lambda found=found: fill(found))  # type: ignore[misc]
-        timed("  a snapshot of one page", lambda book=book: page_records(book, 1, PAGE_BYTES))  # type: ignore[misc]
-        timed("  weight of everything", book.snapshot_bytes)
-    final = ClusterState()
+        print_processor_time(
+            f"  replay of {len(records)} records",
+            lambda records=records: replay_records(records),  # type: ignore[misc]
+        )
+        print_processor_time(
+            "  a snapshot of one page",
+            lambda state=state: page_records(state, 1, SNAPSHOT_PAGE_BYTES),  # type: ignore[misc]
+        )
+        print_processor_time("  size of a full snapshot", state.snapshot_bytes)
+    final_state = ClusterState()
     tracemalloc.start()
     for number in range(1, jobs + 1):
-        final.replay(["F", number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
+        final_state.replay(["F", number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
     print(f"{jobs} final jobs: {tracemalloc.get_traced_memory()[0] / 2**20:.1f} MB")
     tracemalloc.stop()
 
--- a/tools/poll_storm.py
+++ b/tools/poll_storm.py
@@ -1,7 +1,7 @@
-"""What polls cost a controller: `python3 tools/poll_storm.py HOST:PORT JOB [--pid PID]`.
+"""Measures what polls cost a controller: `python3 tools/poll_storm.py HOST:PORT JOB [--pid PID]`.
 
-Asks about a job at a steady rate over a few connections, and reports how long answers took and,
-with the controller's process id, its processor time a poll. Bounded in rate and time.
+Queries a job at a steady rate over a few connections and reports the latency of the replies and,
+given the controller's process id, its processor time per poll. Rate and duration are bounded.
 """
 
 from __future__ import annotations
@@ -18,41 +18,41 @@
 CONNECTIONS = 8
 
 
-def cpu_seconds(pid: int) -> float:
-    """User and system time of a process so far."""
+def read_cpu_seconds(pid: int) -> float:
+    """Return the user and system time that a process has used so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class Asker(threading.Thread):
-    """One connection that polls at a steady pace."""
+class Poller(threading.Thread):
+    """Polls over one connection at a steady rate."""
 
-    def __init__(self, address: str, job: str, period: float, until: float) -> None:
+    def __init__(self, address: str, job: str, period_s: float, end_at: float) -> None:
         super().__init__(daemon=True)
-        self._address, self._job, self._period, self._until = address, job, period, until
+        self._address, self._job, self._period_s, self._end_at = address, job, period_s, end_at
         self.statuses: Counter[int] = Counter()
-        self.delays: list[float] = []
+        self.latencies_s: list[float] = []
 
     def run(self) -> None:
         connection = http.client.HTTPConnection(self._address, timeout=2.0)
-        due = time.monotonic()
-        while due < self._until:
-            time.sleep(max(0.0, due - time.monotonic()))
-            began = time.monotonic()
+        due_at = time.monotonic()
+        while due_at < self._end_at:
+            time.sleep(max(0.0, due_at - time.monotonic()))
+            started_at = time.monotonic()
             try:
                 connection.request("GET", f"/work/{self._job}")
-                answer = connection.getresponse()
-                answer.read()
-                self.statuses[answer.status] += 1
+                response = connection.getresponse()
+                response.read()
+                self.statuses[response.status] += 1
             except (OSError, http.client.HTTPException):
                 connection.close()
                 self.statuses[0] += 1
-            self.delays.append(time.monotonic() - began)
-            due += self._period
+            self.latencies_s.append(time.monotonic() - started_at)
+            due_at += self._period_s
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="What polls cost a controller.")
+    parser = argparse.ArgumentParser(description="Measure what polls cost a controller.")
     parser.add_argument("address", help="HOST:PORT of a controller on this machine")
     parser.add_argument("job")
     parser.add_argument("--rate", type=float, default=200.0, help="polls a second, 2000 at most")
@@ -60,24 +60,24 @@
     parser.add_argument("--pid", type=int, help="the controller's process")
     arguments = parser.parse_args()
     rate, seconds = min(arguments.rate, 2000.0), min(arguments.seconds, 60.0)
-    before = cpu_seconds(arguments.pid) if arguments.pid else 0.0
-    until = time.monotonic() + seconds
-    askers = [
-        Asker(arguments.address, arguments.job, CONNECTIONS / rate, until)
+    cpu_before_s = read_cpu_seconds(arguments.pid) if arguments.pid else 0.0
+    end_at = time.monotonic() + seconds
+    pollers = [
+        Poller(arguments.address, arguments.job, CONNECTIONS / rate, end_at)
         for _ in range(CONNECTIONS)
     ]
-    for asker in askers:
-        asker.start()
-    for asker in askers:
-        asker.join()
-    delays = sorted(delay for asker in askers for delay in asker.delays)
-    statuses = sum((asker.statuses for asker in askers), Counter())
-    cut = statistics.quantiles(delays, n=100)
-    print(f"polls: {len(delays)} in {seconds:.0f} s, by status {dict(statuses)}")
-    print(f"answered after ms: median {cut[49] * 1e3:.1f}, p99 {cut[98] * 1e3:.1f}")
+    for poller in pollers:
+        poller.start()
+    for poller in pollers:
+        poller.join()
+    latencies_s = sorted(latency_s for poller in pollers for latency_s in poller.latencies_s)
+    statuses = sum((poller.statuses for poller in pollers), Counter())
+    percentiles = statistics.quantiles(latencies_s, n=100)
+    print(f"polls: {len(latencies_s)} in {seconds:.0f} s, by status {dict(statuses)}")
+    print(f"answered after ms: median {percentiles[49] * 1e3:.1f}, p99 {percentiles[98] * 1e3:.1f}")
     if arguments.pid:
-        used = cpu_seconds(arguments.pid) - before
-        print(f"processor time: {used:.2f} s, {used / len(delays) * 1e6:.0f} us a poll")
+        used_s = read_cpu_seconds(arguments.pid) - cpu_before_s
+        print(f"processor time: {used_s:.2f} s, {used_s / len(latencies_s) * 1e6:.0f} us a poll")
 
 
 if __name__ == "__main__":
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,8 +1,9 @@
-"""What a job, a task, a machine, a team cost by role, as slopes: `python3 tools/slopes.py`.
+"""Measures the cost of one more job, task, machine, team: `python3 tools/slopes.py`.
 
-Each figure is measured at four sizes over a factor of eight and put on a line (`emulator/fit.py`):
-its slope, what the line misses, and the power of the size with which it grows. Memory is that of
-the objects alone (`tracemalloc`); seconds are processor time, the least of five tries.
+Each figure is measured at four sizes over a factor of eight and fitted to a line (see
+`flaxtally/emulator/fit.py`): its slope, the residual, and the power of the size with which it
+grows. Memory counts the objects alone (`tracemalloc`); seconds are processor time, the minimum of
+five tries.
 """
 
 from __future__ import annotations
@@ -28,14 +29,14 @@
 from flaxtally.protocol import wire
 from flaxtally.runtime.http import pack
 from flaxtally.settings import Team
-from tools.limits import fill, records
+from tools.limits import build_ledger_records, replay_records
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
 TRIES = 5
-KB = 1024.0
-TARGET_JOBS, TARGET_TASKS, TARGET_MACHINES, TARGET_TEAMS, TARGET_CELLS, TARGET_NODES = (
+BYTES_PER_KB = 1024.0
+TARGET_JOBS, TARGET_TASKS, TARGET_MACHINES, TARGET_TEAMS, TARGET_CELLS, TARGET_CONTROLLERS = (
     350_000,
     190_000,
     20_000,
@@ -47,65 +48,69 @@
 MACHINE_SIZES = [500, 1000, 2000, 4000]
 TEAM_SIZES = [90, 180, 360, 720]
 CELL_SIZES = [2, 4, 8, 16]
-REPORT_SIZES = [4, 8, 16, 32]
-NODE_SIZES = [3, 6, 12, 24]
+TASK_SIZES = [4, 8, 16, 32]
+CONTROLLER_SIZES = [3, 6, 12, 24]
 
 
-def memory(build: Callable[[], Any]) -> float:
-    """Bytes that what is built holds."""
+def measure_memory_bytes(build: Callable[[], Any]) -> float:
+    """Return how many bytes the built objects hold."""
     tracemalloc.start()
-    kept = build()
-    held = tracemalloc.get_traced_memory()[0]
+    built = build()
+    held_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    del kept
-    return float(held)
+    del built
+    return float(held_bytes)
 
 
-def seconds(act: Callable[[], Any]) -> float:
-    """Processor time of a call."""
-    least = float("inf")
+def measure_seconds(action: Callable[[], Any]) -> float:
+    """Return the least processor time of a call over all tries."""
+    least_s = float("inf")
     for _ in range(TRIES):
-        began = time.process_time()
-        act()
-        least = min(least, time.process_time() - began)
-    return least
+        started_at = time.process_time()
+        action()
+        least_s = min(least_s, time.process_time() - started_at)
+    return least_s
 
 
-def ledger_bytes(jobs: int, placed: bool) -> float:
-    return float(sum(len(msgspec.json.encode(record)) + 1 for record in records(jobs, placed)))
+def measure_ledger_bytes(jobs: int, placed: bool) -> float:
+    return float(
+        sum(len(msgspec.json.encode(record)) + 1 for record in build_ledger_records(jobs, placed))
+    )
 
 
-def machine(number: int) -> Machine:
+def build_machine(number: int) -> Machine:
     return Machine(f"n-{number:06d}", "g8", "zone-1", spot=False, now=1.0)
 
 
-def report(tasks: int) -> wire.Heartbeat:
-    held = [wire.TaskStatus(f"j-{number:06d}/{number}", 1, "running") for number in range(tasks)]
+def build_heartbeat(tasks: int) -> wire.Heartbeat:
+    statuses = [
+        wire.TaskStatus(f"j-{number:06d}/{number}", 1, "running") for number in range(tasks)
+    ]
     return wire.Heartbeat(
-        "n-000231", "10.1.0.232:9000", "g8", "zone-1", False, 1, 88, 41, held, None
+        "n-000231", "10.1.0.232:9000", "g8", "zone-1", False, 1, 88, 41, statuses, None
     )
 
 
-def shares(teams: int) -> list[bytes]:
-    """The keys' values of so many teams in ten cells."""
+def build_share_rows(teams: int) -> list[bytes]:
+    """Encode the quota shares of `teams` teams in ten cells, one value each."""
     cells = [f"cell-{number}" for number in range(TARGET_CELLS)]
     team = Team("team", 800.0, 2000.0, 20.0, 50.0)
     value = equal_shares(team, cells).with_want("cell-3", Amount(6.0, 1.0))
     return [pack(msgspec.to_builtins(value)) for _ in range(teams)]
 
 
-def read_shares(rows: list[bytes]) -> list[TeamShares]:
+def decode_share_rows(rows: list[bytes]) -> list[TeamShares]:
     return [msgspec.convert(msgspec.msgpack.decode(row), TeamShares) for row in rows]
 
 
-def directory(jobs: int) -> Directory:
-    found = Directory(None, most=jobs)  # type: ignore[arg-type]
+def build_directory(jobs: int) -> Directory:
+    directory = Directory(None, most=jobs)  # type: ignore[arg-type]
     for number in range(jobs):
-        found._note(f"j-{number:06d}", Entry("cell-1", kept=True))
-    return found
+        directory._note(f"j-{number:06d}", Entry("cell-1", kept=True))
+    return directory
 
 
-def cell_map(cells: int) -> CellMap:
+def build_cell_map(cells: int) -> CellMap:
     return CellMap(
         1,
         tuple(
@@ -119,19 +124,19 @@
     )
 
 
-def hash_machines(nodes: int) -> Callable[[], None]:
+def build_hash_action(nodes: int) -> Callable[[], None]:
     names = [f"controller-{number}" for number in range(nodes)]
     machines = [f"n-{random.Random(number).randrange(10**6):06d}" for number in range(1000)]
 
-    def act() -> None:
+    def hash_machines() -> None:
         for name in machines:
             shard_owner(name, "zone-1", names, {})
 
-    return act
+    return hash_machines
 
 
 class Figure(NamedTuple):
-    """What is measured, at which sizes, and the size to come."""
+    """What is measured, at which sizes, and the size to which the line is extrapolated."""
 
     name: str
     sizes: list[int]
@@ -139,97 +144,114 @@
     measure: Callable[[int], float]
 
 
-def _waiting_memory(jobs: int) -> float:
-    return memory(lambda: fill(records(jobs, False))) / KB
+def _measure_waiting_jobs_kb(jobs: int) -> float:
+    return (
+        measure_memory_bytes(lambda: replay_records(build_ledger_records(jobs, False)))
+        / BYTES_PER_KB
+    )
 
 
-def _placed_memory(jobs: int) -> float:
-    return memory(lambda: fill(records(jobs, True))) / KB
+def _measure_placed_jobs_kb(jobs: int) -> float:
+    return (
+        measure_memory_bytes(lambda: replay_records(build_ledger_records(jobs, True)))
+        / BYTES_PER_KB
+    )
 
 
-def _machine_memory(machines: int) -> float:
-    return memory(lambda: [machine(number) for number in range(machines)]) / KB
+def _measure_machines_kb(machines: int) -> float:
+    return (
+        measure_memory_bytes(lambda: [build_machine(number) for number in range(machines)])
+        / BYTES_PER_KB
+    )
 
 
-def _map_bytes(cells: int) -> float:
-    return float(len(pack(msgspec.to_builtins(cell_map(cells)))))
+def _measure_map_bytes(cells: int) -> float:
+    return float(len(pack(msgspec.to_builtins(build_cell_map(cells)))))
 
 
-def _check_map(cells: int) -> float:
-    return seconds(lambda: CellIndex(cell_map(cells))) * 1000
+def _measure_map_check_ms(cells: int) -> float:
+    return measure_seconds(lambda: CellIndex(build_cell_map(cells))) * 1000
 
 
-def _final_memory(jobs: int) -> float:
-    def build() -> ClusterState:
-        book = ClusterState()
+def _measure_terminal_jobs_kb(jobs: int) -> float:
+    def build_state() -> ClusterState:
+        state = ClusterState()
         for number in range(1, jobs + 1):
-            book.replay(["F", number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
-        return book
+            state.replay(["F", number, f"j-{number:06d}", wire.DONE], number // 1000 + 1)
+        return state
 
-    return memory(build) / KB
+    return measure_memory_bytes(build_state) / BYTES_PER_KB
 
 
-def _replay(jobs: int) -> float:
-    found = records(jobs, True)
-    return seconds(lambda: fill(found))
+def _measure_replay_s(jobs: int) -> float:
+    records = build_ledger_records(jobs, True)
+    return measure_seconds(lambda: replay_records(records))
 
 
-def _decode(tasks: int) -> float:
-    body, decoder = pack(report(tasks)), msgspec.msgpack.Decoder(wire.Heartbeat)
+def _measure_decode_us(tasks: int) -> float:
+    body, decoder = pack(build_heartbeat(tasks)), msgspec.msgpack.Decoder(wire.Heartbeat)
 
-    def act() -> None:
+    def decode_repeatedly() -> None:
         for _ in range(1000):
             decoder.decode(body)
 
-    return seconds(act) * 1000
+    return measure_seconds(decode_repeatedly) * 1000
 
 
-def _read(teams: int) -> float:
-    rows = shares(teams)
-    return seconds(lambda: read_shares(rows)) * 1000
+def _measure_shares_decode_ms(teams: int) -> float:
+    rows = build_share_rows(teams)
+    return measure_seconds(lambda: decode_share_rows(rows)) * 1000
 
 
 PLACED_JOBS = TARGET_TASKS // 8
 FIGURES = [
-    Figure("ledger: KB of memory, jobs", JOB_SIZES, TARGET_JOBS, _waiting_memory),
-    Figure("ledger: KB of memory, 8-task jobs", JOB_SIZES, PLACED_JOBS, _placed_memory),
+    Figure("ledger: KB of memory, jobs", JOB_SIZES, TARGET_JOBS, _measure_waiting_jobs_kb),
+    Figure("ledger: KB of memory, 8-task jobs", JOB_SIZES, PLACED_JOBS, _measure_placed_jobs_kb),
     Figure(
-        "ledger: KB stored, jobs", JOB_SIZES, TARGET_JOBS, lambda n: ledger_bytes(n, False) / KB
+        "ledger: KB stored, jobs",
+        JOB_SIZES,
+        TARGET_JOBS,
+        lambda n: measure_ledger_bytes(n, False) / BYTES_PER_KB,
     ),
     Figure(
         "ledger: KB stored, 8-task jobs",
         JOB_SIZES,
         PLACED_JOBS,
-        lambda n: ledger_bytes(n, True) / KB,
+        lambda n: measure_ledger_bytes(n, True) / BYTES_PER_KB,
     ),
-    Figure("ledger: KB of memory, final jobs", JOB_SIZES, TARGET_JOBS, _final_memory),
-    Figure("takeover: s of replay, 8-task jobs", JOB_SIZES, PLACED_JOBS, _replay),
-    Figure("leader: KB of memory, machines", MACHINE_SIZES, TARGET_MACHINES, _machine_memory),
+    Figure("ledger: KB of memory, final jobs", JOB_SIZES, TARGET_JOBS, _measure_terminal_jobs_kb),
+    Figure("takeover: s of replay, 8-task jobs", JOB_SIZES, PLACED_JOBS, _measure_replay_s),
+    Figure("leader: KB of memory, machines", MACHINE_SIZES, TARGET_MACHINES, _measure_machines_kb),
     Figure(
-        "worker: bytes of a report, tasks", REPORT_SIZES, 10, lambda n: float(len(pack(report(n))))
+        "worker: bytes of a report, tasks",
+        TASK_SIZES,
+        10,
+        lambda n: float(len(pack(build_heartbeat(n)))),
     ),
-    Figure("report path: us to decode, tasks", REPORT_SIZES, 10, _decode),
+    Figure("report path: us to decode, tasks", TASK_SIZES, 10, _measure_decode_us),
     Figure(
         "hashing: us a machine, controllers",
-        NODE_SIZES,
-        TARGET_NODES,
-        lambda n: seconds(hash_machines(n)) * 1000,
+        CONTROLLER_SIZES,
+        TARGET_CONTROLLERS,
+        lambda n: measure_seconds(build_hash_action(n)) * 1000,
     ),
     Figure(
         "directory: KB of memory, jobs",
         JOB_SIZES,
         TARGET_JOBS,
-        lambda n: memory(lambda: directory(n)) / KB,
+        lambda n: measure_memory_bytes(lambda: build_directory(n)) / BYTES_PER_KB,
     ),
     Figure(
         "shares: KB a read, teams",
         TEAM_SIZES,
         TARGET_TEAMS,
-        lambda n: sum(map(len, shares(n))) / KB,
+        lambda n: sum(map(len, build_share_rows(n))) / BYTES_PER_KB,
+    ),
+    Figure(
+        "shares: ms to decode a read, teams", TEAM_SIZES, TARGET_TEAMS, _measure_shares_decode_ms
     ),
-    Figure("shares: ms to decode a read, teams", TEAM_SIZES, TARGET_TEAMS, _read),
-    Figure("cell map: bytes, cells", CELL_SIZES, TARGET_CELLS, _map_bytes),
-    Figure("cell map: ms to check, cells", CELL_SIZES, TARGET_CELLS, _check_map),
+    Figure("cell map: bytes, cells", CELL_SIZES, TARGET_CELLS, _measure_map_bytes),
+    Figure("cell map: ms to check, cells", CELL_SIZES, TARGET_CELLS, _measure_map_check_ms),
 ]
 
 
--- a/tools/start_cost.py
+++ b/tools/start_cost.py
@@ -1,8 +1,8 @@
-"""What a start of a controller costs: `python3 tools/start_cost.py TREE [TREE ...]`.
+"""Measures what the start of a controller costs: `python3 tools/start_cost.py TREE [TREE ...]`.
 
-Builds each source tree as its deploy file says, then starts a controller in each in turn, several
-times, as the deploy file says, until it listens. Reports processor time and memory of that start:
-the median, and the spread from the least to the most.
+Builds each source tree with the command of its `deploy/service.toml`, then starts a controller of
+each tree in turn, several times, until it listens. Prints the processor time of a start (median,
+minimum and maximum) and its memory (median).
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 cloud = {{ rps = 3.0, list_lag_s = 4.0 }}
 limits = {{ max_sockets = 700 }}
 """
-LONGEST_START = 20.0
+START_TIMEOUT_S = 20.0
 
 
-def free_port() -> int:
+def find_free_port() -> int:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port: int = probe.getsockname()[1]
@@ -49,24 +49,24 @@
 
 
 def wait_until_listening(port: int) -> None:
-    until = time.monotonic() + LONGEST_START
+    deadline = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             socket.create_connection(("127.0.0.1", port), timeout=1.0).close()
         except OSError:
-            if time.monotonic() > until:
+            if time.monotonic() > deadline:
                 raise
             time.sleep(0.005)
         else:
             return
 
 
-def start(tree: Path, run: list[str], settings: Path) -> tuple[float, float]:
-    """Processor time in seconds and memory in MB of one start."""
-    users = free_port()
-    settings.write_text(SETTINGS.format(users=users, peers=free_port()))
-    process = subprocess.Popen([*run, str(settings)], cwd=tree, stderr=subprocess.DEVNULL)
-    wait_until_listening(users)
+def measure_start(tree: Path, command: list[str], settings: Path) -> tuple[float, float]:
+    """Start a controller once; return its processor time in seconds and its memory in MB."""
+    user_port = find_free_port()
+    settings.write_text(SETTINGS.format(users=user_port, peers=find_free_port()))
+    process = subprocess.Popen([*command, str(settings)], cwd=tree, stderr=subprocess.DEVNULL)
+    wait_until_listening(user_port)
     process.send_signal(signal.SIGKILL)
     _, status, usage = os.wait4(process.pid, 0)
     process.returncode = status
@@ -74,7 +74,7 @@
 
 
 def main() -> None:
-    parser = argparse.ArgumentParser(description="What a start of a controller costs.")
+    parser = argparse.ArgumentParser(description="Measure what the start of a controller costs.")
     parser.add_argument("trees", nargs="+", type=Path, metavar="TREE")
     parser.add_argument("--times", type=int, default=15)
     arguments = parser.parse_args()
@@ -86,11 +86,11 @@
     costs: dict[Path, list[tuple[float, float]]] = {tree: [] for tree in commands}
     with tempfile.TemporaryDirectory() as folder:
         for _ in range(arguments.times):
-            for tree, run in commands.items():
-                costs[tree].append(start(tree, run, Path(folder) / "node.toml"))
-    for tree, found in costs.items():
-        times = sorted(seconds for seconds, _ in found)
-        memory = statistics.median(megabytes for _, megabytes in found)
+            for tree, command in commands.items():
+                costs[tree].append(measure_start(tree, command, Path(folder) / "node.toml"))
+    for tree, starts in costs.items():
+        times = sorted(seconds for seconds, _ in starts)
+        memory = statistics.median(megabytes for _, megabytes in starts)
         print(
             f"{tree}: {statistics.median(times):.3f} s ({times[0]:.3f} to {times[-1]:.3f}), "
             f"{memory:.1f} MB"
--- a/tools/wire_digest.py
+++ b/tools/wire_digest.py
@@ -1,19 +1,19 @@
-"""One digest a simulated day, over all bytes between hosts and the moments at which they are sent:
+"""Prints one digest per simulated run, over all bytes between hosts and the times of sending:
 `python3 tools/wire_digest.py [--kinds plain,lending,...] [--jobs N] [--expect FILE] SEED...`
 
-Where a change must leave behaviour as it is, equal digests before and after show that nothing on
-the wire changed, to the byte and the moment, on the days that were played. Kinds of days:
+If a change must not alter behaviour, equal digests before and after show that nothing on the wire
+changed in the scenarios that were run, neither a byte nor a time. Kinds of scenarios:
 
 - plain: three controllers; crashes, an outage, a frozen controller, lost writes, a cancellation;
-- lending: two teams on too few machines, loans that are recalled, crashes meanwhile;
-- cells: two cells with jobs in both, crashes, a cell that is cut off, one that is closed;
-- upgrade: from the version in production, one controller after the other, with changes of leader
-  between, and lower limits of the state service at the end (needs that version's commit);
-- five: the plain day with five controllers.
-
-It prints `KIND SEED DIGEST COUNT` a day (COUNT: sends and ends of streams), by kind, then by seed
-as given. `--expect FILE` compares with such lines, names each day that differs and then exits with
-1; without seeds it plays the file's days. Each day is played in a process of its own.
+- lending: two teams on too few machines; loans are reclaimed while controllers crash;
+- cells: two cells with jobs in both; crashes, a cell that is cut off, one that is closed;
+- upgrade: from the version in production, one controller after the other, with leader changes in
+  between, and lower limits of the state service at the end (needs the commit in production);
+- five: the plain scenario with five controllers.
+
+It prints `KIND SEED DIGEST COUNT` per run (COUNT: sends and ends of streams), ordered by kind, then
+by seed as given. `--expect FILE` compares with such lines, names each run that differs and then
+exits with 1; without seeds it runs the scenarios of the file. Each run has a process of its own.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-# What is named in `tests/`: all of it stands between here and "What happens on a day".
+# All names of `tests/` are used between here and "The course of each scenario".
 
 import pytest
 
@@ -45,13 +45,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
 
-LATE_RECALL_S = 200.0
-"""The lending audit's bound: recalls wait while nobody leads."""
+MAX_RECLAIM_S = 200.0
+"""Longest reclaim that the lending checks accept: reclaims wait while there is no leader."""
 LENDER, BORROWER = "crew", "others"
 
 
 class Recorder:
-    """Counts and hashes what the simulated network carries."""
+    """Counts and hashes everything that the simulated network transmits."""
 
     def __init__(self) -> None:
         self.hash = hashlib.blake2b(digest_size=12)
@@ -61,24 +61,26 @@
     def recording(self) -> Iterator[None]:
         carry = Simulation.carry
 
-        def recorded(simulation: Simulation, stream: SimStream, data: bytes | None) -> None:
+        def transmit_recorded(
+            simulation: Simulation, stream: SimStream, data: bytes | None
+        ) -> None:
             self._record(simulation.time, stream.host.ip, stream.far, data)
             carry(simulation, stream, data)
 
-        Simulation.carry = recorded  # type: ignore[assignment,method-assign]
+        Simulation.carry = transmit_recorded  # type: ignore[assignment,method-assign]
         try:
             yield
         finally:
             Simulation.carry = carry  # type: ignore[method-assign]
 
-    def _record(self, moment: float, sender: str, receiver: str, data: bytes | None) -> None:
+    def _record(self, time_s: float, sender: str, receiver: str, data: bytes | None) -> None:
         self.count += 1
-        self.hash.update(f"{moment:.9f} {sender} {receiver} ".encode())
+        self.hash.update(f"{time_s:.9f} {sender} {receiver} ".encode())
         self.hash.update(b"closed" if data is None else data)
 
 
-class Day:
-    """A simulated deployment, and chance for what happens to it."""
+class Scenario:
+    """A simulated deployment, and the random generator that decides what happens to it."""
 
     def __init__(self, seed: int, world: SimulatedCluster) -> None:
         self.random = random.Random(seed)
@@ -91,33 +93,33 @@
 
     # What users do
 
-    def next_job(self) -> str:
+    def next_job_name(self) -> str:
         self._jobs += 1
         return f"j-{self._jobs:06d}"
 
-    def any_number(self) -> int:
-        """A controller, as users count them."""
+    def pick_controller_number(self) -> int:
+        """Pick the number of a controller, as users choose one."""
         return self.random.randrange(len(self.controllers))
 
-    def service(self, job: str, tasks: int, number: int) -> None:
+    def submit_service(self, job: str, tasks: int, number: int) -> None:
         self.world.submit(spec(job, tasks=tasks), node=number)
 
-    def array(self, job: str, tasks: int, length: float, number: int) -> None:
-        self.world.submit(batch(job, tasks), run_time=length, node=number)
+    def submit_array(self, job: str, tasks: int, run_time: float, number: int) -> None:
+        self.world.submit(batch(job, tasks), run_time=run_time, node=number)
 
-    def gang(self, job: str, tasks: int, length: float, number: int) -> None:
-        self.world.submit(gang(job, tasks), run_time=length, node=number)
+    def submit_gang(self, job: str, tasks: int, run_time: float, number: int) -> None:
+        self.world.submit(gang(job, tasks), run_time=run_time, node=number)
 
-    def gpu_array(self, job: str, tasks: int, team: str, length: float) -> None:
-        number = self.any_number()
-        self.world.submit(work(job, tasks, team), run_time=length, node=number)
+    def submit_gpu_array(self, job: str, tasks: int, team: str, run_time: float) -> None:
+        number = self.pick_controller_number()
+        self.world.submit(work(job, tasks, team), run_time=run_time, node=number)
 
     def cancel(self, job: str) -> None:
-        self.world.cancel(job, node=self.any_number())
+        self.world.cancel(job, node=self.pick_controller_number())
 
-    # Troubles
+    # Faults
 
-    def any_controller(self) -> str:
+    def pick_controller(self) -> str:
         return self.random.choice(self.controllers)
 
     def crash(self, controller: str, back_after: float = 4.0) -> None:
@@ -132,16 +134,16 @@
     def freeze(self, controller: str, seconds: float) -> None:
         self.world.freeze(controller, seconds)
 
-    def lose_writes(self, share: float, seconds: float) -> None:
-        self.world.lose_writes(share, seconds)
+    def lose_writes(self, fraction: float, seconds: float) -> None:
+        self.world.lose_writes(fraction, seconds)
 
 
-class CellDay(Day):
+class CellScenario(Scenario):
     def __init__(self, seed: int) -> None:
         self.cells = SimulatedCells(seed)
         super().__init__(seed, self.cells)
 
-    def both_lead(self) -> None:
+    def wait_for_both_leaders(self) -> None:
         assert self.cells.until(self.cells.both_lead, 15.0), "a cell has no leader"
 
     def cut_off_south(self, seconds: float) -> None:
@@ -151,7 +153,7 @@
         self.cells.put_map(cell_map(2, north=False))
 
 
-class UpgradeDay(Day):
+class UpgradeScenario(Scenario):
     def __init__(self, seed: int) -> None:
         self.upgraded = UpgradingCluster(seed)
         super().__init__(seed, self.upgraded)
@@ -163,184 +165,194 @@
         self.upgraded.lower_limits()
 
 
-def plain_day(seed: int) -> Day:
-    return Day(seed, SimulatedCluster(seed))
+def build_plain_scenario(seed: int) -> Scenario:
+    return Scenario(seed, SimulatedCluster(seed))
 
 
-def five_day(seed: int) -> Day:
-    return Day(seed, SimulatedCluster(seed, nodes=FIVE))
+def build_five_scenario(seed: int) -> Scenario:
+    return Scenario(seed, SimulatedCluster(seed, nodes=FIVE))
 
 
-def lending_day(seed: int) -> Day:
-    return Day(seed, SimulatedLendingCluster(seed, most_s=LATE_RECALL_S))
+def build_lending_scenario(seed: int) -> Scenario:
+    return Scenario(seed, SimulatedLendingCluster(seed, most_s=MAX_RECLAIM_S))
 
 
 @contextlib.contextmanager
-def production_version() -> Iterator[None]:
-    """Unpacks the sources in production once, for all processes that are forked meanwhile."""
+def unpacked_production_version() -> Iterator[None]:
+    """Unpack the sources in production once, for all processes forked inside the `with` block."""
     try:
         folder = production.sources()
-    except pytest.skip.Exception as lacking:
-        sys.exit(f"upgrade days can't be played: {lacking}")
+    except pytest.skip.Exception as skipped:
+        sys.exit(f"upgrade scenarios can't be run: {skipped}")
     try:
         yield
     finally:
         shutil.rmtree(folder)
 
 
-# What happens on a day: nothing of `tests/` is named from here on
+# The course of each scenario: no names of `tests/` are used from here on
 
 
-def arrivals(day: Day) -> None:
-    """One to three jobs of all kinds."""
-    for _ in range(day.random.randrange(1, 4)):
-        job, choice = day.next_job(), day.random.random()
-        number, length = day.any_number(), day.random.uniform(2, 20)
+def submit_random_jobs(scenario: Scenario) -> None:
+    """Submit one to three jobs, each a service, an array or a gang."""
+    for _ in range(scenario.random.randrange(1, 4)):
+        job, choice = scenario.next_job_name(), scenario.random.random()
+        number, run_time = scenario.pick_controller_number(), scenario.random.uniform(2, 20)
         if choice < 0.4:
-            day.service(job, day.random.randrange(1, 4), number)
+            scenario.submit_service(job, scenario.random.randrange(1, 4), number)
         elif choice < 0.8:
-            day.array(job, day.random.randrange(1, 8), length, number)
+            scenario.submit_array(job, scenario.random.randrange(1, 8), run_time, number)
         else:
-            day.gang(job, 3, length, number)
-
-
-def play_mixed(day: Day) -> None:
-    for turn in range(12):
-        arrivals(day)
-        if turn % 3 == 1:
-            day.crash(day.any_controller())
-        if turn == 4:
-            day.outage(6.0)
-        if turn == 6:
-            day.freeze(day.any_controller(), 8.0)
-        if turn == 8:
-            day.lose_writes(0.5, 6.0)
-        if turn == 9:
-            day.cancel("j-000002")
-        day.run(day.random.uniform(4, 10))
-
-
-def play_lending(day: Day) -> None:
-    """The borrower wants all there is; the lender comes back again and again."""
-    day.gpu_array(day.next_job(), 16, BORROWER, 300.0)
-    day.run(day.random.uniform(25, 30))
-    for turn in range(8):
-        length = day.random.uniform(6, 20)
-        day.gpu_array(day.next_job(), day.random.randrange(2, 7), LENDER, length)
-        if turn % 3 == 1:
-            day.run(day.random.uniform(0.5, 6))
-            day.change_leader()
-        if turn % 3 == 2:
-            day.crash(day.any_controller())
-        if turn == 4:
-            day.gpu_array(day.next_job(), day.random.randrange(2, 7), BORROWER, length)
-        if turn == 6:
-            day.cancel("j-000002")
-            day.lose_writes(0.5, 6.0)
-        day.run(day.random.uniform(6, 14))
-
-
-def play_cells(day: CellDay) -> None:
-    day.both_lead()
-    for turn in range(10):
-        arrivals(day)
-        if turn % 3 == 1:
-            day.crash(day.any_controller())
-        if turn == 3:
-            day.change_leader()
-        if turn == 5:
-            day.cut_off_south(8.0)
-        if turn == 7:
-            day.cancel("j-000002")
-        if turn == 8:
-            day.close_north()
-        day.run(day.random.uniform(4, 8))
-
-
-def play_upgrade(day: UpgradeDay) -> None:
-    waiting = day.random.sample(day.controllers, len(day.controllers))
-    for turn in range(12):
-        arrivals(day)
-        if turn % 3 == 1 and waiting:
-            day.upgrade(waiting.pop())
-        if turn % 3 == 2:
-            day.change_leader()
-        if turn == 6:
-            day.cancel("j-000002")
-        if turn == 10:
-            day.lower_limits()
-        day.run(day.random.uniform(4, 10))
-
-
-KINDS: dict[str, tuple[Callable[[int], Day], Callable[..., None]]] = {
-    "plain": (plain_day, play_mixed),
-    "lending": (lending_day, play_lending),
-    "cells": (CellDay, play_cells),
-    "upgrade": (UpgradeDay, play_upgrade),
-    "five": (five_day, play_mixed),
+            scenario.submit_gang(job, 3, run_time, number)
+
+
+def run_mixed(scenario: Scenario) -> None:
+    for step in range(12):
+        submit_random_jobs(scenario)
+        if step % 3 == 1:
+            scenario.crash(scenario.pick_controller())
+        if step == 4:
+            scenario.outage(6.0)
+        if step == 6:
+            scenario.freeze(scenario.pick_controller(), 8.0)
+        if step == 8:
+            scenario.lose_writes(0.5, 6.0)
+        if step == 9:
+            scenario.cancel("j-000002")
+        scenario.run(scenario.random.uniform(4, 10))
+
+
+def run_lending(scenario: Scenario) -> None:
+    """Let the borrower ask for all GPUs while the lender repeatedly submits jobs of its own."""
+    scenario.submit_gpu_array(scenario.next_job_name(), 16, BORROWER, 300.0)
+    scenario.run(scenario.random.uniform(25, 30))
+    for step in range(8):
+        run_time = scenario.random.uniform(6, 20)
+        scenario.submit_gpu_array(
+            scenario.next_job_name(), scenario.random.randrange(2, 7), LENDER, run_time
+        )
+        if step % 3 == 1:
+            scenario.run(scenario.random.uniform(0.5, 6))
+            scenario.change_leader()
+        if step % 3 == 2:
+            scenario.crash(scenario.pick_controller())
+        if step == 4:
+            scenario.submit_gpu_array(
+                scenario.next_job_name(), scenario.random.randrange(2, 7), BORROWER, run_time
+            )
+        if step == 6:
+            scenario.cancel("j-000002")
+            scenario.lose_writes(0.5, 6.0)
+        scenario.run(scenario.random.uniform(6, 14))
+
+
+def run_cells(scenario: CellScenario) -> None:
+    scenario.wait_for_both_leaders()
+    for step in range(10):
+        submit_random_jobs(scenario)
+        if step % 3 == 1:
+            scenario.crash(scenario.pick_controller())
+        if step == 3:
+            scenario.change_leader()
+        if step == 5:
+            scenario.cut_off_south(8.0)
+        if step == 7:
+            scenario.cancel("j-000002")
+        if step == 8:
+            scenario.close_north()
+        scenario.run(scenario.random.uniform(4, 8))
+
+
+def run_upgrade(scenario: UpgradeScenario) -> None:
+    waiting = scenario.random.sample(scenario.controllers, len(scenario.controllers))
+    for step in range(12):
+        submit_random_jobs(scenario)
+        if step % 3 == 1 and waiting:
+            scenario.upgrade(waiting.pop())
+        if step % 3 == 2:
+            scenario.change_leader()
+        if step == 6:
+            scenario.cancel("j-000002")
+        if step == 10:
+            scenario.lower_limits()
+        scenario.run(scenario.random.uniform(4, 10))
+
+
+KINDS: dict[str, tuple[Callable[[int], Scenario], Callable[..., None]]] = {
+    "plain": (build_plain_scenario, run_mixed),
+    "lending": (build_lending_scenario, run_lending),
+    "cells": (CellScenario, run_cells),
+    "upgrade": (UpgradeScenario, run_upgrade),
+    "five": (build_five_scenario, run_mixed),
 }
-"""How each kind of day begins, and how it goes on."""
+"""For each kind of scenario, the functions that build and run it."""
 
 
-# Playing and comparing
+# Running and comparing
 
 
-class Named(NamedTuple):
-    """Which day."""
+class ScenarioId(NamedTuple):
+    """The kind and the random seed of a scenario."""
 
     kind: str
     seed: int
 
 
-class Played(NamedTuple):
-    """What was sent on a day."""
+class RunResult(NamedTuple):
+    """Digest and number of the sends of a run."""
 
     digest: str
     sends: int
 
 
-def play(day: Named) -> Played:
+def run_scenario(scenario_id: ScenarioId) -> RunResult:
     logging.disable(logging.CRITICAL)
-    begin, go_on = KINDS[day.kind]
+    build, run = KINDS[scenario_id.kind]
     recorder = Recorder()
     try:
         with recorder.recording():
-            go_on(begin(day.seed))
+            run(build(scenario_id.seed))
     except Exception as error:
-        error.add_note(f"on the day: {day.kind} {day.seed}")
+        error.add_note(f"in scenario: {scenario_id.kind} {scenario_id.seed}")
         raise
-    return Played(recorder.hash.hexdigest(), recorder.count)
+    return RunResult(recorder.hash.hexdigest(), recorder.count)
 
 
-def play_all(days: list[Named], jobs: int) -> Iterator[tuple[Named, Played]]:
-    """In order, as they are done; each in a new process, so that none depends on one before."""
-    forking = multiprocessing.get_context("fork")
+def run_scenarios(
+    scenario_ids: list[ScenarioId], jobs: int
+) -> Iterator[tuple[ScenarioId, RunResult]]:
+    """Yield results in the given order; each run has a new process, so none depends on another."""
+    fork_context = multiprocessing.get_context("fork")
     with contextlib.ExitStack() as stack:
-        if any(day.kind == "upgrade" for day in days):
-            stack.enter_context(production_version())
-        pool = stack.enter_context(forking.Pool(jobs, maxtasksperchild=1))
-        yield from zip(days, pool.imap(play, days, chunksize=1), strict=True)
+        if any(scenario_id.kind == "upgrade" for scenario_id in scenario_ids):
+            stack.enter_context(unpacked_production_version())
+        pool = stack.enter_context(fork_context.Pool(jobs, maxtasksperchild=1))
+        yield from zip(
+            scenario_ids, pool.imap(run_scenario, scenario_ids, chunksize=1), strict=True
+        )
 
 
-def read(path: Path) -> dict[Named, Played]:
-    """The days of a file that this tool wrote."""
-    days = {}
+def read_results(path: Path) -> dict[ScenarioId, RunResult]:
+    """Read the results in a file that this tool wrote."""
+    results = {}
     for line in path.read_text().splitlines():
         kind, seed, digest, count = line.split()
-        days[Named(kind, int(seed))] = Played(digest, int(count))
-    return days
+        results[ScenarioId(kind, int(seed))] = RunResult(digest, int(count))
+    return results
 
 
-def difference(day: Named, expected: Played | None, played: Played) -> str | None:
-    name = f"{day.kind} {day.seed}"
+def describe_difference(
+    scenario_id: ScenarioId, expected: RunResult | None, actual: RunResult
+) -> str | None:
+    name = f"{scenario_id.kind} {scenario_id.seed}"
     if expected is None:
-        return f"{name} is not among the expected days"
-    if expected != played:
+        return f"{name} is not among the expected scenarios"
+    if expected != actual:
         return f"{name} differs: expected {expected.digest} {expected.sends}"
     return None
 
 
-def kinds_of(text: str) -> list[str]:
+def parse_kinds(text: str) -> list[str]:
     kinds = text.split(",")
     for kind in kinds:
         if kind not in KINDS:
@@ -348,31 +360,35 @@
     return kinds
 
 
-def arguments() -> argparse.Namespace:
-    parser = argparse.ArgumentParser(description="One digest a simulated day, over all bytes sent.")
+def parse_arguments() -> argparse.Namespace:
+    parser = argparse.ArgumentParser(
+        description="Print one digest per simulated run, over all bytes sent."
+    )
     parser.add_argument("seeds", metavar="SEED", type=int, nargs="*")
-    parser.add_argument("--kinds", type=kinds_of, default=list(KINDS), help="all by default")
+    parser.add_argument("--kinds", type=parse_kinds, default=list(KINDS), help="all by default")
     parser.add_argument("--jobs", type=int, default=4, help="processes at once")
     parser.add_argument("--expect", type=Path, metavar="FILE", help="lines to compare with")
     return parser.parse_args()
 
 
 def main() -> None:
-    given = arguments()
-    expected = read(given.expect) if given.expect else {}
-    days = [Named(kind, seed) for kind in given.kinds for seed in given.seeds]
-    if not given.seeds:
-        days = [day for day in expected if day.kind in given.kinds]
-    if not days:
-        sys.exit("no days to play: give seeds, or a file of expected days")
+    options = parse_arguments()
+    expected = read_results(options.expect) if options.expect else {}
+    scenario_ids = [ScenarioId(kind, seed) for kind in options.kinds for seed in options.seeds]
+    if not options.seeds:
+        scenario_ids = [
+            scenario_id for scenario_id in expected if scenario_id.kind in options.kinds
+        ]
+    if not scenario_ids:
+        sys.exit("no scenarios to run: give seeds, or a file of expected results")
     differences = []
-    for day, played in play_all(days, given.jobs):
-        print(*day, *played, flush=True)
-        if given.expect:
-            differences.append(difference(day, expected.get(day), played))
-    found = [text for text in differences if text is not None]
-    if found:
-        sys.exit("\n".join(found))
+    for scenario_id, result in run_scenarios(scenario_ids, options.jobs):
+        print(*scenario_id, *result, flush=True)
+        if options.expect:
+            differences.append(describe_difference(scenario_id, expected.get(scenario_id), result))
+    messages = [text for text in differences if text is not None]
+    if messages:
+        sys.exit("\n".join(messages))
 
 
 if __name__ == "__main__":
